--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/errs"
 	"caperwheel/internal/intake"
 	"caperwheel/internal/limit"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/transport"
 	"caperwheel/internal/wire"
@@ -24,23 +24,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	configs := &config.Cache{View: d.View}
-	d.CanRead = configs.CanRead
-	workers := deliver.Own
+	d.CanReadConfig = configs.CanRead
+	workers := deliver.DefaultCodec
 	if source != nil {
 		workers = platform.Deliveries
 	}
 	out := deliver.New(ctx, d, configs, workers)
-	d.Link(map[string]transport.Handler{"run": out.Serve})
-	out.Link()
+	d.OpenTransport(map[string]transport.Handler{"run": out.Serve})
+	out.UseNode()
 	in := intake.New(d, configs)
-	d.Mux.HandleFunc("GET /v1/messages/{id}/story", in.ForAskers(out.ServeStory))
+	d.Mux.HandleFunc("GET /v1/messages/{id}/story", in.RequireAccess(out.ServeRuns))
 	limits := limit.New(limit.Options{Holder: d.Who.Boot, Places: d.Settings.Places, Bounds: d.Bounds, Now: d.Now,
-		Ask: limit.Through(&reach.Reach{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink, Try: timing.AnswerTimeout})})
-	in.SetLimits(limits)
-	d.Measure(limits.Measure)
-	client := d.Client(func() wire.Poll {
-		poll := d.Poll()
-		out.Say(poll.Fact.Counts)
+		RequestTokens: limit.ClientFor(&ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink, AttemptTimeout: timing.AnswerTimeout})})
+	in.SetLimiter(limits)
+	d.AddMetrics(limits.Measure)
+	client := d.NewSessionClient(func() wire.Poll {
+		poll := d.NewPoll()
+		out.AddCounts(poll.Fact.Counts)
 		return poll
 	})
 	go client.Run(ctx)
@@ -53,9 +53,9 @@
 			return false, "leaving"
 		case !d.IsFresh():
 			return false, string(errs.Stale)
-		case !configs.Current().MayWork(d.Who.Zone):
+		case !configs.Current().MayStartWork(d.Who.Zone):
 			return false, "the cell is being emptied"
-		case !d.Membership.HasOwner(wire.PlaceGroup):
+		case !d.Membership.HasOwner(wire.FirstPlaceGroup):
 			return false, "no place can be reached"
 		}
 		return true, ""
@@ -64,7 +64,7 @@
 		platform.ServeCallers(d.FrontMux, in)
 		platform.ServeReadiness(d.ProbeMux, d.IsReady)
 	} else {
-		d.FrontMux.HandleFunc("/", in.AsItIs(intake.Own))
+		d.FrontMux.HandleFunc("/", in.PassthroughHandler(intake.DefaultCodec))
 	}
 	d.Serve(out.Drain)
 }
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -13,10 +13,10 @@
 func main() {
 	d := daemon.New("agent", platform.Settings("agent"))
 	a := agent.New(d)
-	d.Link(a.Handlers())
+	d.OpenTransport(a.Handlers())
 	a.Measure()
 	ctx := context.Background()
 	go a.Run(ctx)
-	go a.HandOver(ctx)
+	go a.DeliverResults(ctx)
 	d.Serve(nil)
 }
--- a/cmd/manager/main.go
+++ b/cmd/manager/main.go
@@ -14,13 +14,13 @@
 		if source == nil {
 			return manager.Options{}
 		}
-		list := platform.ListOptions{Address: func() string { return d.Live().List }, Bound: d.Settings.ListLag.Duration}
+		list := platform.ListOptions{Address: func() string { return d.CurrentSettings().List }, Bound: d.Settings.ListLag.Duration}
 		return manager.Options{
-			Source: &manager.Source{Page: platform.Pages(list), Rate: func() float64 { return d.Live().ListRate },
-				Lag: d.Settings.ListLag.Duration},
-			Resend: d.Settings.Resend.Duration,
-			Serve: func(ops *manager.Operators) {
-				platform.ServeOperators(d.OperatorsMux, ops, d.Settings.Keep.Duration)
+			Source: &manager.Source{Page: platform.Pages(list), Rate: func() float64 { return d.CurrentSettings().ListRate },
+				MaxLag: d.Settings.ListLag.Duration},
+			ResendWindow: d.Settings.ResendWindow.Duration,
+			ServeOperators: func(ops *manager.Operators) {
+				platform.ServeOperators(d.OperatorsMux, ops, d.Settings.ResultRetention.Duration)
 			},
 		}
 	})
--- a/docs/limits_test.go
+++ b/docs/limits_test.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	boundName = regexp.MustCompile(`^(most|least|Most|Least)[A-Z]`)
+	boundName = regexp.MustCompile(`^(max|min|Max|Min|most|least|Most|Least)[A-Z]`)
 	boundRow  = regexp.MustCompile("(?m)^\\| `([a-z]+\\.[A-Za-z]+)` \\| `([^`]+)` \\|")
 	// Packages of stand-ins, simulations and judges bound nothing that anybody sends to the product.
 	isForTests = regexp.MustCompile(`internal/(sim|standin|fleet|check|linearize|explore|verdict)/`)
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -8,7 +8,7 @@
 
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/repair"
 	"caperwheel/internal/session"
 	"caperwheel/internal/timing"
@@ -18,15 +18,15 @@
 
 // Agent joins the parts of one agent.
 type Agent struct {
-	d      *daemon.Daemon
-	beside *session.Registry // the adapter's session
-	keeper *repair.Keeper    // of its results
+	daemon          *daemon.Daemon
+	adapterSessions *session.Registry    // the adapter's session
+	results         *repair.ResultBuffer // of its results
 }
 
 // New makes an agent on a daemon, which is not linked yet.
 func New(d *daemon.Daemon) *Agent {
-	a := &Agent{d: d, beside: session.NewRegistry(d.Bounds.Of(timing.SessionTimeout)),
-		keeper: repair.NewKeeper(d.Settings.Most, d.Bounds.Of(timing.AnswerTimeout), d.Bounds.Of(timing.SettleTimeout))}
+	a := &Agent{daemon: d, adapterSessions: session.NewRegistry(d.Bounds.Of(timing.SessionTimeout)),
+		results: repair.NewResultBuffer(d.Settings.MaxInFlight, d.Bounds.Of(timing.AnswerTimeout), d.Bounds.Of(timing.SettleTimeout))}
 	d.Ready = func() (bool, string) { return d.IsFresh(), string(errs.Stale) }
 	return a
 }
@@ -42,7 +42,7 @@
 	if !isOutcome {
 		return
 	}
-	if ack := a.keeper.Serve(o, a.d.Now()); ack != nil {
+	if ack := a.results.Handle(o, a.daemon.Now()); ack != nil {
 		answer(ack)
 	}
 }
@@ -53,31 +53,31 @@
 	if !isPoll {
 		return
 	}
-	now := a.d.Now()
-	a.beside.Hear(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, now, true)
-	answer(session.NewsFor(poll, a.d.View, now, a.d.Membership))
+	now := a.daemon.Now()
+	a.adapterSessions.Renew(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, now, true)
+	answer(session.NewsFor(poll, a.daemon.View, now, a.daemon.Membership))
 }
 
 // poll is what the agent tells its manager, of itself and of the adapter.
 func (a *Agent) poll() wire.Poll {
-	poll := a.d.Poll()
-	_, poll.Beside = a.beside.Members(a.d.Now())
-	poll.Fact.Counts["kept"] = int64(a.keeper.Count())
+	poll := a.daemon.NewPoll()
+	_, poll.Colocated = a.adapterSessions.Members(a.daemon.Now())
+	poll.Fact.Counts["kept"] = int64(a.results.Count())
 	return poll
 }
 
 // Run follows the managers until ctx ends. The daemon must be linked.
-func (a *Agent) Run(ctx context.Context) { a.d.Client(a.poll).Run(ctx) }
+func (a *Agent) Run(ctx context.Context) { a.daemon.NewSessionClient(a.poll).Run(ctx) }
 
-// HandOver brings kept results to their places until ctx ends.
-func (a *Agent) HandOver(ctx context.Context) {
-	owners := &reach.Reach{Node: a.d.Node, Membership: a.d.Membership, Bounds: a.d.Bounds, Link: wire.PlaceLink}
-	a.keeper.HandOver(ctx, owners, func(place int64) int64 { return wire.PlaceGroup + place }, a.d.Now)
+// DeliverResults brings kept results to their places until ctx ends.
+func (a *Agent) DeliverResults(ctx context.Context) {
+	owners := &ownerclient.Client{Node: a.daemon.Node, Membership: a.daemon.Membership, Bounds: a.daemon.Bounds, Link: wire.PlaceLink}
+	a.results.DeliverResults(ctx, owners, func(place int64) int64 { return wire.FirstPlaceGroup + place }, a.daemon.Now)
 }
 
 // Measure adds the agent's metrics to the daemon's.
 func (a *Agent) Measure() {
-	a.d.Measure(func(emit daemon.Emit) {
-		emit("repair_kept", "Results kept for the adapter beside.", float64(a.keeper.Count()))
+	a.daemon.AddMetrics(func(emit daemon.Emit) {
+		emit("repair_kept", "Results kept for the adapter beside.", float64(a.results.Count()))
 	})
 }
--- a/internal/cli/calls.go
+++ b/internal/cli/calls.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	doc, err := config.Conceal(resp.Body())
+	doc, err := config.Redact(resp.Body())
 	if err != nil {
 		return err
 	}
@@ -143,10 +143,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.out, "%s, configuration revision %d, fresh: %t\n\n", s.Manager, s.Revision, s.Fresh)
+	fmt.Fprintf(t.out, "%s, configuration revision %d, fresh: %t\n\n", s.Manager, s.Revision, s.IsFresh)
 	fmt.Fprintf(t.out, "%-14s %-8s %-6s %-6s %-8s %s\n", "daemon", "kind", "zone", "fresh", "revision", "heard")
 	for _, m := range s.Members {
-		fmt.Fprintf(t.out, "%-14s %-8s %-6s %-6t %-8d %d ms ago\n", m.Name, m.Kind, m.Zone, m.Fresh, m.Revision, m.AgeMs)
+		fmt.Fprintf(t.out, "%-14s %-8s %-6s %-6t %-8d %d ms ago\n", m.Name, m.Kind, m.Zone, m.IsFresh, m.Revision, m.AgeMs)
 	}
 	owners := map[string]int{}
 	for _, g := range append(s.Places, s.Parts...) {
@@ -156,8 +156,8 @@
 	for _, p := range s.Pools {
 		fmt.Fprintf(t.out, "pool %-24s %d workers, %d with a holder\n", p.Name, p.Workers, len(p.Duties))
 	}
-	if len(s.Emptied)+len(s.Retired) > 0 {
-		fmt.Fprintf(t.out, "emptied zones: %v, retired stores: %v\n", s.Emptied, s.Retired)
+	if len(s.DrainedZones)+len(s.RetiredStores) > 0 {
+		fmt.Fprintf(t.out, "emptied zones: %v, retired stores: %v\n", s.DrainedZones, s.RetiredStores)
 	}
 	return nil
 }
@@ -197,5 +197,5 @@
 	if key == "" {
 		return r
 	}
-	return r.SetHeader("Authorization", web.Scheme+" "+key)
+	return r.SetHeader("Authorization", web.AuthScheme+" "+key)
 }
--- a/internal/cli/doctor.go
+++ b/internal/cli/doctor.go
@@ -94,12 +94,12 @@
 	add := func(isGrave bool, where, fault, remedy string) {
 		out = append(out, finding{isGrave, where, fault, remedy})
 	}
-	if !s.Fresh {
+	if !s.IsFresh {
 		add(true, s.Manager, "its view is stale", "are the stores up, and a majority of each part's replicas?")
 	}
 	stores, managers, zones, clusters := 0, 0, map[string]bool{}, map[int64]bool{}
 	for _, m := range s.Members {
-		if !m.Fresh {
+		if !m.IsFresh {
 			add(true, m.Name, "its view is stale: it takes and starts nothing", "look at its way to the managers, and at its log")
 		} else if m.Revision < s.Revision {
 			add(false, m.Name, fmt.Sprintf("holds configuration %d, the newest is %d", m.Revision, s.Revision), "it should follow within the bound; ask again")
@@ -114,7 +114,7 @@
 			if m.Counts["full"] > 0 {
 				add(true, m.Name, "its disk is nearly full: its places reject intake", "free room on the disk, or retire the store")
 			}
-			if n := m.Counts[store.UntimedCount]; n > 0 {
+			if n := m.Counts[store.UnknownTimeCount]; n > 0 {
 				add(false, m.Name, fmt.Sprintf("nobody knew the time of %d of its places when it became their owner", n),
 					"delays and patience there end late by as long as all of their stores were away; metric place_time_seconds")
 			}
@@ -168,7 +168,7 @@
 			add(false, "pool "+p.Name, fmt.Sprintf("%d of %d workers have a holder", len(p.Duties), p.Workers), "are adapters up, in zones that are not emptied?")
 		}
 	}
-	for _, zone := range s.Emptied {
+	for _, zone := range s.DrainedZones {
 		add(false, "zone "+zone, "is emptied", "restore it when its work is done: caperwheel zone restore "+zone)
 	}
 	return out
@@ -181,7 +181,7 @@
 func listFindings(m manager.StatusMember) []finding {
 	out := []finding{}
 	for _, count := range slices.Sorted(maps.Keys(m.Counts)) {
-		zone, isList := strings.CutPrefix(count, manager.ListAge)
+		zone, isList := strings.CutPrefix(count, manager.ListAgePrefix)
 		if !isList {
 			continue
 		}
@@ -191,10 +191,10 @@
 		}
 		switch age := m.Counts[count]; {
 		case age < 0:
-			out = append(out, finding{false, where, fmt.Sprintf("%s has not read it whole yet; %d calls were refused", m.Name, m.Counts[manager.ListRefused]),
+			out = append(out, finding{false, where, fmt.Sprintf("%s has not read it whole yet; %d calls were refused", m.Name, m.Counts[manager.ListRefusedCount]),
 				"a long list takes its time: see list_calls_total and the log of " + m.Name})
 		case age > mostListAge:
-			out = append(out, finding{true, where, fmt.Sprintf("what is known of it is %d s old; %d calls were refused", age/1000, m.Counts[manager.ListRefused]),
+			out = append(out, finding{true, where, fmt.Sprintf("what is known of it is %d s old; %d calls were refused", age/1000, m.Counts[manager.ListRefusedCount]),
 				"can " + m.Name + " reach the list, and does list_rate leave it enough calls?"})
 		}
 	}
--- a/internal/cli/doctor_test.go
+++ b/internal/cli/doctor_test.go
@@ -16,9 +16,9 @@
 
 // well is the status of a deployment in which nothing is wrong.
 func well() manager.Status {
-	s := manager.Status{Manager: "manager-1", Fresh: true, Revision: 7}
+	s := manager.Status{Manager: "manager-1", IsFresh: true, Revision: 7}
 	add := func(kind, name, zone string) {
-		s.Members = append(s.Members, manager.StatusMember{Who: wire.Who{Name: name, Kind: kind, Zone: zone}, Fresh: true, Revision: 7,
+		s.Members = append(s.Members, manager.StatusMember{Who: wire.Who{Name: name, Kind: kind, Zone: zone}, IsFresh: true, Revision: 7,
 			Counts: map[string]int64{}})
 	}
 	for _, zone := range []string{"a", "b", "c"} {
@@ -38,8 +38,8 @@
 		isGrave bool
 		hurt    func(s *manager.Status)
 	}{
-		{"manager-1: its view is stale", true, func(s *manager.Status) { s.Fresh = false }},
-		{"store-a: its view is stale", true, func(s *manager.Status) { s.Members[0].Fresh = false }},
+		{"manager-1: its view is stale", true, func(s *manager.Status) { s.IsFresh = false }},
+		{"store-a: its view is stale", true, func(s *manager.Status) { s.Members[0].IsFresh = false }},
 		{"store-a: holds configuration 6", false, func(s *manager.Status) { s.Members[0].Revision = 6 }},
 		{"store-a: its disk is nearly full", true, func(s *manager.Status) { s.Members[0].Counts["full"] = 1 }},
 		{"store-a: nobody knew the time of 2 of its places when it became their owner", false, func(s *manager.Status) { s.Members[0].Counts["untimed"] = 2 }},
@@ -56,10 +56,10 @@
 		{"pool p: no workers are listed", false, func(s *manager.Status) { s.Pools[0].Workers = 0 }},
 		{"pool p: 0 of 1 workers have a holder", false, func(s *manager.Status) { s.Pools[0].Duties = nil }},
 		{"list of workers: manager-a has not read it whole yet; 7 calls were refused", false, func(s *manager.Status) {
-			s.Members[1].Counts[manager.ListAge], s.Members[1].Counts[manager.ListRefused] = -1, 7
+			s.Members[1].Counts[manager.ListAgePrefix], s.Members[1].Counts[manager.ListRefusedCount] = -1, 7
 		}},
-		{"list of workers of zone b: what is known of it is 61 s old", true, func(s *manager.Status) { s.Members[1].Counts[manager.ListAge+"b"] = 61_000 }},
-		{"zone a: is emptied", false, func(s *manager.Status) { s.Emptied = []string{"a"} }},
+		{"list of workers of zone b: what is known of it is 61 s old", true, func(s *manager.Status) { s.Members[1].Counts[manager.ListAgePrefix+"b"] = 61_000 }},
+		{"zone a: is emptied", false, func(s *manager.Status) { s.DrainedZones = []string{"a"} }},
 	}
 	Convey("The doctor finds nothing wrong with a sound deployment", t, func() { So(examine(well()), ShouldBeEmpty) })
 	Convey("The doctor says", t, func() {
--- a/internal/cli/tenantedit.go
+++ b/internal/cli/tenantedit.go
@@ -25,7 +25,7 @@
 	case book.isMade:
 		return errs.New(errs.Rejected, "the configuration is made from a document of another interface: change the tenant there")
 	case !config.IsTenantName(name):
-		return errs.New(errs.Invalid, "%q can be no tenant's name: at most %d printable ASCII characters", name, config.MostTenantName)
+		return errs.New(errs.Invalid, "%q can be no tenant's name: at most %d printable ASCII characters", name, config.MaxTenantNameBytes)
 	}
 	patch, err := json.Marshal(map[string]any{"tenants": map[string]any{name: fields}})
 	if err != nil {
@@ -78,7 +78,7 @@
 			return err
 		}
 	}
-	hash := config.HashKey(key).String()
+	hash := config.HashApiKey(key).String()
 	if slices.Contains(found.Keys, hash) {
 		return errs.New(errs.Conflict, "the tenant holds the key already")
 	}
@@ -101,7 +101,7 @@
 	}
 	key := strings.TrimSpace(string(raw))
 	if len(key) < leastKey || !config.IsApiKey(key) {
-		return "", errs.New(errs.Invalid, "a key must be %d to %d printable ASCII characters without spaces", leastKey, config.MostTenantName)
+		return "", errs.New(errs.Invalid, "a key must be %d to %d printable ASCII characters without spaces", leastKey, config.MaxTenantNameBytes)
 	}
 	return key, nil
 }
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -87,12 +87,12 @@
 }
 
 func hall() *charter {
-	return charterOf(fmt.Sprintf(`,"tenants":{"halls":{"keys":[%q],"rate":5,"burst":10},"growers":{}}`, config.HashKey(keyOne)))
+	return charterOf(fmt.Sprintf(`,"tenants":{"halls":{"keys":[%q],"rate":5,"burst":10},"growers":{}}`, config.HashApiKey(keyOne)))
 }
 
 // TestTenantCommands is the table of what the commands on tenants come to.
 func TestTenantCommands(t *testing.T) {
-	prefix := config.HashKey(keyOne).String()[:shownDigits]
+	prefix := config.HashApiKey(keyOne).String()[:shownDigits]
 	cases := []struct {
 		name, line, input string
 		code              int
@@ -108,7 +108,7 @@
 		{"a tenant that is new", "tenants set new", "", ExitWell, "stamp 8"},
 		{"a name that can be none", "tenants set hällar", "", ExitUsage, "can be no tenant's name"},
 		{"a key for nobody", "tenants add-key other", "", ExitFailed, "unknown: no tenant other"},
-		{"a key that is given", "tenants add-key halls --stdin", keyTwo + "\n", ExitWell, "key " + config.HashKey(keyTwo).String()[:shownDigits] + " of halls"},
+		{"a key that is given", "tenants add-key halls --stdin", keyTwo + "\n", ExitWell, "key " + config.HashApiKey(keyTwo).String()[:shownDigits] + " of halls"},
 		{"a key that is held", "tenants add-key halls --stdin", keyOne, ExitConflict, "holds the key already"},
 		{"a key that is another's", "tenants add-key growers --stdin", keyOne, ExitUsage, "tenants.halls.keys"},
 		{"a key that is too short", "tenants add-key halls --stdin", "abc", ExitUsage, "a key must be"},
@@ -130,7 +130,7 @@
 				So(got.out+got.err, ShouldContainSubstring, c.says)
 				So(got.code, ShouldEqual, c.code)
 				So(manager.revision, ShouldEqual, map[bool]int{true: 8, false: 7}[strings.Contains(got.err, "stamp 8")])
-				for _, secret := range []string{keyOne, keyTwo, config.HashKey(keyOne).String(), config.HashKey(keyTwo).String()} {
+				for _, secret := range []string{keyOne, keyTwo, config.HashApiKey(keyOne).String(), config.HashApiKey(keyTwo).String()} {
 					So(got.out+got.err, ShouldNotContainSubstring, secret)
 				}
 			})
@@ -150,7 +150,7 @@
 			So([]string{manager.tenantOf(keyOne), manager.tenantOf(key)}, ShouldResemble, []string{"halls", "halls"})
 			So(string(manager.doc), ShouldNotContainSubstring, key)
 			So(manager.play("tenants show halls", "").out, ShouldNotContainSubstring, key)
-			So(manager.play("tenants remove-key halls "+config.HashKey(keyOne).String()[:shownDigits], "").code, ShouldEqual, ExitWell)
+			So(manager.play("tenants remove-key halls "+config.HashApiKey(keyOne).String()[:shownDigits], "").code, ShouldEqual, ExitWell)
 			So([]string{manager.tenantOf(keyOne), manager.tenantOf(key)}, ShouldResemble, []string{"", "halls"})
 			So(gjson.GetBytes(manager.doc, "tenants.halls.rate").Num, ShouldEqual, 5)
 		})
--- a/internal/config/lists.go
+++ b/internal/config/buckets.go
@@ -12,19 +12,19 @@
 // buckets changes, the newer key holds.
 
 const (
-	bucketWorkers = 128 // of a bucket that is just full enough
-	bucketSlack   = 4   // so many times fewer or more, and the number of buckets stays
-	mostBuckets   = 1 << 14
+	workersPerBucket = 128 // of a bucket that is just full enough
+	bucketHysteresis = 4   // so many times fewer or more, and the number of buckets stays
+	maxBuckets       = 1 << 14
 )
 
-// Buckets returns into how many buckets a list of so many workers is cut, where now is into how
+// BucketCount returns into how many buckets a list of so many workers is cut, where now is into how
 // many it is cut now, 0 for not yet. It is a power of two.
-func Buckets(workers, now int) int {
-	if now > 1 && workers*bucketSlack > now*bucketWorkers && workers < now*bucketWorkers*bucketSlack {
-		return now
+func BucketCount(workers, current int) int {
+	if current > 1 && workers*bucketHysteresis > current*workersPerBucket && workers < current*workersPerBucket*bucketHysteresis {
+		return current
 	}
 	count := 1
-	for count < mostBuckets && workers > count*bucketWorkers {
+	for count < maxBuckets && workers > count*workersPerBucket {
 		count *= 2
 	}
 	return count
@@ -45,8 +45,8 @@
 	return WorkersKey + pool + "/" + strconv.Itoa(count) + "." + strconv.Itoa(bucket)
 }
 
-// PoolOfList returns the pool of a list's key, and into how many buckets its list is cut there.
-func PoolOfList(key string) (pool string, count int) {
+// ParseListKey returns the pool of a list's key, and into how many buckets its list is cut there.
+func ParseListKey(key string) (pool string, count int) {
 	pool, bucket, isCut := strings.Cut(strings.TrimPrefix(key, WorkersKey), "/")
 	if !isCut {
 		return pool, 1
--- a/internal/config/cache.go
+++ b/internal/config/cache.go
@@ -19,21 +19,21 @@
 type Cache struct {
 	View *feed.View
 
-	mu       sync.Mutex
-	turn     int64
-	compiled *Compiled
-	reached  map[int64]int64            // revisions, by part
-	lists    map[string]map[string]list // by pool and key
+	mu           sync.Mutex
+	viewVersion  int64
+	compiled     *Compiled
+	compiledUpTo map[int64]int64              // revisions, by part
+	buckets      map[string]map[string]bucket // by pool and key
 }
 
 // Current returns the configuration of the view as it is.
 func (s *Cache) Current() *Compiled {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	turn := s.View.Turns()
-	if s.compiled == nil || turn != s.turn {
+	turn := s.View.Version()
+	if s.compiled == nil || turn != s.viewVersion {
 		s.advance()
-		s.turn = turn
+		s.viewVersion = turn
 	}
 	return s.compiled
 }
@@ -41,11 +41,11 @@
 // CanRead reports whether the newest configuration says anything to this build. A daemon
 // that cannot read it must stop, as one that has not heard of it must, rather
 // than take every lane for one that was removed.
-func (s *Cache) CanRead() bool { return !s.Current().IsUnread }
+func (s *Cache) CanRead() bool { return !s.Current().IsUnreadable }
 
 func newCompiled() *Compiled {
-	return &Compiled{Workers: map[string]Table[Worker]{}, Duties: map[string]Table[Held]{},
-		Emptied: map[string]bool{}, Resting: map[string]bool{}, Easing: map[string]bool{}, Retired: map[string]bool{},
+	return &Compiled{Workers: map[string]Table[Worker]{}, Duties: map[string]Table[AssignedDuty]{},
+		DrainedZones: map[string]bool{}, WorkerDrainedZones: map[string]bool{}, ColdZones: map[string]bool{}, RetiredStores: map[string]bool{},
 		Weights: map[string]weight.Weights{}, Shares: map[string]map[string]float64{},
 		Rules: &Rules{Lanes: map[string]Lane{}, Pools: map[string]Pool{}}}
 }
@@ -53,56 +53,56 @@
 // advance compiles what has changed since reached.
 func (s *Cache) advance() {
 	if s.compiled == nil {
-		s.compiled, s.lists = newCompiled(), map[string]map[string]list{}
+		s.compiled, s.buckets = newCompiled(), map[string]map[string]bucket{}
 	}
-	changes, reached := s.View.Since(s.reached)
+	changes, reached := s.View.ChangesSince(s.compiledUpTo)
 	next := *s.compiled
-	u := update{next: &next, lists: s.lists, isOwn: map[string]bool{}, listed: map[string]*listChange{}, duties: map[string]*tableChange[Held]{}}
+	u := updater{next: &next, buckets: s.buckets, isCloned: map[string]bool{}, listChanges: map[string]*listChange{}, dutyChanges: map[string]*tableBuilder[AssignedDuty]{}}
 	for _, c := range changes {
-		u.take(c)
+		u.apply(c)
 	}
 	u.finish()
-	s.compiled, s.reached = &next, reached
+	s.compiled, s.compiledUpTo = &next, reached
 }
 
-// update makes the next Compiled of one. Maps are copied before they are first written.
-type update struct {
-	next   *Compiled
-	lists  map[string]map[string]list
-	isOwn  map[string]bool               // what has been copied
-	listed map[string]*listChange        // by pool whose list has changed
-	duties map[string]*tableChange[Held] // by pool
+// updater makes the next Compiled of one. Maps are copied before they are first written.
+type updater struct {
+	next        *Compiled
+	buckets     map[string]map[string]bucket
+	isCloned    map[string]bool                        // what has been copied
+	listChanges map[string]*listChange                 // by pool whose list has changed
+	dutyChanges map[string]*tableBuilder[AssignedDuty] // by pool
 }
 
 // own copies a map of the Compiled before, once.
-func own[V any](u *update, name string, m *map[string]V) map[string]V {
-	if !u.isOwn[name] {
-		u.isOwn[name] = true
+func cloneOnce[V any](u *updater, name string, m *map[string]V) map[string]V {
+	if !u.isCloned[name] {
+		u.isCloned[name] = true
 		*m = maps.Clone(*m)
 	}
 	return *m
 }
 
-// takers are what is done with a change, by the prefix of its key; no prefix begins another.
-var takers = []struct {
+// changeHandlers are what is done with a change, by the prefix of its key; no prefix begins another.
+var changeHandlers = []struct {
 	prefix string
-	take   func(u *update, name string, c wire.Change)
+	take   func(u *updater, name string, c wire.Change)
 }{
-	{DutyKey, (*update).takeDuty},
-	{WorkersKey, (*update).takeList},
-	{ZoneKey, (*update).takeZone},
-	{StoreKey, (*update).takeStore},
-	{WeightKey, (*update).takeWeights},
-	{ShareKey, (*update).takeShares},
-}
-
-// take takes one change in.
-func (u *update) take(c wire.Change) {
-	if c.Key == Key {
-		u.takeRules(c)
+	{DutyKey, (*updater).applyDuty},
+	{WorkersKey, (*updater).applyList},
+	{ZoneKey, (*updater).applyZone},
+	{StoreKey, (*updater).applyStore},
+	{WeightKey, (*updater).applyWeights},
+	{ShareKey, (*updater).applyShares},
+}
+
+// apply takes one change in.
+func (u *updater) apply(c wire.Change) {
+	if c.Key == DocumentKey {
+		u.applyRules(c)
 		return
 	}
-	for _, t := range takers {
+	for _, t := range changeHandlers {
 		if name, isIt := strings.CutPrefix(c.Key, t.prefix); isIt {
 			t.take(u, name, c)
 			return
@@ -110,13 +110,13 @@
 	}
 }
 
-func (u *update) takeRules(c wire.Change) {
+func (u *updater) applyRules(c wire.Change) {
 	before := u.next.Rules.Pools
-	u.next.Revision, u.next.IsUnread = c.Revision, false
+	u.next.Revision, u.next.IsUnreadable = c.Revision, false
 	rules, faults := Compile(c.Value)
 	if len(faults) > 0 || c.Gone {
 		rules = &Rules{Lanes: map[string]Lane{}, Pools: map[string]Pool{}}
-		u.next.IsUnread = !c.Gone
+		u.next.IsUnreadable = !c.Gone
 	}
 	if c.Gone {
 		u.next.Revision = 0
@@ -124,30 +124,30 @@
 	u.next.Rules = rules
 	for _, pools := range []map[string]Pool{before, rules.Pools} {
 		for name := range pools {
-			if endpointOf(before[name]) != endpointOf(rules.Pools[name]) {
-				u.list(name).isWhole = true
+			if endpointAddress(before[name]) != endpointAddress(rules.Pools[name]) {
+				u.listChangeOf(name).needsRebuild = true
 			}
 		}
 	}
 }
 
-// endpointOf returns all that rules say of a pool's list: the address of an endpoint, and nothing for others.
-func endpointOf(p Pool) string {
+// endpointAddress returns all that rules say of a pool's list: the address of an endpoint, and nothing for others.
+func endpointAddress(p Pool) string {
 	if !p.IsEndpoint {
 		return ""
 	}
 	return p.Address
 }
 
-func (u *update) takeZone(zone string, c wire.Change) {
-	emptied, resting, easing := own(u, ZoneKey, &u.next.Emptied), own(u, "resting", &u.next.Resting), own(u, "easing", &u.next.Easing)
+func (u *updater) applyZone(zone string, c wire.Change) {
+	emptied, resting, easing := cloneOnce(u, ZoneKey, &u.next.DrainedZones), cloneOnce(u, "resting", &u.next.WorkerDrainedZones), cloneOnce(u, "easing", &u.next.ColdZones)
 	delete(emptied, zone)
 	delete(resting, zone)
 	delete(easing, zone)
 	if c.Gone {
 		return
 	}
-	switch ReadOrder(c.Value).Only {
+	switch ParseDrainOrder(c.Value).Only {
 	case OnlyWorkers:
 		resting[zone] = true
 	case OnlyCold:
@@ -157,49 +157,49 @@
 	}
 }
 
-func (u *update) takeStore(store string, c wire.Change) {
-	retired := own(u, StoreKey, &u.next.Retired)
+func (u *updater) applyStore(store string, c wire.Change) {
+	retired := cloneOnce(u, StoreKey, &u.next.RetiredStores)
 	delete(retired, store)
 	if !c.Gone {
 		retired[store] = true
 	}
 }
 
-func (u *update) takeWeights(pool string, c wire.Change) {
-	weights, w := own(u, WeightKey, &u.next.Weights), weight.Weights{}
+func (u *updater) applyWeights(pool string, c wire.Change) {
+	weights, w := cloneOnce(u, WeightKey, &u.next.Weights), weight.Weights{}
 	delete(weights, pool)
 	if !c.Gone && json.Unmarshal(c.Value, &w) == nil {
 		weights[pool] = w
 	}
 }
 
-func (u *update) takeShares(lane string, c wire.Change) {
-	shares, one := own(u, ShareKey, &u.next.Shares), map[string]float64(nil)
+func (u *updater) applyShares(lane string, c wire.Change) {
+	shares, one := cloneOnce(u, ShareKey, &u.next.Shares), map[string]float64(nil)
 	delete(shares, lane)
 	if !c.Gone && json.Unmarshal(c.Value, &one) == nil {
 		shares[lane] = one
 	}
 }
 
-func (u *update) takeDuty(name string, c wire.Change) {
-	pool, worker := splitDuty(name)
-	if u.duties[pool] == nil {
-		u.duties[pool] = u.next.Duties[pool].change()
+func (u *updater) applyDuty(name string, c wire.Change) {
+	pool, worker := splitDutyName(name)
+	if u.dutyChanges[pool] == nil {
+		u.dutyChanges[pool] = u.next.Duties[pool].builder()
 	}
 	var d Duty
 	if !c.Gone && json.Unmarshal(c.Value, &d) == nil {
-		u.duties[pool].set(worker, Held{d, c.Revision})
+		u.dutyChanges[pool].set(worker, AssignedDuty{d, c.Revision})
 		return
 	}
-	u.duties[pool].remove(worker)
+	u.dutyChanges[pool].remove(worker)
 }
 
 // finish puts together what has changed.
-func (u *update) finish() {
+func (u *updater) finish() {
 	u.finishLists()
-	for pool, change := range u.duties {
-		duties := own(u, DutyKey, &u.next.Duties)
-		if duties[pool] = change.done(); duties[pool].Len() == 0 {
+	for pool, change := range u.dutyChanges {
+		duties := cloneOnce(u, DutyKey, &u.next.Duties)
+		if duties[pool] = change.build(); duties[pool].Len() == 0 {
 			delete(duties, pool)
 		}
 	}
--- a/internal/config/cache_test.go
+++ b/internal/config/cache_test.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/wire"
 )
 
-// drawnChange draws an edit of any kind that is compiled.
-func drawnChange(r *rand.Rand) wire.Edit {
+// randomChange draws an edit of any kind that is compiled.
+func randomChange(r *rand.Rand) wire.Edit {
 	pool, zone := fmt.Sprint("p", r.IntN(3)), fmt.Sprint("z", r.IntN(3))
 	workers := Workers{Workers: []Worker{}}
 	for i := range 1 + r.IntN(4) {
@@ -23,11 +23,11 @@
 	e := wire.Edit{IfRevision: -1, Gone: r.IntN(4) == 0}
 	switch r.IntN(8) {
 	case 0:
-		e.Key, e.Value, e.Gone = Key, []byte(`{"pools":{"p0":{},"p1":{"kind":"endpoint","address":"127.0.0.1:9"}}}`), false
+		e.Key, e.Value, e.Gone = DocumentKey, []byte(`{"pools":{"p0":{},"p1":{"kind":"endpoint","address":"127.0.0.1:9"}}}`), false
 	case 1:
-		e.Key, e.Value, e.Gone = Key, []byte([]string{`{"pools":{"p1":{},"p2":{}}}`, `{"a later build":1}`}[r.IntN(2)]), false
+		e.Key, e.Value, e.Gone = DocumentKey, []byte([]string{`{"pools":{"p1":{},"p2":{}}}`, `{"a later build":1}`}[r.IntN(2)]), false
 	case 2:
-		e.Key, e.Value = ZoneKey+zone, Order{Only: []string{"", OnlyWorkers, OnlyCold}[r.IntN(3)]}.Encode()
+		e.Key, e.Value = ZoneKey+zone, DrainOrder{Only: []string{"", OnlyWorkers, OnlyCold}[r.IntN(3)]}.Encode()
 	case 3:
 		e.Key, e.Value = StoreKey+zone, []byte("{}")
 	case 4:
@@ -52,10 +52,10 @@
 			all := []kept{}
 			for range 150 {
 				for range 1 + r.IntN(3) {
-					part.Apply(drawnChange(r))
+					part.Apply(randomChange(r))
 				}
 				news, _ := part.News(0, view.Revision(0))
-				view.Take([]wire.PartNews{news}, time.Second)
+				view.Update([]wire.PartNews{news}, time.Second)
 				whole := (&Cache{View: view}).Current()
 				got := cache.Current()
 				So(got, ShouldResemble, whole)
@@ -75,25 +75,25 @@
 		for seed := uint64(1); seed <= 20; seed++ {
 			r, part, view := rand.New(rand.NewPCG(seed, 7)), feed.NewPart(), feed.NewView(0)
 			cache, count := &Cache{View: view}, 4
-			part.Apply(wire.Edit{Key: Key, Value: []byte(`{"pools":{"p":{}}}`), IfRevision: -1})
+			part.Apply(wire.Edit{Key: DocumentKey, Value: []byte(`{"pools":{"p":{}}}`), IfRevision: -1})
 			for range 200 {
 				if r.IntN(25) == 0 {
 					count = []int{1, 4, 8}[r.IntN(3)]
 				}
 				for range 1 + r.IntN(3) {
-					part.Apply(drawnBucket(r, count))
+					part.Apply(randomBucket(r, count))
 				}
 				news, _ := part.News(0, view.Revision(0))
-				view.Take([]wire.PartNews{news}, time.Second)
+				view.Update([]wire.PartNews{news}, time.Second)
 				So(cache.Current().Workers, ShouldResemble, (&Cache{View: view}).Current().Workers)
 			}
 		}
 	})
 }
 
-// drawnBucket draws a change of one key of a list: now and then of another count of keys, gone, or with a
+// randomBucket draws a change of one key of a list: now and then of another count of keys, gone, or with a
 // worker that belongs to another key.
-func drawnBucket(r *rand.Rand, count int) wire.Edit {
+func randomBucket(r *rand.Rand, count int) wire.Edit {
 	if r.IntN(12) == 0 {
 		count = []int{1, 4, 8}[r.IntN(3)]
 	}
@@ -115,21 +115,21 @@
 		workers, now, want int
 	}{
 		{"an empty list is one key", 0, 0, 1},
-		{"a short list is one key", bucketWorkers, 1, 1},
-		{"a longer one is cut", bucketWorkers + 1, 1, 2},
-		{"it stays cut as it is while that is about right", 3 * bucketWorkers, 8, 8},
-		{"… and while the list grows a little", 30 * bucketWorkers, 8, 8},
-		{"it is cut anew when it has grown much", 33 * bucketWorkers, 8, 64},
-		{"… and when it has become short", bucketWorkers, 8, 1},
-		{"there are bounds", 1 << 30, 1, mostBuckets},
+		{"a short list is one key", workersPerBucket, 1, 1},
+		{"a longer one is cut", workersPerBucket + 1, 1, 2},
+		{"it stays cut as it is while that is about right", 3 * workersPerBucket, 8, 8},
+		{"… and while the list grows a little", 30 * workersPerBucket, 8, 8},
+		{"it is cut anew when it has grown much", 33 * workersPerBucket, 8, 64},
+		{"… and when it has become short", workersPerBucket, 8, 1},
+		{"there are bounds", 1 << 30, 1, maxBuckets},
 	}
 	Convey("Of a pool's list", t, func() {
 		for _, c := range cases {
-			Convey(c.text, func() { So(Buckets(c.workers, c.now), ShouldEqual, c.want) })
+			Convey(c.text, func() { So(BucketCount(c.workers, c.now), ShouldEqual, c.want) })
 		}
 		Convey("each key tells its pool and count", func() {
 			for _, count := range []int{1, 2, 64} {
-				pool, got := PoolOfList(BucketKey("a.b", count-1, count))
+				pool, got := ParseListKey(BucketKey("a.b", count-1, count))
 				So(pool, ShouldEqual, "a.b")
 				So(got, ShouldEqual, count)
 			}
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -10,9 +10,9 @@
 
 // Most bounds what a configuration may hold.
 const (
-	MostBytes = 1 << 20
-	MostNames = 10000
-	mostDepth = 16
+	MaxDocumentBytes = 1 << 20
+	MaxLanesAndPools = 10000
+	maxDepth         = 16
 )
 
 type compiler struct {
@@ -20,7 +20,7 @@
 	faults []Fault
 }
 
-func (c *compiler) fault(path, text string) {
+func (c *compiler) addFault(path, text string) {
 	if len(c.faults) < 100 {
 		c.faults = append(c.faults, Fault{path, text})
 	}
@@ -31,7 +31,7 @@
 func Compile(doc []byte) (*Rules, []Fault) {
 	c := &compiler{rules: Rules{Lanes: map[string]Lane{}, Pools: map[string]Pool{}}}
 	switch {
-	case len(doc) > MostBytes:
+	case len(doc) > MaxDocumentBytes:
 		return nil, []Fault{{"", "is larger than a configuration may be"}}
 	case !gjson.ValidBytes(doc):
 		return nil, []Fault{{"", "is not JSON"}}
@@ -40,63 +40,63 @@
 	if !root.IsObject() {
 		return nil, []Fault{{"", "must be an object"}}
 	}
-	c.uniqueKeys("", root, 0)
+	c.checkUniqueKeys("", root, 0)
 	for key, value := range root.Map() {
 		switch key {
 		case "lanes", "pools", "tenants":
 			if !value.IsObject() {
-				c.fault(key, "must be an object")
+				c.addFault(key, "must be an object")
 			}
 		case "note":
 			if value.Type != gjson.String {
-				c.fault(key, "must be a text")
+				c.addFault(key, "must be a text")
 			}
-		case origin:
+		case originKey:
 			if !value.IsObject() {
-				c.fault(key, "must be an object")
+				c.addFault(key, "must be an object")
 			}
 		case "version":
 			if value.Type != gjson.Number || value.Num != float64(value.Int()) || value.Num < 1 {
-				c.fault(key, "must be a whole number above 0")
+				c.addFault(key, "must be a whole number above 0")
 			}
 			c.rules.Version = value.Int()
 		case "edits":
-			if text := names(value); text != "" {
-				c.fault(key, text)
+			if text := checkNames(value); text != "" {
+				c.addFault(key, text)
 			}
 		default:
-			c.fault(key, "is not known")
+			c.addFault(key, "is not known")
 		}
 	}
-	each(root.Get("pools"), func(name string, r gjson.Result) {
-		walk(c, "pools."+name, name, r, rootPool, poolFields, c.addPool, 0)
+	eachMember(root.Get("pools"), func(name string, r gjson.Result) {
+		readTree(c, "pools."+name, name, r, defaultPool, poolFields, c.addPool, 0)
 	})
-	each(root.Get("lanes"), func(name string, r gjson.Result) {
-		walk(c, "lanes."+name, name, r, rootLane, laneFields, c.addLane, 0)
+	eachMember(root.Get("lanes"), func(name string, r gjson.Result) {
+		readTree(c, "lanes."+name, name, r, defaultLane, laneFields, c.addLane, 0)
 	})
 	c.readTenants(root)
-	c.join()
-	c.lay()
+	c.checkReferences()
+	c.buildRoutes()
 	if len(c.faults) > 0 {
 		return nil, c.faults
 	}
 	return &c.rules, nil
 }
 
-func each(r gjson.Result, visit func(name string, r gjson.Result)) {
+func eachMember(r gjson.Result, visit func(name string, r gjson.Result)) {
 	r.ForEach(func(key, value gjson.Result) bool { visit(key.Str, value); return true })
 }
 
-// uniqueKeys refuses a key given twice: which one counts would be a guess.
-func (c *compiler) uniqueKeys(path string, r gjson.Result, depth int) {
-	if depth > 4*mostDepth {
-		c.fault(path, "is nested too deeply")
+// checkUniqueKeys refuses a key given twice: which one counts would be a guess.
+func (c *compiler) checkUniqueKeys(path string, r gjson.Result, depth int) {
+	if depth > 4*maxDepth {
+		c.addFault(path, "is nested too deeply")
 		return
 	}
 	if r.IsArray() {
 		r.ForEach(func(_, item gjson.Result) bool {
 			if item.Type == gjson.JSON {
-				c.uniqueKeys(path, item, depth+1)
+				c.checkUniqueKeys(path, item, depth+1)
 			}
 			return true
 		})
@@ -106,14 +106,14 @@
 		return
 	}
 	seen := map[string]bool{}
-	each(r, func(name string, value gjson.Result) {
+	eachMember(r, func(name string, value gjson.Result) {
 		at := strings.TrimPrefix(path+"."+name, ".")
 		if seen[name] {
-			c.fault(at, "is given twice")
+			c.addFault(at, "is given twice")
 		}
 		seen[name] = true
 		if value.Type == gjson.JSON {
-			c.uniqueKeys(at, value, depth+1)
+			c.checkUniqueKeys(at, value, depth+1)
 		}
 	})
 }
@@ -125,53 +125,53 @@
 	return strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") == ""
 }
 
-// walk reads one node of a tree: it starts as its parent was and overrides
+// readTree reads one node of a tree: it starts as its parent was and overrides
 // what it names itself. Only nodes without children are lanes or pools.
-func walk[T any](c *compiler, path, name string, r gjson.Result, node T, fields map[string]field[T],
+func readTree[T any](c *compiler, path, name string, r gjson.Result, node T, fields map[string]field[T],
 	add func(path, name string, node T), depth int) {
 	last := name[strings.LastIndex(name, ".")+1:]
 	if !isName(last) {
-		c.fault(path, "has a name that is not letters, digits, - and _")
+		c.addFault(path, "has a name that is not letters, digits, - and _")
 		return
 	}
-	if !r.IsObject() || depth > mostDepth {
-		c.fault(path, "must be an object, not nested too deeply")
+	if !r.IsObject() || depth > maxDepth {
+		c.addFault(path, "must be an object, not nested too deeply")
 		return
 	}
 	children := r.Get("children")
 	if children.Exists() && (!children.IsObject() || len(children.Map()) == 0) {
-		c.fault(path+".children", "must be an object that is not empty")
+		c.addFault(path+".children", "must be an object that is not empty")
 	}
 	node, _ = readFields(c, path, r, node, fields)
 	if !children.Exists() {
 		add(path, name, node)
 		return
 	}
-	each(children, func(child string, r gjson.Result) {
-		walk(c, path+".children."+child, name+"."+child, r, node, fields, add, depth+1)
+	eachMember(children, func(child string, r gjson.Result) {
+		readTree(c, path+".children."+child, name+"."+child, r, node, fields, add, depth+1)
 	})
 }
 
 // readFields reads what a node names itself over what it was, and reports whether all of it is right.
 func readFields[T any](c *compiler, path string, r gjson.Result, node T, fields map[string]field[T]) (T, bool) {
 	before := len(c.faults)
-	each(r, func(key string, value gjson.Result) {
+	eachMember(r, func(key string, value gjson.Result) {
 		if key == "children" {
 			return
 		}
 		f, isKnown := fields[key]
 		if !isKnown {
-			c.fault(path+"."+key, "is not known")
+			c.addFault(path+"."+key, "is not known")
 			return
 		}
 		isBool := f.kind == gjson.True && value.IsBool()
 		if value.Type != f.kind && !isBool {
-			c.fault(path+"."+key, "is of the wrong kind")
+			c.addFault(path+"."+key, "is of the wrong kind")
 			return
 		}
 		if f.check != nil {
 			if text := f.check(value); text != "" {
-				c.fault(path+"."+key, text)
+				c.addFault(path+"."+key, text)
 				return
 			}
 		}
@@ -183,10 +183,10 @@
 func (c *compiler) addLane(path, name string, l Lane) {
 	l.Name = name
 	if len(l.Pools) == 0 {
-		c.fault(path, "has no pool")
+		c.addFault(path, "has no pool")
 	}
-	if l.BackoffMost < l.Backoff {
-		c.fault(path+".backoff_most", "is less than backoff")
+	if l.MaxBackoff < l.Backoff {
+		c.addFault(path+".backoff_most", "is less than backoff")
 	}
 	c.rules.Lanes[name] = l
 }
@@ -194,34 +194,34 @@
 func (c *compiler) addPool(path, name string, p Pool) {
 	p.Name = name
 	if p.IsEndpoint != (p.Address != "") {
-		c.fault(path+".address", "must be given for an endpoint, and only there")
+		c.addFault(path+".address", "must be given for an endpoint, and only there")
 	}
 	c.rules.Pools[name] = p
 }
 
-// join checks what lanes and pools say of each other.
-func (c *compiler) join() {
-	if len(c.rules.Lanes)+len(c.rules.Pools) > MostNames {
-		c.fault("", "has too many lanes and pools")
+// checkReferences checks what lanes and pools say of each other.
+func (c *compiler) checkReferences() {
+	if len(c.rules.Lanes)+len(c.rules.Pools) > MaxLanesAndPools {
+		c.addFault("", "has too many lanes and pools")
 	}
 	for name, l := range c.rules.Lanes {
 		for _, pool := range l.Pools {
 			if _, isKnown := c.rules.Pools[pool]; !isKnown {
-				c.fault("lanes."+name+".pools", "names "+pool+", which is no pool")
+				c.addFault("lanes."+name+".pools", "names "+pool+", which is no pool")
 			}
 		}
-		if l.Callback == "" {
+		if l.CallbackLane == "" {
 			continue
 		}
-		if next, isKnown := c.rules.Lanes[l.Callback]; !isKnown {
-			c.fault("lanes."+name+".callback", "names "+l.Callback+", which is no lane")
+		if next, isKnown := c.rules.Lanes[l.CallbackLane]; !isKnown {
+			c.addFault("lanes."+name+".callback", "names "+l.CallbackLane+", which is no lane")
 		} else if next.IsOrdered {
-			c.fault("lanes."+name+".callback", "names an ordered lane, and a call-back has no key")
+			c.addFault("lanes."+name+".callback", "names an ordered lane, and a call-back has no key")
 		}
 		seen := map[string]bool{name: true}
-		for next := l.Callback; next != ""; next = c.rules.Lanes[next].Callback {
+		for next := l.CallbackLane; next != ""; next = c.rules.Lanes[next].CallbackLane {
 			if seen[next] {
-				c.fault("lanes."+name+".callback", "leads back to "+next)
+				c.addFault("lanes."+name+".callback", "leads back to "+next)
 				break
 			}
 			seen[next] = true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,13 +11,13 @@
 	"caperwheel/internal/wire"
 )
 
-const good = `{"pools":{"p":{"concurrency":2,"children":{"a":{},"b":{"concurrency":9}}},
+const validDocument = `{"pools":{"p":{"concurrency":2,"children":{"a":{},"b":{"concurrency":9}}},
  "e":{"kind":"endpoint","address":"127.0.0.1:80","rate":5}},
  "lanes":{"top":{"urgency":7,"pools":["p.a"],"children":{"x":{"patience":"5s"},"y":{"urgency":2,"ordering":"key","callback":"top.x"}}}}}`
 
 func TestInheritance(t *testing.T) {
 	Convey("A child has all of its parent but what it overrides", t, func() {
-		rules, faults := Compile([]byte(good))
+		rules, faults := Compile([]byte(validDocument))
 		So(faults, ShouldBeEmpty)
 		So(len(rules.Lanes), ShouldEqual, 2)
 		x, y := rules.Lanes["top.x"], rules.Lanes["top.y"]
@@ -52,13 +52,13 @@
 		{"a bad name", `"x":`, `"x y":`, "lanes.top.children.x y"},
 		{"a lane that is a list", `{"patience":"5s"}`, `[]`, "lanes.top.children.x"},
 		{"half a document", `}}}}`, ``, ""},
-		{"something else than an object", good, `[]`, ""},
+		{"something else than an object", validDocument, `[]`, ""},
 	}
 	Convey("A charter is refused that has", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(good, ShouldContainSubstring, c.from)
-				rules, faults := Compile([]byte(strings.Replace(good, c.from, c.to, 1)))
+				So(validDocument, ShouldContainSubstring, c.from)
+				rules, faults := Compile([]byte(strings.Replace(validDocument, c.from, c.to, 1)))
 				So(rules, ShouldBeNil)
 				paths := []string{}
 				for _, f := range faults {
@@ -77,8 +77,8 @@
 		name, doc string
 		canRead   bool
 	}{
-		{"one that this build knows", good, true},
-		{"one with a key that it does not know", strings.Replace(good, `"urgency"`, `"newer"`, 1), false},
+		{"one that this build knows", validDocument, true},
+		{"one with a key that it does not know", strings.Replace(validDocument, `"urgency"`, `"newer"`, 1), false},
 		{"one that is empty", `{}`, true},
 	}
 	Convey("A charter can be read here:", t, func() {
@@ -87,11 +87,11 @@
 				view := feed.NewView(0)
 				configs := Cache{View: view}
 				So(configs.CanRead(), ShouldBeTrue) // none yet
-				view.Take([]wire.PartNews{{To: 1, Changes: []wire.Change{{Key: Key, Revision: 1, Value: []byte(c.doc)}}}}, 0)
+				view.Update([]wire.PartNews{{To: 1, Changes: []wire.Change{{Key: DocumentKey, Revision: 1, Value: []byte(c.doc)}}}}, 0)
 				So(configs.CanRead(), ShouldEqual, c.canRead)
-				view.Take([]wire.PartNews{{From: 1, To: 2, Changes: []wire.Change{{Key: ZoneKey + "a", Revision: 2}}}}, 0)
+				view.Update([]wire.PartNews{{From: 1, To: 2, Changes: []wire.Change{{Key: ZoneKey + "a", Revision: 2}}}}, 0)
 				So(configs.CanRead(), ShouldEqual, c.canRead)
-				view.Take([]wire.PartNews{{From: 2, To: 3, Changes: []wire.Change{{Key: Key, Revision: 3, Value: []byte(good)}}}}, 0)
+				view.Update([]wire.PartNews{{From: 2, To: 3, Changes: []wire.Change{{Key: DocumentKey, Revision: 3, Value: []byte(validDocument)}}}}, 0)
 				So(configs.CanRead(), ShouldBeTrue)
 			})
 		}
@@ -141,7 +141,7 @@
 			So(d, ShouldBeEmpty)
 		})
 		Convey("what is shown has none, and is no configuration", func() {
-			shown, err := Conceal([]byte(one))
+			shown, err := Redact([]byte(one))
 			So(err, ShouldBeNil)
 			So(string(shown), ShouldNotContainSubstring, "secret")
 			rules, faults := Compile(shown)
@@ -149,9 +149,9 @@
 			So(faults[0].Path, ShouldEqual, "origin")
 		})
 		Convey("one without is shown as it is", func() {
-			shown, err := Conceal([]byte(good))
+			shown, err := Redact([]byte(validDocument))
 			So(err, ShouldBeNil)
-			So(string(shown), ShouldEqual, good)
+			So(string(shown), ShouldEqual, validDocument)
 		})
 	})
 }
--- a/internal/config/order_test.go
+++ b/internal/config/drainorder_test.go
@@ -27,13 +27,13 @@
 			Convey(c.order+" at its cell", func() {
 				view := feed.NewView(1)
 				list := Workers{Workers: []Worker{{Name: "w", Address: "127.0.0.1:1", Zone: "a", State: "live"}}}
-				view.Take([]wire.PartNews{{Part: 1, To: 1, Changes: []wire.Change{{Key: WorkersKey + "p", Revision: 1, Value: list.Encode()}}}}, 0)
+				view.Update([]wire.PartNews{{Part: 1, To: 1, Changes: []wire.Change{{Key: WorkersKey + "p", Revision: 1, Value: list.Encode()}}}}, 0)
 				if c.order != "" {
-					view.Take([]wire.PartNews{{To: 1, Changes: []wire.Change{{Key: ZoneKey + "a", Revision: 1, Value: []byte(c.order)}}}}, 0)
+					view.Update([]wire.PartNews{{To: 1, Changes: []wire.Change{{Key: ZoneKey + "a", Revision: 1, Value: []byte(c.order)}}}}, 0)
 				}
 				compiled := (&Cache{View: view}).Current()
 				w, canServe := compiled.CanServe("p", "w")
-				So([]bool{canServe, compiled.MayWork("a"), w.IsCold}, ShouldResemble, []bool{c.canServe, c.mayWork, c.isCold})
+				So([]bool{canServe, compiled.MayStartWork("a"), w.IsCold}, ShouldResemble, []bool{c.canServe, c.mayWork, c.isCold})
 			})
 		}
 	})
@@ -46,8 +46,8 @@
 		doc := []byte(`{"origin":{"x":[1.50,2.0]},"edits":["4","5","19"]}`)
 		So([]bool{HasEdit(doc, "3"), HasEdit(doc, "4"), HasEdit(doc, "19"), HasEdit(doc, "")}, ShouldResemble, []bool{false, true, true, false})
 		So(EditsOf(doc), ShouldResemble, []string{"4", "5", "19"})
-		So(HasForgotten(doc), ShouldBeFalse)
-		So(HasForgotten([]byte(`{"edits":["1","2","3","4","5","6","7","8","9","10","11","12","13","14","15","16"]}`)), ShouldBeTrue)
+		So(MayHaveForgotten(doc), ShouldBeFalse)
+		So(MayHaveForgotten([]byte(`{"edits":["1","2","3","4","5","6","7","8","9","10","11","12","13","14","15","16"]}`)), ShouldBeTrue)
 		So(EditsOf([]byte(`{}`)), ShouldBeEmpty)
 		_, faults := Compile(doc)
 		So(faults, ShouldBeEmpty)
--- a/internal/config/edits.go
+++ b/internal/config/edits.go
@@ -6,9 +6,9 @@
 	"github.com/tidwall/gjson"
 )
 
-// mostEdits is how many edits an older build remembered by their digests, in the
+// maxRememberedEdits is how many edits an older build remembered by their digests, in the
 // configuration itself. Now the part that holds the configuration remembers them.
-const mostEdits = 16
+const maxRememberedEdits = 16
 
 // VersionOf gives the operators' own number of a configuration; 0 for none.
 func VersionOf(doc []byte) int64 { return gjson.GetBytes(doc, "version").Int() }
@@ -28,6 +28,6 @@
 	return out
 }
 
-// HasForgotten reports whether a configuration of an older build may come from edits that
+// MayHaveForgotten reports whether a configuration of an older build may come from edits that
 // it no longer remembers.
-func HasForgotten(doc []byte) bool { return len(EditsOf(doc)) >= mostEdits }
+func MayHaveForgotten(doc []byte) bool { return len(EditsOf(doc)) >= maxRememberedEdits }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -8,12 +8,12 @@
 // FuzzDocuments: configurations, patches and live lists are read whole or refused; a
 // configuration that is accepted says the same when it is read again.
 func FuzzDocuments(f *testing.F) {
-	f.Add([]byte(good), []byte(`{"note":"n"}`))
+	f.Add([]byte(validDocument), []byte(`{"note":"n"}`))
 	f.Add([]byte(`{"lanes":{"a":{"children":{}}}}`), []byte(`{"lanes":null}`))
 	f.Add([]byte(`{"lanes":{"a":{"patience":"9999999h"}}}`), []byte(`[[[[[[`))
 	f.Add([]byte(`{"pools":{"p":{"rate":1e400}}}`), []byte(`{"":{"":{"":1}}}`))
 	f.Add([]byte(`{"workers":[{"name":"w","address":"1.2.3.4:5"},{"name":"w"}]}`), []byte(`null`))
-	f.Add([]byte(`{"tenants":{"a b":{"rate":1,"burst":1,"keys":["`+HashKey("k").String()+`"]},"c":{"keys":[]}}}`), []byte(`{"tenants":{"c":null}}`))
+	f.Add([]byte(`{"tenants":{"a b":{"rate":1,"burst":1,"keys":["`+HashApiKey("k").String()+`"]},"c":{"keys":[]}}}`), []byte(`{"tenants":{"c":null}}`))
 	f.Add([]byte(`{"tenants":{"":{"keys":7}},"lanes":{"l":{"public":true,"pools":["p"]}},"pools":{"p":{}}}`), []byte(`{"tenants":[]}`))
 	f.Fuzz(func(t *testing.T, doc, patch []byte) {
 		rules, faults := Compile(doc)
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -44,21 +44,21 @@
 	return out
 }
 
-// origin is the root's key for the document that a configuration was made from. What it holds is
+// originKey is the root's key for the document that a configuration was made from. What it holds is
 // another interface's, and may be secret: it is given whole to whoever reads the configuration, and never shown.
-const origin = "origin"
+const originKey = "origin"
 
-// Conceal returns a configuration to be shown: without its origin. It cannot be taken for the whole
+// Redact returns a configuration to be shown: without its origin. It cannot be taken for the whole
 // one, since Compile refuses it.
-func Conceal(doc []byte) ([]byte, error) {
+func Redact(doc []byte) ([]byte, error) {
 	var root map[string]json.RawMessage
 	if err := json.Unmarshal(doc, &root); err != nil {
 		return nil, errs.Wrap(err, errs.Corrupt, "configuration")
 	}
-	if root[origin] == nil {
+	if root[originKey] == nil {
 		return doc, nil
 	}
-	root[origin] = json.RawMessage(`"left out: it may hold keys"`)
+	root[originKey] = json.RawMessage(`"left out: it may hold keys"`)
 	out, err := json.MarshalIndent(root, "", "  ")
 	return append(out, '\n'), errs.Wrap(err, errs.Internal, "configuration")
 }
@@ -79,10 +79,10 @@
 	if err := json.Unmarshal(to, &b); err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "second document")
 	}
-	return differ("", a, b, nil), nil
+	return appendDifferences("", a, b, nil), nil
 }
 
-func differ(path string, a, b any, out []Difference) []Difference {
+func appendDifferences(path string, a, b any, out []Difference) []Difference {
 	x, isX := a.(map[string]any)
 	y, isY := b.(map[string]any)
 	if !isX || !isY {
@@ -102,19 +102,19 @@
 		at := k
 		if path != "" {
 			at = path + "." + k
-		} else if k == origin {
-			out = concealed(x[k], y[k], out)
+		} else if k == originKey {
+			out = appendRedacted(x[k], y[k], out)
 			continue
 		}
-		out = differ(at, x[k], y[k], out)
+		out = appendDifferences(at, x[k], y[k], out)
 	}
 	return out
 }
 
-// concealed tells that origins differ, and no more.
-func concealed(a, b any, out []Difference) []Difference {
+// appendRedacted tells that origins differ, and no more.
+func appendRedacted(a, b any, out []Difference) []Difference {
 	if reflect.DeepEqual(a, b) {
 		return out
 	}
-	return append(out, Difference{Path: origin})
+	return append(out, Difference{Path: originKey})
 }
--- a/internal/config/ways_test.go
+++ b/internal/config/routes_test.go
@@ -6,7 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const laid = `{"version":7,"origin":{"a":1},"pools":{"p":{"bound":"2s","cold_rate":4,"repeats":true}},
+const routedDocument = `{"version":7,"origin":{"a":1},"pools":{"p":{"bound":"2s","cold_rate":4,"repeats":true}},
  "lanes":{"a":{"pools":["p"],"host":"x.example","prefix":"/a/","bound":"700ms","notify":true,"spends":"failures","bytes":"success","witness":false},
   "ab":{"pools":["p"],"host":"x.example","prefix":"/a/b/"},"other":{"pools":["p"],"host":"y.example","prefix":"/a/"},
   "any":{"pools":["p"],"prefix":"/any/"},"named":{"pools":["p"]}}}`
@@ -14,7 +14,7 @@
 // TestWays: requests that come as they are find their lane by host and longest
 // prefix, and nothing else finds one.
 func TestWays(t *testing.T) {
-	rules, faults := Compile([]byte(laid))
+	rules, faults := Compile([]byte(routedDocument))
 	cases := []struct{ name, host, path, lane string }{
 		{"a prefix", "x.example", "/a/1", "a"},
 		{"the longest prefix", "x.example", "/a/b/1", "ab"},
@@ -30,15 +30,15 @@
 		So(faults, ShouldBeEmpty)
 		for _, c := range cases {
 			Convey(c.name, func() {
-				lane, isFound := rules.Way(c.host, c.path)
+				lane, isFound := rules.Route(c.host, c.path)
 				So(lane.Name, ShouldEqual, c.lane)
 				So(isFound, ShouldEqual, c.lane != "")
 			})
 		}
 	})
 	Convey("What a lane says of its runs goes before what the pool says", t, func() {
-		So(rules.BoundOf("a", "p"), ShouldEqual, 700)
-		So(rules.BoundOf("ab", "p"), ShouldEqual, 2000)
+		So(rules.RunTimeoutMs("a", "p"), ShouldEqual, 700)
+		So(rules.RunTimeoutMs("ab", "p"), ShouldEqual, 2000)
 		So(rules.Version, ShouldEqual, 7)
 	})
 	Convey("Two lanes cannot share a host and prefix", t, func() {
--- a/internal/config/rules_test.go
+++ b/internal/config/rules_test.go
@@ -17,9 +17,9 @@
 		part, view := feed.NewPart(), feed.NewView(0)
 		cache := &Cache{View: view}
 		now := func(rules string) Table[Worker] {
-			part.Apply(wire.Edit{Key: Key, Value: []byte(rules), IfRevision: -1})
+			part.Apply(wire.Edit{Key: DocumentKey, Value: []byte(rules), IfRevision: -1})
 			news, _ := part.News(0, view.Revision(0))
-			view.Take([]wire.PartNews{news}, 0)
+			view.Update([]wire.PartNews{news}, 0)
 			return cache.Current().Workers["p"]
 		}
 		list := Workers{Workers: []Worker{{Name: "w", Address: "127.0.0.1:80", State: "live"}}}
@@ -33,7 +33,7 @@
 		Convey("a pool that becomes an endpoint, moves, and becomes one of workers again has what its rules say", func() {
 			addresses := []string{}
 			for _, address := range []string{"127.0.0.1:1", "127.0.0.1:2"} {
-				w, _ := now(`{"pools":{"p":{"kind":"endpoint","address":"` + address + `"}}}`).Get(Endpoint)
+				w, _ := now(`{"pools":{"p":{"kind":"endpoint","address":"` + address + `"}}}`).Get(EndpointWorker)
 				addresses = append(addresses, w.Address)
 			}
 			So(addresses, ShouldResemble, []string{"127.0.0.1:1", "127.0.0.1:2"})
@@ -47,15 +47,15 @@
 	for _, workers := range []int{200, 10_000, 100_000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			part, view, docs := feed.NewPart(), feed.NewView(0), [][]byte{manyTenants(83, 2), manyTenants(83, 1)}
-			cache, count := &Cache{View: view}, Buckets(workers, 0)
+			cache, count := &Cache{View: view}, BucketCount(workers, 0)
 			take := func(e wire.Edit) {
 				e.IfRevision = -1
 				part.Apply(e)
 				news, _ := part.News(0, view.Revision(0))
-				view.Take([]wire.PartNews{news}, 0)
+				view.Update([]wire.PartNews{news}, 0)
 				cache.Current()
 			}
-			take(wire.Edit{Key: Key, Value: docs[0]})
+			take(wire.Edit{Key: DocumentKey, Value: docs[0]})
 			lists := make([]Workers, count)
 			for i := range workers {
 				w := Worker{Name: fmt.Sprint("i-", i), Address: "127.0.0.1:80", Zone: "a", State: "live"}
@@ -66,7 +66,7 @@
 				take(wire.Edit{Key: BucketKey("p", bucket, count), Value: list.Encode()})
 			}
 			for i := 0; b.Loop(); i++ {
-				take(wire.Edit{Key: Key, Value: docs[i%2]})
+				take(wire.Edit{Key: DocumentKey, Value: docs[i%2]})
 			}
 		})
 	}
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -8,8 +8,8 @@
 	"caperwheel/internal/errs"
 )
 
-// strict reads one JSON value and refuses unknown fields and trailing text.
-func strict(doc []byte, into any) error {
+// decodeStrict reads one JSON value and refuses unknown fields and trailing text.
+func decodeStrict(doc []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(doc))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -25,16 +25,16 @@
 	value V
 }
 
-// shardRows is how many rows a shard has when a table is just full enough.
-const shardRows = 64
+// rowsPerShard is how many rows a shard has when a table is just full enough.
+const rowsPerShard = 64
 
 // TableOf returns a table of what a map has.
 func TableOf[V any](rows map[string]V) Table[V] {
-	c := Table[V]{}.change()
+	c := Table[V]{}.builder()
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
 		c.set(name, rows[name])
 	}
-	return c.done()
+	return c.build()
 }
 
 // Len returns the number of names.
@@ -44,7 +44,7 @@
 func (t Table[V]) Get(name string) (V, bool) {
 	if t.size > 0 {
 		shard := t.shards[shardOf(name, len(t.shards))]
-		if at, isThere := find(shard, name); isThere {
+		if at, isThere := findRow(shard, name); isThere {
 			return shard[at].value, true
 		}
 	}
@@ -75,7 +75,7 @@
 	return out
 }
 
-func find[V any](shard []row[V], name string) (int, bool) {
+func findRow[V any](shard []row[V], name string) (int, bool) {
 	return slices.BinarySearchFunc(shard, name, func(r row[V], name string) int { return cmp.Compare(r.name, name) })
 }
 
@@ -94,29 +94,29 @@
 		return 0
 	}
 	count := 1
-	for size > count*shardRows*2 {
+	for size > count*rowsPerShard*2 {
 		count *= 2
 	}
 	return count
 }
 
-// tableChange makes the next Table of one. A shard is copied before it is first written.
-type tableChange[V any] struct {
-	shards [][]row[V]
-	isOwn  []bool // by shard
-	size   int
+// tableBuilder makes the next Table of one. A shard is copied before it is first written.
+type tableBuilder[V any] struct {
+	shards   [][]row[V]
+	isCloned []bool // by shard
+	size     int
 }
 
-func (t Table[V]) change() *tableChange[V] {
-	return &tableChange[V]{shards: slices.Clone(t.shards), isOwn: make([]bool, len(t.shards)), size: t.size}
+func (t Table[V]) builder() *tableBuilder[V] {
+	return &tableBuilder[V]{shards: slices.Clone(t.shards), isCloned: make([]bool, len(t.shards)), size: t.size}
 }
 
-func (c *tableChange[V]) set(name string, value V) {
+func (c *tableBuilder[V]) set(name string, value V) {
 	if shardCount(c.size+1) > len(c.shards) {
-		c.cut(shardCount(c.size + 1))
+		c.reshard(shardCount(c.size + 1))
 	}
 	number := shardOf(name, len(c.shards))
-	at, isThere := find(c.own(number), name)
+	at, isThere := findRow(c.writableShard(number), name)
 	if isThere {
 		c.shards[number][at].value = value
 		return
@@ -125,28 +125,28 @@
 	c.size++
 }
 
-func (c *tableChange[V]) remove(name string) {
+func (c *tableBuilder[V]) remove(name string) {
 	if c.size == 0 {
 		return
 	}
 	number := shardOf(name, len(c.shards))
-	if at, isThere := find(c.shards[number], name); isThere {
-		c.shards[number] = slices.Delete(c.own(number), at, at+1)
+	if at, isThere := findRow(c.shards[number], name); isThere {
+		c.shards[number] = slices.Delete(c.writableShard(number), at, at+1)
 		c.size--
 	}
 }
 
 // own returns a shard that may be written.
-func (c *tableChange[V]) own(number int) []row[V] {
-	if !c.isOwn[number] {
+func (c *tableBuilder[V]) writableShard(number int) []row[V] {
+	if !c.isCloned[number] {
 		c.shards[number] = slices.Clone(c.shards[number])
-		c.isOwn[number] = true
+		c.isCloned[number] = true
 	}
 	return c.shards[number]
 }
 
-// cut spreads the rows over so many shards.
-func (c *tableChange[V]) cut(count int) {
+// reshard spreads the rows over so many shards.
+func (c *tableBuilder[V]) reshard(count int) {
 	next := make([][]row[V], count)
 	for _, shard := range c.shards {
 		for _, r := range shard {
@@ -157,12 +157,12 @@
 	for _, shard := range next {
 		slices.SortFunc(shard, func(a, b row[V]) int { return strings.Compare(a.name, b.name) })
 	}
-	c.shards, c.isOwn = next, slices.Repeat([]bool{true}, count)
+	c.shards, c.isCloned = next, slices.Repeat([]bool{true}, count)
 }
 
-func (c *tableChange[V]) done() Table[V] {
+func (c *tableBuilder[V]) build() Table[V] {
 	if count := shardCount(c.size); count != len(c.shards) {
-		c.cut(count)
+		c.reshard(count)
 	}
 	for number, shard := range c.shards {
 		if len(shard) == 0 {
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -24,7 +24,7 @@
 			all := []kept{}
 			for step := range 400 {
 				grows = grows && len(want) < 1500 || len(want) < 20
-				change := table.change()
+				change := table.builder()
 				for range 1 + r.IntN(30) {
 					name := fmt.Sprint("n", r.IntN(2000))
 					if grows == (r.IntN(8) > 0) {
@@ -35,7 +35,7 @@
 						delete(want, name)
 					}
 				}
-				table = change.done()
+				table = change.build()
 				all = append(all, kept{table, maps.Clone(want)})
 			}
 			for _, k := range all {
@@ -58,9 +58,9 @@
 			rows[fmt.Sprint("n", i)] = i
 		}
 		before := TableOf(rows)
-		change := before.change()
+		change := before.builder()
 		change.set("n77", -1)
-		after, copied := change.done(), 0
+		after, copied := change.build(), 0
 		for i := range after.shards {
 			if &after.shards[i][0] != &before.shards[i][0] {
 				copied++
@@ -81,9 +81,9 @@
 		table := TableOf(rows)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for i := range b.N {
-				change := table.change()
+				change := table.builder()
 				change.set(fmt.Sprint("n", i%size), Worker{Name: "x"})
-				table = change.done()
+				table = change.build()
 			}
 		})
 	}
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -21,22 +21,22 @@
 // KeyHash is the SHA-256 of an API key. The key itself is kept nowhere in rules or views.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash under which an API key stands in a configuration.
-func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
+// HashApiKey returns the hash under which an API key stands in a configuration.
+func HashApiKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // String returns the hash in hexadecimal digits, as configurations have it.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
 
 // Most of what one tenant may have.
 const (
-	MostTenants    = 5000
-	MostTenantKeys = 100
-	MostTenantName = 128
-	mostTenantRate = 10_000_000
+	MaxTenants         = 5000
+	MaxKeysPerTenant   = 100
+	MaxTenantNameBytes = 128
+	maxTenantRate      = 10_000_000
 )
 
-// holder is the tenant that an API key belongs to.
-type holder struct {
+// keyTenant is the tenant that an API key belongs to.
+type keyTenant struct {
 	hash   KeyHash
 	tenant string
 }
@@ -46,7 +46,7 @@
 
 // TenantOf returns the tenant that holds an API key, and false where none does.
 func (r *Rules) TenantOf(key string) (Tenant, bool) {
-	hash := HashKey(key)
+	hash := HashApiKey(key)
 	known, isKnown := r.keys[hash]
 	if !isKnown || subtle.ConstantTimeCompare(known.hash[:], hash[:]) != 1 {
 		return Tenant{}, false
@@ -56,12 +56,12 @@
 
 // IsTenantName reports whether a text can be a tenant's name: it goes into header fields.
 func IsTenantName(name string) bool {
-	return len(name) > 0 && len(name) <= MostTenantName && strings.TrimSpace(name) == name && isPrintable(name)
+	return len(name) > 0 && len(name) <= MaxTenantNameBytes && strings.TrimSpace(name) == name && isPrintable(name)
 }
 
 // IsApiKey reports whether a text can be an API key: callers send it in a header field, behind a word.
 func IsApiKey(key string) bool {
-	return len(key) > 0 && len(key) <= MostTenantName && !strings.ContainsAny(key, " ") && isPrintable(key)
+	return len(key) > 0 && len(key) <= MaxTenantNameBytes && !strings.ContainsAny(key, " ") && isPrintable(key)
 }
 
 func isPrintable(text string) bool {
@@ -74,8 +74,8 @@
 }
 
 var tenantFields = map[string]field[Tenant]{
-	"rate":  {gjson.Number, number(0, mostTenantRate), func(t *Tenant, r gjson.Result) { t.Rate = r.Num }},
-	"burst": {gjson.Number, number(0, mostTenantRate), func(t *Tenant, r gjson.Result) { t.Burst = r.Num }},
+	"rate":  {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Rate = r.Num }},
+	"burst": {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Burst = r.Num }},
 	"keys":  {gjson.JSON, keyHashes, func(*Tenant, gjson.Result) {}}, // joined by addKeys
 }
 
@@ -85,10 +85,10 @@
 	r.ForEach(func(_, item gjson.Result) bool {
 		count++
 		_, isRight = readHash(item)
-		return isRight && count <= MostTenantKeys
+		return isRight && count <= MaxKeysPerTenant
 	})
 	switch {
-	case !r.IsArray() || count > MostTenantKeys:
+	case !r.IsArray() || count > MaxKeysPerTenant:
 		return "must be a list of hashes of keys, not too long"
 	case !isRight:
 		return "must hold SHA-256 hashes of keys, in 64 hexadecimal digits"
@@ -111,13 +111,13 @@
 		return
 	}
 	if !tenants.IsObject() {
-		c.fault("tenants", "must be an object")
+		c.addFault("tenants", "must be an object")
 		return
 	}
-	c.rules.Tenants, c.rules.keys = map[string]Tenant{}, map[KeyHash]holder{}
-	each(tenants, c.readTenant)
-	if len(c.rules.Tenants) > MostTenants {
-		c.fault("tenants", "are too many")
+	c.rules.Tenants, c.rules.keys = map[string]Tenant{}, map[KeyHash]keyTenant{}
+	eachMember(tenants, c.readTenant)
+	if len(c.rules.Tenants) > MaxTenants {
+		c.addFault("tenants", "are too many")
 	}
 }
 
@@ -125,10 +125,10 @@
 	path := "tenants." + name
 	switch {
 	case !IsTenantName(name):
-		c.fault(path, "has a name that no header field can hold")
+		c.addFault(path, "has a name that no header field can hold")
 		return
 	case !r.IsObject() || r.Get("children").Exists():
-		c.fault(path, "must be an object without children")
+		c.addFault(path, "must be an object without children")
 		return
 	}
 	tenant, isRight := readFields(c, path, r, Tenant{Name: name}, tenantFields)
@@ -136,7 +136,7 @@
 		return
 	}
 	if tenant.Rate > 0 && tenant.Burst < 1 {
-		c.fault(path+".burst", "must be at least 1 where there is a rate")
+		c.addFault(path+".burst", "must be at least 1 where there is a rate")
 	}
 	c.rules.Tenants[name] = tenant
 	c.addKeys(path, name, r.Get("keys"))
@@ -147,9 +147,9 @@
 	keys.ForEach(func(_, item gjson.Result) bool {
 		hash, _ := readHash(item)
 		if other, isHeld := c.rules.keys[hash]; isHeld && other.tenant != name {
-			c.fault(path+".keys", "holds a key that is also one of "+other.tenant)
+			c.addFault(path+".keys", "holds a key that is also one of "+other.tenant)
 		}
-		c.rules.keys[hash] = holder{hash, name}
+		c.rules.keys[hash] = keyTenant{hash, name}
 		return true
 	})
 }
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -18,7 +18,7 @@
 func keysOf(keys ...string) string {
 	hashes := []string{}
 	for _, key := range keys {
-		hashes = append(hashes, HashKey(key).String())
+		hashes = append(hashes, HashApiKey(key).String())
 	}
 	raw, err := json.Marshal(hashes)
 	So(err, ShouldBeNil)
@@ -31,7 +31,7 @@
 	for i := range count {
 		hashes := []string{}
 		for k := range keys {
-			hashes = append(hashes, HashKey(fmt.Sprint("key-", i, "-", k)).String())
+			hashes = append(hashes, HashApiKey(fmt.Sprint("key-", i, "-", k)).String())
 		}
 		tenants[fmt.Sprint("tenant-", i)] = map[string]any{"keys": hashes, "rate": 50, "burst": 50}
 	}
@@ -52,7 +52,7 @@
 		{"a name with a line break", `{"ha\r\nlls":{}}`, "tenants.ha\r\nlls"},
 		{"a name that is not ASCII", `{"hällar":{}}`, "tenants.hällar"},
 		{"a name with a space at its end", `{"halls ":{}}`, "tenants.halls "},
-		{"a name that is too long", `{"` + strings.Repeat("n", MostTenantName+1) + `":{}}`, "tenants." + strings.Repeat("n", MostTenantName+1)},
+		{"a name that is too long", `{"` + strings.Repeat("n", MaxTenantNameBytes+1) + `":{}}`, "tenants." + strings.Repeat("n", MaxTenantNameBytes+1)},
 		{"a tenant given twice", `{"halls":{},"halls":{}}`, "tenants.halls"},
 		{"tenants that inherit", `{"halls":{"children":{"a":{}}}}`, "tenants.halls"},
 		{"an unknown setting", `{"halls":{"api_keys":[]}}`, "tenants.halls.api_keys"},
@@ -81,9 +81,9 @@
 			So(faultPaths(withTenants(`{"a":{"keys":`+keysOf("k-1")+`},"b":{"keys":`+large+`}}`)), ShouldResemble, []string{"tenants.b.keys"})
 		})
 		Convey("a tenant with too many keys", func() {
-			So(faultPaths(manyTenants(1, MostTenantKeys+1)), ShouldContain, "tenants.tenant-0.keys")
+			So(faultPaths(manyTenants(1, MaxKeysPerTenant+1)), ShouldContain, "tenants.tenant-0.keys")
 		})
-		Convey("too many tenants", func() { So(faultPaths(manyTenants(MostTenants+1, 0)), ShouldContain, "tenants") })
+		Convey("too many tenants", func() { So(faultPaths(manyTenants(MaxTenants+1, 0)), ShouldContain, "tenants") })
 	})
 }
 
@@ -107,7 +107,7 @@
 		So(rules.HasTenants(), ShouldBeTrue)
 		for _, c := range []struct {
 			key, tenant string
-		}{{"k-1", "a b"}, {"k-2", "a b"}, {"k-3", "b"}, {"", ""}, {"k-", ""}, {"k-11", ""}, {HashKey("k-1").String(), ""}, {"K-1", ""}} {
+		}{{"k-1", "a b"}, {"k-2", "a b"}, {"k-3", "b"}, {"", ""}, {"k-", ""}, {"k-11", ""}, {HashApiKey("k-1").String(), ""}, {"K-1", ""}} {
 			Convey("the key "+c.key+" leads to the tenant "+c.tenant, func() {
 				tenant, isHeld := rules.TenantOf(c.key)
 				So(tenant.Name, ShouldEqual, c.tenant)
@@ -128,7 +128,7 @@
 		none, faults := Compile(withTenants(`{}`))
 		So(faults, ShouldBeEmpty)
 		So(none.HasTenants(), ShouldBeTrue)
-		plain, _ := Compile([]byte(good))
+		plain, _ := Compile([]byte(validDocument))
 		So(plain.HasTenants(), ShouldBeFalse)
 	})
 	Convey("A key that one tenant gives to another is the other's", t, func() {
@@ -143,11 +143,11 @@
 // TestMostTenantsFit: as many tenants as are allowed, each with an old key and a new one, are a configuration.
 func TestMostTenantsFit(t *testing.T) {
 	Convey("As many tenants as are allowed", t, func() {
-		doc := manyTenants(MostTenants, 2)
+		doc := manyTenants(MaxTenants, 2)
 		rules, faults := Compile(doc)
 		So(faults, ShouldBeEmpty)
-		So(len(rules.Tenants), ShouldEqual, MostTenants)
-		So(len(rules.keys), ShouldEqual, 2*MostTenants)
+		So(len(rules.Tenants), ShouldEqual, MaxTenants)
+		So(len(rules.keys), ShouldEqual, 2*MaxTenants)
 	})
 }
 
@@ -158,8 +158,8 @@
 		isName, isKey bool
 	}{
 		{"halls", true, true}, {"a b", true, false}, {"", false, false}, {" a", false, false}, {"a\tb", false, false}, {"a\x00", false, false},
-		{"a\x7f", false, false}, {"ä", false, false}, {"~!", true, true}, {strings.Repeat("k", MostTenantName), true, true},
-		{strings.Repeat("k", MostTenantName+1), false, false},
+		{"a\x7f", false, false}, {"ä", false, false}, {"~!", true, true}, {strings.Repeat("k", MaxTenantNameBytes), true, true},
+		{strings.Repeat("k", MaxTenantNameBytes+1), false, false},
 	}
 	Convey("Of texts, some are names and some are keys", t, func() {
 		for _, c := range cases {
@@ -173,7 +173,7 @@
 
 // BenchmarkCompile measures what a change of the configuration costs each daemon, by tenants with two keys.
 func BenchmarkCompile(b *testing.B) {
-	for _, count := range []int{0, 83, 1000, MostTenants} {
+	for _, count := range []int{0, 83, 1000, MaxTenants} {
 		doc := manyTenants(count, 2)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			b.SetBytes(int64(len(doc)))
@@ -188,7 +188,7 @@
 
 // BenchmarkTenantOf measures what a request's key costs, by tenants.
 func BenchmarkTenantOf(b *testing.B) {
-	for _, count := range []int{83, MostTenants} {
+	for _, count := range []int{83, MaxTenants} {
 		rules, faults := Compile(manyTenants(count, 2))
 		if len(faults) > 0 {
 			b.Fatal(faults)
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -23,8 +23,8 @@
 	Identifier string `json:"identifier,omitempty"`
 }
 
-// MostIdentifier bounds a worker's identifier, in bytes: every request to it carries it.
-const MostIdentifier = 1024
+// MaxIdentifierBytes bounds a worker's identifier, in bytes: every request to it carries it.
+const MaxIdentifierBytes = 1024
 
 // Workers is a pool's live list.
 type Workers struct {
@@ -34,7 +34,7 @@
 // ReadWorkers reads and checks a live list.
 func ReadWorkers(doc []byte) (Workers, []Fault) {
 	var out Workers
-	if err := strict(doc, &out); err != nil {
+	if err := decodeStrict(doc, &out); err != nil {
 		return out, []Fault{{"", "is not a list of workers: " + err.Error()}}
 	}
 	faults, seen := []Fault{}, map[string]bool{}
@@ -48,26 +48,26 @@
 			faults = append(faults, Fault{path + "." + fault.Path, fault.Text})
 		}
 		if seen[w.Name] {
-			faults = append(faults, Fault{path + ".name", ownName})
+			faults = append(faults, Fault{path + ".name", uniqueNameText})
 		}
 		seen[w.Name] = true
 	}
 	return out, faults
 }
 
-const ownName = "must be a name of its own"
+const uniqueNameText = "must be a name of its own"
 
 // Check returns what of a worker no list may hold.
 func (w Worker) Check() []Fault {
 	faults := []Fault{}
 	if !isName(w.Name) {
-		faults = append(faults, Fault{"name", ownName})
+		faults = append(faults, Fault{"name", uniqueNameText})
 	}
 	if text := CheckAddress(w.Address); text != "" {
 		faults = append(faults, Fault{"address", text})
 	}
 	if !IsIdentifier(w.Identifier) {
-		faults = append(faults, Fault{"identifier", fmt.Sprintf("must be at most %d bytes that a header field holds", MostIdentifier)})
+		faults = append(faults, Fault{"identifier", fmt.Sprintf("must be at most %d bytes that a header field holds", MaxIdentifierBytes)})
 	}
 	if w.Slots < 0 || w.Slots > 1000 {
 		faults = append(faults, Fault{"slots", "must be from 0 to 1000"})
@@ -80,7 +80,7 @@
 
 // IsIdentifier reports whether a text may be a worker's identifier: a header field carries it whole.
 func IsIdentifier(text string) bool {
-	return len(text) <= MostIdentifier && strings.Trim(text, " \t") == text && !strings.ContainsFunc(text, unicode.IsControl) &&
+	return len(text) <= MaxIdentifierBytes && strings.Trim(text, " \t") == text && !strings.ContainsFunc(text, unicode.IsControl) &&
 		utf8.ValidString(text)
 }
 
--- a/internal/crash/daemons_test.go
+++ b/internal/crash/daemons_test.go
@@ -19,8 +19,8 @@
 	"caperwheel/internal/fleet"
 )
 
-// fatal are the signals by which the runtime ends a process with a word of why.
-var fatal = map[string]syscall.Signal{"SIGQUIT": syscall.SIGQUIT, "SIGILL": syscall.SIGILL, "SIGTRAP": syscall.SIGTRAP,
+// fatalSignals are the signals by which the runtime ends a process with a word of why.
+var fatalSignals = map[string]syscall.Signal{"SIGQUIT": syscall.SIGQUIT, "SIGILL": syscall.SIGILL, "SIGTRAP": syscall.SIGTRAP,
 	"SIGABRT": syscall.SIGABRT, "SIGBUS": syscall.SIGBUS, "SIGFPE": syscall.SIGFPE, "SIGSEGV": syscall.SIGSEGV,
 	"SIGSYS": syscall.SIGSYS, "SIGSTKFLT": syscall.SIGSTKFLT}
 
@@ -31,8 +31,8 @@
 	log  *bufio.Scanner
 }
 
-// launch starts a program and returns once it serves.
-func launch(ctx context.Context, bin, kind string, args ...string) *process {
+// startProcess starts a program and returns once it serves.
+func startProcess(ctx context.Context, bin, kind string, args ...string) *process {
 	listen, err := fleet.FreePort()
 	So(err, ShouldBeNil)
 	web, err := fleet.FreePort()
@@ -43,12 +43,12 @@
 	So(err, ShouldBeNil)
 	So(cmd.Start(), ShouldBeNil)
 	p := &process{http: web, cmd: cmd, log: bufio.NewScanner(stderr)}
-	p.reads("runs, daemons at")
+	p.readUntil("runs, daemons at")
 	return p
 }
 
-// reads returns the lines of the log up to one that says so.
-func (p *process) reads(text string) string {
+// readUntil returns the lines of the log up to one that says so.
+func (p *process) readUntil(text string) string {
 	read := ""
 	for p.log.Scan() {
 		read += p.log.Text() + "\n"
@@ -60,8 +60,8 @@
 	return read
 }
 
-// ends sends a signal and returns the exit code; -1 for a process that the signal itself ended.
-func (p *process) ends(sig syscall.Signal) int {
+// stopWith sends a signal and returns the exit code; -1 for a process that the signal itself ended.
+func (p *process) stopWith(sig syscall.Signal) int {
 	So(p.cmd.Process.Signal(sig), ShouldBeNil)
 	for p.log.Scan() { // to its end, which is that of the process
 	}
@@ -89,30 +89,30 @@
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
 		Convey("by the next process, for each fatal signal", func() {
 			file := filepath.Join(dir, "core", "crash.txt")
-			p := launch(ctx, bin, "manager", "--crash_file="+file)
+			p := startProcess(ctx, bin, "manager", "--crash_file="+file)
 			So(p.metrics(), ShouldNotContainSubstring, "previous_end")
-			for name, sig := range fatal {
-				So(fmt.Sprint(name, " ", p.ends(sig)), ShouldEqual, name+" 2")
-				p = launch(ctx, bin, "manager", "--crash_file="+file)
+			for name, sig := range fatalSignals {
+				So(fmt.Sprint(name, " ", p.stopWith(sig)), ShouldEqual, name+" 2")
+				p = startProcess(ctx, bin, "manager", "--crash_file="+file)
 				So(p.metrics(), ShouldContainSubstring, `caperwheel_previous_end{cause="`+name+`"} 1`)
 				kept, err := os.ReadFile(file + ".1")
 				So(err, ShouldBeNil)
 				So(string(kept), ShouldStartWith, name+": ")
 			}
-			So(p.ends(syscall.SIGKILL), ShouldEqual, -1)
-			p = launch(ctx, bin, "manager", "--crash_file="+file)
+			So(p.stopWith(syscall.SIGKILL), ShouldEqual, -1)
+			p = startProcess(ctx, bin, "manager", "--crash_file="+file)
 			So(p.metrics(), ShouldContainSubstring, `caperwheel_previous_end{cause="silent"} 1`)
-			So(p.ends(syscall.SIGTERM), ShouldEqual, 0)
-			p = launch(ctx, bin, "manager", "--crash_file="+file)
+			So(p.stopWith(syscall.SIGTERM), ShouldEqual, 0)
+			p = startProcess(ctx, bin, "manager", "--crash_file="+file)
 			So(p.metrics(), ShouldNotContainSubstring, "previous_end")
-			So(p.ends(syscall.SIGTERM), ShouldEqual, 0)
+			So(p.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 		})
 		Convey("by a store's next process, in its data folder", func() {
 			args := []string{"--seeds=127.0.0.1:9", "--data=" + filepath.Join(dir, "store"), "--reserve=1"}
-			So(launch(ctx, bin, "store", args...).ends(syscall.SIGILL), ShouldEqual, 2)
-			p := launch(ctx, bin, "store", args...)
+			So(startProcess(ctx, bin, "store", args...).stopWith(syscall.SIGILL), ShouldEqual, 2)
+			p := startProcess(ctx, bin, "store", args...)
 			So(p.metrics(), ShouldContainSubstring, `caperwheel_previous_end{cause="SIGILL"} 1`)
-			So(p.ends(syscall.SIGTERM), ShouldEqual, 0)
+			So(p.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 		})
 		Convey("by the other process of a machine without a disk", func() {
 			ofAgent, err := fleet.FreePort()
@@ -121,22 +121,22 @@
 			So(err, ShouldBeNil)
 			agentArgs := []string{"--seeds=127.0.0.1:9", "--crash_listen=" + ofAgent, "--crash_peer=" + ofAdapter, "--verbosity=1"}
 			adapterArgs := []string{"--seeds=127.0.0.1:9", "--crash_listen=" + ofAdapter, "--crash_peer=" + ofAgent, "--verbosity=1"}
-			agent := launch(ctx, bin, "agent", agentArgs...)
-			adapter := launch(ctx, bin, "adapter", adapterArgs...)
-			agent.reads("adapter on this machine is heard if")
-			So(adapter.ends(syscall.SIGSEGV), ShouldEqual, 2)
-			So(agent.reads("adapter on this machine ended"), ShouldContainSubstring, "by SIGSEGV: SIGSEGV: segmentation violation")
+			agent := startProcess(ctx, bin, "agent", agentArgs...)
+			adapter := startProcess(ctx, bin, "adapter", adapterArgs...)
+			agent.readUntil("adapter on this machine is heard if")
+			So(adapter.stopWith(syscall.SIGSEGV), ShouldEqual, 2)
+			So(agent.readUntil("adapter on this machine ended"), ShouldContainSubstring, "by SIGSEGV: SIGSEGV: segmentation violation")
 			So(agent.metrics(), ShouldContainSubstring, `caperwheel_neighbour_ends_total{cause="SIGSEGV",name="adapter"} 1`)
-			adapter = launch(ctx, bin, "adapter", adapterArgs...)
-			agent.reads("adapter on this machine is heard if")
-			adapter.reads("agent on this machine is heard if")
-			So(agent.ends(syscall.SIGBUS), ShouldEqual, 2)
-			So(adapter.reads("agent on this machine ended"), ShouldContainSubstring, "by SIGBUS")
-			agent = launch(ctx, bin, "agent", agentArgs...)
-			agent.reads("adapter on this machine is heard if")
-			So(adapter.ends(syscall.SIGTERM), ShouldEqual, 0)
+			adapter = startProcess(ctx, bin, "adapter", adapterArgs...)
+			agent.readUntil("adapter on this machine is heard if")
+			adapter.readUntil("agent on this machine is heard if")
+			So(agent.stopWith(syscall.SIGBUS), ShouldEqual, 2)
+			So(adapter.readUntil("agent on this machine ended"), ShouldContainSubstring, "by SIGBUS")
+			agent = startProcess(ctx, bin, "agent", agentArgs...)
+			agent.readUntil("adapter on this machine is heard if")
+			So(adapter.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 			So(agent.metrics(), ShouldNotContainSubstring, "neighbour_ends_total{")
-			So(agent.ends(syscall.SIGTERM), ShouldEqual, 0)
+			So(agent.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/crash/file.go
+++ b/internal/crash/file.go
@@ -11,37 +11,37 @@
 	"caperwheel/internal/errs"
 )
 
-// olderSuffix names the file to which the newest crash output is moved by the next process.
-const olderSuffix = ".1"
+// previousSuffix names the file to which the newest crash output is moved by the next process.
+const previousSuffix = ".1"
 
-// Keep has the runtime print to a file as well as to standard error when this process dies, and
+// RecordTo has the runtime print to a file as well as to standard error when this process dies, and
 // returns how the process before it ended, as the file has it; nil where it ended in order, or
 // there was none. What the file held is moved to FILE.1 if it is more than nothing.
 //
 // The file stands, empty, while the process runs: End takes it away.
-func Keep(path string) (*Report, error) {
-	before, err := readBefore(path)
+func RecordTo(path string) (*Report, error) {
+	previous, err := readPrevious(path)
 	if err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err != nil {
-		return before, errs.Wrap(err, errs.Disk, "crash file %s", path)
+		return previous, errs.Wrap(err, errs.Disk, "crash file %s", path)
 	}
 	defer file.Close()
-	return before, errs.Wrap(debug.SetCrashOutput(file, debug.CrashOptions{}), errs.Disk, "crash file %s", path)
+	return previous, errs.Wrap(debug.SetCrashOutput(file, debug.CrashOptions{}), errs.Disk, "crash file %s", path)
 }
 
-// End says that this process ends in order.
-func End(path string) error {
+// MarkCleanExit says that this process ends in order.
+func MarkCleanExit(path string) error {
 	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return errs.Wrap(err, errs.Disk, "crash file %s", path)
 	}
 	return nil
 }
 
-// readBefore reads what the process before has left, and moves it aside.
-func readBefore(path string) (*Report, error) {
+// readPrevious reads what the process before has left, and moves it aside.
+func readPrevious(path string) (*Report, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "crash file %s", path)
 	}
@@ -53,13 +53,13 @@
 		return nil, errs.Wrap(err, errs.Disk, "crash file %s", path)
 	}
 	defer file.Close()
-	printed, err := io.ReadAll(io.LimitReader(file, mostBytes))
+	output, err := io.ReadAll(io.LimitReader(file, maxOutputBytes))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Disk, "crash file %s", path)
 	}
-	report := Parse(printed)
-	if len(printed) > 0 {
-		err = os.Rename(path, path+olderSuffix)
+	report := Parse(output)
+	if len(output) > 0 {
+		err = os.Rename(path, path+previousSuffix)
 	}
 	return &report, errs.Wrap(err, errs.Disk, "crash file %s", path)
 }
--- a/internal/crash/neighbour.go
+++ b/internal/crash/neighbour.go
@@ -19,17 +19,17 @@
 // connection, says its name in a line, and leaves the connection to the runtime, which prints to it as
 // the process dies. A process that ends in order says so before.
 
-// ordered is what a process says when it ends in order.
-const ordered = "ends in order\n"
+// cleanExitMessage is what a process says when it ends in order.
+const cleanExitMessage = "ends in order\n"
 
-// mostNeighbours bounds the connections of a listener.
-const mostNeighbours = 8
+// maxConnections bounds the connections of a listener.
+const maxConnections = 8
 
 // Listener is told of the processes that print to an address. Its functions are called from many
 // goroutines.
 type Listener struct {
-	Heard func(name string)                // a process can be heard from now on
-	Ended func(name string, report Report) // it has ended, and not in order
+	OnConnect func(name string)                // a process can be heard from now on
+	OnCrash   func(name string, report Report) // it has ended, and not in order
 }
 
 // Listen hears of processes at an address until ctx ends.
@@ -45,17 +45,17 @@
 }
 
 func (l Listener) accept(listener net.Listener) {
-	open := make(chan struct{}, mostNeighbours)
+	slots := make(chan struct{}, maxConnections)
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case open <- struct{}{}:
+		case slots <- struct{}{}:
 			go func() {
-				defer func() { <-open }()
-				l.hear(conn)
+				defer func() { <-slots }()
+				l.readReport(conn)
 			}()
 		default:
 			conn.Close()
@@ -63,25 +63,25 @@
 	}
 }
 
-// hear reads a connection to its end.
-func (l Listener) hear(conn net.Conn) {
+// readReport reads a connection to its end.
+func (l Listener) readReport(conn net.Conn) {
 	defer conn.Close()
-	reader := bufio.NewReader(io.LimitReader(conn, mostBytes))
+	reader := bufio.NewReader(io.LimitReader(conn, maxOutputBytes))
 	name, err := reader.ReadString('\n')
 	if err != nil {
 		return // it never said who it is: not one of ours
 	}
 	name = printable(strings.TrimSuffix(name, "\n"))
-	l.Heard(name)
-	printed, _ := io.ReadAll(reader) // a reset ends it as well as a close
-	if string(printed) == ordered {
+	l.OnConnect(name)
+	output, _ := io.ReadAll(reader) // a reset ends it as well as a close
+	if string(output) == cleanExitMessage {
 		return
 	}
-	l.Ended(name, Parse(printed))
+	l.OnCrash(name, Parse(output))
 }
 
-// Speaker has the crash output of this process heard at an address.
-type Speaker struct {
+// Reporter has the crash output of this process heard at an address.
+type Reporter struct {
 	Name   string
 	Addr   string
 	Bounds timing.Bounds
@@ -89,26 +89,26 @@
 
 // Run keeps a connection to the listener, which may come and go, until ctx ends. Then it says that
 // this process ends in order.
-func (s Speaker) Run(ctx context.Context) {
-	timing.Paced(ctx, func() time.Duration { return s.Bounds.Of(timing.SessionTimeout) }, func() { s.speak(ctx) })
+func (s Reporter) Run(ctx context.Context) {
+	timing.EveryPaced(ctx, func() time.Duration { return s.Bounds.Of(timing.SessionTimeout) }, func() { s.connectOnce(ctx) })
 }
 
-// speak connects and returns when the connection has ended, or none was made.
-func (s Speaker) speak(ctx context.Context) {
+// connectOnce connects and returns when the connection has ended, or none was made.
+func (s Reporter) connectOnce(ctx context.Context) {
 	dialer := net.Dialer{Timeout: s.Bounds.Of(timing.DialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", s.Addr)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	if giveToRuntime(conn.(*net.TCPConn)) != nil { // first: whoever hears the name counts on hearing a crash
+	if setCrashOutput(conn.(*net.TCPConn)) != nil { // first: whoever hears the name counts on hearing a crash
 		return
 	}
 	if _, err := conn.Write([]byte(s.Name + "\n")); err != nil {
 		return
 	}
 	stop := context.AfterFunc(ctx, func() {
-		_, _ = conn.Write([]byte(ordered))
+		_, _ = conn.Write([]byte(cleanExitMessage))
 		_ = debug.SetCrashOutput(nil, debug.CrashOptions{})
 		conn.Close()
 	})
@@ -116,9 +116,9 @@
 	_, _ = io.Copy(io.Discard, conn) // the listener says nothing: this ends with the connection
 }
 
-// giveToRuntime has the runtime print to a connection, too, when it ends the process. The
+// setCrashOutput has the runtime print to a connection, too, when it ends the process. The
 // runtime's copy of the descriptor shares its mode with ours, which must not block.
-func giveToRuntime(conn *net.TCPConn) error {
+func setCrashOutput(conn *net.TCPConn) error {
 	file, err := conn.File()
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "crash connection")
--- a/internal/crash/report.go
+++ b/internal/crash/report.go
@@ -19,9 +19,9 @@
 
 // Bounds of what is kept.
 const (
-	mostBytes = 64 << 10
-	mostLines = 12
-	mostWidth = 200 // bytes of a line
+	maxOutputBytes = 64 << 10
+	maxLines       = 12
+	maxLineBytes   = 200 // bytes of a line
 )
 
 // Report is what is known of how a process ended.
@@ -37,18 +37,18 @@
 )
 
 // Parse reads what a process printed as it died. Any bytes give a report.
-func Parse(printed []byte) Report {
-	printed = printed[:min(len(printed), mostBytes)]
+func Parse(output []byte) Report {
+	output = output[:min(len(output), maxOutputBytes)]
 	report := Report{Cause: Silent, Lines: []string{}}
-	for line := range bytes.Lines(printed) {
+	for line := range bytes.Lines(output) {
 		text := printable(string(line))
 		if text == "" {
 			continue
 		}
-		if len(report.Lines) < mostLines {
+		if len(report.Lines) < maxLines {
 			report.Lines = append(report.Lines, text)
 		}
-		if cause := causeOf(text); isStronger(cause, report.Cause) {
+		if cause := causeOf(text); isMoreSpecific(cause, report.Cause) {
 			report.Cause = cause
 		}
 	}
@@ -82,14 +82,14 @@
 	return ""
 }
 
-// isStronger reports whether a cause tells more than the one found before it: a signal more than the
+// isMoreSpecific reports whether a cause tells more than the one found before it: a signal more than the
 // panic that came of it.
-func isStronger(cause, before string) bool {
+func isMoreSpecific(cause, current string) bool {
 	isSignal := strings.HasPrefix(cause, "SIG")
-	return cause != "" && (before == Silent || isSignal && !strings.HasPrefix(before, "SIG"))
+	return cause != "" && (current == Silent || isSignal && !strings.HasPrefix(current, "SIG"))
 }
 
-// printable returns a line in printable ASCII, cut to mostWidth.
+// printable returns a line in printable ASCII, cut to maxLineBytes.
 func printable(line string) string {
 	line = strings.TrimSpace(strings.Map(func(r rune) rune {
 		if r == '\t' || r >= ' ' && r <= '~' {
@@ -97,5 +97,5 @@
 		}
 		return -1
 	}, line))
-	return line[:min(len(line), mostWidth)]
+	return line[:min(len(line), maxLineBytes)]
 }
--- a/internal/crash/report_test.go
+++ b/internal/crash/report_test.go
@@ -23,7 +23,7 @@
 		{"what is torn at its beginning", "1 [running]:\nmain.main()\n", Unreadable, "1 [running]:"},
 		{"other bytes", "\x00\xff\x01abc\xfe\n", Unreadable, "abc"},
 		{"zeros alone, as a loss of power leaves them", strings.Repeat("\x00", 4096), Silent, ""},
-		{"a line that never ends", strings.Repeat("x", 10*mostBytes), Unreadable, strings.Repeat("x", mostWidth)},
+		{"a line that never ends", strings.Repeat("x", 10*maxOutputBytes), Unreadable, strings.Repeat("x", maxLineBytes)},
 	}
 	Convey("Of what a process printed as it died is read", t, func() {
 		for _, c := range cases {
@@ -40,7 +40,7 @@
 			})
 		}
 		Convey("no more than the first lines", func() {
-			So(Parse([]byte(strings.Repeat("line\n", 100))).Lines, ShouldHaveLength, mostLines)
+			So(Parse([]byte(strings.Repeat("line\n", 100))).Lines, ShouldHaveLength, maxLines)
 		})
 	})
 }
@@ -50,11 +50,11 @@
 	f.Add([]byte("SIGILL: illegal instruction\n"))
 	f.Fuzz(func(t *testing.T, printed []byte) {
 		report := Parse(printed)
-		if report.Cause == "" || len(report.Lines) > mostLines {
+		if report.Cause == "" || len(report.Lines) > maxLines {
 			t.Fatalf("%q gives %+v", printed, report)
 		}
 		for _, line := range report.Lines {
-			if len(line) > mostWidth || line == "" {
+			if len(line) > maxLineBytes || line == "" {
 				t.Fatalf("%q gives the line %q", printed, line)
 			}
 		}
--- a/internal/daemon/leave_test.go
+++ b/internal/daemon/drain_test.go
@@ -32,7 +32,7 @@
 
 func (g *gate) release() { g.opening.Do(func() { close(g.open) }) }
 
-func (g *gate) touched() {
+func (g *gate) noteTouch() {
 	select {
 	case <-g.isEnding:
 		if g.opensWhenTouched {
@@ -95,18 +95,18 @@
 	if isWaiting {
 		c.gate.idle.Do(func() { close(c.gate.isIdle) })
 	}
-	c.gate.touched()
+	c.gate.noteTouch()
 	return err
 }
 
 func (c *gatedConn) Close() error {
 	err := c.Conn.Close()
-	c.gate.touched()
+	c.gate.noteTouch()
 	return err
 }
 
-// stopping is a daemon with one door, and a caller whose connection waits there.
-func stopping(g *gate) (d *Daemon, servers []*web.Server, caller net.Conn, answers *bufio.Reader) {
+// startDaemon is a daemon with one door, and a caller whose connection waits there.
+func startDaemon(g *gate) (d *Daemon, servers []*web.Server, caller net.Conn, answers *bufio.Reader) {
 	s := settings.Default()
 	s.Grace, s.Linger = settings.Duration{Duration: time.Minute}, settings.Duration{Duration: time.Millisecond}
 	d = &Daemon{Kind: "adapter", Settings: s, Bounds: timing.Default, Mux: http.NewServeMux(), FrontMux: http.NewServeMux(),
@@ -116,7 +116,7 @@
 		raw, _ := io.ReadAll(r.Body)
 		_, _ = io.WriteString(w, "taken "+string(raw))
 	})
-	servers = d.open()
+	servers = d.startServers()
 	caller, err := net.Dial("tcp", d.Front.Addr().String())
 	So(err, ShouldBeNil)
 	Reset(func() { _ = caller.Close() })
@@ -124,13 +124,13 @@
 	answers = bufio.NewReader(caller)
 	_, err = io.WriteString(caller, "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 5\r\n\r\nfirst")
 	So(err, ShouldBeNil)
-	So(answerOf(answers), ShouldEqual, "taken first")
+	So(readAnswer(answers), ShouldEqual, "taken first")
 	<-g.isIdle
 	return d, servers, caller, answers
 }
 
-// answerOf returns the body of the next answer, or what came in its place.
-func answerOf(answers *bufio.Reader) string {
+// readAnswer returns the body of the next answer, or what came in its place.
+func readAnswer(answers *bufio.Reader) string {
 	reply, err := http.ReadResponse(answers, nil)
 	if err != nil {
 		return "no answer: " + err.Error()
@@ -149,47 +149,47 @@
 	Convey("A request on an open connection", t, func() {
 		Convey("that was read whole as the stop begins is answered", func() {
 			g := newGate()
-			d, servers, caller, answers := stopping(g)
+			d, servers, caller, answers := startDaemon(g)
 			_, err := io.WriteString(caller, head+body)
 			So(err, ShouldBeNil)
 			<-g.hasRead
-			told := ""
-			d.stop(servers, func(context.Context) {
+			answer := ""
+			d.shutdown(servers, func(context.Context) {
 				g.release()
-				told = answerOf(answers)
+				answer = readAnswer(answers)
 			})
-			So(told, ShouldEqual, "taken second")
+			So(answer, ShouldEqual, "taken second")
 		})
 		Convey("whose head was read in part as the stop begins is answered", func() {
 			g := newGate()
 			g.release()
-			d, servers, caller, answers := stopping(g)
+			d, servers, caller, answers := startDaemon(g)
 			_, err := io.WriteString(caller, head)
 			So(err, ShouldBeNil)
 			<-g.hasRead
-			told := ""
-			d.stop(servers, func(context.Context) {
+			answer := ""
+			d.shutdown(servers, func(context.Context) {
 				if _, err := io.WriteString(caller, body); err != nil {
-					told = err.Error()
+					answer = err.Error()
 					return
 				}
-				told = answerOf(answers)
+				answer = readAnswer(answers)
 			})
-			So(told, ShouldEqual, "taken second")
+			So(answer, ShouldEqual, "taken second")
 		})
 		Convey("that was read whole as what is open is ended is answered", func() {
 			g := newGate()
 			g.opensWhenTouched = true
-			d, servers, caller, answers := stopping(g)
+			d, servers, caller, answers := startDaemon(g)
 			_, err := io.WriteString(caller, head+body)
 			So(err, ShouldBeNil)
 			<-g.hasRead
-			told := make(chan string, 1)
-			d.stop(servers, func(context.Context) {
+			answer := make(chan string, 1)
+			d.shutdown(servers, func(context.Context) {
 				close(g.isEnding)
-				go func() { told <- answerOf(answers) }()
+				go func() { answer <- readAnswer(answers) }()
 			})
-			So(<-told, ShouldEqual, "taken second")
+			So(<-answer, ShouldEqual, "taken second")
 		})
 	})
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -8,42 +8,42 @@
 )
 
 // Emit passes one figure to whoever reads the metrics. Labels are pairs of name
-// and value. A name that ends in counterMark is a count that only grows.
+// and value. A name that ends in counterSuffix is a count that only grows.
 type Emit func(name, help string, value float64, labels ...string)
 
-// counterMark ends the names of counters, by convention.
-const counterMark = "_total"
+// counterSuffix ends the names of counters, by convention.
+const counterSuffix = "_total"
 
 // gauges are read when the metrics are, so nothing needs to be kept up to date
 // between two readings.
-type gauges struct {
-	mu   sync.Mutex
-	from []func(Emit)
+type metricsCollector struct {
+	mu      sync.Mutex
+	sources []func(Emit)
 }
 
-// Measure adds figures that are read with each reading of the metrics.
-func (d *Daemon) Measure(from func(Emit)) {
-	d.gauges.mu.Lock()
-	defer d.gauges.mu.Unlock()
-	d.gauges.from = append(d.gauges.from, from)
+// AddMetrics adds figures that are read with each reading of the metrics.
+func (d *Daemon) AddMetrics(source func(Emit)) {
+	d.collector.mu.Lock()
+	defer d.collector.mu.Unlock()
+	d.collector.sources = append(d.collector.sources, source)
 }
 
 // Describe tells nothing: which lanes and pools there are follows the configuration.
-func (g *gauges) Describe(chan<- *prometheus.Desc) {}
+func (g *metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
-func (g *gauges) Collect(out chan<- prometheus.Metric) {
+func (g *metricsCollector) Collect(out chan<- prometheus.Metric) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, from := range g.from {
-		from(func(name, help string, value float64, labels ...string) {
+	for _, source := range g.sources {
+		source(func(name, help string, value float64, labels ...string) {
 			names, values := []string{}, []string{}
 			for i := 0; i+1 < len(labels); i += 2 {
 				names, values = append(names, labels[i]), append(values, labels[i+1])
 			}
 			desc := prometheus.NewDesc("caperwheel_"+name, help, names, nil)
 			kind := prometheus.GaugeValue
-			if strings.HasSuffix(name, counterMark) {
+			if strings.HasSuffix(name, counterSuffix) {
 				kind = prometheus.CounterValue
 			}
 			out <- prometheus.MustNewConstMetric(desc, kind, value, values...)
@@ -51,8 +51,8 @@
 	}
 }
 
-// measureView reports how a daemon stands to the control plane.
-func (d *Daemon) measureView(emit Emit) {
+// collectViewMetrics reports how a daemon stands to the control plane.
+func (d *Daemon) collectViewMetrics(emit Emit) {
 	isFresh := 0.0
 	if d.IsFresh() {
 		isFresh = 1
@@ -62,12 +62,12 @@
 		emit("view_age_seconds", "How long ago the oldest part of the view was confirmed.", age.Seconds())
 	}
 	for _, s := range d.View.Revisions() {
-		emit("view_stamp", "How far the view has come, by part; part 0 has the configuration.", float64(s.Revision), "part", number(s.Part))
+		emit("view_stamp", "How far the view has come, by part; part 0 has the configuration.", float64(s.Revision), "part", formatInt(s.Part))
 	}
 	keys, bytes := d.View.Size()
 	emit("view_keys", "Keys of the view.", float64(keys))
 	emit("view_bytes", "Bytes of the view's keys and values.", float64(bytes))
 	for _, kind := range []string{"manager", "store", "agent", "adapter"} {
-		emit("members", "Daemons whose session stands, as this one knows.", float64(len(d.Membership.Kind(kind))), "kind", kind)
+		emit("members", "Daemons whose session stands, as this one knows.", float64(len(d.Membership.OfKind(kind))), "kind", kind)
 	}
 }
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -11,11 +11,11 @@
 func TestCountersAreCounters(t *testing.T) {
 	Convey("Given a count and a figure that goes up and down", t, func() {
 		registry, d := prometheus.NewRegistry(), &Daemon{}
-		d.Measure(func(emit Emit) {
+		d.AddMetrics(func(emit Emit) {
 			emit("asks_total", "Asks.", 3, "kind", "a")
 			emit("asks", "Asks under way.", 2)
 		})
-		So(registry.Register(&d.gauges), ShouldBeNil)
+		So(registry.Register(&d.collector), ShouldBeNil)
 		families, err := registry.Gather()
 		So(err, ShouldBeNil)
 		kinds := map[string]string{}
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -20,11 +20,11 @@
 )
 
 // Shares of the time between being asked to stop and being killed, in
-// hundredths. Invariant: leaveShare < outlastShare < closeShare < 100.
+// hundredths. Invariant: drainPercent < stopLastPercent < closePercent < 100.
 const (
-	leaveShare   = 75 // what is under way may end until then; what is left is answered with what is known
-	outlastShare = 85 // a daemon that others need until they have stopped has until then
-	closeShare   = 90 // open connections are cut then
+	drainPercent    = 75 // what is under way may end until then; what is left is answered with what is known
+	stopLastPercent = 85 // a daemon that others need until they have stopped has until then
+	closePercent    = 90 // open connections are cut then
 )
 
 // listen opens a port whose dead callers are noticed; none for no address.
@@ -32,7 +32,7 @@
 	if addr == "" {
 		return nil
 	}
-	config := net.ListenConfig{KeepAliveConfig: d.Bounds.Probes()}
+	config := net.ListenConfig{KeepAliveConfig: d.Bounds.KeepAliveConfig()}
 	listener, err := config.Listen(context.Background(), "tcp", addr)
 	d.Must(errs.Wrap(err, errs.Invalid, "listen on %s", addr))
 	return listener
@@ -41,19 +41,19 @@
 // IsReady reports whether the daemon should be sent work, and if not, why. One
 // that was asked to stop is not, though it still serves.
 func (d *Daemon) IsReady() (bool, string) {
-	if d.leaving.Load() {
+	if d.isLeaving.Load() {
 		return false, "stopping"
 	}
 	return d.Ready()
 }
 
-// Leave has the daemon say from now on that it is stopping.
-func (d *Daemon) Leave() { d.leaving.Store(true) }
+// StartDraining has the daemon say from now on that it is stopping.
+func (d *Daemon) StartDraining() { d.isLeaving.Store(true) }
 
-// IsLeaving reports whether the daemon was asked to stop.
-func (d *Daemon) IsLeaving() bool { return d.leaving.Load() }
+// IsDraining reports whether the daemon was asked to stop.
+func (d *Daemon) IsDraining() bool { return d.isLeaving.Load() }
 
-func (d *Daemon) route() {
+func (d *Daemon) addRoutes() {
 	d.Mux.Handle("GET /metrics", promhttp.Handler())
 	d.Mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	d.Mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
@@ -66,16 +66,16 @@
 	})
 }
 
-// open serves all listeners.
-func (d *Daemon) open() (servers []*web.Server) {
-	for _, door := range []struct {
+// startServers serves all listeners.
+func (d *Daemon) startServers() (servers []*web.Server) {
+	for _, port := range []struct {
 		listener net.Listener
 		mux      http.Handler
-	}{{d.listener, web.AsCame(d.Mux)}, {d.Front, web.AsCame(d.FrontMux)}, {d.Probe, d.ProbeMux}, {d.Operators, d.OperatorsMux}} {
-		if door.listener == nil {
+	}{{d.listener, web.WithoutPathRedirects(d.Mux)}, {d.Front, web.WithoutPathRedirects(d.FrontMux)}, {d.Probe, d.ProbeMux}, {d.Operators, d.OperatorsMux}} {
+		if port.listener == nil {
 			continue
 		}
-		server := web.NewServer(web.ServerOptions{Listener: door.listener, Handler: door.mux, LastLook: d.Bounds.Of(timing.LastLook)})
+		server := web.NewServer(web.ServerOptions{Listener: port.listener, Handler: port.mux, FinalReadTimeout: d.Bounds.Of(timing.FinalReadTimeout)})
 		servers = append(servers, server)
 		go func() { d.Must(server.Serve()) }()
 	}
@@ -85,44 +85,44 @@
 // Serve answers HTTP until a signal comes. Then the daemon is not ready, but
 // serves for as long as it lingers; after that leave is given time to end what
 // is under way.
-func (d *Daemon) Serve(leave func(ctx context.Context)) {
-	d.route()
+func (d *Daemon) Serve(drain func(ctx context.Context)) {
+	d.addRoutes()
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	servers := d.open()
+	servers := d.startServers()
 	klog.Infof("%s: %s of zone %s runs, daemons at %s, HTTP at %s.", d.Kind, d.Who.Name, d.Who.Zone, d.Who.Addr, d.Who.Http)
 	<-stop
 	klog.Infof("%s: Stopping on a signal.", d.Kind)
-	asked := d.Now()
-	d.stop(servers, leave)
-	klog.Infof("%s: Stopped %v after the signal.", d.Kind, (d.Now() - asked).Round(time.Millisecond))
+	stopRequested := d.Now()
+	d.shutdown(servers, drain)
+	klog.Infof("%s: Stopped %v after the signal.", d.Kind, (d.Now() - stopRequested).Round(time.Millisecond))
 	d.Node.Close()
-	d.crashes.end(d)
+	d.crashes.reportCleanExit(d)
 	klog.Flush()
 }
 
-func (d *Daemon) stop(servers []*web.Server, leave func(ctx context.Context)) {
-	stay := d.Settings.Stay()
-	closing, cancel := context.WithTimeout(context.Background(), stay*closeShare/100)
+func (d *Daemon) shutdown(servers []*web.Server, drain func(ctx context.Context)) {
+	stay := d.Settings.GracePeriod()
+	closing, cancel := context.WithTimeout(context.Background(), stay*closePercent/100)
 	defer cancel()
-	ctx, cancel := context.WithTimeout(closing, stay*leaveShare/100)
+	ctx, cancel := context.WithTimeout(closing, stay*drainPercent/100)
 	defer cancel()
-	d.Leave()
+	d.StartDraining()
 	for _, server := range servers { // callers come anew, and so to others
-		server.Leave()
+		server.StartDraining()
 	}
 	context.AfterFunc(ctx, func() {
 		for _, server := range servers {
-			server.Hurry()
+			server.CancelRequests()
 		}
 	})
 	timing.Wait(ctx, d.Settings.Linger.Duration)
-	if d.Outlasts {
-		ctx, cancel = context.WithTimeout(closing, stay*outlastShare/100)
+	if d.StopsLast {
+		ctx, cancel = context.WithTimeout(closing, stay*stopLastPercent/100)
 		defer cancel()
 	}
-	if leave != nil {
-		leave(ctx)
+	if drain != nil {
+		drain(ctx)
 	}
 	var stopping sync.WaitGroup
 	for _, server := range servers {
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -23,7 +23,7 @@
 			ProbeMux: http.NewServeMux(), OperatorsMux: http.NewServeMux(), Ready: func() (bool, string) { return true, "" }}
 		d.listener, d.Front, d.Probe, d.Operators = d.listen("127.0.0.1:0"), d.listen("127.0.0.1:0"), d.listen("127.0.0.1:0"), d.listen("")
 		So(d.Operators, ShouldBeNil)
-		d.route()
+		d.addRoutes()
 		d.FrontMux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "taken") })
 		d.ProbeMux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 			if isReady, _ := d.IsReady(); !isReady {
@@ -39,13 +39,13 @@
 			raw, err := io.ReadAll(reply.Body)
 			return reply, string(raw), err
 		}
-		servers := d.open()
+		servers := d.startServers()
 		So(len(servers), ShouldEqual, 3)
 		reply, text, err := get(d.listener.Addr().String(), "/readyz")
 		So(err, ShouldBeNil)
 		So(text, ShouldEqual, "ready\n")
 		So(reply.Close, ShouldBeFalse)
-		d.stop(servers, func(ctx context.Context) {
+		d.shutdown(servers, func(ctx context.Context) {
 			until, _ := ctx.Deadline()
 			So(time.Until(until), ShouldBeLessThanOrEqualTo, 45*time.Second)
 			reply, _, err := get(d.listener.Addr().String(), "/readyz")
--- a/internal/deliver/adapter.go
+++ b/internal/deliver/adapter.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
 	"caperwheel/internal/groupclock"
-	"caperwheel/internal/path"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
+	"caperwheel/internal/pipeline"
 	"caperwheel/internal/repair"
 	"caperwheel/internal/session"
 	"caperwheel/internal/timing"
@@ -22,74 +22,74 @@
 
 // Adapter is the delivering half of the adapter daemon.
 type Adapter struct {
-	d        *daemon.Daemon
-	configs  *config.Cache
-	ports    Ports
-	reach    *reach.Reach
-	slots    *slots
-	codec    Codec
-	tellers  tellers
-	actions  path.Actions[*delivery]
-	programs path.Programs
-	book     *Book
-	times    groupclock.Keeper // of the places' groups
+	d                   *daemon.Daemon
+	configs             *config.Cache
+	environment         Environment
+	ownerClient         *ownerclient.Client
+	slots               *slotAllocator
+	codec               Codec
+	notificationLimiter notificationLimiter
+	actions             pipeline.Actions[*delivery]
+	programs            pipeline.Programs
+	runs                *RunRegistry
+	times               groupclock.Cache // of the places' groups
 	// Once it is set no run is begun, and no slot granted.
 	isLeaving atomic.Bool
 }
 
-var ended = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "deliver",
+var runsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "deliver",
 	Name: "runs_total", Help: "Runs by pool and how they ended."}, []string{"pool", "end"})
 
 var answersNotKept = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "deliver",
 	Name: "answers_not_kept_total", Help: "Whole answers of workers that are longer than what is kept as proof, by pool."}, []string{"pool"})
 
-func init() { prometheus.MustRegister(ended, answersNotKept) }
+func init() { prometheus.MustRegister(runsTotal, answersNotKept) }
 
 // New readies the delivering half; codec is how requests that came as they are
 // are put to workers.
 func New(ctx context.Context, d *daemon.Daemon, configs *config.Cache, codec Codec) *Adapter {
-	a := NewOn(d, configs, codec, realPorts(ctx, d))
-	d.Measure(a.measure)
+	a := NewWithEnvironment(d, configs, codec, daemonEnvironment(ctx, d))
+	d.AddMetrics(a.measure)
 	return a
 }
 
-// NewOn readies the delivering half on given ports.
-func NewOn(d *daemon.Daemon, configs *config.Cache, codec Codec, ports Ports) *Adapter {
-	a := &Adapter{d: d, configs: configs, ports: ports, book: NewBook(d.Settings.Most), codec: codec}
-	a.slots = newSlots(a)
-	a.actions = a.steps()
+// NewWithEnvironment readies the delivering half on given ports.
+func NewWithEnvironment(d *daemon.Daemon, configs *config.Cache, codec Codec, environment Environment) *Adapter {
+	a := &Adapter{d: d, configs: configs, environment: environment, runs: NewRunRegistry(d.Settings.MaxInFlight), codec: codec}
+	a.slots = newSlotAllocator(a)
+	a.actions = a.buildActions()
 	return a
 }
 
-// Link gives the node, once it is open, to send results with.
-func (a *Adapter) Link() {
-	a.Reach(&reach.Reach{Node: a.d.Node, Membership: a.d.Membership, Bounds: a.d.Bounds, Link: wire.PlaceLink})
+// UseNode gives the node, once it is open, to send results with.
+func (a *Adapter) UseNode() {
+	a.SetOwnerClient(&ownerclient.Client{Node: a.d.Node, Membership: a.d.Membership, Bounds: a.d.Bounds, Link: wire.PlaceLink})
 }
 
-// Reach gives what brings results to the owners of places.
-func (a *Adapter) Reach(r *reach.Reach) { a.reach = r }
+// SetOwnerClient gives what brings results to the owners of places.
+func (a *Adapter) SetOwnerClient(r *ownerclient.Client) { a.ownerClient = r }
 
 // Serve answers stores.
 func (a *Adapter) Serve(_ wire.Who, body any, answer func(any)) {
 	switch m := body.(type) {
 	case *wire.Want:
-		a.slots.want(m, answer)
+		a.slots.requestSlot(m, answer)
 	case *wire.Run:
-		a.start(m, answer)
+		a.handleRun(m, answer)
 	case *wire.Tell:
-		a.tell(m, answer)
+		a.handleTell(m, answer)
 	case *wire.Release:
 		a.slots.release(m.Permit)
 	case *wire.TellTime:
-		answer(KeepTime(&a.times, m, a.d.Now()))
+		answer(StoreGroupTime(&a.times, m, a.d.Now()))
 	case *wire.AskTime:
-		answer(RecallTime(&a.times, m, a.d.Now()))
+		answer(ReportGroupTime(&a.times, m, a.d.Now()))
 	case *wire.Open:
 		if m.Boot != a.d.Who.Boot {
 			a.askAgent(m, answer)
 			return
 		}
-		answer(a.book.Open(m, a.d.Now()))
+		answer(a.runs.ResolveOpen(m, a.d.Now()))
 	}
 }
 
@@ -99,7 +99,7 @@
 func (a *Adapter) askAgent(m *wire.Open, answer func(any)) {
 	unknown := &wire.OpenAck{Kind: string(errs.Lost)}
 	ask := &wire.Outcome{Place: m.Place, Id: m.Id, Step: repair.StepHas, Proof: wire.Proof{Attempt: m.Attempt, Answer: []byte{}}}
-	err := a.ports.Post(wire.PlaceLink, a.d.Settings.Seeds[0], ask, func(reply any, err error) {
+	err := a.environment.Post(wire.PlaceLink, a.d.Settings.Seeds[0], ask, func(reply any, err error) {
 		ack, isAck := reply.(*wire.OutcomeAck)
 		switch {
 		case err != nil || !isAck:
@@ -119,33 +119,33 @@
 
 // Run does the periodic work until ctx ends.
 func (a *Adapter) Run(ctx context.Context) {
-	timing.Every(ctx, a.d.Bounds.Of(timing.AnswerTimeout), a.Tidy)
+	timing.Every(ctx, a.d.Bounds.Of(timing.AnswerTimeout), a.ExpireRefusals)
 }
 
-// Tidy forgets promises that nobody can come back to.
-func (a *Adapter) Tidy() { a.book.Tidy(a.d.Now(), 20*a.d.Bounds.Config) }
+// ExpireRefusals forgets promises that nobody can come back to.
+func (a *Adapter) ExpireRefusals() { a.runs.ExpireRefusals(a.d.Now(), 20*a.d.Bounds.ConfigApply) }
 
-// Say adds to what the adapter tells of itself in its session.
-func (a *Adapter) Say(counts map[string]int64) {
-	counts["runs"] = int64(a.InHand())
+// AddCounts adds to what the adapter tells of itself in its session.
+func (a *Adapter) AddCounts(counts map[string]int64) {
+	counts["runs"] = int64(a.OpenRunCount())
 	if a.isLeaving.Load() {
-		counts[Leaving] = 1
+		counts[DrainingCount] = 1
 	}
-	a.slots.observed(counts)
+	a.slots.addObservations(counts)
 }
 
-// InHand reports how many runs are in hand.
-func (a *Adapter) InHand() int { return a.book.Count() }
+// OpenRunCount reports how many runs are in hand.
+func (a *Adapter) OpenRunCount() int { return a.runs.Count() }
 
-// Leaving is the count by which an adapter tells that it is going: others take
+// DrainingCount is the count by which an adapter tells that it is going: others take
 // its duties.
-const Leaving = session.LeavingCount
+const DrainingCount = session.DrainingCount
 
 // IsLeaving reports whether it was asked to stop.
 func (a *Adapter) IsLeaving() bool { return a.isLeaving.Load() }
 
-// holdsDuty reports whether a duty still names this life of the adapter.
-func (a *Adapter) holdsDuty() bool {
+// holdsAnyDuty reports whether a duty still names this life of the adapter.
+func (a *Adapter) holdsAnyDuty() bool {
 	compiled := a.configs.Current()
 	for pool, duties := range compiled.Duties {
 		for worker := range duties.All() {
@@ -165,13 +165,13 @@
 func (a *Adapter) Drain(ctx context.Context) {
 	a.Leave()
 	handOver := a.d.Now() + a.d.Bounds.Of(timing.SessionTimeout)
-	for ctx.Err() == nil && (a.InHand() > 0 || a.holdsDuty() && a.d.Now() < handOver) {
+	for ctx.Err() == nil && (a.OpenRunCount() > 0 || a.holdsAnyDuty() && a.d.Now() < handOver) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(a.d.Bounds.Of(timing.Poll) / 4):
 		}
 	}
-	if inHand := a.InHand(); inHand > 0 {
+	if inHand := a.OpenRunCount(); inHand > 0 {
 		klog.Warningf("deliver: %d runs are in hand still, though the time to end them is over.", inHand)
 	}
 }
--- a/internal/deliver/askagent_test.go
+++ b/internal/deliver/askagent_test.go
@@ -30,7 +30,7 @@
 	Convey("Of a run of an earlier life, when the agent", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				a, seed := scenery("127.0.0.1:1"), closedPort()
+				a, seed := newTestAdapter("127.0.0.1:1"), closedPort()
 				if c.agent != nil {
 					agent, err := transport.NewNode(transport.Options{Listen: "127.0.0.1:0", Handlers: map[string]transport.Handler{
 						"place": func(_ wire.Who, _ any, answer func(any)) { c.agent(answer) }}})
@@ -45,7 +45,7 @@
 				a.d.Node, a.d.Settings = node, settings.Settings{Seeds: []string{seed}}
 				if c.agent != nil {
 					up := node.Peer(wire.PlaceLink, seed)
-					for up.Warm(); !up.Up(); {
+					for up.EnsureConnected(); !up.IsConnected(); {
 					}
 				}
 				told := make(chan wire.OpenAck, 1)
--- a/internal/deliver/codec.go
+++ b/internal/deliver/codec.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/wire"
 )
 
-// Asking is one run that is about to be put to a worker.
-type Asking struct {
+// RunRequest is one run that is about to be put to a worker.
+type RunRequest struct {
 	Id         string
 	Head       []byte
 	Body       []byte
@@ -22,17 +22,17 @@
 	Bound      time.Duration // how long it may take
 }
 
-// Judgement is what a worker's whole answer says. Kind is empty for a success.
+// RunResult is what a worker's whole answer says. Kind is empty for a success.
 //
 // Invariant: IsBegun is false only if the worker has not run the message.
-type Judgement struct {
-	Kind      errs.Kind
-	Text      string
-	Answer    []byte // what proves a success
-	IsBegun   bool
-	IsFinal   bool // it can never succeed
-	IsHealthy bool // the worker is well, whatever it answered
-	Wait      time.Duration
+type RunResult struct {
+	Kind       errs.Kind
+	Text       string
+	Answer     []byte // what proves a success
+	IsBegun    bool
+	IsFinal    bool // it can never succeed
+	IsHealthy  bool // the worker is well, whatever it answered
+	RetryDelay time.Duration
 }
 
 // Codec is one way to put requests to workers that came as they are, and to
@@ -41,46 +41,46 @@
 type Codec struct {
 	// Ask gives the request; errs.Unhealthy where it may not be put to this worker, any other error
 	// where it can be put to none.
-	Ask   func(a Asking) (*http.Request, error)
-	Names func(a Asking, answer *http.Response) Naming
-	// Judge reads a whole answer. body is nil where it has more than MostKept bytes: what the
+	NewRequest func(a RunRequest) (*http.Request, error)
+	MatchReply func(a RunRequest, answer *http.Response) ReplyMatch
+	// Judge reads a whole answer. body is nil where it has more than MaxAnswerBytes bytes: what the
 	// answer means must not depend on it.
-	Judge    func(a Asking, answer *http.Response, body []byte) Judgement
-	MostKept int64 // bytes of an answer's body that are kept for Judge
+	Interpret      func(a RunRequest, answer *http.Response, body []byte) RunResult
+	MaxAnswerBytes int64 // bytes of an answer's body that are kept for Judge
 
-	Tell func(t *wire.Tell) (*http.Request, error)
-	// ToldNames is Names for the answer to a word. Where it is not given, whoever
+	NewNotification func(t *wire.Tell) (*http.Request, error)
+	// MatchNotificationReply is Names for the answer to a word. Where it is not given, whoever
 	// is told of ends answers each word once.
-	ToldNames func(t *wire.Tell, answer *http.Response) Naming
+	MatchNotificationReply func(t *wire.Tell, answer *http.Response) ReplyMatch
 }
 
-// sendAsItIs puts a request to its worker as it came.
-func (a *Adapter) sendAsItIs(e *delivery) error {
+// sendPassthrough puts a request to its worker as it came.
+func (a *Adapter) sendPassthrough(e *delivery) error {
 	r := e.run
 	bound := time.Duration(r.Bound) * time.Millisecond
-	asking := Asking{Id: r.Id, Head: r.Head, Body: r.Body, Address: r.address, Worker: r.Worker, Identifier: r.identifier, Bound: bound}
+	asking := RunRequest{Id: r.Id, Head: r.RequestHead, Body: r.Body, Address: r.address, Worker: r.Worker, Identifier: r.identifier, Bound: bound}
 	if e.rules.Pools[r.Pool].IsEndpoint {
 		asking.Worker = ""
 	}
-	req, err := a.codec.Ask(asking)
+	req, err := a.codec.NewRequest(asking)
 	if err != nil {
 		e.outcome.Final = !errs.Is(err, errs.Unhealthy)
 		return err
 	}
-	ctx, cancel := timing.WithRunningTimeout(e.ctx, bound+bound/timing.AnswerMargin)
+	ctx, cancel := timing.WithRunningTimeout(e.ctx, bound+bound/timing.AnswerMarginDivisor)
 	defer cancel()
-	answer, err := a.ask(ctx, e, withBody(req, r.Body), a.codec.MostKept, func(answer *http.Response) Naming { return a.codec.Names(asking, answer) })
+	answer, err := a.sendToWorker(ctx, e, withBody(req, r.Body), a.codec.MaxAnswerBytes, func(answer *http.Response) ReplyMatch { return a.codec.MatchReply(asking, answer) })
 	if err != nil {
 		return err
 	}
-	j := a.codec.Judge(asking, answer.Response, answer.Bytes)
+	j := a.codec.Interpret(asking, answer.Response, answer.Bytes)
 	r.isSent.Store(j.IsBegun)
 	r.isHealthy.Store(j.IsHealthy)
-	e.outcome.Final, e.outcome.Wait = j.IsFinal, j.Wait.Milliseconds()
+	e.outcome.Final, e.outcome.Wait = j.IsFinal, j.RetryDelay.Milliseconds()
 	if j.Kind != "" {
 		return errs.New(j.Kind, "%s", j.Text)
 	}
-	e.prove(answer, j.Answer)
+	e.recordProof(answer, j.Answer)
 	return nil
 }
 
--- a/internal/deliver/codecs_test.go
+++ b/internal/deliver/codecs_test.go
@@ -11,14 +11,14 @@
 
 	"caperwheel/internal/deliver"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
+	"caperwheel/internal/requesthead"
 	"caperwheel/platform"
 )
 
 var codecs = []struct {
 	name  string
 	codec deliver.Codec
-}{{"our own codec", deliver.Own}, {"the platform's codec", platform.Deliveries}}
+}{{"our own codec", deliver.DefaultCodec}, {"the platform's codec", platform.Deliveries}}
 
 // answer answers with a status and fields, and a whole body.
 func answer(code int, fields ...string) http.HandlerFunc {
@@ -54,17 +54,17 @@
 		{"a rate that is passed", answer(429, not, "1"), [2]errs.Kind{"unsound", "full"}, [2]bool{true, false}, false},
 		{"a first run that goes on", answer(409, not, "1"), [2]errs.Kind{"unsound", "conflict"}, [2]bool{true, false}, false},
 		{"another worker's address", answer(421), [2]errs.Kind{"unsound", "unknown"}, [2]bool{true, false}, false},
-		{"a body shorter than it says", deliver.Raw("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"),
+		{"a body shorter than it says", deliver.RawReply("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 9\r\n\r\nhalf"),
 			[2]errs.Kind{"cut_short", "cut_short"}, [2]bool{true, true}, false},
-		{"chunks without an end", deliver.Raw("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
+		{"chunks without an end", deliver.RawReply("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"),
 			[2]errs.Kind{"cut_short", "cut_short"}, [2]bool{true, true}, false},
-		{"an answer that tells no length", deliver.Raw("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\n\r\nall"),
+		{"an answer that tells no length", deliver.RawReply("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\n\r\nall"),
 			[2]errs.Kind{"cut_short", "cut_short"}, [2]bool{true, true}, false},
-		{"half a head", deliver.Raw("HTTP/1.1 200 OK\r\nX-Ser"), [2]errs.Kind{"lost", "lost"}, [2]bool{true, true}, false},
+		{"half a head", deliver.RawReply("HTTP/1.1 200 OK\r\nX-Ser"), [2]errs.Kind{"lost", "lost"}, [2]bool{true, true}, false},
 		{"no answer within the bound", func(http.ResponseWriter, *http.Request) { <-hang }, [2]errs.Kind{"late", "late"}, [2]bool{true, true}, false},
 		{"nobody there", nil, [2]errs.Kind{"lost", "lost"}, [2]bool{false, false}, false},
 	}
-	kept := head.Head{Method: "PUT", Target: "/a%2Fb/../c?d=%20", Host: "x.example", Fields: [][2]string{{whose, "m-1"}}}
+	kept := requesthead.Head{Method: "PUT", Target: "/a%2Fb/../c?d=%20", Host: "x.example", Fields: [][2]string{{whose, "m-1"}}}
 	for i, m := range codecs {
 		Convey("In "+m.name+" a run that meets", t, func() {
 			for _, c := range cases {
@@ -84,11 +84,11 @@
 						address = listener.Addr().String()
 						So(listener.Close(), ShouldBeNil)
 					}
-					o := deliver.Meet(m.codec, address, kept)
+					o := deliver.DeliverOnce(m.codec, address, kept)
 					So(errs.Kind(o.Kind), ShouldEqual, c.kinds[i])
 					So(o.Final, ShouldEqual, c.isFinal)
 					if o.Kind != "" {
-						So(o.Begun, ShouldEqual, c.isBegun[i])
+						So(o.MayHaveStarted, ShouldEqual, c.isBegun[i])
 					}
 					if c.worker != nil {
 						So(<-got, ShouldResemble, []string{"PUT", "/a%2Fb/../c?d=%20", "x.example", "m-1", "body"})
--- a/internal/deliver/atwork_test.go
+++ b/internal/deliver/concurrency_test.go
@@ -18,12 +18,12 @@
 // after its slot was granted, its lead, waits in line until it may begin, and takes as long
 // as all do. It returns how many have ended after a second, counted from a warm-up of as
 // long, and the most that were at work at once and in the line.
-func busyWorker(w *Worker, lead, took time.Duration) (ended, mostAtWork, mostWaiting int) {
+func busyWorker(w *WorkerState, lead, took time.Duration) (ended, maxRunning, maxQueued int) {
 	arrivals, ends, line := []time.Duration{}, []time.Duration{}, 0
 	for now := time.Duration(0); now < warmUp+counted; now += time.Millisecond {
 		for len(ends) > 0 && ends[0] <= now {
 			ends = ends[1:]
-			w.Done(true, took, now)
+			w.RunEnded(true, took, now)
 			if now >= warmUp {
 				ended++
 			}
@@ -33,16 +33,16 @@
 		}
 		for len(arrivals) > 0 && arrivals[0] <= now {
 			arrivals = arrivals[1:]
-			w.Arrived(lead)
+			w.RecordLead(lead)
 			line++
 		}
-		for line > 0 && w.Begin(now) {
+		for line > 0 && w.TryBegin(now) {
 			line--
 			ends = append(ends, now+took)
 		}
-		mostAtWork, mostWaiting = max(mostAtWork, len(ends)), max(mostWaiting, line)
+		maxRunning, maxQueued = max(maxRunning, len(ends)), max(maxQueued, line)
 	}
-	return ended, mostAtWork, mostWaiting
+	return ended, maxRunning, maxQueued
 }
 
 // TestGrantedAhead: a slot was once held from its grant until the answer. A worker with short
@@ -65,44 +65,44 @@
 	Convey("A worker whose slots are all wanted ends what it can", t, func() {
 		for _, c := range cases {
 			Convey("with "+c.name, func() {
-				w := NewWorker(config.Pool{Concurrency: c.slots}, 0, 0)
-				ended, mostAtWork, mostWaiting := busyWorker(w, c.lead, c.took)
+				w := NewWorkerState(config.Pool{Concurrency: c.slots}, 0, 0)
+				ended, maxRunning, maxQueued := busyWorker(w, c.lead, c.took)
 				So(float64(ended), ShouldBeGreaterThanOrEqualTo, c.leastShare*float64(c.slots)*float64(counted)/float64(c.took))
-				So(mostAtWork, ShouldBeLessThanOrEqualTo, c.slots)
-				So(float64(mostWaiting), ShouldBeLessThanOrEqualTo, max(1, c.mostWaitingShare*float64(c.slots)))
+				So(maxRunning, ShouldBeLessThanOrEqualTo, c.slots)
+				So(float64(maxQueued), ShouldBeLessThanOrEqualTo, max(1, c.mostWaitingShare*float64(c.slots)))
 			})
 		}
 	})
 	Convey("No slot is granted ahead where a rate decides, nor on a worker that fails", t, func() {
 		for _, pool := range []config.Pool{{Concurrency: 4, Rate: 1000}, {Concurrency: 4}} {
-			w := NewWorker(pool, 0, 0)
+			w := NewWorkerState(pool, 0, 0)
 			w.Grant(0)
-			w.Arrived(time.Second)
-			w.Begin(0)
-			w.Done(true, time.Millisecond, 0)
+			w.RecordLead(time.Second)
+			w.TryBegin(0)
+			w.RunEnded(true, time.Millisecond, 0)
 			if pool.Rate == 0 {
-				w.enter(Unhealthy, 0)
+				w.setHealth(Unhealthy, 0)
 			}
-			So(w.ahead(4, 0), ShouldEqual, 0)
+			So(w.slotsAhead(4, 0), ShouldEqual, 0)
 		}
 	})
 	Convey("A worker with as many slots as its pool has runs at once gets as many waiting there as others", t, func() {
 		for _, slots := range []int64{3, 4, 5} {
-			w := NewWorker(config.Pool{Concurrency: 4}, 0, 0)
-			w.Change(config.Pool{Concurrency: 4}, config.Worker{Slots: slots})
-			So(w.limit(0), ShouldEqual, slots+(slots+1)/2)
+			w := NewWorkerState(config.Pool{Concurrency: 4}, 0, 0)
+			w.Configure(config.Pool{Concurrency: 4}, config.Worker{Slots: slots})
+			So(w.runLimit(0), ShouldEqual, slots+(slots+1)/2)
 		}
 	})
 }
 
-// inLine has a run wait for its worker, which has one at work, and returns where its turn is
+// queueSecondRun has a run wait for its worker, which has one at work, and returns where its turn is
 // told. The run's permit lapses at the step given.
-func inLine(h *dutyHolder, first *permit, lapsesAt time.Duration) (turns chan error) {
+func queueSecondRun(h *dutyHolder, first *permit, lapsesAt time.Duration) (turns chan error) {
 	turns = make(chan error, 2)
-	h.slots.begin(first, func(err error) { turns <- err })
+	h.slots.startWhenFree(first, func(err error) { turns <- err })
 	So(<-turns, ShouldBeNil)
-	first.held.line = append(first.held.line, waiting{lapsesAt, func(err error) { turns <- err }})
-	first.held.advance(0)
+	first.held.queue = append(first.held.queue, queuedRun{lapsesAt, func(err error) { turns <- err }})
+	first.held.startQueued(0)
 	So(len(turns), ShouldEqual, 0)
 	return turns
 }
@@ -114,11 +114,11 @@
 		happens func(h *dutyHolder, first *permit)
 		kind    errs.Kind
 	}{
-		{"the run before it ends", func(h *dutyHolder, first *permit) { h.slots.done(first, true, time.Millisecond) }, ""},
-		{"the run before it is not sent", func(h *dutyHolder, first *permit) { h.slots.withdrawn(first) }, ""},
+		{"the run before it ends", func(h *dutyHolder, first *permit) { h.slots.finish(first, true, time.Millisecond) }, ""},
+		{"the run before it is not sent", func(h *dutyHolder, first *permit) { h.slots.withdraw(first) }, ""},
 		{"its permit lapses", func(h *dutyHolder, _ *permit) { h.clock.Store(int64(2 * time.Second)); h.slots.serve() }, errs.DeadlineExceeded},
 		{"the worker fails", func(h *dutyHolder, first *permit) {
-			first.held.worker.enter(Unhealthy, 0)
+			first.held.worker.setHealth(Unhealthy, 0)
 			h.slots.serve()
 		}, errs.Full},
 		{"the duty moves on", func(h *dutyHolder, _ *permit) { h.slots.drop("p/w") }, errs.NotOwner},
@@ -127,19 +127,19 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				h := newDutyHolder("a")
-				held := &held{worker: NewWorker(config.Pool{Concurrency: 1}, 0, 0)}
+				held := &heldWorker{worker: NewWorkerState(config.Pool{Concurrency: 1}, 0, 0)}
 				h.slots.workers["p/w"] = held
 				isGranted, _ := held.worker.Grant(0)
 				So(isGranted, ShouldBeTrue)
-				first := &permit{key: "p/w", held: held, until: time.Second}
-				turns := inLine(h, first, time.Second)
+				first := &permit{key: "p/w", held: held, deadline: time.Second}
+				turns := queueSecondRun(h, first, time.Second)
 				c.happens(h, first)
 				kind := errs.Kind("")
 				if err := <-turns; err != nil {
 					kind = errs.KindOf(err)
 				}
 				So(kind, ShouldEqual, c.kind)
-				So(len(held.line), ShouldEqual, 0)
+				So(len(held.queue), ShouldEqual, 0)
 				So(len(turns), ShouldEqual, 0)
 			})
 		}
@@ -150,9 +150,9 @@
 func TestArrivedTooLate(t *testing.T) {
 	Convey("Given a run for a slot on a worker that is served elsewhere now", t, func() {
 		h := newDutyHolder("a")
-		late := &permit{key: "p/w", held: &held{worker: NewWorker(config.Pool{Concurrency: 1}, 0, 0)}, until: time.Second}
+		late := &permit{key: "p/w", held: &heldWorker{worker: NewWorkerState(config.Pool{Concurrency: 1}, 0, 0)}, deadline: time.Second}
 		var turned error
-		h.slots.begin(late, func(err error) { turned = err })
+		h.slots.startWhenFree(late, func(err error) { turned = err })
 		So(errs.Is(turned, errs.NotOwner), ShouldBeTrue)
 	})
 }
@@ -162,13 +162,13 @@
 func TestAskedDuringAnOutage(t *testing.T) {
 	Convey("Given a worker that fails, on which an ask waits", t, func() {
 		h := newDutyHolder("a")
-		h.hear(0, 0)
-		w, err := h.slots.find(h.configs.Current(), "p", "w")
+		h.receiveUpdate(0, 0)
+		w, err := h.slots.workerFor(h.configs.Current(), "p", "w")
 		So(err, ShouldBeNil)
-		w.worker.enter(Unhealthy, 0)
-		w.asks = []ask{{time.Second, func(any) {}}}
+		w.worker.setHealth(Unhealthy, 0)
+		w.requests = []slotRequest{{time.Second, func(any) {}}}
 		Convey("the next one is told when the worker is probed", func() {
-			So(askFor(h, 0).Retry, ShouldEqual, firstRest.Milliseconds())
+			So(askFor(h, 0).Retry, ShouldEqual, initialProbeInterval.Milliseconds())
 		})
 	})
 }
@@ -176,6 +176,6 @@
 // askFor asks for a slot that may be waited for so long, and returns the answer.
 func askFor(h *dutyHolder, hold time.Duration) *wire.Grant {
 	grant := &wire.Grant{}
-	h.slots.want(&wire.Want{Pool: "p", Worker: "w", Hold: hold.Milliseconds()}, func(reply any) { grant = reply.(*wire.Grant) })
+	h.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: hold.Milliseconds()}, func(reply any) { grant = reply.(*wire.Grant) })
 	return grant
 }
--- a/internal/deliver/deliver_test.go
+++ b/internal/deliver/deliver_test.go
@@ -15,22 +15,22 @@
 	"caperwheel/internal/config"
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/feed"
-	"caperwheel/internal/path"
+	"caperwheel/internal/pipeline"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
 
-// scenery is an adapter with a fresh view of one pool, one worker and one lane.
-func scenery(address string) *Adapter {
+// newTestAdapter is an adapter with a fresh view of one pool, one worker and one lane.
+func newTestAdapter(address string) *Adapter {
 	view := feed.NewView(0)
 	changes := []wire.Change{
-		{Key: config.Key, Revision: 1, Value: []byte(`{"pools":{"p":{"bound":"50ms","ease":"0s"},"q":{}},"lanes":{"l":{"pools":["p"]}}}`)},
+		{Key: config.DocumentKey, Revision: 1, Value: []byte(`{"pools":{"p":{"bound":"50ms","ease":"0s"},"q":{}},"lanes":{"l":{"pools":["p"]}}}`)},
 		{Key: config.WorkersKey + "p", Revision: 2, Value: fmt.Appendf(nil, `{"workers":[{"name":"w","address":"%s","cell":"c"}]}`, address)},
 		{Key: config.DutyKey + "p/w", Revision: 3, Value: config.Duty{Holder: "a", Boot: "1"}.Encode()}}
 	d := &daemon.Daemon{Started: time.Now(), Bounds: timing.Default, View: view, Who: wire.Who{Name: "a", Boot: "1", Zone: "c"}}
-	view.Take([]wire.PartNews{{To: 3, Changes: changes}}, d.Now())
-	d.Settings.Most = 9
-	return NewOn(d, &config.Cache{View: view}, Own, realPorts(context.Background(), d))
+	view.Update([]wire.PartNews{{To: 3, Changes: changes}}, d.Now())
+	d.Settings.MaxInFlight = 9
+	return NewWithEnvironment(d, &config.Cache{View: view}, DefaultCodec, daemonEnvironment(context.Background(), d))
 }
 
 func closedPort() string {
@@ -40,8 +40,8 @@
 	return listener.Addr().String()
 }
 
-// raw answers with bytes as they are and hangs up.
-func raw(text string) http.HandlerFunc {
+// rawReply answers with bytes as they are and hangs up.
+func rawReply(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
 		if err == nil {
@@ -69,14 +69,14 @@
 		{"a whole answer", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") }, nil, "", true, false, false, 0},
 		{"a failure", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, nil, "unsound", true, false, false, 1},
 		{"an answer that blames the message", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(422) }, nil, "rejected", true, true, false, 0},
-		{"a body shorter than it says", raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, "cut_short", true, false, true, 1},
-		{"chunks without an end", raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), nil, "cut_short", true, false, true, 1},
-		{"an answer that tells no length", raw("HTTP/1.1 200 OK\r\n\r\nall"), nil, "cut_short", true, false, true, 1},
-		{"half a head", raw("HTTP/1.1 200 OK\r\nContent-"), nil, "lost", true, false, true, 1},
-		{"no answer at all", raw(""), nil, "lost", true, false, true, 1},
+		{"a body shorter than it says", rawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, "cut_short", true, false, true, 1},
+		{"chunks without an end", rawReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), nil, "cut_short", true, false, true, 1},
+		{"an answer that tells no length", rawReply("HTTP/1.1 200 OK\r\n\r\nall"), nil, "cut_short", true, false, true, 1},
+		{"half a head", rawReply("HTTP/1.1 200 OK\r\nContent-"), nil, "lost", true, false, true, 1},
+		{"no answer at all", rawReply(""), nil, "lost", true, false, true, 1},
 		{"no end within the bound", func(http.ResponseWriter, *http.Request) { <-slow }, nil, "late", true, false, false, 1},
 		{"nobody there", nil, nil, "lost", false, false, false, 1},
-		{"altered bytes", nil, func(_ *Adapter, r *run) { r.Sum = "other" }, "broken", false, false, false, 0},
+		{"altered bytes", nil, func(_ *Adapter, r *run) { r.Checksum = "other" }, "broken", false, false, false, 0},
 		{"a pool that the lane may not use", nil, func(_ *Adapter, r *run) { r.Pool = "q" }, "rejected", false, false, false, 0},
 		{"a bound that has grown since an ordered run was begun", nil, func(_ *Adapter, r *run) { r.Key, r.Bound = "k", 49 }, "stale", false, false, false, 0},
 		{"a bound that has grown, without an order", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") },
@@ -95,10 +95,10 @@
 					defer server.Close()
 					address = server.Listener.Addr().String()
 				}
-				a := scenery(address)
+				a := newTestAdapter(address)
 				body := []byte("body")
-				r := &run{Run: wire.Run{Id: "0-x", Attempt: 1, Lane: "l", Pool: "p", Worker: "w", Body: body, Sum: wire.SumOf(body), Bound: 50},
-					permit: &permit{held: &held{worker: NewWorker(config.Pool{Concurrency: 8}, 0, 0)}}}
+				r := &run{Run: wire.Run{Id: "0-x", Attempt: 1, Lane: "l", Pool: "p", Worker: "w", Body: body, Checksum: wire.Checksum(body), Bound: 50},
+					permit: &permit{held: &heldWorker{worker: NewWorkerState(config.Pool{Concurrency: 8}, 0, 0)}}}
 				if c.isWait {
 					r.Key = "k"
 				}
@@ -110,14 +110,14 @@
 					close(slow)
 				}
 				So(o.Kind, ShouldEqual, c.kind)
-				So(o.Begun || o.Kind == "", ShouldEqual, c.isBegun)
+				So(o.MayHaveStarted || o.Kind == "", ShouldEqual, c.isBegun)
 				So(o.Final, ShouldEqual, c.isFinal)
-				So(o.Proof.Sum == "", ShouldEqual, c.kind != "")
+				So(o.Proof.Checksum == "", ShouldEqual, c.kind != "")
 				if c.isBegun {
 					So(o.Wait > 0, ShouldEqual, c.isWait)
 					So(asked.Load(), ShouldEqual, 1)
 				}
-				So(r.permit.held.worker.failed, ShouldEqual, c.misses)
+				So(r.permit.held.worker.consecutiveFailures, ShouldEqual, c.misses)
 			})
 		}
 	})
@@ -128,10 +128,10 @@
 // and after enough of them asked no more.
 func TestMovedDuty(t *testing.T) {
 	Convey("Given asks that wait for a busy worker", t, func() {
-		a, granted, waiting := scenery("127.0.0.1:1"), 0, 0
+		a, granted, waiting := newTestAdapter("127.0.0.1:1"), 0, 0
 		ask := func() {
 			waiting++
-			a.slots.want(&wire.Want{Pool: "p", Worker: "w", Hold: 60_000}, func(reply any) {
+			a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: 60_000}, func(reply any) {
 				waiting--
 				if reply.(*wire.Grant).Kind == "" {
 					granted++
@@ -144,14 +144,14 @@
 		So(granted, ShouldEqual, 4)
 		So(waiting, ShouldEqual, 3)
 		Convey("all are answered when the duty has moved on", func() {
-			a.d.View.Take([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.DutyKey + "p/w", Revision: 4,
+			a.d.View.Update([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.DutyKey + "p/w", Revision: 4,
 				Value: config.Duty{Holder: "b", Boot: "1"}.Encode()}}}}, a.d.Now())
 			ask()
 			So(waiting, ShouldEqual, 0)
 			So(granted, ShouldEqual, 4)
 		})
 		Convey("and when the worker has another address", func() {
-			a.d.View.Take([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.WorkersKey + "p", Revision: 4,
+			a.d.View.Update([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.WorkersKey + "p", Revision: 4,
 				Value: []byte(`{"workers":[{"name":"w","address":"127.0.0.1:2","cell":"c"}]}`)}}}}, a.d.Now())
 			ask()
 			So(waiting, ShouldEqual, 0)
@@ -164,14 +164,14 @@
 // adapter drowned in them.
 func TestOneTimer(t *testing.T) {
 	Convey("However often slots are looked at, one look more is due", t, func() {
-		a, due := scenery("127.0.0.1:1"), []func(){}
-		a.ports.After = func(_ time.Duration, look func()) { due = append(due, look) }
+		a, due := newTestAdapter("127.0.0.1:1"), []func(){}
+		a.environment.After = func(_ time.Duration, look func()) { due = append(due, look) }
 		for range 9 {
-			a.slots.want(&wire.Want{Pool: "p", Worker: "w", Hold: 60_000}, func(any) {})
+			a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: 60_000}, func(any) {})
 		}
 		for range 9 {
 			a.slots.serve()
-			at := a.slots.armedAt
+			at := a.slots.timerAt
 			So(at, ShouldBeGreaterThan, a.d.Now())
 			looks := due
 			due = nil
@@ -187,10 +187,10 @@
 // and took what it knew of them with it.
 func TestLeaving(t *testing.T) {
 	Convey("Given an adapter that was asked to stop", t, func() {
-		a := scenery("127.0.0.1:1")
+		a := newTestAdapter("127.0.0.1:1")
 		granted := &wire.Grant{}
 		ask := func() {
-			a.slots.want(&wire.Want{Pool: "p", Worker: "w"}, func(reply any) { granted = reply.(*wire.Grant) })
+			a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w"}, func(reply any) { granted = reply.(*wire.Grant) })
 		}
 		ask()
 		So(granted.Kind, ShouldBeEmpty)
@@ -199,16 +199,16 @@
 		a.Drain(gone)
 		Convey("a run in a slot granted before is told never to start, and is not in hand", func() {
 			ack := &wire.RunAck{}
-			a.start(&wire.Run{Id: "0-x", Attempt: 1, Pool: "p", Worker: "w", Permit: granted.Permit}, func(reply any) { ack = reply.(*wire.RunAck) })
+			a.handleRun(&wire.Run{Id: "0-x", Attempt: 1, Pool: "p", Worker: "w", Permit: granted.Permit}, func(reply any) { ack = reply.(*wire.RunAck) })
 			So(ack.Kind, ShouldEqual, "not_owner")
-			So(a.InHand(), ShouldEqual, 0)
+			So(a.OpenRunCount(), ShouldEqual, 0)
 		})
 		Convey("no slot is granted, and it tells that it leaves", func() {
 			ask()
 			So(granted.Kind, ShouldNotBeEmpty)
 			counts := map[string]int64{}
-			a.Say(counts)
-			So(counts[Leaving], ShouldEqual, 1)
+			a.AddCounts(counts)
+			So(counts[DrainingCount], ShouldEqual, 1)
 		})
 	})
 }
@@ -217,11 +217,11 @@
 // is known, however lately the view was confirmed.
 func TestThawed(t *testing.T) {
 	Convey("A run whose steps were compiled before a freeze is not sent after it", t, func() {
-		a := scenery("127.0.0.1:1")
+		a := newTestAdapter("127.0.0.1:1")
 		old := a.configs.Current().Rules
-		a.d.View.Take([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.Key, Revision: 4, Value: []byte(`{}`)}}}}, a.d.Now())
+		a.d.View.Update([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 4, Value: []byte(`{}`)}}}}, a.d.Now())
 		r := &run{Run: wire.Run{Lane: "l", Pool: "p", Worker: "w"}}
-		err := a.actions[path.Fresh](path.Step{}, &delivery{ctx: context.Background(), run: r, rules: old})
+		err := a.actions[pipeline.RequireFreshView](pipeline.Step{}, &delivery{ctx: context.Background(), run: r, rules: old})
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/internal/deliver/drain_test.go
+++ b/internal/deliver/drain_test.go
@@ -31,52 +31,52 @@
 	drainEnd       = 40 * time.Second
 )
 
-// drain plays the service on simulated time: the place's own state machine, which orders
+// outageSimulation plays the service on simulated time: the place's own state machine, which orders
 // messages, and the holders' own workers, which grant slots.
-type drain struct {
+type outageSimulation struct {
 	now      time.Duration
 	random   *rand.Rand
 	machine  *place.Machine
-	workers  []*Worker
+	workers  []*WorkerState
 	lines    [][]func()
 	events   map[time.Duration][]func()
 	taken    int
 	lateRuns []time.Duration // when runs began later than they were wanted
 }
 
-func newDrain() *drain {
-	d := &drain{random: rand.New(rand.NewPCG(1, 2)), machine: place.New(), events: map[time.Duration][]func(){}}
+func newOutageSimulation() *outageSimulation {
+	d := &outageSimulation{random: rand.New(rand.NewPCG(1, 2)), machine: place.New(), events: map[time.Duration][]func(){}}
 	for range drainWorkers {
-		w := NewWorker(config.Pool{Concurrency: drainSlots}, 0, 0)
-		w.Change(config.Pool{Concurrency: drainSlots}, config.Worker{Slots: drainSlots})
+		w := NewWorkerState(config.Pool{Concurrency: drainSlots}, 0, 0)
+		w.Configure(config.Pool{Concurrency: drainSlots}, config.Worker{Slots: drainSlots})
 		d.workers = append(d.workers, w)
 	}
 	d.lines = make([][]func(), drainWorkers)
 	return d
 }
 
-func (d *drain) after(span time.Duration, happen func()) {
+func (d *outageSimulation) after(span time.Duration, happen func()) {
 	d.events[d.now+span] = append(d.events[d.now+span], happen)
 }
 
-func (d *drain) apply(c place.Command) {
+func (d *outageSimulation) apply(c place.Command) {
 	c.At = d.now.Milliseconds()
 	d.machine.Apply(c)
 }
 
 // take has messages come whose keys are skewed: the least have most.
-func (d *drain) take() {
+func (d *outageSimulation) take() {
 	for float64(d.taken) < drainPerSecond*d.now.Seconds() {
 		d.taken++
 		key := int(float64(drainKeys) * d.random.Float64() * d.random.Float64())
 		d.apply(place.Command{Kind: place.CmdTake, Id: fmt.Sprint(d.taken), Lane: "l", Key: fmt.Sprint(key), Ordered: true,
-			Deadline: time.Minute.Milliseconds(), Prompt: drainWanted.Milliseconds()})
+			Deadline: time.Minute.Milliseconds(), StartWithin: drainWanted.Milliseconds()})
 	}
 }
 
 // grant gives every slot that is free to the message that is next; with isAhead false as it
 // was, when a slot was held from its grant on and none waited at the worker.
-func (d *drain) grant(isAhead bool) {
+func (d *outageSimulation) grant(isAhead bool) {
 	if d.now >= awayFrom && d.now < awayUntil {
 		return
 	}
@@ -93,28 +93,28 @@
 	}
 }
 
-// start has a message run in a granted slot of a worker.
-func (d *drain) start(i int, e *place.Message) {
+// handleRun has a message run in a granted slot of a worker.
+func (d *outageSimulation) start(i int, e *place.Message) {
 	w, at, id := d.workers[i], d.now, e.Id
-	if e.Wanted < d.now.Milliseconds() {
+	if e.StartBy < d.now.Milliseconds() {
 		d.lateRuns = append(d.lateRuns, d.now)
 	}
 	d.apply(place.Command{Kind: place.CmdStart, Id: id, Attempt: 1, Worker: "w"})
 	d.after(wayTime, func() {
-		w.Arrived(d.now - at)
+		w.RecordLead(d.now - at)
 		d.lines[i] = append(d.lines[i], func() { d.run(w, id) })
 	})
 }
 
-func (d *drain) run(w *Worker, id string) {
+func (d *outageSimulation) run(w *WorkerState, id string) {
 	took := runTime
 	if d.now >= awayUntil && d.now < awayUntil+coldTime {
 		took = coldRunTime
 	}
 	d.after(took, func() {
-		w.Done(true, took, d.now)
+		w.RunEnded(true, took, d.now)
 		d.after(commitTime, func() {
-			c := place.Command{Kind: place.CmdEnd, Id: id, Retain: 1}
+			c := place.Command{Kind: place.CmdRunSucceeded, Id: id, Retain: 1}
 			c.Proof.Attempt = 1
 			d.apply(c)
 		})
@@ -122,14 +122,14 @@
 }
 
 // play returns how long after the service is back the last run began that was late.
-func (d *drain) play(isAhead bool) time.Duration {
+func (d *outageSimulation) play(isAhead bool) time.Duration {
 	for ; d.now < drainEnd; d.now += time.Millisecond {
 		for _, happen := range d.events[d.now] {
 			happen()
 		}
 		delete(d.events, d.now)
 		for i, w := range d.workers {
-			for len(d.lines[i]) > 0 && w.Begin(d.now) {
+			for len(d.lines[i]) > 0 && w.TryBegin(d.now) {
 				begin := d.lines[i][0]
 				d.lines[i] = d.lines[i][1:]
 				begin()
@@ -145,9 +145,9 @@
 // had come meanwhile was never worked off, and nearly every run was late until the day's end.
 func TestDrainAfterAnOutage(t *testing.T) {
 	Convey("An ordered service that was away has worked its backlog off soon after it is back", t, func() {
-		So(newDrain().play(true), ShouldBeLessThan, 10*time.Second)
+		So(newOutageSimulation().play(true), ShouldBeLessThan, 10*time.Second)
 		Convey("which it had not with slots held from their grant on", func() {
-			So(newDrain().play(false), ShouldBeGreaterThan, drainEnd-awayUntil-time.Second)
+			So(newOutageSimulation().play(false), ShouldBeGreaterThan, drainEnd-awayUntil-time.Second)
 		})
 	})
 }
--- a/internal/deliver/fence_test.go
+++ b/internal/deliver/fence_test.go
@@ -17,12 +17,12 @@
 )
 
 // The grid on which a duty's move is explored: stepsPerBound steps of time make a
-// bound, and news are up to mostNewsAge steps old as they come.
+// bound, and news are up to maxUpdateAge steps old as they come.
 const (
 	stepsPerBound = 8
 	movedAt       = stepsPerBound     // the step at which the duty moves
 	lastStep      = 4 * stepsPerBound // until when is looked
-	mostNewsAge   = 4
+	maxUpdateAge  = 4
 )
 
 const step = 3 * time.Second / stepsPerBound
@@ -38,34 +38,34 @@
 	view := feed.NewView(0)
 	d := &daemon.Daemon{Bounds: timing.Default, View: view, Who: wire.Who{Name: name, Boot: "1", Zone: "c"},
 		Clock: func() time.Duration { return time.Duration(h.clock.Load()) }}
-	d.Settings.Most = 9
-	h.Adapter = NewOn(d, &config.Cache{View: view}, Own, realPorts(context.Background(), d))
+	d.Settings.MaxInFlight = 9
+	h.Adapter = NewWithEnvironment(d, &config.Cache{View: view}, DefaultCodec, daemonEnvironment(context.Background(), d))
 	return h
 }
 
 // hear gives the adapter news that were confirmed some steps ago, with the duty as it
 // stood then.
-func (h *dutyHolder) hear(now, age int) {
+func (h *dutyHolder) receiveUpdate(now, age int) {
 	changes := []wire.Change{
-		{Key: config.Key, Revision: 1, Value: []byte(`{"pools":{"p":{"rate":1000,"ease":"0s"}},"lanes":{"l":{"pools":["p"]}}}`)},
+		{Key: config.DocumentKey, Revision: 1, Value: []byte(`{"pools":{"p":{"rate":1000,"ease":"0s"}},"lanes":{"l":{"pools":["p"]}}}`)},
 		{Key: config.WorkersKey + "p", Revision: 2, Value: []byte(`{"workers":[{"name":"w","address":"127.0.0.1:1","cell":"c"}]}`)},
 		{Key: config.DutyKey + "p/w", Revision: 3, Value: config.Duty{Holder: "a", Boot: "1"}.Encode()}}
 	if now-age >= movedAt {
 		changes = append(changes, wire.Change{Key: config.DutyKey + "p/w", Revision: 4,
-			Value: config.Duty{Holder: "b", Boot: "1", Before: "1"}.Encode()})
+			Value: config.Duty{Holder: "b", Boot: "1", PreviousBoot: "1"}.Encode()})
 	}
-	h.d.View.Take([]wire.PartNews{{To: changes[len(changes)-1].Revision, Changes: changes}}, time.Duration(now-age)*step)
+	h.d.View.Update([]wire.PartNews{{To: changes[len(changes)-1].Revision, Changes: changes}}, time.Duration(now-age)*step)
 }
 
-// acts reports whether the adapter grants a slot now.
-func (h *dutyHolder) acts(now int) bool {
+// grantsSlot reports whether the adapter grants a slot now.
+func (h *dutyHolder) grantsSlot(now int) bool {
 	h.clock.Store(int64(time.Duration(now) * step))
 	grant := &wire.Grant{}
-	h.slots.want(&wire.Want{Pool: "p", Worker: "w"}, func(reply any) { grant = reply.(*wire.Grant) })
+	h.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w"}, func(reply any) { grant = reply.(*wire.Grant) })
 	if grant.Kind != "" {
 		return false
 	}
-	if p, err := h.slots.use(grant.Permit, "p/w"); err == nil {
+	if p, err := h.slots.redeem(grant.Permit, "p/w"); err == nil {
 		p.held.worker.Release(0)
 	}
 	return true
@@ -76,11 +76,11 @@
 func actsUntil(heardAt, age int) (last int) {
 	h, last := newDutyHolder("a"), -1
 	for now := range heardAt + 1 { // asked all along: a share of a rate counts a fence after its duty was seen
-		h.hear(now, min(age, now))
-		h.acts(now)
+		h.receiveUpdate(now, min(age, now))
+		h.grantsSlot(now)
 	}
 	for now := heardAt; now <= lastStep; now++ {
-		if h.acts(now) {
+		if h.grantsSlot(now) {
 			last = now
 		}
 	}
@@ -90,8 +90,8 @@
 func actsFrom(heardAt, age int) int {
 	h := newDutyHolder("b")
 	for now := heardAt; now <= lastStep; now++ {
-		h.hear(now, min(age, now-movedAt))
-		if h.acts(now) {
+		h.receiveUpdate(now, min(age, now-movedAt))
+		if h.grantsSlot(now) {
 			return now
 		}
 	}
@@ -103,7 +103,7 @@
 // however old their news were, the old one has stopped before the new one begins.
 func TestOneHolderAtATime(t *testing.T) {
 	latest, earliest, acted := map[string]int{}, map[string]int{}, 0
-	for age := range mostNewsAge + 1 {
+	for age := range maxUpdateAge + 1 {
 		for heardAt := range lastStep {
 			latest[fmt.Sprintf("heard last at %d, %d old", heardAt, age)] = actsUntil(heardAt, age)
 			if heardAt >= movedAt {
@@ -117,7 +117,7 @@
 	}
 	Convey("Of two holders of a duty with a rate", t, func() {
 		Convey("the new one acts at last wherever it hears in time", func() {
-			So(acted, ShouldEqual, (lastStep-movedAt-stepsPerBound)*(mostNewsAge+1)) // the fence takes a bound
+			So(acted, ShouldEqual, (lastStep-movedAt-stepsPerBound)*(maxUpdateAge+1)) // the fence takes a bound
 		})
 		Convey("the old one acts beyond the move if it has not heard of it", func() {
 			So(latest["heard last at 7, 0 old"], ShouldBeGreaterThan, movedAt)
--- a/internal/deliver/grouptime.go
+++ b/internal/deliver/grouptime.go
@@ -8,16 +8,16 @@
 	"caperwheel/internal/wire"
 )
 
-// KeepTime takes in what a group's owner tells of its time, at a moment of the adapter's clock.
-func KeepTime(times *groupclock.Keeper, m *wire.TellTime, now time.Duration) *wire.TimeTold {
-	if err := times.Hear(m.Group, groupclock.Word{Term: m.Term, Reading: m.Reading}, now); err != nil {
+// StoreGroupTime takes in what a group's owner tells of its time, at a moment of the adapter's clock.
+func StoreGroupTime(times *groupclock.Cache, m *wire.TellTime, now time.Duration) *wire.TimeTold {
+	if err := times.Record(m.Group, groupclock.Reading{Term: m.Term, Millis: m.Reading}, now); err != nil {
 		return &wire.TimeTold{Kind: string(errs.KindOf(err))}
 	}
 	return &wire.TimeTold{}
 }
 
-// RecallTime tells a group's new owner what its time is.
-func RecallTime(times *groupclock.Keeper, m *wire.AskTime, now time.Duration) *wire.TimeKept {
-	word, _ := times.Tell(m.Group, now)
-	return &wire.TimeKept{Term: word.Term, Reading: word.Reading}
+// ReportGroupTime tells a group's new owner what its time is.
+func ReportGroupTime(times *groupclock.Cache, m *wire.AskTime, now time.Duration) *wire.TimeKept {
+	word, _ := times.Lookup(m.Group, now)
+	return &wire.TimeKept{Term: word.Term, Reading: word.Millis}
 }
--- a/internal/deliver/large_test.go
+++ b/internal/deliver/large_test.go
@@ -13,7 +13,7 @@
 
 	"caperwheel/internal/deliver"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/wire"
 )
 
@@ -40,7 +40,7 @@
 func (endless) Read(p []byte) (int, error) { return copy(p, strings.Repeat("q", len(p))), nil }
 
 // sizes are the bytes of an answer's body: none, as many as are kept, one more, and many more.
-var sizes = []int{0, deliver.MostKept, deliver.MostKept + 1, 12 * deliver.MostKept}
+var sizes = []int{0, deliver.MaxAnswerBytes, deliver.MaxAnswerBytes + 1, 12 * deliver.MaxAnswerBytes}
 
 // TestLargeAnswers guards against a worker's whole answer that is taken for a run of unknown fate, or for a refusal,
 // because its body is large: its message ran again after a success, and its failures spent no attempt.
@@ -50,17 +50,17 @@
 		code     int
 		isNotRun bool
 	}{{"a success", 200, false}, {"a failure", 500, false}, {"a refusal for good", 422, false}, {"a full worker", 503, true}}
-	for _, way := range ways {
+	for _, way := range deliveryModes {
 		Convey("To "+way.name+", the answer of", t, func() {
 			for _, a := range answers {
 				for _, isChunked := range []bool{false, true} {
 					Convey(fmt.Sprintf("%s means the same whatever its size; in chunks: %t", a.name, isChunked), func() {
-						small := meetOnce(way.codec, way.isLane, bodyOf(a.code, 4, isChunked, a.isNotRun))
+						small := deliverOnce(way.codec, way.isLane, bodyOf(a.code, 4, isChunked, a.isNotRun))
 						for _, size := range sizes {
-							got := meetOnce(way.codec, way.isLane, bodyOf(a.code, size, isChunked, a.isNotRun))
-							So([]any{size, got.Kind, got.Begun, got.Final, got.Proof.Status}, ShouldResemble,
-								[]any{size, small.Kind, small.Begun, small.Final, small.Proof.Status})
-							So(len(got.Proof.Answer), ShouldBeLessThanOrEqualTo, deliver.MostKept)
+							got := deliverOnce(way.codec, way.isLane, bodyOf(a.code, size, isChunked, a.isNotRun))
+							So([]any{size, got.Kind, got.MayHaveStarted, got.Final, got.Proof.Status}, ShouldResemble,
+								[]any{size, small.Kind, small.MayHaveStarted, small.Final, small.Proof.Status})
+							So(len(got.Proof.Answer), ShouldBeLessThanOrEqualTo, deliver.MaxAnswerBytes)
 						}
 					})
 				}
@@ -74,16 +74,16 @@
 	Convey("The proof of a success has the whole answer, or none and the whole one's checksum", t, func() {
 		for _, size := range sizes {
 			whole := strings.Repeat("q", size)
-			for _, way := range ways[:2] {
-				proof := meetOnce(way.codec, way.isLane, bodyOf(200, size, false, false)).Proof
-				So(proof.Sum, ShouldEqual, wire.SumOf([]byte(whole)))
-				if size <= deliver.MostKept {
+			for _, way := range deliveryModes[:2] {
+				proof := deliverOnce(way.codec, way.isLane, bodyOf(200, size, false, false)).Proof
+				So(proof.Checksum, ShouldEqual, wire.Checksum([]byte(whole)))
+				if size <= deliver.MaxAnswerBytes {
 					So(string(proof.Answer) == whole, ShouldBeTrue)
 				} else {
 					So(proof.Answer, ShouldBeEmpty)
 				}
 			}
-			platforms := meetOnce(ways[2].codec, ways[2].isLane, bodyOf(200, size, false, false)).Proof
+			platforms := deliverOnce(deliveryModes[2].codec, deliveryModes[2].isLane, bodyOf(200, size, false, false)).Proof
 			So(string(platforms.Answer), ShouldEqual, "s.1")
 		}
 	})
@@ -95,7 +95,7 @@
 		for _, m := range codecs {
 			for _, size := range sizes {
 				receiver := httptest.NewServer(bodyOf(200, size, size%2 == 1, false))
-				told := deliver.Tell(m.codec, &wire.Tell{Id: "0-1", Url: receiver.URL + "/done", State: "ended", Head: aHead("0-1").Encode()}, 0)
+				told := deliver.SendNotification(m.codec, &wire.Tell{Id: "0-1", Url: receiver.URL + "/done", State: "ended", Head: newHead("0-1").Encode()}, 0)
 				So(errs.Kind(told.Kind), ShouldBeEmpty)
 				receiver.Close()
 			}
@@ -103,13 +103,13 @@
 	})
 }
 
-func aHead(id string) head.Head {
-	return head.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
+func newHead(id string) requesthead.Head {
+	return requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
 }
 
-// meetOnce puts one run to a worker.
-func meetOnce(codec deliver.Codec, isLane bool, worker http.HandlerFunc) *wire.Outcome {
+// deliverOnce puts one run to a worker.
+func deliverOnce(codec deliver.Codec, isLane bool, worker http.HandlerFunc) *wire.Outcome {
 	server := httptest.NewServer(worker)
 	defer server.Close()
-	return deliver.Meeting(codec, server.Listener.Addr().String())("0-1", aHead("0-1"), isLane)
+	return deliver.Deliverer(codec, server.Listener.Addr().String())("0-1", newHead("0-1"), isLane)
 }
--- a/internal/deliver/telling_test.go
+++ b/internal/deliver/notification_test.go
@@ -10,7 +10,7 @@
 
 	"caperwheel/internal/deliver"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/wire"
 )
 
@@ -25,18 +25,18 @@
 		kind     errs.Kind
 	}{
 		{"accepts", answer(200), "", 0, ""},
-		{"accepts, the last that may come at a time", answer(200), "", deliver.MostTellers - 1, ""},
-		{"has as many as may come at a time and wait", answer(200), "", deliver.MostTold, errs.Full},
+		{"accepts, the last that may come at a time", answer(200), "", deliver.MaxNotificationsInFlight - 1, ""},
+		{"has as many as may come at a time and wait", answer(200), "", deliver.MaxNotifications, errs.Full},
 		{"answers with another success", answer(202), "", 0, errs.Rejected},
 		{"does not know the message", answer(400), "", 0, errs.Rejected},
 		{"fails", answer(500), "", 0, errs.Rejected},
 		{"points elsewhere", answer(302, "Location", "http://127.0.0.1:1/"), "", 0, errs.Rejected},
-		{"answers half", deliver.Raw("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), "", 0, errs.Truncated},
-		{"hangs up", deliver.Raw(""), "", 0, errs.Lost},
+		{"answers half", deliver.RawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), "", 0, errs.Truncated},
+		{"hangs up", deliver.RawReply(""), "", 0, errs.Lost},
 		{"is not there", answer(200), "http://127.0.0.1:1/x", 0, errs.Lost},
 		{"is no URL", answer(200), "http://a b/", 0, errs.Invalid},
 	}
-	kept := head.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "m-1"}}}
+	kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "m-1"}}}
 	for _, m := range codecs {
 		Convey("In "+m.name+" a receiver that", t, func() {
 			for _, c := range cases {
@@ -52,7 +52,7 @@
 					if c.url != "" {
 						word.Url = c.url
 					}
-					So(errs.Kind(deliver.Tell(m.codec, word, c.others).Kind), ShouldEqual, c.kind)
+					So(errs.Kind(deliver.SendNotification(m.codec, word, c.others).Kind), ShouldEqual, c.kind)
 					if c.kind == "" {
 						So(<-got, ShouldStartWith, "POST /done?x {")
 					}
--- a/internal/deliver/allowance_test.go
+++ b/internal/deliver/rateshare_test.go
@@ -14,43 +14,43 @@
 // The world of allowances: adapters that see a service's workers and duties late, by less than a fence, while the duties move
 // from one adapter to another, one worker after the other, and workers come and go.
 const (
-	allowanceSeeds    = 40 // more are played by hand
-	allowanceSpan     = 60 * time.Second
-	allowanceStep     = 10 * time.Millisecond
-	allowanceFence    = 3 * time.Second
-	allowanceAdapters = 3
+	rateShareSeeds    = 40 // more are played by hand
+	rateShareSpan     = 60 * time.Second
+	rateShareStep     = 10 * time.Millisecond
+	rateShareFence    = 3 * time.Second
+	rateShareAdapters = 3
 )
 
-// allowanceWorld is what stands at some moment: who holds which worker's duty, in which term.
-type allowanceWorld struct {
+// dutyVersion is what stands at some moment: who holds which worker's duty, in which term.
+type dutyVersion struct {
 	at     time.Duration
-	duties map[string]config.Held
+	duties map[string]config.AssignedDuty
 }
 
-// allowancePlay plays one seed.
-type allowancePlay struct {
+// rateShareSimulation plays one seed.
+type rateShareSimulation struct {
 	random   *rand.Rand
-	versions []allowanceWorld
-	keeper   int
+	versions []dutyVersion
+	holder   int
 	term     int64
 	workers  int
 	starts   []time.Duration
 }
 
 // change gives the next version: a worker comes or goes, a keeper takes over, or one more duty moves to it.
-func (p *allowancePlay) change(now time.Duration) {
-	was, next := p.versions[len(p.versions)-1], map[string]config.Held{}
+func (p *rateShareSimulation) change(now time.Duration) {
+	was, next := p.versions[len(p.versions)-1], map[string]config.AssignedDuty{}
 	for worker, duty := range was.duties {
 		next[worker] = duty
 	}
 	name := func(adapter int) string { return fmt.Sprint("a", adapter) }
 	switch drawn := p.random.IntN(10); {
 	case drawn == 0:
-		p.keeper = p.random.IntN(allowanceAdapters)
+		p.holder = p.random.IntN(rateShareAdapters)
 	case drawn == 1 && len(next) < 8 || len(next) == 0:
 		p.workers++
 		p.term++
-		next[fmt.Sprint("w", p.workers)] = config.Held{Duty: config.Duty{Holder: name(p.keeper)}, Term: p.term}
+		next[fmt.Sprint("w", p.workers)] = config.AssignedDuty{Duty: config.Duty{Holder: name(p.holder)}, Term: p.term}
 	case drawn == 2 && len(next) > 1:
 		for worker := range next {
 			delete(next, worker)
@@ -58,42 +58,42 @@
 		}
 	default:
 		for worker, duty := range next {
-			if duty.Holder != name(p.keeper) {
+			if duty.Holder != name(p.holder) {
 				p.term++
-				next[worker] = config.Held{Duty: config.Duty{Holder: name(p.keeper)}, Term: p.term}
+				next[worker] = config.AssignedDuty{Duty: config.Duty{Holder: name(p.holder)}, Term: p.term}
 				break
 			}
 		}
 	}
-	p.versions = append(p.versions, allowanceWorld{now, next})
+	p.versions = append(p.versions, dutyVersion{now, next})
 }
 
-// allowanceMutant takes a guard out.
-type allowanceMutant struct {
-	fence    time.Duration // shorter than others may act on what is old
-	isGreedy bool          // each holder takes the whole rate for any worker
+// rateShareMutant takes a guard out.
+type rateShareMutant struct {
+	fence          time.Duration // shorter than others may act on what is old
+	takesWholeRate bool          // each holder takes the whole rate for any worker
 }
 
 // play returns the most runs of any window beyond what is allowed, and the share of the rate that was used.
-func playAllowances(seed uint64, mutant allowanceMutant) (over float64, used float64) {
-	p := &allowancePlay{random: rand.New(rand.NewPCG(seed, 0)), versions: []allowanceWorld{{0, map[string]config.Held{}}}}
+func simulateRateShares(seed uint64, mutant rateShareMutant) (over float64, used float64) {
+	p := &rateShareSimulation{random: rand.New(rand.NewPCG(seed, 0)), versions: []dutyVersion{{0, map[string]config.AssignedDuty{}}}}
 	rate := []float64{2, 5, 20, 100}[p.random.IntN(4)]
-	allowances, seen, lag := [allowanceAdapters]*Allowance{}, [allowanceAdapters]int{}, [allowanceAdapters]time.Duration{}
+	allowances, seen, lag := [rateShareAdapters]*RateShare{}, [rateShareAdapters]int{}, [rateShareAdapters]time.Duration{}
 	for i := range allowances {
-		allowances[i] = NewAllowance(mutant.fence, 0)
+		allowances[i] = NewRateShare(mutant.fence, 0)
 	}
-	for now := allowanceStep; now < allowanceSpan; now += allowanceStep {
+	for now := rateShareStep; now < rateShareSpan; now += rateShareStep {
 		if p.random.IntN(20) == 0 {
 			p.change(now)
 		}
 		for i, a := range allowances {
 			if p.random.IntN(100) == 0 {
-				lag[i] = time.Duration(p.random.Int64N(int64(allowanceFence)))
+				lag[i] = time.Duration(p.random.Int64N(int64(rateShareFence)))
 			}
 			for seen[i]+1 < len(p.versions) && p.versions[seen[i]+1].at <= now-lag[i] {
 				seen[i]++
 			}
-			if seen[i]+1 < len(p.versions) && p.versions[seen[i]+1].at <= now-allowanceFence {
+			if seen[i]+1 < len(p.versions) && p.versions[seen[i]+1].at <= now-rateShareFence {
 				continue // its view is too old to act on
 			}
 			p.act(a, i, seen[i], rate, now, mutant)
@@ -106,24 +106,24 @@
 		}
 		over = max(over, float64(i-first+1)-(rate*5*1.1+5))
 	}
-	return over, float64(len(p.starts)) / (rate * allowanceSpan.Seconds())
+	return over, float64(len(p.starts)) / (rate * rateShareSpan.Seconds())
 }
 
 // act has an adapter start all that it may.
-func (p *allowancePlay) act(a *Allowance, adapter, version int, rate float64, now time.Duration, mutant allowanceMutant) {
-	held, world := map[string]config.Held{}, p.versions[version]
+func (p *rateShareSimulation) act(a *RateShare, adapter, version int, rate float64, now time.Duration, mutant rateShareMutant) {
+	held, world := map[string]config.AssignedDuty{}, p.versions[version]
 	for worker, duty := range world.duties {
 		if duty.Holder == fmt.Sprint("a", adapter) {
 			held[worker] = duty
 		}
 	}
 	listed := len(world.duties)
-	if mutant.isGreedy && len(held) > 0 {
-		held, listed = map[string]config.Held{"w": {Term: 1}}, 1
+	if mutant.takesWholeRate && len(held) > 0 {
+		held, listed = map[string]config.AssignedDuty{"w": {Term: 1}}, 1
 	}
-	a.See(rate, held, listed, now)
+	a.Update(rate, held, listed, now)
 	for len(held) > 0 && a.Wait(now) == 0 {
-		a.Take()
+		a.TakeToken()
 		p.starts = append(p.starts, now)
 	}
 }
@@ -131,52 +131,52 @@
 // TestCeiling guards against a service that gets a multiple of its rate_per_s: the rate was given to each of its listed workers
 // by itself, and no day or soak has a listed service with a rate.
 func TestCeiling(t *testing.T) {
-	most := func(mutant allowanceMutant) (over, used float64) {
-		for seed := range uint64(allowanceSeeds) {
-			excess, share := playAllowances(seed, mutant)
-			over, used = max(over, excess), used+share/allowanceSeeds
+	most := func(mutant rateShareMutant) (over, used float64) {
+		for seed := range uint64(rateShareSeeds) {
+			excess, share := simulateRateShares(seed, mutant)
+			over, used = max(over, excess), used+share/rateShareSeeds
 		}
 		return over, used
 	}
 	Convey("While duties move and workers come and go, no window has more starts than the pages allow", t, func() {
-		over, used := most(allowanceMutant{fence: allowanceFence})
+		over, used := most(rateShareMutant{fence: rateShareFence})
 		So(over, ShouldBeLessThanOrEqualTo, 0)
 		So(used, ShouldBeGreaterThan, 0.1) // duties move all the time here
 	})
 	Convey("It has where a share begins before an older one must have lapsed, or each holder takes the whole rate", t, func() {
-		for _, mutant := range []allowanceMutant{{fence: 0}, {fence: allowanceFence, isGreedy: true}} {
+		for _, mutant := range []rateShareMutant{{fence: 0}, {fence: rateShareFence, takesWholeRate: true}} {
 			over, _ := most(mutant)
 			So(over, ShouldBeGreaterThan, 0)
 		}
 	})
 	Convey("One that holds all duties in peace uses nearly the whole rate, and what is not used does not pile up", t, func() {
-		a, duties := NewAllowance(allowanceFence, 0), map[string]config.Held{}
+		a, duties := NewRateShare(rateShareFence, 0), map[string]config.AssignedDuty{}
 		for i := range 6 {
-			duties[fmt.Sprint("w", i)] = config.Held{Term: 1}
+			duties[fmt.Sprint("w", i)] = config.AssignedDuty{Term: 1}
 		}
-		a.See(5, duties, len(duties), 0)
+		a.Update(5, duties, len(duties), 0)
 		count := func(from, to time.Duration) (starts int) {
-			for now := from; now < to; now += allowanceStep {
+			for now := from; now < to; now += rateShareStep {
 				for a.Wait(now) == 0 {
-					a.Take()
+					a.TakeToken()
 					starts++
 				}
 			}
 			return starts
 		}
-		So(count(0, allowanceFence), ShouldEqual, 0) // others may still act
-		So(count(allowanceFence, allowanceFence+20*time.Second), ShouldBeBetweenOrEqual, 95, 101)
+		So(count(0, rateShareFence), ShouldEqual, 0) // others may still act
+		So(count(rateShareFence, rateShareFence+20*time.Second), ShouldBeBetweenOrEqual, 95, 101)
 		So(count(time.Hour, time.Hour+time.Second), ShouldBeLessThanOrEqualTo, 7)
 		So(a.Wait(time.Hour+time.Second), ShouldBeGreaterThan, 0)
 	})
 	Convey("A list that becomes shorter in steps raises the shares only once each step must be seen everywhere", t, func() {
-		a, duties := NewAllowance(allowanceFence, 0), map[string]config.Held{"w": {Duty: config.Duty{IsFree: true}, Term: 1}}
+		a, duties := NewRateShare(rateShareFence, 0), map[string]config.AssignedDuty{"w": {Duty: config.Duty{IsReleased: true}, Term: 1}}
 		for _, step := range []struct {
 			at     time.Duration
 			listed int
 			share  float64
 		}{{0, 4, 0.25}, {time.Second, 2, 0.25}, {2 * time.Second, 1, 0.25}, {4 * time.Second, 1, 0.5}, {6900 * time.Millisecond, 1, 0.5}, {7 * time.Second, 1, 1}, {8 * time.Second, 5, 0.2}} {
-			a.See(10, duties, step.listed, step.at)
+			a.Update(10, duties, step.listed, step.at)
 			So(a.perSecond(step.at), ShouldEqual, 10*step.share)
 		}
 	})
--- a/internal/deliver/moved_test.go
+++ b/internal/deliver/recheck_test.go
@@ -11,7 +11,7 @@
 
 	"caperwheel/internal/config"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/path"
+	"caperwheel/internal/pipeline"
 	"caperwheel/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 	cases := []struct{ name, key, value, kind string }{
 		{"nothing", config.DutyKey + "p/v", string(config.Duty{Holder: "a", Boot: "1"}.Encode()), ""},
 		{"another holder of the duty", config.DutyKey + "p/w", string(config.Duty{Holder: "b", Boot: "1"}.Encode()), "not_owner"},
-		{"another charter", config.Key, `{}`, "stale"},
+		{"another charter", config.DocumentKey, `{}`, "stale"},
 		{"another address of the worker", config.WorkersKey + "p", `{"workers":[{"name":"w","address":"127.0.0.1:2","cell":"c"}]}`, "rejected"},
 		{"a worker that is gone", config.WorkersKey + "p", `{"workers":[]}`, "rejected"},
 	}
@@ -31,13 +31,13 @@
 				asked := &atomic.Int64{}
 				server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked.Add(1) }))
 				Reset(server.Close)
-				a := scenery(server.Listener.Addr().String())
+				a := newTestAdapter(server.Listener.Addr().String())
 				r := &run{Run: wire.Run{Id: "0-x", Attempt: 1, Lane: "l", Pool: "p", Worker: "w", Bound: 50}}
 				e := &delivery{ctx: context.Background(), run: r, outcome: &wire.Outcome{}, rules: a.configs.Current().Rules}
-				So(a.actions[path.Fresh](path.Step{}, e), ShouldBeNil)
-				So(a.actions[path.Live](path.Step{}, e), ShouldBeNil)
-				a.d.View.Take([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: c.key, Revision: 4, Value: []byte(c.value)}}}}, a.d.Now())
-				err := a.actions[path.Send](path.Step{}, e)
+				So(a.actions[pipeline.RequireFreshView](pipeline.Step{}, e), ShouldBeNil)
+				So(a.actions[pipeline.RequireLiveWorker](pipeline.Step{}, e), ShouldBeNil)
+				a.d.View.Update([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: c.key, Revision: 4, Value: []byte(c.value)}}}}, a.d.Now())
+				err := a.actions[pipeline.SendToWorker](pipeline.Step{}, e)
 				kind := ""
 				if err != nil {
 					kind = string(errs.KindOf(err))
@@ -45,7 +45,7 @@
 				So(kind, ShouldEqual, c.kind)
 				So(asked.Load() == 1, ShouldEqual, c.kind == "")
 				So(r.isSent.Load(), ShouldEqual, c.kind == "")
-				So(r.isTried.Load(), ShouldEqual, c.kind == "") // it says nothing of the worker
+				So(r.isAttempted.Load(), ShouldEqual, c.kind == "") // it says nothing of the worker
 			})
 		}
 	})
--- a/internal/deliver/wrongrun_test.go
+++ b/internal/deliver/replymatch_test.go
@@ -14,7 +14,7 @@
 
 	"caperwheel/internal/deliver"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/wire"
 	"caperwheel/platform"
 )
@@ -28,16 +28,16 @@
 	return out + "\r\n" + body
 }
 
-// ways are the ways in which a run is put to a worker, each with the field by
+// deliveryModes are the ways in which a run is put to a worker, each with the field by
 // which an answer repeats the run's id.
-var ways = []struct {
+var deliveryModes = []struct {
 	name   string
 	codec  deliver.Codec
 	isLane bool
 	field  string
 }{
-	{"a lane's own request", deliver.Own, true, "X-Message-Id"},
-	{"a request as it came, in our own codec", deliver.Own, false, "X-Message-Id"},
+	{"a lane's own request", deliver.DefaultCodec, true, "X-Message-Id"},
+	{"a request as it came, in our own codec", deliver.DefaultCodec, false, "X-Message-Id"},
 	{"a request as it came, in the platform's codec", platform.Deliveries, false, "X-Attempt-Id"},
 }
 
@@ -67,21 +67,21 @@
 		{"none repeats an id", exchange{answerOf(200, "one"), answerOf(200, "two")}, [2]errs.Kind{}, "two", 3},
 		{"the first is another run's", exchange{answerOf(200, "one", "ID2"), answerOf(200, "two", "ID2")}, [2]errs.Kind{"cut_short", ""}, "two", 2},
 	}
-	for _, way := range ways {
+	for _, way := range deliveryModes {
 		Convey("Of the answers to "+way.name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					name := strings.NewReplacer("ID1", way.field+": 0-1", "ID2", way.field+": 0-2")
 					address, accepted := scripted(name.Replace(c.first), name.Replace(c.second), name.Replace(answerOf(200, "two", "ID2")))
-					meet := deliver.Meeting(way.codec, address)
+					meet := deliver.Deliverer(way.codec, address)
 					run := func(id string) *wire.Outcome {
-						kept := head.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
+						kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
 						return meet(id, kept, way.isLane)
 					}
 					one, two := run("0-1"), run("0-2")
 					So(errs.Kind(one.Kind), ShouldEqual, c.kinds[0])
 					So(errs.Kind(two.Kind), ShouldEqual, c.kinds[1])
-					So(two.Kind == "" || two.Begun, ShouldBeTrue)
+					So(two.Kind == "" || two.MayHaveStarted, ShouldBeTrue)
 					So(two.Final, ShouldBeFalse)
 					So(string(two.Proof.Answer), ShouldEqual, c.proof)
 					So(run("0-2").Kind, ShouldBeEmpty)
@@ -105,14 +105,14 @@
 		{"a worker that is full, which counts for nothing", 503, 1},
 		{"a success: the message does not run again", 200, 1},
 	}
-	for _, way := range ways {
+	for _, way := range deliveryModes {
 		Convey("Of "+way.name+", two runs of one message, the first answered by", t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					field := way.field + ": 0-1"
 					address, accepted := scripted(answerOf(c.code, "one", field), answerOf(200, "two", field))
-					meet := deliver.Meeting(way.codec, address)
-					kept := head.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "0-1"}}}
+					meet := deliver.Deliverer(way.codec, address)
+					kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "0-1"}}}
 					meet("0-1", kept, way.isLane)
 					So(meet("0-1", kept, way.isLane).Kind, ShouldBeEmpty)
 					So(accepted.Load(), ShouldEqual, c.conns)
@@ -139,7 +139,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				address, accepted := scripted(c.first, c.second, answerOf(200, "", "X-Message-Id: 0-2"))
-				tell := deliver.Telling(deliver.Own)
+				tell := deliver.NotificationSender(deliver.DefaultCodec)
 				word := func(id string) errs.Kind {
 					return errs.Kind(tell(&wire.Tell{Id: id, Url: "http://" + address + "/", State: "ended"}).Kind)
 				}
--- a/internal/deliver/result_test.go
+++ b/internal/deliver/result_test.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/config"
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/feed"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/session"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
@@ -22,21 +22,21 @@
 	const silent = 4 // asks that nobody answers within the time to settle
 	Convey("A result whose owner is out of reach for longer than the time to settle", t, func() {
 		view := feed.NewView(0)
-		d := &daemon.Daemon{Bounds: timing.Bounds{Config: 40 * time.Millisecond}, View: view, Who: wire.Who{Name: "a", Boot: "1"},
+		d := &daemon.Daemon{Bounds: timing.Bounds{ConfigApply: 40 * time.Millisecond}, View: view, Who: wire.Who{Name: "a", Boot: "1"},
 			Membership: session.NewMembership(), Started: time.Now()}
-		d.Settings.Most = 9
+		d.Settings.MaxInFlight = 9
 		store := wire.Member{Who: wire.Who{Name: "s", Kind: "store", Addr: "s"}}
-		d.Membership.Take("x", []wire.Member{store})
-		ports := realPorts(context.Background(), d)
+		d.Membership.Update("x", []wire.Member{store})
+		ports := daemonEnvironment(context.Background(), d)
 		ports.Post = func(_ *wire.Link, _ string, _ any, done func(any, error)) error {
 			if done != nil {
 				done(nil, context.Canceled)
 			}
 			return nil
 		}
-		a := NewOn(d, &config.Cache{View: view}, Own, ports)
+		a := NewWithEnvironment(d, &config.Cache{View: view}, DefaultCodec, ports)
 		told := []*wire.Outcome{}
-		a.Reach(&reach.Reach{Membership: d.Membership, Bounds: d.Bounds, Call: func(ctx context.Context, _ string, ask any) (any, error) {
+		a.SetOwnerClient(&ownerclient.Client{Membership: d.Membership, Bounds: d.Bounds, SendFunc: func(ctx context.Context, _ string, ask any) (any, error) {
 			outcome, isOutcome := ask.(*wire.Outcome)
 			if !isOutcome {
 				return nil, context.Canceled
@@ -48,12 +48,12 @@
 			return &wire.OutcomeAck{}, nil
 		}})
 		r := &run{Run: wire.Run{Place: 3, Id: "3-x", Lane: "l", Attempt: 1}}
-		So(a.book.Admit(&r.Run, 0), ShouldBeNil)
-		a.deliverToOwner(context.Background(), r, a.outcomeOf(r))
+		So(a.runs.Admit(&r.Run, 0), ShouldBeNil)
+		a.reportToOwner(context.Background(), r, a.newOutcome(r))
 		Convey("is told until an owner has acknowledged it, and in hand until then", func() {
 			So(told, ShouldHaveLength, silent+1)
 			So(told[silent].Id, ShouldEqual, "3-x")
-			So(a.InHand(), ShouldEqual, 0)
+			So(a.OpenRunCount(), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/deliver/book.go
+++ b/internal/deliver/runregistry.go
@@ -23,21 +23,21 @@
 
 // The stages of a run.
 const (
-	StageLine  Stage = "line"  // it waits for its worker to end others
-	StagePace  Stage = "pace"  // it waits for its turn under the pool's rate
-	StageWork  Stage = "work"  // it is put to its worker
-	StageOwner Stage = "owner" // its result is on its way to its place's owner
+	StageQueued Stage = "line"  // it waits for its worker to end others
+	StagePace   Stage = "pace"  // it waits for its turn under the pool's rate
+	StageWork   Stage = "work"  // it is put to its worker
+	StageOwner  Stage = "owner" // its result is on its way to its place's owner
 )
 
-// standing is a run in hand: how far it has come, and since when.
-type standing struct {
+// openRun is a run in hand: how far it has come, and since when.
+type openRun struct {
 	run   *wire.Run
 	stage Stage
 	since time.Duration
 }
 
-// RunStory is a run of a message that an adapter has in hand.
-type RunStory struct {
+// RunStatus is a run of a message that an adapter has in hand.
+type RunStatus struct {
 	Attempt int64  `json:"attempt"`
 	Place   int64  `json:"place"`
 	Term    int64  `json:"term"` // of the owner that sent it
@@ -51,23 +51,23 @@
 // terms has the newest term heard of each place, and nothing older is obeyed;
 // never keeps each run that was told never to start, for as long as a stray
 // order for it could still arrive.
-type Book struct {
-	most int
+type RunRegistry struct {
+	maxRuns int
 
-	mu    sync.Mutex
-	runs  map[runKey]standing
-	never map[runKey]time.Duration
-	terms map[int64]int64
+	mu      sync.Mutex
+	runs    map[runKey]openRun
+	refused map[runKey]time.Duration
+	terms   map[int64]int64
 }
 
-// NewBook gives an empty book for at most so many open runs.
-func NewBook(most int) *Book {
-	return &Book{most: most, runs: map[runKey]standing{}, never: map[runKey]time.Duration{}, terms: map[int64]int64{}}
+// NewRunRegistry gives an empty book for at most so many open runs.
+func NewRunRegistry(most int) *RunRegistry {
+	return &RunRegistry{maxRuns: most, runs: map[runKey]openRun{}, refused: map[runKey]time.Duration{}, terms: map[int64]int64{}}
 }
 
 // Admit refuses what an older term sends, and what a newer owner was told
 // would never run.
-func (b *Book) Admit(r *wire.Run, now time.Duration) error {
+func (b *RunRegistry) Admit(r *wire.Run, now time.Duration) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := runKey{r.Id, r.Attempt}
@@ -77,42 +77,42 @@
 		return errs.New(errs.Stale, "term %d of place %d is over", r.Term, r.Place)
 	case isOpen:
 		return errs.New(errs.Conflict, "the run is in hand already")
-	case b.never[key] != 0:
+	case b.refused[key] != 0:
 		return errs.New(errs.Rejected, "the run was given up")
-	case len(b.runs) >= b.most:
+	case len(b.runs) >= b.maxRuns:
 		return errs.New(errs.Full, "%d runs are in hand", len(b.runs))
 	}
 	b.terms[r.Place] = r.Term
-	b.runs[key] = standing{r, StageLine, now}
+	b.runs[key] = openRun{r, StageQueued, now}
 	return nil
 }
 
-// Enter notes that a run has come to a stage.
-func (b *Book) Enter(r *wire.Run, stage Stage, now time.Duration) {
+// SetStage notes that a run has come to a stage.
+func (b *RunRegistry) SetStage(r *wire.Run, stage Stage, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	key := runKey{r.Id, r.Attempt}
 	if was, isOpen := b.runs[key]; isOpen {
-		b.runs[key] = standing{was.run, stage, now}
+		b.runs[key] = openRun{was.run, stage, now}
 	}
 }
 
-// Story lists the runs of a message that are in hand.
-func (b *Book) Story(id string, now time.Duration) []RunStory {
+// RunsOf lists the runs of a message that are in hand.
+func (b *RunRegistry) RunsOf(id string, now time.Duration) []RunStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := []RunStory{}
+	out := []RunStatus{}
 	for key, s := range b.runs {
 		if key.id == id {
-			out = append(out, RunStory{key.attempt, s.run.Place, s.run.Term, s.run.Pool, s.run.Worker, s.stage, (now - s.since).Milliseconds()})
+			out = append(out, RunStatus{key.attempt, s.run.Place, s.run.Term, s.run.Pool, s.run.Worker, s.stage, (now - s.since).Milliseconds()})
 		}
 	}
-	slices.SortFunc(out, func(a, b RunStory) int { return cmp.Compare(a.Attempt, b.Attempt) })
+	slices.SortFunc(out, func(a, b RunStatus) int { return cmp.Compare(a.Attempt, b.Attempt) })
 	return out
 }
 
-// Oldest tells for how long the run has been in each stage that has been there longest.
-func (b *Book) Oldest(now time.Duration) map[Stage]time.Duration {
+// OldestByStage tells for how long the run has been in each stage that has been there longest.
+func (b *RunRegistry) OldestByStage(now time.Duration) map[Stage]time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[Stage]time.Duration{}
@@ -122,16 +122,16 @@
 	return out
 }
 
-// Forget closes a run: its result is durable, or it will never start.
-func (b *Book) Forget(r *wire.Run) {
+// Remove closes a run: its result is durable, or it will never start.
+func (b *RunRegistry) Remove(r *wire.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.runs, runKey{r.Id, r.Attempt})
 }
 
-// Open tells a new owner what became of a run. A run that is not in hand here
+// ResolveOpen tells a new owner what became of a run. A run that is not in hand here
 // never will be: the word given is kept.
-func (b *Book) Open(m *wire.Open, now time.Duration) *wire.OpenAck {
+func (b *RunRegistry) ResolveOpen(m *wire.Open, now time.Duration) *wire.OpenAck {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if m.Term < b.terms[m.Place] {
@@ -142,23 +142,23 @@
 	if _, isOpen := b.runs[key]; isOpen {
 		return &wire.OpenAck{State: "open"}
 	}
-	b.never[key] = now + 1 // never 0, which would mean unknown
+	b.refused[key] = now + 1 // never 0, which would mean unknown
 	return &wire.OpenAck{State: "never"}
 }
 
-// Tidy drops promises older than keep.
-func (b *Book) Tidy(now, keep time.Duration) {
+// ExpireRefusals drops promises older than keep.
+func (b *RunRegistry) ExpireRefusals(now, keep time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for key, at := range b.never {
+	for key, at := range b.refused {
 		if now-at > keep {
-			delete(b.never, key)
+			delete(b.refused, key)
 		}
 	}
 }
 
 // Count reports how many runs are open.
-func (b *Book) Count() int {
+func (b *RunRegistry) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.runs)
--- a/internal/deliver/once_test.go
+++ b/internal/deliver/sendonce_test.go
@@ -22,9 +22,9 @@
 // rawWorker is a bare TCP listener. It answers the first request, and does with
 // later ones what moment says; got has the bytes of these as they came.
 type rawWorker struct {
-	listener net.Listener
-	moment   func(conn net.Conn)
-	unasked  func(conn net.Conn) // done to a connection once its first answer is out, if given
+	listener        net.Listener
+	onLaterRequest  func(conn net.Conn)
+	afterFirstReply func(conn net.Conn) // done to a connection once its first answer is out, if given
 
 	mu      sync.Mutex
 	isWarm  bool
@@ -36,7 +36,7 @@
 func newRawWorker(moment, unasked func(net.Conn)) *rawWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	w := &rawWorker{listener: listener, moment: moment, unasked: unasked, settled: make(chan struct{}),
+	w := &rawWorker{listener: listener, onLaterRequest: moment, afterFirstReply: unasked, settled: make(chan struct{}),
 		arrived: make(chan struct{}, 9)}
 	go func() {
 		for {
@@ -71,13 +71,13 @@
 			w.arrived <- struct{}{}
 		}
 		w.mu.Unlock()
-		if !isFirst && w.moment != nil {
-			w.moment(conn)
+		if !isFirst && w.onLaterRequest != nil {
+			w.onLaterRequest(conn)
 			return
 		}
 		_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		if isFirst && w.unasked != nil {
-			w.unasked(conn)
+		if isFirst && w.afterFirstReply != nil {
+			w.afterFirstReply(conn)
 			close(w.settled)
 			return
 		}
@@ -179,7 +179,7 @@
 func newSender() (send func(r *http.Request) (code int, err error), client *web.Client) {
 	client = newClient(timing.Default)
 	return func(r *http.Request) (int, error) {
-		reply, err := client.Send(r, web.Terms{Most: mostAnswer, MayKeep: web.Always})
+		reply, err := client.Send(r, web.SendOptions{MaxBodyBytes: maxAnswerBytes, CanReuse: web.AlwaysReuse})
 		if err != nil {
 			return 0, err
 		}
@@ -190,7 +190,7 @@
 // settle waits until the client has noticed what came on the connections that
 // it keeps.
 func settle(client *web.Client) {
-	for until := time.Now().Add(time.Minute); client.Kept() > 0 && time.Now().Before(until); {
+	for until := time.Now().Add(time.Minute); client.IdleCount() > 0 && time.Now().Before(until); {
 		runtime.Gosched()
 	}
 }
--- a/internal/deliver/slotwalk_test.go
+++ b/internal/deliver/slotwalk_test.go
@@ -34,16 +34,16 @@
 	answered int
 	granted  []int64
 
-	lining  []chan error // of runs that wait for their turn
-	inLine  []*permit    // theirs
-	working []*permit
+	pendingTurns []chan error // of runs that wait for their turn
+	inLine       []*permit    // theirs
+	working      []*permit
 }
 
 func newSlotWalk(seed uint64) *slotWalk {
-	w := &slotWalk{a: scenery("127.0.0.1:9"), draws: rand.New(rand.NewPCG(seed, 5)), revision: 3}
+	w := &slotWalk{a: newTestAdapter("127.0.0.1:9"), draws: rand.New(rand.NewPCG(seed, 5)), revision: 3}
 	w.a.d.Clock = w.time
 	w.pass(time.Second)
-	w.news(config.Key, walkPool(4))
+	w.update(config.DocumentKey, walkPool(4))
 	return w
 }
 
@@ -55,15 +55,15 @@
 	return fmt.Sprintf(`{"pools":{"p":{"bound":"50ms","ease":"0s","concurrency":%d}},"lanes":{"l":{"pools":["p"]}}}`, concurrency)
 }
 
-// news has the adapter learn of a change.
-func (w *slotWalk) news(key, value string) {
+// update has the adapter learn of a change.
+func (w *slotWalk) update(key, value string) {
 	w.revision++
-	w.a.d.View.Take([]wire.PartNews{{From: w.revision - 1, To: w.revision, Changes: []wire.Change{{Key: key, Revision: w.revision, Value: []byte(value)}}}}, w.time())
+	w.a.d.View.Update([]wire.PartNews{{From: w.revision - 1, To: w.revision, Changes: []wire.Change{{Key: key, Revision: w.revision, Value: []byte(value)}}}}, w.time())
 }
 
 func (w *slotWalk) ask() {
 	w.asked++
-	w.a.slots.want(&wire.Want{Pool: "p", Worker: "w", Hold: 90}, func(reply any) {
+	w.a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: 90}, func(reply any) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.answered++
@@ -96,26 +96,26 @@
 		w.a.slots.release(id)
 		return
 	}
-	p, err := w.a.slots.use(id, walkKey)
+	p, err := w.a.slots.redeem(id, walkKey)
 	if err != nil {
 		return
 	}
 	turn := make(chan error, 1)
-	w.lining, w.inLine = append(w.lining, turn), append(w.inLine, p)
-	w.a.slots.begin(p, func(err error) { turn <- err })
+	w.pendingTurns, w.inLine = append(w.pendingTurns, turn), append(w.inLine, p)
+	w.a.slots.startWhenFree(p, func(err error) { turn <- err })
 }
 
 // turns takes in which runs may begin or must not.
 func (w *slotWalk) turns() {
-	for i := len(w.lining) - 1; i >= 0; i-- {
+	for i := len(w.pendingTurns) - 1; i >= 0; i-- {
 		select {
-		case err := <-w.lining[i]:
+		case err := <-w.pendingTurns[i]:
 			if err == nil {
 				w.working = append(w.working, w.inLine[i])
 			} else {
-				w.a.slots.unused(w.inLine[i])
+				w.a.slots.releaseUnused(w.inLine[i])
 			}
-			w.lining, w.inLine = append(w.lining[:i], w.lining[i+1:]...), append(w.inLine[:i], w.inLine[i+1:]...)
+			w.pendingTurns, w.inLine = append(w.pendingTurns[:i], w.pendingTurns[i+1:]...), append(w.inLine[:i], w.inLine[i+1:]...)
 		default:
 		}
 	}
@@ -128,25 +128,25 @@
 	p := w.working[0]
 	w.working = w.working[1:]
 	if w.draws.IntN(4) == 0 {
-		w.a.slots.withdrawn(p)
+		w.a.slots.withdraw(p)
 		return
 	}
-	w.a.slots.done(p, w.draws.IntN(5) > 0, 10*time.Millisecond)
+	w.a.slots.finish(p, w.draws.IntN(5) > 0, 10*time.Millisecond)
 }
 
 func (w *slotWalk) change() {
 	duty := func(holder string) string { return string(config.Duty{Holder: holder, Boot: "1"}.Encode()) }
 	switch w.draws.IntN(6) {
 	case 0:
-		w.news(config.DutyKey+walkKey, duty("b"))
+		w.update(config.DutyKey+walkKey, duty("b"))
 	case 1, 2:
-		w.news(config.DutyKey+walkKey, duty("a"))
+		w.update(config.DutyKey+walkKey, duty("a"))
 	case 3:
-		w.news(config.WorkersKey+"p", fmt.Sprintf(`{"workers":[{"name":"w","address":"127.0.0.1:%d","cell":"c"}]}`, 9+w.draws.IntN(3)))
+		w.update(config.WorkersKey+"p", fmt.Sprintf(`{"workers":[{"name":"w","address":"127.0.0.1:%d","cell":"c"}]}`, 9+w.draws.IntN(3)))
 	case 4:
-		w.news(config.Key, walkPool(1+w.draws.IntN(6)))
+		w.update(config.DocumentKey, walkPool(1+w.draws.IntN(6)))
 	case 5:
-		w.news(config.WorkersKey+"p", `{"workers":[]}`)
+		w.update(config.WorkersKey+"p", `{"workers":[]}`)
 	}
 }
 
@@ -166,15 +166,15 @@
 			w.change()
 		}
 	}
-	w.a.d.View.Take(nil, w.time()) // the adapter stays fresh
+	w.a.d.View.Update(nil, w.time()) // the adapter stays fresh
 	w.turns()
 }
 
 // settle lets all that is under way come to its end.
 func (w *slotWalk) settle() {
-	w.news(config.WorkersKey+"p", `{"workers":[{"name":"w","address":"127.0.0.1:9","cell":"c"}]}`)
-	w.news(config.DutyKey+walkKey, string(config.Duty{Holder: "a", Boot: "1"}.Encode()))
-	for len(w.lining)+len(w.working) > 0 {
+	w.update(config.WorkersKey+"p", `{"workers":[{"name":"w","address":"127.0.0.1:9","cell":"c"}]}`)
+	w.update(config.DutyKey+walkKey, string(config.Duty{Holder: "a", Boot: "1"}.Encode()))
+	for len(w.pendingTurns)+len(w.working) > 0 {
 		w.pass(w.a.d.Bounds.Of(timing.Permit))
 		w.a.slots.serve()
 		w.turns()
@@ -204,7 +204,7 @@
 			w.a.slots.mu.Lock()
 			So(w.a.slots.permits, ShouldBeEmpty)
 			for _, h := range w.a.slots.workers {
-				So([]int64{h.worker.InUse(), h.worker.atWork, int64(len(h.line)), int64(len(h.asks))}, ShouldResemble, []int64{0, 0, 0, 0})
+				So([]int64{h.worker.InUse(), h.worker.running, int64(len(h.queue)), int64(len(h.requests))}, ShouldResemble, []int64{0, 0, 0, 0})
 			}
 			w.a.slots.mu.Unlock()
 		}
