--- a/internal/deliver/worker_test.go
+++ b/internal/deliver/worker_test.go
@@ -13,19 +13,19 @@
 
 // starts grants slots every 10 ms for a while, each run taking work, and gives
 // the times of the starts.
-func starts(w *Worker, from, length, work time.Duration, isHealthy func(now time.Duration) bool) []time.Duration {
+func starts(w *WorkerState, from, length, work time.Duration, isHealthy func(now time.Duration) bool) []time.Duration {
 	out, ends := []time.Duration{}, []time.Duration{}
 	for now := from; now < from+length; now += 10 * time.Millisecond {
 		for len(ends) > 0 && ends[0] <= now {
 			ends = ends[1:]
-			w.Done(isHealthy(now), work, now)
+			w.RunEnded(isHealthy(now), work, now)
 		}
 		for {
 			isGranted, _ := w.Grant(now)
 			if !isGranted {
 				break
 			}
-			at := now + w.Pace(now)
+			at := now + w.PacingDelay(now)
 			out, ends = append(out, at), append(ends, at+work)
 		}
 	}
@@ -61,7 +61,7 @@
 	Convey("Over any five seconds", t, func() {
 		for _, c := range cases {
 			Convey(c.name+" gets no more than its rate and a little, and not much less", func() {
-				w := NewWorker(config.Pool{Rate: c.rate, Concurrency: 50, Ease: c.ease}, c.fence, 0)
+				w := NewWorkerState(config.Pool{Rate: c.rate, Concurrency: 50, SlowStart: c.ease}, c.fence, 0)
 				list := starts(w, 0, 40*time.Second, 20*time.Millisecond, always)
 				So(within(list, 0, c.fence), ShouldEqual, 0)
 				for from := time.Duration(0); from < 35*time.Second; from += 50 * time.Millisecond {
@@ -74,22 +74,22 @@
 }
 
 func TestSoundness(t *testing.T) {
-	pool := config.Pool{Concurrency: 8, Ease: 10 * time.Second}
+	pool := config.Pool{Concurrency: 8, SlowStart: 10 * time.Second}
 	Convey("A cold worker is eased in", t, func() {
-		list := starts(NewWorker(pool, 0, 0), 0, 20*time.Second, 50*time.Millisecond, always)
+		list := starts(NewWorkerState(pool, 0, 0), 0, 20*time.Second, 50*time.Millisecond, always)
 		So(within(list, 0, time.Second), ShouldBeLessThan, 8)
 		So(within(list, 4*time.Second, 5*time.Second), ShouldBeGreaterThan, within(list, 1*time.Second, 2*time.Second))
 		So(within(list, 15*time.Second, 16*time.Second), ShouldBeGreaterThan, 80)
 	})
 	Convey("A worker that fails is only probed, and comes back cold", t, func() {
-		w := NewWorker(pool, 0, 0)
+		w := NewWorkerState(pool, 0, 0)
 		isHealthy := func(now time.Duration) bool { return now < 20*time.Second || now > 40*time.Second }
 		list := starts(w, 0, 42*time.Second, 50*time.Millisecond, isHealthy)
 		So(within(list, 30*time.Second, 40*time.Second), ShouldBeBetween, 1, 6)
 		So(within(list, 41*time.Second, 42*time.Second), ShouldBeLessThan, 8)
 	})
 	Convey("Given a warm worker", t, func() {
-		w := NewWorker(config.Pool{Concurrency: 2}, 0, 0)
+		w := NewWorkerState(config.Pool{Concurrency: 2}, 0, 0)
 		grant := func() bool { isGranted, _ := w.Grant(0); return isGranted }
 		Convey("its slots are bounded, and come back when they lapse", func() {
 			So([]bool{grant(), grant(), grant()}, ShouldResemble, []bool{true, true, false})
@@ -98,9 +98,9 @@
 		})
 		Convey("its ceiling halves on failure and grows back", func() {
 			grant()
-			w.Done(false, 0, 0)
+			w.RunEnded(false, 0, 0)
 			So([]bool{grant(), grant()}, ShouldResemble, []bool{true, false})
-			w.Done(true, time.Millisecond, 0)
+			w.RunEnded(true, time.Millisecond, 0)
 			So([]bool{grant(), grant()}, ShouldResemble, []bool{true, true})
 		})
 	})
@@ -111,7 +111,7 @@
 	run := func(term int64) *wire.Run { return &wire.Run{Place: 1, Term: term, Id: "x", Attempt: 1} }
 	open := func(term int64) *wire.Open { return &wire.Open{Place: 1, Term: term, Id: "x", Attempt: 1} }
 	Convey("Given an adapter's book", t, func() {
-		b := NewBook(2)
+		b := NewRunRegistry(2)
 		kind := func(err error) errs.Kind {
 			if err == nil {
 				return ""
@@ -120,23 +120,23 @@
 		}
 		Convey("a run in hand is told to be open, also in a later term", func() {
 			So(b.Admit(run(3), 0), ShouldBeNil)
-			So(b.Open(open(4), 0).State, ShouldEqual, "open")
+			So(b.ResolveOpen(open(4), 0).State, ShouldEqual, "open")
 		})
 		Convey("a run told never to start never starts, whatever arrives later", func() {
-			So(b.Open(open(4), 0).State, ShouldEqual, "never")
+			So(b.ResolveOpen(open(4), 0).State, ShouldEqual, "never")
 			So(kind(b.Admit(run(4), 0)), ShouldEqual, errs.Rejected)
 		})
 		Convey("an older term is refused", func() {
-			So(b.Open(&wire.Open{Place: 1, Term: 5, Id: "y"}, 0).State, ShouldEqual, "never")
+			So(b.ResolveOpen(&wire.Open{Place: 1, Term: 5, Id: "y"}, 0).State, ShouldEqual, "never")
 			So(kind(b.Admit(run(4), 0)), ShouldEqual, errs.Stale)
-			So(b.Open(open(4), 0).Kind, ShouldEqual, "stale")
+			So(b.ResolveOpen(open(4), 0).Kind, ShouldEqual, "stale")
 		})
 		Convey("the same run is not taken twice, nor more than it can carry", func() {
 			So(b.Admit(run(3), 0), ShouldBeNil)
 			So(kind(b.Admit(run(3), 0)), ShouldEqual, errs.Conflict)
 			So(b.Admit(&wire.Run{Id: "y"}, 0), ShouldBeNil)
 			So(kind(b.Admit(&wire.Run{Id: "z"}, 0)), ShouldEqual, errs.Full)
-			b.Forget(run(3))
+			b.Remove(run(3))
 			So(b.Admit(&wire.Run{Id: "z"}, 0), ShouldBeNil)
 		})
 	})
--- a/internal/deliver/expected_test.go
+++ b/internal/deliver/workeridentity_test.go
@@ -20,9 +20,9 @@
 	cases := []struct{ name, worker, identifier, expects string }{
 		{"a worker whose identifier is its name", "i-4", "", "i-4"},
 		{"one with a long identifier", platform.NameOf(long), long, long},
-		{"one with an identifier as long as any may be", platform.NameOf(long), strings.Repeat("i", config.MostIdentifier), strings.Repeat("i", config.MostIdentifier)},
+		{"one with an identifier as long as any may be", platform.NameOf(long), strings.Repeat("i", config.MaxIdentifierBytes), strings.Repeat("i", config.MaxIdentifierBytes)},
 		{"one of which only a hash is known", platform.NameOf(long), "", ""},
-		{"a listed worker that is called as endpoints are", config.Endpoint, "", config.Endpoint},
+		{"a listed worker that is called as endpoints are", config.EndpointWorker, "", config.EndpointWorker},
 	}
 	Convey("A message for", t, func() {
 		for _, c := range cases {
@@ -34,10 +34,10 @@
 				}))
 				defer server.Close()
 				listed := config.Worker{Name: c.worker, Identifier: c.identifier, Address: server.Listener.Addr().String(), Zone: "c", State: "live"}
-				o := deliver.MeetWorker(platform.Deliveries, listed, aHead("m-1"))
+				o := deliver.DeliverToWorker(platform.Deliveries, listed, newHead("m-1"))
 				if c.expects == "" {
 					So(len(got), ShouldEqual, 0)
-					So([]any{o.Kind != "", o.Begun, o.Final}, ShouldResemble, []any{true, false, false})
+					So([]any{o.Kind != "", o.MayHaveStarted, o.Final}, ShouldResemble, []any{true, false, false})
 					return
 				}
 				So(<-got, ShouldEqual, c.expects)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -23,8 +23,8 @@
 	return x ^ x>>33
 }
 
-// First gives the daemon with the first claim to a key.
-func First(key string, names []string) string {
+// HighestRanked gives the daemon with the first claim to a key.
+func HighestRanked(key string, names []string) string {
 	best, top := "", uint64(0)
 	for _, name := range names {
 		if rank := Rank(key, name); best == "" || rank > top {
@@ -36,23 +36,23 @@
 
 // Change is one duty that must be written anew.
 type Change struct {
-	Pool, Worker string
-	Next         config.Duty
-	IfRevision   int64
-	IsGone       bool // the worker is no longer listed
-	IsGuess      bool // the holder is not here: it may only be out of our sight
-	IsReborn     bool // it stays with its holder's new life
+	Pool, Worker      string
+	Next              config.Duty
+	IfRevision        int64
+	IsRemoval         bool // the worker is no longer listed
+	IsHolderSuspected bool // the holder is not here: it may only be out of our sight
+	IsHolderRestarted bool // it stays with its holder's new life
 }
 
 func (c Change) key() string { return c.Pool + "/" + c.Worker }
 
 // Adapters are those that may hold duties, as a planner sees them.
 type Adapters struct {
-	Here    []wire.Who      // members
-	Leaving map[string]bool // by name: asked to stop
-	Silent  map[string]bool // by name: not heard of for a while, so perhaps gone; none gets a duty that another can have
+	Members      []wire.Who      // members
+	Leaving      map[string]bool // by name: asked to stop
+	Unresponsive map[string]bool // by name: not heard of for a while, so perhaps gone; none gets a duty that another can have
 
-	Proposed *Proposals // nil: none are open
+	Proposals *Proposals // nil: none are open
 }
 
 // Plan tells which duties of a pool must change hands. A duty stays where it
@@ -60,49 +60,49 @@
 // the worker's zone, if there is one, that has the fewest duties.
 func Plan(pool string, compiled *config.Compiled, adapters Adapters, revision func(key string) (int64, bool)) []Change {
 	usable, load, leaving := map[string]wire.Who{}, map[string]int(nil), adapters.Leaving
-	for _, a := range adapters.Here {
-		if !compiled.Emptied[a.Zone] && !leaving[a.Name] {
+	for _, a := range adapters.Members {
+		if !compiled.DrainedZones[a.Zone] && !leaving[a.Name] {
 			usable[a.Name] = a
 		}
 	}
-	heard := maps.Clone(usable)
-	maps.DeleteFunc(heard, func(name string, _ wire.Who) bool { return adapters.Silent[name] })
-	if len(heard) == 0 {
-		heard = usable
+	responsive := maps.Clone(usable)
+	maps.DeleteFunc(responsive, func(name string, _ wire.Who) bool { return adapters.Unresponsive[name] })
+	if len(responsive) == 0 {
+		responsive = usable
 	}
-	candidates := slices.SortedFunc(maps.Values(heard), func(a, b wire.Who) int { return strings.Compare(a.Name, b.Name) })
+	candidates := slices.SortedFunc(maps.Values(responsive), func(a, b wire.Who) int { return strings.Compare(a.Name, b.Name) })
 	out := []Change{}
-	together := gather(pool, compiled, usable, heard, candidates)
+	shared := chooseSharedHolders(pool, compiled, usable, responsive, candidates)
 	for name, worker := range compiled.Workers[pool].All() {
 		held, isAssigned := compiled.Duties[pool].Get(name)
 		holder, isHere := usable[held.Holder]
-		isRight := isAssigned && isHere && holder.Boot == held.Boot
-		isPlaced := worker.Zone == "" || holder.Zone == worker.Zone || !hasZone(usable, worker.Zone)
-		keeper, isGathered := together.of(name)
-		if isGathered {
-			isPlaced = holder.Name == keeper.Name
+		isHeld := isAssigned && isHere && holder.Boot == held.Boot
+		isPlaced := worker.Zone == "" || holder.Zone == worker.Zone || !hasAdapterIn(usable, worker.Zone)
+		sharedHolder, isShared := shared.holderOf(name)
+		if isShared {
+			isPlaced = holder.Name == sharedHolder.Name
 		}
-		if isRight && isPlaced {
+		if isHeld && isPlaced {
 			continue
 		}
 		if load == nil { // most rounds find nothing to move, and need no count of all duties
 			load = loadOf(compiled)
 		}
 		ifRevision, wasKnown := revision(config.DutyKey + pool + "/" + name)
-		if open, isOpen := adapters.Proposed.of(pool+"/"+name, ifRevision); isOpen {
+		if open, isOpen := adapters.Proposals.find(pool+"/"+name, ifRevision); isOpen {
 			load[held.Holder]--
 			load[open.holder]++
 			continue
 		}
-		next := keeper
-		if !isGathered {
-			next = choose(pool+"/"+name, worker.Zone, candidates, load)
+		next := sharedHolder
+		if !isShared {
+			next = chooseHolder(pool+"/"+name, worker.Zone, candidates, load)
 		}
-		isReborn := isAssigned && isHere && holder.Boot != held.Boot
-		if isReborn && isPlaced {
+		isRestarted := isAssigned && isHere && holder.Boot != held.Boot
+		if isRestarted && isPlaced {
 			next = holder // its life before has ended: no other can act, so no fence
 		}
-		if next.Name == "" || isRight && next.Name == held.Holder {
+		if next.Name == "" || isHeld && next.Name == held.Holder {
 			continue
 		}
 		load[held.Holder]--
@@ -111,15 +111,15 @@
 		if !isAssigned && wasKnown {
 			before = "an earlier holder"
 		}
-		isKept := isReborn && next == holder
-		out = append(out, Change{Pool: pool, Worker: name, IfRevision: ifRevision, IsReborn: isKept,
-			Next:    config.Duty{Holder: next.Name, Boot: next.Boot, Before: before, IsFree: isKept || leaving[held.Holder]},
-			IsGuess: isAssigned && !isHere && !leaving[held.Holder] && !isEmptied(compiled, adapters.Here, held.Holder)})
+		isKept := isRestarted && next == holder
+		out = append(out, Change{Pool: pool, Worker: name, IfRevision: ifRevision, IsHolderRestarted: isKept,
+			Next:              config.Duty{Holder: next.Name, Boot: next.Boot, PreviousBoot: before, IsReleased: isKept || leaving[held.Holder]},
+			IsHolderSuspected: isAssigned && !isHere && !leaving[held.Holder] && !isInDrainedZone(compiled, adapters.Members, held.Holder)})
 	}
 	for name, held := range compiled.Duties[pool].All() {
 		_, isListed := compiled.Workers[pool].Get(name)
-		if _, isOpen := adapters.Proposed.of(pool+"/"+name, held.Term); !isListed && !isOpen {
-			out = append(out, Change{Pool: pool, Worker: name, IfRevision: held.Term, IsGone: true})
+		if _, isOpen := adapters.Proposals.find(pool+"/"+name, held.Term); !isListed && !isOpen {
+			out = append(out, Change{Pool: pool, Worker: name, IfRevision: held.Term, IsRemoval: true})
 		}
 	}
 	return out
@@ -136,17 +136,17 @@
 	return out
 }
 
-// isEmptied: a holder that is left out for its zone's sake is no guess.
-func isEmptied(compiled *config.Compiled, adapters []wire.Who, name string) bool {
+// isInDrainedZone: a holder that is left out for its zone's sake is no guess.
+func isInDrainedZone(compiled *config.Compiled, adapters []wire.Who, name string) bool {
 	for _, a := range adapters {
 		if a.Name == name {
-			return compiled.Emptied[a.Zone]
+			return compiled.DrainedZones[a.Zone]
 		}
 	}
 	return false
 }
 
-func hasZone(usable map[string]wire.Who, zone string) bool {
+func hasAdapterIn(usable map[string]wire.Who, zone string) bool {
 	for _, a := range usable {
 		if a.Zone == zone {
 			return true
@@ -155,8 +155,8 @@
 	return false
 }
 
-// choose returns which of some adapters, sorted by name, a duty goes to.
-func choose(key, zone string, candidates []wire.Who, load map[string]int) wire.Who {
+// chooseHolder returns which of some adapters, sorted by name, a duty goes to.
+func chooseHolder(key, zone string, candidates []wire.Who, load map[string]int) wire.Who {
 	best := wire.Who{}
 	for _, a := range candidates {
 		name := a.Name
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -11,17 +11,17 @@
 	"caperwheel/internal/wire"
 )
 
-func compiled(workers map[string]config.Worker, duties map[string]config.Held, emptied ...string) *config.Compiled {
+func compiled(workers map[string]config.Worker, duties map[string]config.AssignedDuty, emptied ...string) *config.Compiled {
 	out := &config.Compiled{Workers: map[string]config.Table[config.Worker]{"p": config.TableOf(workers)},
-		Duties: map[string]config.Table[config.Held]{"p": config.TableOf(duties)}, Emptied: map[string]bool{}}
+		Duties: map[string]config.Table[config.AssignedDuty]{"p": config.TableOf(duties)}, DrainedZones: map[string]bool{}}
 	for _, zone := range emptied {
-		out.Emptied[zone] = true
+		out.DrainedZones[zone] = true
 	}
 	return out
 }
 
-func held(holder, boot string) config.Held {
-	return config.Held{Duty: config.Duty{Holder: holder, Boot: boot}, Term: 7}
+func held(holder, boot string) config.AssignedDuty {
+	return config.AssignedDuty{Duty: config.Duty{Holder: holder, Boot: boot}, Term: 7}
 }
 
 // TestPlan is the table of when a duty changes hands.
@@ -40,32 +40,32 @@
 	}{
 		{"a worker that nobody ever held goes to its cell, without a fence", compiled(inA, nil), never, "a", ""},
 		{"a worker that somebody held once goes with a fence", compiled(inA, nil), func(string) (int64, bool) { return 0, true }, "a", "an earlier holder"},
-		{"a holder that lives keeps its duty", compiled(inA, map[string]config.Held{"w": held("a1", "1")}), known, "", ""},
-		{"a holder's next life is not the holder", compiled(inA, map[string]config.Held{"w": held("a1", "0")}), known, "a", "0"},
-		{"a holder that is gone loses it", compiled(inA, map[string]config.Held{"w": held("x", "1")}), known, "a", "1"},
-		{"a holder of another cell gives way to the worker's own", compiled(inA, map[string]config.Held{"w": held("b1", "1")}), known, "a", "1"},
-		{"an emptied cell's holder loses it", compiled(inA, map[string]config.Held{"w": held("a1", "1")}, "a"), known, "b", "1"},
+		{"a holder that lives keeps its duty", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "", ""},
+		{"a holder's next life is not the holder", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "0")}), known, "a", "0"},
+		{"a holder that is gone loses it", compiled(inA, map[string]config.AssignedDuty{"w": held("x", "1")}), known, "a", "1"},
+		{"a holder of another cell gives way to the worker's own", compiled(inA, map[string]config.AssignedDuty{"w": held("b1", "1")}), known, "a", "1"},
+		{"an emptied cell's holder loses it", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}, "a"), known, "b", "1"},
 		{"a worker of a cell without adapters keeps any holder", compiled(map[string]config.Worker{"w": {Name: "w", Zone: "z"}},
-			map[string]config.Held{"w": held("b1", "1")}), known, "", ""},
-		{"a holder that leaves gives way at once", compiled(inA, map[string]config.Held{"w": held("l1", "1")}), known, "a", "1"},
-		{"a worker that is no longer listed has its duty removed", compiled(nil, map[string]config.Held{"w": held("a1", "1")}), known, "gone", ""},
+			map[string]config.AssignedDuty{"w": held("b1", "1")}), known, "", ""},
+		{"a holder that leaves gives way at once", compiled(inA, map[string]config.AssignedDuty{"w": held("l1", "1")}), known, "a", "1"},
+		{"a worker that is no longer listed has its duty removed", compiled(nil, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "gone", ""},
 	}
 	Convey("In the plan of duties", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				plan := Plan("p", c.compiled, Adapters{Here: adapters, Leaving: map[string]bool{"l1": true}}, c.revision)
+				plan := Plan("p", c.compiled, Adapters{Members: adapters, Leaving: map[string]bool{"l1": true}}, c.revision)
 				if c.holder == "" {
 					So(plan, ShouldBeEmpty)
 					return
 				}
 				So(len(plan), ShouldEqual, 1)
 				if c.holder == "gone" {
-					So(plan[0].IsGone, ShouldBeTrue)
+					So(plan[0].IsRemoval, ShouldBeTrue)
 					So(plan[0].IfRevision, ShouldEqual, 7)
 					return
 				}
 				So(plan[0].Next.Holder[:1], ShouldEqual, c.holder)
-				So(plan[0].Next.Before, ShouldEqual, c.before)
+				So(plan[0].Next.PreviousBoot, ShouldEqual, c.before)
 			})
 		}
 		Convey("many workers are spread evenly", func() {
@@ -74,7 +74,7 @@
 				workers[string(rune('A'+i))] = config.Worker{Zone: "a"}
 			}
 			count := map[string]int{}
-			for _, change := range Plan("p", compiled(workers, nil), Adapters{Here: adapters[:3]}, never) {
+			for _, change := range Plan("p", compiled(workers, nil), Adapters{Members: adapters[:3]}, never) {
 				count[change.Next.Holder]++
 			}
 			So(count, ShouldResemble, map[string]int{"a1": 15, "a2": 15})
@@ -85,7 +85,7 @@
 		moved := 0
 		for i := range 100 {
 			key := string(rune(i))
-			if first := First(key, names); first != "m3" && First(key, names[:2]) != first {
+			if first := HighestRanked(key, names); first != "m3" && HighestRanked(key, names[:2]) != first {
 				moved++
 			}
 		}
@@ -113,10 +113,10 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				leaving := map[string]bool{"a2": c.isLeaving}
-				plan := Plan("p", compiled(workers, map[string]config.Held{"w": held(c.holder, c.boot)}), Adapters{Here: adapters, Leaving: leaving}, known)
+				plan := Plan("p", compiled(workers, map[string]config.AssignedDuty{"w": held(c.holder, c.boot)}), Adapters{Members: adapters, Leaving: leaving}, known)
 				So(len(plan), ShouldEqual, 1)
 				So(plan[0].Next.Holder, ShouldStartWith, c.next)
-				So([]bool{plan[0].IsReborn, plan[0].Next.IsFree}, ShouldResemble, []bool{c.isReborn, c.isFree})
+				So([]bool{plan[0].IsHolderRestarted, plan[0].Next.IsReleased}, ShouldResemble, []bool{c.isReborn, c.isFree})
 			})
 		}
 	})
@@ -140,40 +140,40 @@
 	}
 	Convey("That a holder is gone is known for sure by a planner that saw it here since it moved the duty itself", t, func() {
 		const second = time.Second
-		guess := func(s *Steady, term int64, boot string, at time.Duration) bool {
-			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: term, IsGuess: true, Next: config.Duty{Before: boot}}}, at)
+		guess := func(s *HoldDown, term int64, boot string, at time.Duration) bool {
+			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: term, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: boot}}}, at)
 			for _, change := range kept {
-				s.Move(change, at)
+				s.RecordMove(change, at)
 			}
 			return len(kept) == 1
 		}
 		a, b := wire.Who{Name: "a", Boot: "a.1"}, wire.Who{Name: "b", Boot: "b.1"}
-		s := &Steady{Least: 6 * second}
-		s.Note([]wire.Who{a, b}, 10*second)
+		s := &HoldDown{Period: 6 * second}
+		s.ObserveMembers([]wire.Who{a, b}, 10*second)
 		So(guess(s, 1, a.Boot, 13*second), ShouldBeTrue) // to b, which it holds for a member
-		s.Note([]wire.Who{b}, 13*second)
+		s.ObserveMembers([]wire.Who{b}, 13*second)
 		Convey("so the next holder's duty moves at once", func() { So(guess(s, 2, b.Boot, 15*second), ShouldBeTrue) })
 		Convey("but not that of one which another planner chose, and which was here only before", func() {
 			So(guess(s, 2, a.Boot, 15*second), ShouldBeFalse)
 			So(guess(s, 2, a.Boot, 21*second), ShouldBeTrue)
 		})
 		Convey("and one that was planned and left for a later turn moves in that turn", func() {
-			left := []Change{{Pool: "p", Worker: "w", IfRevision: 2, IsGuess: true, Next: config.Duty{Before: b.Boot}}}
+			left := []Change{{Pool: "p", Worker: "w", IfRevision: 2, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: b.Boot}}}
 			So(s.Filter(left, 15*second), ShouldHaveLength, 1)
 			So(s.Filter(left, 16*second), ShouldHaveLength, 1)
-			s.Move(left[0], 16*second)
+			s.RecordMove(left[0], 16*second)
 			So(s.Filter(left, 17*second), ShouldBeEmpty)
 		})
 		Convey("nor that of a life which it never saw", func() { So(guess(s, 2, "b.2", 15*second), ShouldBeFalse) })
 		Convey("and lives are forgotten", func() {
-			s.Note(nil, 100*second)
-			So(s.here, ShouldBeEmpty)
+			s.ObserveMembers(nil, 100*second)
+			So(s.lastSeen, ShouldBeEmpty)
 		})
 	})
 	Convey("A plan keeps", t, func() {
-		s := Steady{Least: 6 * time.Second}
+		s := HoldDown{Period: 6 * time.Second}
 		for _, c := range cases {
-			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: c.term, IsGuess: c.isGuess}}, c.at)
+			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: c.term, IsHolderSuspected: c.isGuess}}, c.at)
 			So(c.name+": "+fmt.Sprint(len(kept) == 1), ShouldEqual, c.name+": "+fmt.Sprint(c.isKept))
 		}
 	})
@@ -189,13 +189,13 @@
 	a, b := wire.Who{Name: "a1", Boot: "1", Zone: "a"}, wire.Who{Name: "a2", Boot: "1", Zone: "a"}
 	never := func(string) (int64, bool) { return 0, false }
 	plan := func(p *Proposals, here ...wire.Who) []Change {
-		return Plan("p", compiled(workers, nil), Adapters{Here: here, Proposed: p}, never)
+		return Plan("p", compiled(workers, nil), Adapters{Members: here, Proposals: p}, never)
 	}
 	Convey("Given ten of twenty duties proposed for one adapter", t, func() {
-		p := &Proposals{Kept: 2 * second}
+		p := &Proposals{Timeout: 2 * second}
 		first := plan(p, a)[:10]
 		for _, change := range first {
-			p.Propose(change, second)
+			p.Add(change, second)
 		}
 		Convey("the others go to the one that will have fewer", func() {
 			rest := plan(p, a, b)
@@ -211,28 +211,28 @@
 		Convey("a failure of an older proposal is none of the newer", func() {
 			newer := first[3]
 			newer.IfRevision = 7
-			p.Propose(newer, second)
+			p.Add(newer, second)
 			p.Fail(first[3])
-			_, isOpen := p.of("p/"+newer.Worker, 7)
+			_, isOpen := p.find("p/"+newer.Worker, 7)
 			So(isOpen, ShouldBeTrue)
 		})
 		Convey("what is seen at another revision is planned whatever was proposed", func() {
 			seen := func(string) (int64, bool) { return 9, true }
-			So(Plan("p", compiled(workers, nil), Adapters{Here: []wire.Who{a, b}, Proposed: p}, seen), ShouldHaveLength, 20)
+			So(Plan("p", compiled(workers, nil), Adapters{Members: []wire.Who{a, b}, Proposals: p}, seen), ShouldHaveLength, 20)
 		})
 		Convey("they are forgotten in time", func() {
-			p.Forget(3*second - 1)
+			p.Expire(3*second - 1)
 			So(p.IsEmpty(), ShouldBeFalse)
-			p.Forget(3 * second)
+			p.Expire(3 * second)
 			So(p.IsEmpty(), ShouldBeTrue)
 			So(plan(p, a, b), ShouldHaveLength, 20)
 		})
 	})
 	Convey("A duty that is being removed is not removed twice", t, func() {
-		p, gone := &Proposals{Kept: second}, compiled(nil, map[string]config.Held{"w": held("a1", "1")})
-		removed := Plan("p", gone, Adapters{Here: []wire.Who{a}, Proposed: p}, never)
+		p, gone := &Proposals{Timeout: second}, compiled(nil, map[string]config.AssignedDuty{"w": held("a1", "1")})
+		removed := Plan("p", gone, Adapters{Members: []wire.Who{a}, Proposals: p}, never)
 		So(removed, ShouldHaveLength, 1)
-		p.Propose(removed[0], 0)
-		So(Plan("p", gone, Adapters{Here: []wire.Who{a}, Proposed: p}, never), ShouldBeEmpty)
+		p.Add(removed[0], 0)
+		So(Plan("p", gone, Adapters{Members: []wire.Who{a}, Proposals: p}, never), ShouldBeEmpty)
 	})
 }
--- a/internal/duty/proposals.go
+++ b/internal/duty/proposals.go
@@ -11,19 +11,19 @@
 //
 // Invariant: open has the newest proposal of each duty that was not seen to fail.
 type Proposals struct {
-	Kept time.Duration // a proposal whose outcome is not seen by then counts no longer
-	mu   sync.Mutex
-	open map[string]proposal // by duty
+	Timeout time.Duration // a proposal whose outcome is not seen by then counts no longer
+	mu      sync.Mutex
+	open    map[string]proposal // by duty
 }
 
 type proposal struct {
 	ifRevision int64
 	holder     string // "" for a duty that is removed
-	at         time.Duration
+	proposedAt time.Duration
 }
 
-// Propose notes that a change is proposed now.
-func (p *Proposals) Propose(c Change, now time.Duration) {
+// Add notes that a change is proposed now.
+func (p *Proposals) Add(c Change, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open == nil {
@@ -48,15 +48,15 @@
 	return len(p.open) == 0
 }
 
-// Forget drops what counts no longer.
-func (p *Proposals) Forget(now time.Duration) {
+// Expire drops what counts no longer.
+func (p *Proposals) Expire(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.open, func(_ string, o proposal) bool { return now-o.at >= p.Kept })
+	maps.DeleteFunc(p.open, func(_ string, o proposal) bool { return now-o.proposedAt >= p.Timeout })
 }
 
 // of returns the proposal of a duty that builds on a revision.
-func (p *Proposals) of(key string, ifRevision int64) (proposal, bool) {
+func (p *Proposals) find(key string, ifRevision int64) (proposal, bool) {
 	if p == nil {
 		return proposal{}, false
 	}
--- a/internal/duty/together_test.go
+++ b/internal/duty/sharedrate_test.go
@@ -22,17 +22,17 @@
 		workers[fmt.Sprint("w", i)] = config.Worker{Name: fmt.Sprint("w", i), Zone: string(rune('a' + i%3))}
 	}
 	// settle plans until nothing changes and returns the duties, with how many each adapter holds.
-	settle := func(rate float64, duties map[string]config.Held, here []wire.Who) (map[string]config.Held, map[string]int) {
+	settle := func(rate float64, duties map[string]config.AssignedDuty, here []wire.Who) (map[string]config.AssignedDuty, map[string]int) {
 		for range 5 {
 			world := compiled(workers, duties)
 			world.Rules = &config.Rules{Pools: map[string]config.Pool{"p": {Rate: rate}}}
-			plan := Plan("p", world, Adapters{Here: here}, func(string) (int64, bool) { return 7, true })
-			next := map[string]config.Held{}
+			plan := Plan("p", world, Adapters{Members: here}, func(string) (int64, bool) { return 7, true })
+			next := map[string]config.AssignedDuty{}
 			for name, held := range duties {
 				next[name] = held
 			}
 			for _, change := range plan {
-				next[change.Worker] = config.Held{Duty: change.Next, Term: 7}
+				next[change.Worker] = config.AssignedDuty{Duty: change.Next, Term: 7}
 			}
 			duties = next
 			if len(plan) == 0 {
@@ -72,7 +72,7 @@
 			So(len(counts), ShouldEqual, 1)
 		})
 		Convey("have more keepers where the rate is high", func() {
-			_, counts := settle(5*perKeeper, nil, adapters)
+			_, counts := settle(5*holderRunsPerSecondLimit, nil, adapters)
 			So(len(counts), ShouldBeBetweenOrEqual, 2, 5)
 		})
 	})
--- a/internal/early/early.go
+++ b/internal/earlysignal/early.go
@@ -1,7 +1,7 @@
-// Package early does what a daemon must do before anything else of it begins. It is
+// Package earlysignal does what a daemon must do before anything else of it begins. It is
 // imported for its effect alone, and initialized right after os/signal, since packages are
 // initialized in the order of their paths and it imports nothing else.
-package early
+package earlysignal
 
 import (
 	"os/signal"
--- a/internal/early/early_test.go
+++ b/internal/earlysignal/early_test.go
@@ -1,4 +1,4 @@
-package early
+package earlysignal
 
 import (
 	"context"
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -107,7 +107,7 @@
 			raw = first.slot.canonical(raw, rename)
 		}
 		if p := first.persist; p != nil {
-			raw = disk{image: p.Image, log: p.Entries}.canonical(raw, rename)
+			raw = disk{image: p.Snapshot, log: p.Entries}.canonical(raw, rename)
 			if p.Hard != nil {
 				raw = disk{hard: *p.Hard}.canonical(raw, rename)
 			}
--- a/internal/explore/drive.go
+++ b/internal/explore/drive.go
@@ -9,15 +9,15 @@
 
 // do carries out what one step of a replica wants, in the order in which the
 // host does: what may leave now, the write, the new state.
-func (w *World) do(r *replica, out group.Out) {
-	w.send(r, out.Now)
+func (w *World) do(r *replica, out group.Output) {
+	w.send(r, out.SendNow)
 	switch {
 	case out.Persist != nil:
-		r.unsynced = append(r.unsynced, write{persist: out.Persist, after: out.After})
-	case len(out.After) > 0 && len(r.unsynced) == 0:
-		w.send(r, out.After)
-	case len(out.After) > 0:
-		r.unsynced = append(r.unsynced, write{after: out.After})
+		r.unsynced = append(r.unsynced, write{persist: out.Persist, after: out.SendAfterSync})
+	case len(out.SendAfterSync) > 0 && len(r.unsynced) == 0:
+		w.send(r, out.SendAfterSync)
+	case len(out.SendAfterSync) > 0:
+		r.unsynced = append(r.unsynced, write{after: out.SendAfterSync})
 	}
 	if out.Install != nil {
 		r.image = out.Install
@@ -30,7 +30,7 @@
 // settle does what the host does when ownership begins or ends.
 func (w *World) settle(r *replica) {
 	v := r.machine.View()
-	r.isOwner = v.Role == group.Owner && (v.IsSure || r.isOwner)
+	r.isOwner = v.Role == group.Owner && (v.IsConfirmed || r.isOwner)
 	w.noteOwner(r, v)
 	w.checkReads(r, v)
 }
@@ -39,7 +39,7 @@
 // is the same: what may come twice is tried by its own event.
 func (w *World) send(r *replica, messages []wire.GroupMsg) {
 	for _, m := range messages {
-		if m.Kind == group.MsgImage && (r.image == nil || r.image.Index != m.Index) {
+		if m.Kind == group.MsgSnapshot && (r.image == nil || r.image.Index != m.Index) {
 			continue
 		}
 		if !slices.ContainsFunc(w.sent, func(other *wire.GroupMsg) bool { return isSame(&m, other) }) {
@@ -80,8 +80,8 @@
 	if p == nil {
 		return d
 	}
-	if p.Image != nil {
-		d.image, d.log = p.Image, nil
+	if p.Snapshot != nil {
+		d.image, d.log = p.Snapshot, nil
 	}
 	if p.Hard != nil {
 		d.hard = *p.Hard
@@ -125,6 +125,6 @@
 		return
 	}
 	r.image = image
-	hard, log := r.machine.Whole()
+	hard, log := r.machine.DurableState()
 	r.unsynced = append(r.unsynced, write{slot: &disk{hard, image, log}})
 }
--- a/internal/explore/elections.go
+++ b/internal/explore/elections.go
@@ -14,7 +14,7 @@
 // it can never own the group. What its voters have not synced does not count.
 func (w *World) checkElections() {
 	for _, r := range w.replicas {
-		_, log := r.machine.Whole()
+		_, log := r.machine.DurableState()
 		v := r.machine.View()
 		voters := group.Voters(v.Roster)
 		if !slices.Contains(voters, r.id) || w.holdsChosen(v.Last-int64(len(log)), log) {
--- a/internal/explore/enabled.go
+++ b/internal/explore/enabled.go
@@ -73,7 +73,7 @@
 
 // held is the length of a replica's log.
 func (r *replica) held() int {
-	_, log := r.machine.Whole()
+	_, log := r.machine.DurableState()
 	return len(log)
 }
 
--- a/internal/explore/event.go
+++ b/internal/explore/event.go
@@ -73,7 +73,7 @@
 
 var messageNames = map[int32]string{group.MsgPreVote: "ask", group.MsgPreVoteReply: "ask reply", group.MsgVote: "vote",
 	group.MsgVoteReply: "vote reply", group.MsgAppend: "append", group.MsgAppendReply: "append reply",
-	group.MsgImage: "image", group.MsgCampaign: "stand", group.MsgNotMe: "not me"}
+	group.MsgSnapshot: "image", group.MsgCampaign: "stand", group.MsgWrongIncarnation: "not me"}
 
 // Spans by which a clock moves: time is only ever passed in these few steps.
 var (
@@ -118,7 +118,7 @@
 	case Compact:
 		w.compact(r)
 	case HandOver:
-		w.do(r, r.machine.HandOver(e.Member, r.now))
+		w.do(r, r.machine.TransferOwnership(e.Member, r.now))
 	case Learn, Promote, Drop:
 		w.changeRoster(r, e)
 	}
--- a/internal/explore/ghost.go
+++ b/internal/explore/ghost.go
@@ -72,7 +72,7 @@
 }
 
 // install checks that an image stands for what was committed up to it.
-func (w *World) install(r *replica, image *group.Image) {
+func (w *World) install(r *replica, image *group.Snapshot) {
 	at := int(image.Index) - 1
 	if at >= len(w.ghost.chosen) || w.ghost.chosen[at].Term != image.Term {
 		w.breach("%s installs an image at %d/%d that was never committed", r.id, image.Index, image.Term)
@@ -106,13 +106,13 @@
 // hasSpoken reports whether a replica has sent anything as the owner of a term.
 func (w *World) hasSpoken(r *replica, term int64) bool {
 	return slices.ContainsFunc(w.sent, func(m *wire.GroupMsg) bool {
-		return m.From == r.id && m.Term == term && (m.Kind == group.MsgAppend || m.Kind == group.MsgImage)
+		return m.From == r.id && m.Term == term && (m.Kind == group.MsgAppend || m.Kind == group.MsgSnapshot)
 	})
 }
 
 // checkComplete: an owner holds every entry that was committed.
 func (w *World) checkComplete(r *replica) {
-	hard, log := r.machine.Whole()
+	hard, log := r.machine.DurableState()
 	if base := r.machine.View().Last - int64(len(log)); !w.holdsChosen(base, log) {
 		w.breach("%s owns term %d and lacks a committed entry", r.id, hard.Term)
 	}
@@ -175,10 +175,10 @@
 	if n := len(r.marks); n == 0 || r.marks[n-1].at < r.now {
 		r.marks = append(slices.Clip(r.marks), mark{r.now, len(w.ghost.chosen)})
 	}
-	for len(r.marks) > 1 && r.marks[0].at < v.Confirmed {
+	for len(r.marks) > 1 && r.marks[0].at < v.ConfirmedAt {
 		r.marks = r.marks[1:]
 	}
-	if first := r.marks[0]; r.isOwner && v.IsSure && first.at == v.Confirmed && r.applied < int64(first.chosen) {
+	if first := r.marks[0]; r.isOwner && v.IsConfirmed && first.at == v.ConfirmedAt && r.applied < int64(first.chosen) {
 		w.breach("%s answers a read from %d, though %d were committed when it was asked", r.id, r.applied, first.chosen)
 	}
 }
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -19,13 +19,13 @@
 // disk is what a replica would find after a loss of power.
 type disk struct {
 	hard  group.HardState
-	image *group.Image
+	image *group.Snapshot
 	log   []wire.Entry
 }
 
 // write is one write that is not synced yet, and what may leave once it is.
 type write struct {
-	persist *group.Persist
+	persist *group.DurableUpdate
 	slot    *disk // a whole state in the place of a log record
 	after   []wire.GroupMsg
 }
@@ -46,7 +46,7 @@
 	now      time.Duration
 	disk     disk
 	unsynced []write
-	image    *group.Image // the newest that the host holds
+	image    *group.Snapshot // the newest that the host holds
 	applied  int64
 	isOwner  bool   // as the host tells the machine above it
 	pulsed   int64  // an owner's commit when its last round began
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -37,9 +37,9 @@
 				p.Apply(edit("a", 1))
 				p.Apply(wire.Edit{Key: "gone", Gone: true, IfRevision: -1})
 				So(p.Apply(c.last).Kind, ShouldEqual, c.kind)
-				again, err := RestorePart(p.Image())
+				again, err := RestorePart(p.Snapshot())
 				So(err, ShouldBeNil)
-				So(again.Image(), ShouldResemble, p.Image())
+				So(again.Snapshot(), ShouldResemble, p.Snapshot())
 			})
 		}
 	})
@@ -57,7 +57,7 @@
 			if isNewest {
 				news.Age = age
 			}
-			v.Take([]wire.PartNews{news}, 10*time.Second)
+			v.Update([]wire.PartNews{news}, 10*time.Second)
 		}
 		Convey("it is not sure before it has all", func() {
 			ask(0)
@@ -92,13 +92,13 @@
 				ask(0)
 			}
 			old := wire.PartNews{From: 0, To: 5, Age: 0, Changes: []wire.Change{{Key: "k1", Value: []byte("old"), Revision: 5}}}
-			v.Take([]wire.PartNews{old}, 99*time.Second)
+			v.Update([]wire.PartNews{old}, 99*time.Second)
 			c, _ := v.Get(0, "k1")
 			So(string(c.Value), ShouldEqual, "k1")
 			So(v.IsFresh(20*time.Second, time.Second), ShouldBeFalse)
 		})
 		Convey("news that leave a gap are passed over", func() {
-			v.Take([]wire.PartNews{{From: 100, To: 101}}, 0)
+			v.Update([]wire.PartNews{{From: 100, To: 101}}, 0)
 			So(v.Revision(0), ShouldEqual, 0)
 		})
 	})
--- a/internal/feed/orders_test.go
+++ b/internal/feed/orders_test.go
@@ -11,10 +11,10 @@
 	"caperwheel/internal/wire"
 )
 
-// order is an operators' order on a version, and on the revision that the last one made.
+// entries is an operators' order on a version, and on the revision that the last one made.
 func order(p *Part, name string, base int64) wire.Edit {
-	was, _ := p.Get(Remembered)
-	return wire.Edit{Key: Remembered, Value: []byte(name), IfRevision: was.Revision, Order: name, Base: base}
+	was, _ := p.Get(TrackedKey)
+	return wire.Edit{Key: TrackedKey, Value: []byte(name), IfRevision: was.Revision, OperationId: name, BaseVersion: base}
 }
 
 // chain takes so many orders, one on another: "1" on 0, "2" on 1, …
@@ -27,44 +27,44 @@
 // TestOrders: an order that was taken is never told that another came first.
 func TestOrders(t *testing.T) {
 	again := func(p *Part, name string, base int64) wire.Edited {
-		return p.Apply(wire.Edit{Key: Remembered, Value: []byte(name), IfRevision: base, Order: name, Base: base})
+		return p.Apply(wire.Edit{Key: TrackedKey, Value: []byte(name), IfRevision: base, OperationId: name, BaseVersion: base})
 	}
 	restored := func(p *Part) *Part {
-		next, err := RestorePart(p.Image())
+		next, err := RestorePart(p.Snapshot())
 		So(err, ShouldBeNil)
-		So(next.Image(), ShouldResemble, p.Image())
+		So(next.Snapshot(), ShouldResemble, p.Snapshot())
 		return next
 	}
 	Convey("Of orders taken one on another,", t, func() {
 		p := NewPart()
-		chain(p, 0, mostOrders)
+		chain(p, 0, maxOrders)
 		for _, how := range []string{"as they were taken", "out of an image"} {
 			Convey("each is told that it was taken, "+how, func() {
 				if how == "out of an image" {
 					p = restored(p)
 				}
-				for _, i := range []int{1, 2, 17, 500, mostOrders} {
-					So(again(p, fmt.Sprint(i), int64(i-1)), ShouldResemble, wire.Edited{Revision: int64(i), IsAgain: true})
+				for _, i := range []int{1, 2, 17, 500, maxOrders} {
+					So(again(p, fmt.Sprint(i), int64(i-1)), ShouldResemble, wire.Edited{Revision: int64(i), IsRepeat: true})
 				}
-				So(p.Revision(), ShouldEqual, mostOrders)
+				So(p.Revision(), ShouldEqual, maxOrders)
 				So(errs.Kind(again(p, "rival", 3).Kind), ShouldEqual, errs.Conflict)
 			})
 			Convey("those that are forgotten get no clear answer, "+how, func() {
-				chain(p, mostOrders, mostOrders+10)
+				chain(p, maxOrders, maxOrders+10)
 				if how == "out of an image" {
 					p = restored(p)
 				}
 				for i := 1; i <= 10; i++ {
 					So(errs.Kind(again(p, fmt.Sprint(i), int64(i-1)).Kind), ShouldEqual, errs.Stale)
 				}
-				So(again(p, "11", 10), ShouldResemble, wire.Edited{Revision: 11, IsAgain: true})
+				So(again(p, "11", 10), ShouldResemble, wire.Edited{Revision: 11, IsRepeat: true})
 				So(errs.Kind(again(p, "rival", 9).Kind), ShouldEqual, errs.Stale)
 				So(errs.Kind(again(p, "rival", 10).Kind), ShouldEqual, errs.Conflict)
-				So(len(p.orders.byId), ShouldEqual, mostOrders)
+				So(len(p.orders.byId), ShouldEqual, maxOrders)
 			})
 		}
 		Convey("what became of each can be read", func() {
-			chain(p, mostOrders, mostOrders+1)
+			chain(p, maxOrders, maxOrders+1)
 			read := func(name string, base int64) []any {
 				got := p.Read(OrderKey(name, base), 0)
 				return []any{errs.Kind(got.Kind), got.Change.Revision}
@@ -77,10 +77,10 @@
 	})
 	Convey("What an older build remembered is taken over, and what it forgot gets no clear answer", t, func() {
 		p := NewPart()
-		p.Apply(wire.Edit{Key: Remembered, Value: []byte(`{"edits":["a","b"]}`)})
-		p.Apply(wire.Edit{Key: Remembered, Value: []byte("c"), IfRevision: 1, Order: "c", Base: 7, Earlier: []string{"a", "b"}})
+		p.Apply(wire.Edit{Key: TrackedKey, Value: []byte(`{"edits":["a","b"]}`)})
+		p.Apply(wire.Edit{Key: TrackedKey, Value: []byte("c"), IfRevision: 1, OperationId: "c", BaseVersion: 7, EarlierOperations: []string{"a", "b"}})
 		for _, name := range []string{"a", "b", "c"} {
-			So(again(p, name, 5), ShouldResemble, wire.Edited{Revision: 2, IsAgain: true})
+			So(again(p, name, 5), ShouldResemble, wire.Edited{Revision: 2, IsRepeat: true})
 		}
 		So(errs.Kind(again(p, "older", 5).Kind), ShouldEqual, errs.Stale)
 		So(errs.Kind(again(p, "rival", 7).Kind), ShouldEqual, errs.Conflict)
@@ -90,7 +90,7 @@
 // TestCalls: an edit that a manager sends again holds once.
 func TestCalls(t *testing.T) {
 	call := func(name string, ifRevision int64) wire.Edit {
-		return wire.Edit{Key: "a", Value: []byte(name), IfRevision: ifRevision, Order: name, Base: wire.OneCall}
+		return wire.Edit{Key: "a", Value: []byte(name), IfRevision: ifRevision, OperationId: name, BaseVersion: wire.SingleCallBase}
 	}
 	Convey("An edit of a single call", t, func() {
 		p := NewPart()
@@ -98,7 +98,7 @@
 		So(p.Apply(first).Revision, ShouldEqual, 1)
 		Convey("does not hold again on any stamp", func() {
 			p.Apply(gone)
-			So(p.Apply(first), ShouldResemble, wire.Edited{Revision: 1, IsAgain: true})
+			So(p.Apply(first), ShouldResemble, wire.Edited{Revision: 1, IsRepeat: true})
 			_, isStanding := p.Get("a")
 			So(isStanding, ShouldBeFalse)
 		})
@@ -107,16 +107,16 @@
 			again := call("again", 0)
 			So(p.Apply(again).Revision, ShouldEqual, 3)
 			p.Apply(gone)
-			So(p.Apply(again), ShouldResemble, wire.Edited{Revision: 3, IsAgain: true})
+			So(p.Apply(again), ShouldResemble, wire.Edited{Revision: 3, IsRepeat: true})
 		})
 		Convey("that is forgotten gets no clear answer, and a rival does where nothing is", func() {
 			So(p.Apply(call("second", 1)).Revision, ShouldEqual, 2)
-			for i := range mostCalls + 1 {
+			for i := range maxCalls + 1 {
 				p.Apply(call(fmt.Sprint("later ", i), -1))
 			}
 			So(errs.Kind(p.Apply(call("second", 1)).Kind), ShouldEqual, errs.Stale)
 			So(errs.Kind(p.Apply(call("rival", 5)).Kind), ShouldEqual, errs.Conflict)
-			So(p.Apply(call("newest", int64(mostCalls)+3)).Kind, ShouldBeEmpty)
+			So(p.Apply(call("newest", int64(maxCalls)+3)).Kind, ShouldBeEmpty)
 		})
 	})
 }
@@ -125,15 +125,15 @@
 func TestAges(t *testing.T) {
 	Convey("A change is as old as the part's time says", t, func() {
 		p := NewPart()
-		p.Apply(wire.Edit{Key: "a", Value: []byte{}, Order: "1", Base: wire.OneCall, At: 1000})
-		p.Apply(wire.Edit{Key: "b", Value: []byte{}, Order: "2", Base: wire.OneCall, At: 700}) // part time never goes back
-		p.Apply(wire.Edit{Key: "c", Value: []byte{}})                                          // an older build's
+		p.Apply(wire.Edit{Key: "a", Value: []byte{}, OperationId: "1", BaseVersion: wire.SingleCallBase, At: 1000})
+		p.Apply(wire.Edit{Key: "b", Value: []byte{}, OperationId: "2", BaseVersion: wire.SingleCallBase, At: 700}) // part time never goes back
+		p.Apply(wire.Edit{Key: "c", Value: []byte{}})                                                              // an older build's
 		for range 2 {
 			So(p.Read("a", 1500).Age, ShouldEqual, 500)
 			So(p.Read("b", 1500).Age, ShouldEqual, 500)
 			So(p.Read("c", 1500).Age, ShouldEqual, int64(math.MaxInt64))
 			So(p.Read("a", 900).Age, ShouldEqual, 0)
-			next, err := RestorePart(p.Image())
+			next, err := RestorePart(p.Snapshot())
 			So(err, ShouldBeNil)
 			So([]int64{p.Clock(), next.Clock()}, ShouldResemble, []int64{1000, 1000})
 			p = next
@@ -144,10 +144,10 @@
 // TestOlderRecords: a record that uses nothing new is as it always was; an older
 // build refuses the others, and what it wrote is read.
 func TestOlderRecords(t *testing.T) {
-	oldEdit, oldImage := wire.NewPlain(&wire.Edit{}), wire.NewPlain(&partImage{})
+	oldEdit, oldImage := wire.NewRecordCodec(&wire.Edit{}), wire.NewRecordCodec(&partSnapshot{})
 	Convey("Between builds,", t, func() {
 		old := edit("a", 3)
-		remembered := wire.Edit{Key: "a", Value: []byte("v"), IfRevision: 3, By: "x", Order: "o", Base: 4, Earlier: []string{"n"}, At: 5}
+		remembered := wire.Edit{Key: "a", Value: []byte("v"), IfRevision: 3, By: "x", OperationId: "o", BaseVersion: 4, EarlierOperations: []string{"n"}, At: 5}
 		Convey("an edit in the log", func() {
 			So(EncodeEdit(old), ShouldResemble, oldEdit.Encode(&old))
 			got, err := DecodeEdit(oldEdit.Encode(&old))
@@ -161,13 +161,13 @@
 		Convey("an image", func() {
 			p := NewPart()
 			p.Apply(edit("a", 0))
-			state := partImage{Revision: 1, Changes: []wire.Change{{Key: "a", Value: []byte("a"), Revision: 1}}, Past: []wire.Change{}}
-			So(p.Image(), ShouldResemble, oldImage.Encode(&state))
+			state := partSnapshot{Revision: 1, Changes: []wire.Change{{Key: "a", Value: []byte("a"), Revision: 1}}, Past: []wire.Change{}}
+			So(p.Snapshot(), ShouldResemble, oldImage.Encode(&state))
 			read, err := RestorePart(oldImage.Encode(&state))
 			So(err, ShouldBeNil)
-			So(read.Image(), ShouldResemble, p.Image())
+			So(read.Snapshot(), ShouldResemble, p.Snapshot())
 			read.Apply(order(read, "o", 0))
-			So(oldImage.Decode(read.Image(), &partImage{}), ShouldNotBeNil)
+			So(oldImage.Decode(read.Snapshot(), &partSnapshot{}), ShouldNotBeNil)
 		})
 	})
 }
--- a/internal/feed/part.go
+++ b/internal/feed/part.go
@@ -30,23 +30,23 @@
 type Part struct {
 	revision int64
 	clock    int64 // part time of the newest edit that tells it, in milliseconds
-	trail    trail
-	past     []wire.Change // the newest changes of Remembered, without values
-	orders   *memory       // operators' orders that were taken
-	calls    *memory       // edits of single calls that were taken
+	changes  changeLog
+	history  []wire.Change // the newest changes of Remembered, without values
+	orders   *orderHistory // operators' orders that were taken
+	calls    *orderHistory // edits of single calls that were taken
 }
 
 // Remembered is the key whose recent changes are kept by author, and History
 // the name under which they can be pulled.
 const (
-	Remembered = "charter"
+	TrackedKey = "charter"
 	History    = "#history"
-	mostPast   = 30
+	maxHistory = 30
 )
 
 // NewPart gives an empty part.
 func NewPart() *Part {
-	return &Part{trail: newTrail(), orders: newMemory(mostOrders), calls: newMemory(mostCalls)}
+	return &Part{changes: newChangeLog(), orders: newOrderHistory(maxOrders), calls: newOrderHistory(maxCalls)}
 }
 
 // Clock is the part time of the newest edit.
@@ -57,7 +57,7 @@
 
 // Get returns a key's newest change.
 func (p *Part) Get(key string) (wire.Change, bool) {
-	c, isKnown := p.trail.keys[key]
+	c, isKnown := p.changes.newest[key]
 	return c, isKnown && !c.Gone
 }
 
@@ -66,8 +66,8 @@
 // is told that the first holds. What is compared, set and remembered is one step.
 func (p *Part) Apply(e wire.Edit) wire.Edited {
 	p.clock = max(p.clock, e.At)
-	if one, isTaken := p.known(e.Order); isTaken {
-		return wire.Edited{Revision: one.Revision, IsAgain: true}
+	if one, isTaken := p.findOrder(e.OperationId); isTaken {
+		return wire.Edited{Revision: one.Revision, IsRepeat: true}
 	}
 	revision := int64(0)
 	if was, isKnown := p.Get(e.Key); isKnown {
@@ -80,72 +80,72 @@
 		return wire.Edited{Kind: string(errs.Conflict), Text: e.Key + " has changed since", Revision: revision}
 	}
 	p.revision++
-	p.trail.put(wire.Change{Key: e.Key, Value: e.Value, Revision: p.revision, Gone: e.Gone, By: e.By})
-	if e.Key == Remembered {
-		p.past = append(p.past, wire.Change{Key: e.Key, Value: []byte{}, Revision: p.revision, By: e.By})
-		p.past = p.past[max(0, len(p.past)-mostPast):]
+	p.changes.put(wire.Change{Key: e.Key, Value: e.Value, Revision: p.revision, Gone: e.Gone, By: e.By})
+	if e.Key == TrackedKey {
+		p.history = append(p.history, wire.Change{Key: e.Key, Value: []byte{}, Revision: p.revision, By: e.By})
+		p.history = p.history[max(0, len(p.history)-maxHistory):]
 	}
-	p.remember(e)
+	p.recordOrder(e)
 	return wire.Edited{Revision: p.revision}
 }
 
-// newsCount bounds the changes of one answer; the follower asks again.
-const newsCount = 512
+// newsChangesLimit bounds the changes of one answer; the follower asks again.
+const newsChangesLimit = 512
 
 // News returns the changes behind a revision. isNewest tells whether they reach the
 // newest.
 func (p *Part) News(part, from int64) (news wire.PartNews, isNewest bool) {
-	return p.trail.newsOf(part, from, p.revision)
+	return p.changes.newsSince(part, from, p.revision)
 }
 
-type partImage struct {
+type partSnapshot struct {
 	Revision    int64         `avro:"stamp"`
 	Changes     []wire.Change `avro:"changes"`
 	Past        []wire.Change `avro:"past"`
 	Clock       int64         `avro:"clock" since:"4"`
-	Orders      []taken       `avro:"orders" since:"4"`
+	Orders      []takenOrder  `avro:"orders" since:"4"`
 	OrdersFloor int64         `avro:"orders_floor" since:"4"`
-	Calls       []taken       `avro:"calls" since:"4"`
+	Calls       []takenOrder  `avro:"calls" since:"4"`
 	CallsFloor  int64         `avro:"calls_floor" since:"4"`
 }
 
 // An image's revision is never negative, and an edit's key never shorter than nothing.
 var (
-	partCodec = wire.NewGrown(&partImage{}, wire.MarkNumberList)
-	editCodec = wire.NewGrown(&wire.Edit{}, wire.MarkNumberText)
+	partCodec = wire.NewVersionedCodec(&partSnapshot{}, wire.PrefixIntList)
+	editCodec = wire.NewVersionedCodec(&wire.Edit{}, wire.PrefixIntString)
 )
 
-// Image gives the whole state as bytes.
-func (p *Part) Image() []byte {
-	out := partImage{Revision: p.revision, Changes: []wire.Change{}, Past: append([]wire.Change{}, p.past...), Clock: p.clock,
-		Orders: append([]taken{}, p.orders.queue...), OrdersFloor: p.orders.floor,
-		Calls: append([]taken{}, p.calls.queue...), CallsFloor: p.calls.floor}
-	for _, key := range slices.Sorted(maps.Keys(p.trail.keys)) {
-		out.Changes = append(out.Changes, p.trail.keys[key])
+// Snapshot gives the whole state as bytes.
+func (p *Part) Snapshot() []byte {
+	out := partSnapshot{Revision: p.revision, Changes: []wire.Change{}, Past: append([]wire.Change{}, p.history...), Clock: p.clock,
+		Orders: append([]takenOrder{}, p.orders.queue...), OrdersFloor: p.orders.forgottenRank,
+		Calls: append([]takenOrder{}, p.calls.queue...), CallsFloor: p.calls.forgottenRank}
+	for _, key := range slices.Sorted(maps.Keys(p.changes.newest)) {
+		out.Changes = append(out.Changes, p.changes.newest[key])
 	}
 	return partCodec.Encode(&out, p.clock > 0 || len(p.orders.queue)+len(p.calls.queue) > 0)
 }
 
 // RestorePart reads a whole state back.
 func RestorePart(raw []byte) (*Part, error) {
-	in := partImage{OrdersFloor: -1, CallsFloor: -1} // as it is where an older build wrote it
+	in := partSnapshot{OrdersFloor: -1, CallsFloor: -1} // as it is where an older build wrote it
 	if err := partCodec.Decode(raw, &in); err != nil {
 		return nil, err
 	}
 	p := NewPart()
-	p.revision, p.past, p.clock = in.Revision, in.Past, in.Clock
-	p.trail.fill(in.Changes)
-	p.orders.fill(in.Orders, in.OrdersFloor)
-	p.calls.fill(in.Calls, in.CallsFloor)
+	p.revision, p.history, p.clock = in.Revision, in.Past, in.Clock
+	p.changes.load(in.Changes)
+	p.orders.load(in.Orders, in.OrdersFloor)
+	p.calls.load(in.Calls, in.CallsFloor)
 	return p, nil
 }
 
 // EncodeEdit and DecodeEdit carry an edit through a group's log.
 func EncodeEdit(e wire.Edit) []byte {
-	if e.Earlier == nil {
-		e.Earlier = []string{}
+	if e.EarlierOperations == nil {
+		e.EarlierOperations = []string{}
 	}
-	return editCodec.Encode(&e, e.Order != "" || e.At != 0)
+	return editCodec.Encode(&e, e.OperationId != "" || e.At != 0)
 }
 
 // DecodeEdit reads an edit back.
--- a/internal/feed/view.go
+++ b/internal/feed/view.go
@@ -13,28 +13,28 @@
 // View is what a daemon knows of the control state. It is safe for many
 // goroutines.
 //
-// Invariants: a part's revision never goes back; sureAt only moves forward, and
+// Invariants: a part's revision never goes back; confirmedAt only moves forward, and
 // is a moment by this daemon's own clock at or after which the part's owner
 // confirmed, through a majority, that nothing newer had been acknowledged.
 type View struct {
-	mu    sync.RWMutex
-	parts map[int64]*partView
-	count int
-	turns int64 // grows with every change, for those that cache
+	mu      sync.RWMutex
+	parts   map[int64]*partView
+	count   int
+	version int64 // grows with every change, for those that cache
 }
 
 type partView struct {
-	revision int64
-	sureAt   time.Duration
-	isSure   bool
-	trail    trail
+	revision    int64
+	confirmedAt time.Duration
+	isConfirmed bool
+	changes     changeLog
 }
 
 // NewView gives an empty view that follows the configuration part and count others.
 func NewView(count int) *View {
 	v := &View{parts: map[int64]*partView{}, count: count}
 	for part := range int64(count) + 1 {
-		v.parts[part] = &partView{trail: newTrail()}
+		v.parts[part] = &partView{changes: newChangeLog()}
 	}
 	return v
 }
@@ -50,9 +50,9 @@
 	return out
 }
 
-// Take brings news in. askedAt is when they were asked for, by our own clock:
+// Update brings news in. askedAt is when they were asked for, by our own clock:
 // what the answer confirms was true then or later, less its age.
-func (v *View) Take(news []wire.PartNews, askedAt time.Duration) (isChanged bool) {
+func (v *View) Update(news []wire.PartNews, askedAt time.Duration) (isChanged bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, n := range news {
@@ -62,7 +62,7 @@
 		}
 		for _, c := range n.Changes {
 			if c.Revision > p.revision {
-				p.trail.put(c)
+				p.changes.put(c)
 				isChanged = true
 			}
 		}
@@ -72,7 +72,7 @@
 		}
 	}
 	if isChanged {
-		v.turns++
+		v.version++
 	}
 	return isChanged
 }
@@ -80,8 +80,8 @@
 // confirm notes a moment as of which the part was the newest. The first one may
 // lie before the daemon's own start, where its clock is below 0.
 func (p *partView) confirm(at time.Duration) {
-	if !p.isSure || at > p.sureAt {
-		p.sureAt, p.isSure = at, true
+	if !p.isConfirmed || at > p.confirmedAt {
+		p.confirmedAt, p.isConfirmed = at, true
 	}
 }
 
@@ -91,10 +91,10 @@
 	defer v.mu.RUnlock()
 	oldest := time.Duration(0)
 	for _, p := range v.parts {
-		if !p.isSure {
+		if !p.isConfirmed {
 			return 0, false
 		}
-		oldest = max(oldest, now-p.sureAt)
+		oldest = max(oldest, now-p.confirmedAt)
 	}
 	return oldest, true
 }
@@ -117,9 +117,9 @@
 		if p == nil || s.Revision > p.revision {
 			continue
 		}
-		news, isNewest := p.trail.newsOf(s.Part, s.Revision, p.revision)
-		if p.isSure && isNewest {
-			news.Age = max(0, int64((now-p.sureAt)/time.Microsecond))
+		news, isNewest := p.changes.newsSince(s.Part, s.Revision, p.revision)
+		if p.isConfirmed && isNewest {
+			news.Age = max(0, int64((now-p.confirmedAt)/time.Microsecond))
 		}
 		out = append(out, news)
 	}
@@ -130,7 +130,7 @@
 func (v *View) Get(part int64, key string) (wire.Change, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	c, isKnown := v.parts[part].trail.keys[key]
+	c, isKnown := v.parts[part].changes.newest[key]
 	return c, isKnown && !c.Gone
 }
 
@@ -140,19 +140,19 @@
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	for _, p := range v.parts {
-		keys += len(p.trail.keys)
-		for key, c := range p.trail.keys {
+		keys += len(p.changes.newest)
+		for key, c := range p.changes.newest {
 			bytes += len(key) + len(c.Value) + len(c.By)
 		}
 	}
 	return keys, bytes
 }
 
-// Turns grows with every change.
-func (v *View) Turns() int64 {
+// Version grows with every change.
+func (v *View) Version() int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.turns
+	return v.version
 }
 
 // Revision is the sum of all parts' revisions, a measure of how far the view is.
@@ -162,16 +162,16 @@
 	return v.parts[part].revision
 }
 
-// Since returns all changes behind the given revisions of parts, gone keys too, in the order of
+// ChangesSince returns all changes behind the given revisions of parts, gone keys too, in the order of
 // their revisions within a part, and the revisions that they reach. A part that is not given is
 // returned whole.
-func (v *View) Since(revisions map[int64]int64) (changes []wire.Change, reached map[int64]int64) {
+func (v *View) ChangesSince(revisions map[int64]int64) (changes []wire.Change, reached map[int64]int64) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	reached = map[int64]int64{}
 	for part := range int64(v.count) + 1 {
 		p := v.parts[part]
-		more, _ := p.trail.behind(revisions[part], math.MaxInt)
+		more, _ := p.changes.since(revisions[part], math.MaxInt)
 		changes = append(changes, more...)
 		reached[part] = p.revision
 	}
@@ -187,7 +187,7 @@
 	rows := []row{}
 	v.mu.RLock()
 	for part, p := range v.parts {
-		for key, c := range p.trail.keys {
+		for key, c := range p.changes.newest {
 			if strings.HasPrefix(key, prefix) && !c.Gone {
 				rows = append(rows, row{part, c})
 			}
--- a/internal/fleet/deploy.go
+++ b/internal/fleet/deploy.go
@@ -121,7 +121,7 @@
 		for i := range spec.Count {
 			name, zone := fmt.Sprintf("%s-%02d", pool[strings.LastIndex(pool, ".")+1:], i+1), f.Plan.Zones[i%len(f.Plan.Zones)]
 			if p.IsEndpoint {
-				name, zone = config.Endpoint, ""
+				name, zone = config.EndpointWorker, ""
 			}
 			b, err := NewBackend(pool, name, zone, time.Duration(spec.WorkMs)*time.Millisecond, f.History, f.Now)
 			if err != nil {
@@ -139,8 +139,8 @@
 	for name, lane := range f.Rules.Lanes {
 		f.History.Pools[name] = lane.Pools
 		f.History.Order[name] = lane.IsOrdered
-		if lane.Callback != "" {
-			f.History.Backs[name] = lane.Callback
+		if lane.CallbackLane != "" {
+			f.History.Backs[name] = lane.CallbackLane
 		}
 	}
 	return nil
@@ -200,10 +200,10 @@
 		case "adapter":
 			set.Seeds = []string{f.Agents[i-len(f.Managers)-len(f.Stores)-len(f.Agents)].Addr}
 		case "store":
-			set.Data, set.Founders, set.Reserve = filepath.Join(f.Dir, p.Name), min(3, f.Plan.Stores), 1000000
+			set.Data, set.Founders, set.DiskReserve = filepath.Join(f.Dir, p.Name), min(3, f.Plan.Stores), 1000000
 		}
 		p.file = filepath.Join(f.Dir, p.Name+".json")
-		if err := os.WriteFile(p.file, set.Sparse(), 0o644); err != nil {
+		if err := os.WriteFile(p.file, set.NonDefaultJson(), 0o644); err != nil {
 			return errs.Wrap(err, errs.Internal, "settings of %s", p.Name)
 		}
 	}
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -46,7 +46,7 @@
 	}
 }
 
-var helloCodec = wire.NewPlain(&wire.Hello{})
+var helloCodec = wire.NewRecordCodec(&wire.Hello{})
 
 // lay opens a relay before a daemon and gives the address to advertise.
 func (r *relays) lay(target, zone string) (string, error) {
--- a/internal/fleet/up.go
+++ b/internal/fleet/up.go
@@ -22,7 +22,7 @@
 	pools := map[string][]config.Worker{}
 	from := f.Now()
 	for _, b := range f.Backends {
-		if b.Name != config.Endpoint {
+		if b.Name != config.EndpointWorker {
 			pools[b.Pool] = append(pools[b.Pool], config.Worker{Name: b.Name, Address: b.Addr, Zone: b.Zone, State: "live"})
 		}
 	}
@@ -39,7 +39,7 @@
 
 // comesCold has a worker's starts held against the ramp from now on.
 func (f *Fleet) comesCold(b *Backend, from time.Duration) {
-	if ease := f.Rules.Pools[b.Pool].Ease; ease > 0 && b.Name != config.Endpoint {
+	if ease := f.Rules.Pools[b.Pool].SlowStart; ease > 0 && b.Name != config.EndpointWorker {
 		f.History.AddCold(check.Cold{Pool: b.Pool, Worker: b.Name, From: from, Ease: ease})
 	}
 }
--- a/internal/group/alone_test.go
+++ b/internal/group/alone_test.go
@@ -16,9 +16,9 @@
 func TestAloneOwnerSaysNothingUnsynced(t *testing.T) {
 	Convey("Given a group of one with a learner", t, func() {
 		g := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0", "~b/0"}, Bounds: timing.Default, Seed: 1}, HardState{}, nil, nil, 0)
-		now := timing.Default.Config
-		isTold := func(out Out) bool {
-			for _, m := range out.Now {
+		now := timing.Default.ConfigApply
+		isTold := func(out Output) bool {
+			for _, m := range out.SendNow {
 				if m.Kind == MsgAppend {
 					return true
 				}
--- a/internal/group/append.go
+++ b/internal/group/append.go
@@ -9,16 +9,16 @@
 )
 
 // append puts one entry of the owner's own into its log.
-func (g *Group) append(e wire.Entry, out *Out) {
+func (g *Group) append(e wire.Entry, out *Output) {
 	e.Index, e.Term = g.last()+1, g.hard.Term
 	g.log = append(g.log, e)
 	g.noteRoster(e)
-	p := g.persist(out)
+	p := g.durableUpdate(out)
 	p.Entries = append(p.Entries, e)
 }
 
 // heartbeat opens a new round: replies to it confirm that the owner still is one.
-func (g *Group) heartbeat(now time.Duration, out *Out) {
+func (g *Group) heartbeat(now time.Duration, out *Output) {
 	period := g.opts.Bounds.Of(timing.Heartbeat) // all groups of a store heartbeat together
 	g.heartbeatAt = now - now%period + period
 	g.round++
@@ -28,12 +28,12 @@
 		g.rounds = g.rounds[1:]
 	}
 	g.confirm(now)
-	for _, m := range g.others() {
+	for _, m := range g.replicationTargets() {
 		g.sendTo(m, true, now, out)
 	}
 }
 
-func (g *Group) hear(m wire.GroupMsg, now time.Duration, out *Out) {
+func (g *Group) onOwnerMessage(m wire.GroupMsg, now time.Duration, out *Output) {
 	if g.role != Follower || g.owner != m.From {
 		g.become(Follower, m.Term, m.From, now, out)
 	}
@@ -41,9 +41,9 @@
 	g.resetElectionTimer(now)
 }
 
-func (g *Group) onAppend(m wire.GroupMsg, now time.Duration, out *Out) {
-	g.hear(m, now, out)
-	reply := wire.GroupMsg{Round: m.Round, Index: g.last(), Commit: m.Index, Level: g.opts.Level}
+func (g *Group) onAppend(m wire.GroupMsg, now time.Duration, out *Output) {
+	g.onOwnerMessage(m, now, out)
+	reply := wire.GroupMsg{Round: m.Round, Index: g.last(), Commit: m.Index, Level: g.opts.SupportedLevel}
 	term, isHeld := g.termAt(m.Index)
 	if m.Index < g.base { // the image covers it: skip what is below
 		skip := min(int64(len(m.Entries)), g.base-m.Index)
@@ -56,7 +56,7 @@
 		if isHeld {
 			reply.Index = max(g.base, min(g.hard.Commit, m.Index-1))
 		}
-		out.After = append(out.After, g.msg(MsgAppendReply, m.From, reply))
+		out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgAppendReply, m.From, reply))
 		return
 	}
 	g.merge(m.Entries, out)
@@ -65,11 +65,11 @@
 		g.hard.Commit = commit
 	}
 	reply.Index, reply.Commit = tail, 0
-	out.After = append(out.After, g.msg(MsgAppendReply, m.From, reply))
+	out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgAppendReply, m.From, reply))
 }
 
 // merge takes the owner's entries; where one differs, ours go from there on.
-func (g *Group) merge(entries []wire.Entry, out *Out) {
+func (g *Group) merge(entries []wire.Entry, out *Output) {
 	for i, e := range entries {
 		if term, isHeld := g.termAt(e.Index); isHeld && term == e.Term {
 			continue
@@ -86,35 +86,35 @@
 			g.log = append(g.log, e)
 			g.noteRoster(e)
 		}
-		p := g.persist(out)
+		p := g.durableUpdate(out)
 		p.Entries = append(p.Entries, entries[i:]...)
 		return
 	}
 }
 
-func (g *Group) onImage(m wire.GroupMsg, now time.Duration, out *Out) {
-	g.hear(m, now, out)
+func (g *Group) onSnapshot(m wire.GroupMsg, now time.Duration, out *Output) {
+	g.onOwnerMessage(m, now, out)
 	if term, isHeld := g.termAt(m.Index); isHeld && term == m.LogTerm {
 		// Our log holds all that the image does, and perhaps more that we have
 		// acknowledged: dropping it would take an acknowledgement back.
 		g.hard.Commit = max(g.hard.Commit, m.Index)
 	} else if m.Index > g.hard.Commit {
-		image := &Image{Index: m.Index, Term: m.LogTerm, Roster: m.Roster, State: m.State}
+		snapshot := &Snapshot{Index: m.Index, Term: m.LogTerm, Roster: m.Roster, State: m.State}
 		g.log, g.base, g.baseTerm = nil, m.Index, m.LogTerm
-		g.image, g.imageT = m.Index, m.LogTerm
+		g.snapshotIndex, g.snapshotTerm = m.Index, m.LogTerm
 		g.rosters = []rosterAt{{m.Index, m.Roster}}
 		g.hard.Commit, g.applied, g.synced = m.Index, m.Index, m.Index
-		p := g.persist(out)
-		p.Image = image
+		p := g.durableUpdate(out)
+		p.Snapshot = snapshot
 		hard := g.hard
 		p.Hard = &hard
-		out.Install = image
+		out.Install = snapshot
 	}
-	out.After = append(out.After, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Round: m.Round, Index: g.hard.Commit, Level: g.opts.Level}))
+	out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Round: m.Round, Index: g.hard.Commit, Level: g.opts.SupportedLevel}))
 }
 
 // advanceCommit moves the commit to what a majority has synced in this term.
-func (g *Group) advanceCommit(now time.Duration, out *Out) {
+func (g *Group) advanceCommit(now time.Duration, out *Output) {
 	if g.role != Owner {
 		return
 	}
--- a/internal/group/campaign_test.go
+++ b/internal/group/campaign_test.go
@@ -14,7 +14,7 @@
 // votes.
 func campaigns(g *Group, from, until time.Duration) (at []time.Duration) {
 	for now := from; now < until; now += time.Millisecond {
-		for _, m := range g.Tick(now).Now {
+		for _, m := range g.Tick(now).SendNow {
 			if m.Kind == MsgPreVote {
 				at = append(at, now)
 				break
--- a/internal/group/canonical.go
+++ b/internal/group/canonical.go
@@ -12,12 +12,12 @@
 
 // Canonical appends a replica's state to raw, so that two replicas that can
 // only behave alike have the same bytes. Every field counts, a later one too,
-// but for those in leftOut. Times count only by what they decide at now: how
+// but for those in excludedFields. Times count only by what they decide at now: how
 // many pulses ago something was, and whether an owner was heard lately. Rosters
 // count as sets. Rename is given every member id, so that a caller can fold
 // members that stand alike.
 func (g *Group) Canonical(raw []byte, now time.Duration, rename func(member string) string) []byte {
-	w := canonical{raw, now, g.opts.Bounds.Of(timing.Heartbeat), rename}
+	w := canonicalWriter{raw, now, g.opts.Bounds.Of(timing.Heartbeat), rename}
 	w.member(g.opts.Self)
 	w.flag(g.hasOwner(now))
 	for _, r := range g.rounds {
@@ -32,14 +32,14 @@
 	return w.raw
 }
 
-// leftOut are the fields that Canonical writes in another way, or not at all:
+// excludedFields are the fields that Canonical writes in another way, or not at all:
 // what decides only when a replica campaigns or sends a heartbeat, which a search chooses
 // itself, and which member is told first that it may stand.
-var leftOut = map[string]bool{"opts": true, "rand": true, "rounds": true, "rosters": true, "log": true,
+var excludedFields = map[string]bool{"opts": true, "rand": true, "rounds": true, "rosters": true, "log": true,
 	"heardAt": true, "electionAt": true, "campaignPause": true, "heartbeatAt": true, "ackedAt": true, "preferredSince": true}
 
-// clipped: what is longer ago than this many pulses is as long ago as for ever.
-const clipped = 16
+// heartbeatsAgoLimit: what is longer ago than this many pulses is as long ago as for ever.
+const heartbeatsAgoLimit = 16
 
 // AppendEntries appends log entries; a roster's members are left to the caller.
 func AppendEntries(raw []byte, entries []wire.Entry) []byte {
@@ -49,26 +49,26 @@
 		raw = append(raw, byte(e.Kind))
 		if e.Kind == EntryData {
 			raw = binary.AppendVarint(raw, int64(len(e.Data)))
-			raw = append(raw, e.Data[:min(len(e.Data), wordBytes)]...)
+			raw = append(raw, e.Data[:min(len(e.Data), commandPrefixBytes)]...)
 		}
 	}
 	return raw
 }
 
-// wordBytes of a command tell it from all others.
-const wordBytes = 16
+// commandPrefixBytes of a command tell it from all others.
+const commandPrefixBytes = 16
 
-// canonical writes values one after the other, each with its end marked.
-type canonical struct {
+// canonicalWriter writes values one after the other, each with its end marked.
+type canonicalWriter struct {
 	raw       []byte
 	now       time.Duration
 	heartbeat time.Duration
 	rename    func(member string) string
 }
 
-func (w *canonical) number(n int64) { w.raw = binary.AppendVarint(w.raw, n) }
+func (w *canonicalWriter) number(n int64) { w.raw = binary.AppendVarint(w.raw, n) }
 
-func (w *canonical) flag(is bool) {
+func (w *canonicalWriter) flag(is bool) {
 	if is {
 		w.raw = append(w.raw, 1)
 	} else {
@@ -76,30 +76,30 @@
 	}
 }
 
-func (w *canonical) member(m string) {
+func (w *canonicalWriter) member(m string) {
 	if m != "" {
 		m = w.rename(m)
 	}
 	w.raw = append(append(w.raw, m...), 0)
 }
 
-func (w *canonical) ago(at time.Duration) {
+func (w *canonicalWriter) age(at time.Duration) {
 	if at == 0 {
 		w.number(-1)
 	} else {
-		w.number(min(clipped, int64((w.now-at)/w.heartbeat)))
+		w.number(min(heartbeatsAgoLimit, int64((w.now-at)/w.heartbeat)))
 	}
 }
 
 // value writes any field of a replica: its numbers, flags, times and members,
 // and what is known by member.
-func (w *canonical) value(v reflect.Value) {
+func (w *canonicalWriter) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
 		w.flag(v.Bool())
 	case reflect.Int, reflect.Int32, reflect.Int64:
 		if v.Type() == reflect.TypeFor[time.Duration]() {
-			w.ago(time.Duration(v.Int()))
+			w.age(time.Duration(v.Int()))
 		} else {
 			w.number(v.Int())
 		}
@@ -117,7 +117,7 @@
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if !leftOut[v.Type().Field(i).Name] {
+			if !excludedFields[v.Type().Field(i).Name] {
 				w.value(v.Field(i))
 			}
 		}
@@ -126,20 +126,20 @@
 	}
 }
 
-func (w *canonical) byMember(v reflect.Value) {
+func (w *canonicalWriter) byMember(v reflect.Value) {
 	members, held := []string{}, map[string]reflect.Value{}
 	for i := v.MapRange(); i.Next(); {
 		members = append(members, i.Key().String())
 		held[i.Key().String()] = i.Value()
 	}
-	w.ordered(members, func(m string) { w.value(held[m]) })
+	w.sortedMembers(members, func(m string) { w.value(held[m]) })
 }
 
-func (w *canonical) set(list []string) { w.ordered(list, func(string) {}) }
+func (w *canonicalWriter) set(list []string) { w.sortedMembers(list, func(string) {}) }
 
-// ordered writes members in the order of their new names, each with what more
+// sortedMembers writes members in the order of their new names, each with what more
 // there is to say of it.
-func (w *canonical) ordered(list []string, more func(member string)) {
+func (w *canonicalWriter) sortedMembers(list []string, more func(member string)) {
 	sorted := make([][2]string, 0, len(list)) // new name, old name
 	for _, m := range list {
 		sorted = append(sorted, [2]string{w.rename(m), m})
--- a/internal/group/clone.go
+++ b/internal/group/clone.go
@@ -16,12 +16,12 @@
 	c.rosters = slices.Clone(g.rosters)
 	c.votes = maps.Clone(g.votes)
 	c.rounds = slices.Clone(g.rounds)
-	c.renamed = maps.Clone(g.renamed)
+	c.newIncarnations = maps.Clone(g.newIncarnations)
 	if g.peers != nil {
 		c.peers = make(map[string]*peerState, len(g.peers))
 		for m, p := range g.peers {
 			own := *p
-			own.flight = slices.Clone(p.flight)
+			own.inFlight = slices.Clone(p.inFlight)
 			c.peers[m] = &own
 		}
 	}
--- a/internal/group/clone_test.go
+++ b/internal/group/clone_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// isSettled names what replicas may share: it is never written to.
-var isSettled = map[string]bool{"opts": true, "Data": true, "members": true}
+// immutableFields names what replicas may share: it is never written to.
+var immutableFields = map[string]bool{"opts": true, "Data": true, "members": true}
 
 // shared names the maps, slices and pointers that two values have in common.
 func shared(a, b reflect.Value, path string) (out []string) {
@@ -36,7 +36,7 @@
 		}
 	case reflect.Struct:
 		for i := range a.NumField() {
-			if name := a.Type().Field(i).Name; !isSettled[name] {
+			if name := a.Type().Field(i).Name; !immutableFields[name] {
 				out = append(out, shared(a.Field(i), b.Field(i), path+"."+name)...)
 			}
 		}
@@ -48,8 +48,8 @@
 // search change each other.
 func TestClone(t *testing.T) {
 	Convey("Given an owner with all there is to know", t, func() {
-		g := owned(1)
-		g.renamed["x"] = "x/1"
+		g := ownerWithAck(1)
+		g.newIncarnations["x"] = "x/1"
 		g.Tick(time.Second / 10)
 		Convey("its copy looks the same and shares nothing that changes", func() {
 			c := g.Clone()
--- a/internal/group/elect.go
+++ b/internal/group/elect.go
@@ -8,17 +8,17 @@
 )
 
 // become is the one place where a replica changes its role, owner or term.
-func (g *Group) become(role Role, term int64, owner string, now time.Duration, out *Out) {
+func (g *Group) become(role Role, term int64, owner string, now time.Duration, out *Output) {
 	if term > g.hard.Term {
 		g.hard.Term, g.hard.Vote = term, ""
 		g.saveHard(out)
 	}
 	if role != g.role || owner != g.owner {
-		out.Changed = true
+		out.IsOwnershipChanged = true
 	}
 	g.role, g.owner = role, owner
 	g.votes, g.peers, g.rounds, g.successor = nil, nil, nil, ""
-	g.isSure = false
+	g.isConfirmed = false
 	switch role {
 	case Follower:
 		g.resetElectionTimer(now)
@@ -27,12 +27,12 @@
 		g.resetCampaignTimer(now)
 	case Owner:
 		g.campaignPause = 0
-		g.peers, g.preferredName, g.heartbeatAt = map[string]*peerState{}, "", now
-		g.confirmed, g.ownedAt = now, now
-		g.append(wire.Entry{Kind: EntryBlank}, out)
-		g.blankAt = g.last()
-		for _, m := range g.others() { // the first probe brings the blank entry along
-			g.peers[m] = &peerState{next: g.blankAt, isProbing: true}
+		g.peers, g.preferredMember, g.heartbeatAt = map[string]*peerState{}, "", now
+		g.confirmedAt, g.ownedAt = now, now
+		g.append(wire.Entry{Kind: EntryNoOp}, out)
+		g.noOpIndex = g.last()
+		for _, m := range g.replicationTargets() { // the first probe brings the blank entry along
+			g.peers[m] = &peerState{next: g.noOpIndex, isProbing: true}
 		}
 		g.heartbeat(now, out)
 	}
@@ -52,35 +52,35 @@
 	g.electionAt = now + g.campaignPause + time.Duration(g.rand.Int64N(int64(g.campaignPause)))
 }
 
-func (g *Group) saveHard(out *Out) {
+func (g *Group) saveHard(out *Output) {
 	hard := g.hard
-	g.persist(out).Hard = &hard
+	g.durableUpdate(out).Hard = &hard
 }
 
-func (g *Group) persist(out *Out) *Persist {
+func (g *Group) durableUpdate(out *Output) *DurableUpdate {
 	if out.Persist == nil {
-		out.Persist = &Persist{}
+		out.Persist = &DurableUpdate{}
 	}
 	return out.Persist
 }
 
 // startPreVote starts a pre-vote: it changes no term, so a returning replica that
 // cannot win disturbs nobody.
-func (g *Group) startPreVote(now time.Duration, out *Out) {
+func (g *Group) startPreVote(now time.Duration, out *Output) {
 	if !g.isVoter() {
 		g.resetElectionTimer(now)
 		return
 	}
 	g.become(PreCandidate, g.hard.Term, "", now, out)
-	g.requestVotes(MsgPreVote, g.hard.Term+1, &out.Now)
+	g.requestVotes(MsgPreVote, g.hard.Term+1, &out.SendNow)
 	g.countVotes(now, out)
 }
 
-func (g *Group) campaign(now time.Duration, out *Out) {
+func (g *Group) campaign(now time.Duration, out *Output) {
 	g.become(Candidate, g.hard.Term+1, "", now, out)
 	g.hard.Vote = g.opts.Self
 	g.saveHard(out)
-	g.requestVotes(MsgVote, g.hard.Term, &out.After)
+	g.requestVotes(MsgVote, g.hard.Term, &out.SendAfterSync)
 	g.countVotes(now, out)
 }
 
@@ -101,8 +101,8 @@
 }
 
 // countVotes looks whether the votes so far are a majority.
-func (g *Group) countVotes(now time.Duration, out *Out) {
-	if !g.majority(func(m string) bool { return g.votes[m] }) {
+func (g *Group) countVotes(now time.Duration, out *Output) {
+	if !g.hasMajority(func(m string) bool { return g.votes[m] }) {
 		return
 	}
 	if g.role == PreCandidate {
@@ -112,9 +112,9 @@
 	}
 }
 
-// upToDate reports whether a candidate's log holds all that ours may have
+// isUpToDate reports whether a candidate's log holds all that ours may have
 // helped to commit.
-func (g *Group) upToDate(m wire.GroupMsg) bool {
+func (g *Group) isUpToDate(m wire.GroupMsg) bool {
 	return m.LogTerm > g.lastTerm() || m.LogTerm == g.lastTerm() && m.Index >= g.last()
 }
 
@@ -123,31 +123,31 @@
 	return g.role == Owner || g.owner != "" && now-g.heardAt < g.opts.Bounds.Of(timing.ElectionTimeout)
 }
 
-func (g *Group) onPreVote(m wire.GroupMsg, now time.Duration, out *Out) {
-	isGranted := m.Term > g.hard.Term && g.upToDate(m) && !g.hasOwner(now) && g.holdsState()
+func (g *Group) onPreVote(m wire.GroupMsg, now time.Duration, out *Output) {
+	isGranted := m.Term > g.hard.Term && g.isUpToDate(m) && !g.hasOwner(now) && g.holdsState()
 	term := m.Term
 	if term <= g.hard.Term { // the candidate is behind: let it catch up with our term
 		term = g.hard.Term + 1
 	}
-	out.Now = append(out.Now, g.msg(MsgPreVoteReply, m.From, wire.GroupMsg{Term: term, Reject: !isGranted}))
+	out.SendNow = append(out.SendNow, g.msg(MsgPreVoteReply, m.From, wire.GroupMsg{Term: term, Reject: !isGranted}))
 }
 
-func (g *Group) onVote(m wire.GroupMsg, now time.Duration, out *Out) {
+func (g *Group) onVote(m wire.GroupMsg, now time.Duration, out *Output) {
 	isGranted := m.Term == g.hard.Term && (g.hard.Vote == "" || g.hard.Vote == m.From) &&
-		g.upToDate(m) && g.role == Follower && g.holdsState()
+		g.isUpToDate(m) && g.role == Follower && g.holdsState()
 	if isGranted {
 		g.hard.Vote = m.From
 		g.saveHard(out)
 		g.resetElectionTimer(now)
 	}
-	out.After = append(out.After, g.msg(MsgVoteReply, m.From, wire.GroupMsg{Reject: !isGranted}))
+	out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgVoteReply, m.From, wire.GroupMsg{Reject: !isGranted}))
 }
 
 // holdsState is false for a replica that was never told its roster: it may
 // have lost what it once promised, so it never votes.
 func (g *Group) holdsState() bool { return len(g.roster()) > 0 }
 
-func (g *Group) onVoteReply(m wire.GroupMsg, now time.Duration, out *Out) {
+func (g *Group) onVoteReply(m wire.GroupMsg, now time.Duration, out *Output) {
 	isOurs := g.role == PreCandidate && m.Kind == MsgPreVoteReply && m.Term == g.hard.Term+1 ||
 		g.role == Candidate && m.Kind == MsgVoteReply && m.Term == g.hard.Term
 	if isOurs && !m.Reject {
--- a/internal/group/flow_test.go
+++ b/internal/group/flow_test.go
@@ -22,8 +22,8 @@
 		for _, c := range []struct{ delay, sync time.Duration }{{time.Millisecond, 2 * time.Millisecond}, {6 * time.Millisecond, 8 * time.Millisecond},
 			{60 * time.Millisecond, 8 * time.Millisecond}, {100 * time.Millisecond, 60 * time.Millisecond}, {3 * time.Millisecond, 200 * time.Millisecond}} {
 			Convey(fmt.Sprintf("links of %v and disks of %v", c.delay, c.sync), func() {
-				p := newPair(c.delay, c.sync)
-				p.found()
+				p := newTestCluster(c.delay, c.sync)
+				p.start()
 				p.run(2*time.Second, 0, 0)
 				p.run(6*time.Second, 10*time.Millisecond, 4000)
 				p.run(7*time.Second, 0, 0)
@@ -41,13 +41,13 @@
 // misses about once, and pulses never wait long behind it.
 func TestBytesAfterAbsence(t *testing.T) {
 	Convey("Given a link of 3 MB a second to a member that was away for two seconds", t, func() {
-		p := newPair(6*time.Millisecond, 2*time.Millisecond)
-		p.rate, p.room = 3<<20, 256<<10
+		p := newTestCluster(6*time.Millisecond, 2*time.Millisecond)
+		p.rate, p.maxLinkBacklog = 3<<20, 256<<10
 		isAway := func(now time.Duration) bool { return now > 3*time.Second && now < 5*time.Second }
-		p.lose = func(now time.Duration, m wire.GroupMsg) bool {
+		p.isLost = func(now time.Duration, m wire.GroupMsg) bool {
 			return isAway(now) && (m.To == trio[1] || m.From == trio[1])
 		}
-		p.found()
+		p.start()
 		p.run(2*time.Second, 0, 0)
 		Convey("what it gets again is little", func() {
 			p.run(9*time.Second, 5*time.Millisecond, 8000)
@@ -55,28 +55,28 @@
 			So(p.applied, ShouldEqual, p.accepted)
 			So(p.members[trio[1]].View().Last, ShouldEqual, p.members[trio[0]].View().Last)
 			So(float64(p.sent[trio[0]+">"+trio[1]]), ShouldBeLessThan, 1.1*float64(p.accepted))
-			So(p.waits, ShouldBeLessThan, timing.Default.Of(timing.ElectionTimeout))
+			So(p.longestLinkWait, ShouldBeLessThan, timing.Default.Of(timing.ElectionTimeout))
 		})
 		Convey("nothing goes to it blindly meanwhile", func() {
 			before := 0
 			p.run(3200*time.Millisecond, 5*time.Millisecond, 8000)
 			before = p.sent[trio[0]+">"+trio[1]]
 			p.run(4900*time.Millisecond, 5*time.Millisecond, 8000)
-			So(p.sent[trio[0]+">"+trio[1]]-before, ShouldBeLessThan, 2*FlightBytes)
+			So(p.sent[trio[0]+">"+trio[1]]-before, ShouldBeLessThan, 2*InFlightBytesLimit)
 		})
 		Convey("an image that takes long goes once", func() {
-			p.rate, p.room = 500<<10, 64<<10
+			p.rate, p.maxLinkBacklog = 500<<10, 64<<10
 			p.run(4900*time.Millisecond, 20*time.Millisecond, 4000)
 			p.compact(trio[0])
 			p.run(11*time.Second, 20*time.Millisecond, 4000)
 			So(p.members[trio[1]].View().Commit, ShouldBeGreaterThan, p.members[trio[0]].View().Commit-20)
-			So(p.sent[trio[0]+">"+trio[1]], ShouldBeBetween, 700<<10, 700<<10+FlightBytes+p.accepted)
+			So(p.sent[trio[0]+">"+trio[1]], ShouldBeBetween, 700<<10, 700<<10+InFlightBytesLimit+p.accepted)
 		})
 		Convey("an image that is lost goes again", func() {
 			lost := 0
-			away := p.lose
-			p.lose = func(now time.Duration, m wire.GroupMsg) bool {
-				if m.Kind == MsgImage && lost == 0 {
+			away := p.isLost
+			p.isLost = func(now time.Duration, m wire.GroupMsg) bool {
+				if m.Kind == MsgSnapshot && lost == 0 {
 					lost++
 					return true
 				}
@@ -95,34 +95,34 @@
 // sent again once, not once for each that was refused.
 func TestLostAppends(t *testing.T) {
 	Convey("Given twenty entries under way of which the third is lost", t, func() {
-		p := newPair(60*time.Millisecond, 2*time.Millisecond)
+		p := newTestCluster(60*time.Millisecond, 2*time.Millisecond)
 		index := int64(0)
-		p.lose = func(_ time.Duration, m wire.GroupMsg) bool {
+		p.isLost = func(_ time.Duration, m wire.GroupMsg) bool {
 			isIt := m.To == trio[1] && slices.ContainsFunc(m.Entries, func(e wire.Entry) bool { return e.Index == 40 }) && index == 0
 			if isIt {
 				index = 40
 			}
 			return isIt
 		}
-		p.found()
+		p.start()
 		p.run(2*time.Second, 0, 0)
 		p.run(4*time.Second, 5*time.Millisecond, 4000)
 		p.run(5*time.Second, 0, 0)
 		So(index, ShouldEqual, 40)
 		So(p.applied, ShouldEqual, p.accepted)
 		So(p.members[trio[1]].View().Last, ShouldEqual, p.members[trio[0]].View().Last)
-		So(p.sent[trio[0]+">"+trio[1]]-p.accepted, ShouldBeLessThan, 2*FlightBytes)
+		So(p.sent[trio[0]+">"+trio[1]]-p.accepted, ShouldBeLessThan, 2*InFlightBytesLimit)
 	})
 }
 
 // TestTail: a member that misses a little of what an image holds gets just that.
 func TestTail(t *testing.T) {
 	Convey("Given an owner that makes an image while a member misses a little", t, func() {
-		p := newPair(6*time.Millisecond, 2*time.Millisecond)
-		p.lose = func(now time.Duration, m wire.GroupMsg) bool {
+		p := newTestCluster(6*time.Millisecond, 2*time.Millisecond)
+		p.isLost = func(now time.Duration, m wire.GroupMsg) bool {
 			return now > 3*time.Second && now < 4*time.Second && (m.To == trio[1] || m.From == trio[1])
 		}
-		p.found()
+		p.start()
 		p.run(2*time.Second, 0, 0)
 		p.run(3900*time.Millisecond, 20*time.Millisecond, 1000)
 		p.compact(trio[0])
@@ -130,12 +130,12 @@
 			p.run(6*time.Second, 20*time.Millisecond, 1000)
 			p.run(7*time.Second, 0, 0)
 			So(p.members[trio[1]].View().Commit, ShouldEqual, p.members[trio[0]].View().Commit)
-			So(p.sent[trio[0]+">"+trio[1]], ShouldBeLessThan, p.accepted+FlightBytes)
+			So(p.sent[trio[0]+">"+trio[1]], ShouldBeLessThan, p.accepted+InFlightBytesLimit)
 		})
 		Convey("the slot holds the image and what is behind it", func() {
 			owner := p.members[trio[0]]
 			owner.Propose([]byte("behind it"), p.now)
-			hard, log := owner.Whole()
+			hard, log := owner.DurableState()
 			So(log[0].Index, ShouldEqual, p.images[trio[0]].Index+1)
 			again := New(Options{Id: 1, Self: trio[0], Bounds: timing.Default}, hard, p.images[trio[0]], log, 0)
 			So(again.View().Last, ShouldEqual, owner.View().Last)
@@ -150,12 +150,12 @@
 	Convey("Over links that lose, repeat and swap messages", t, func() {
 		for seed := range uint64(flowSeeds) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			p := newPair(6*time.Millisecond, 8*time.Millisecond)
+			p := newTestCluster(6*time.Millisecond, 8*time.Millisecond)
 			share, cut := random.Float64()*0.3, ""
-			p.lose = func(_ time.Duration, m wire.GroupMsg) bool {
+			p.isLost = func(_ time.Duration, m wire.GroupMsg) bool {
 				isCut := cut != "" && (m.From == cut || m.To == cut)
 				if !isCut && random.Float64() < share/4 {
-					p.after(time.Duration(random.IntN(200))*time.Millisecond, func() { p.do(m.To, p.members[m.To].Receive(m, p.now)) })
+					p.after(time.Duration(random.IntN(200))*time.Millisecond, func() { p.handle(m.To, p.members[m.To].Receive(m, p.now)) })
 				}
 				return isCut || random.Float64() < share
 			}
@@ -165,7 +165,7 @@
 				}
 				return time.Duration(random.IntN(100)) * time.Millisecond
 			}
-			p.found()
+			p.start()
 			for range 12 {
 				cut = append(slices.Clone(trio), "", "")[random.IntN(5)]
 				p.run(p.now+time.Duration(200+random.IntN(1500))*time.Millisecond, 5*time.Millisecond, 1+random.IntN(12000))
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -29,7 +29,7 @@
 // Kinds of log entry.
 const (
 	EntryData   int32 = iota // a command of the state machine above
-	EntryBlank               // opens an owner's term
+	EntryNoOp                // opens an owner's term
 	EntryRoster              // a new roster
 )
 
@@ -41,23 +41,23 @@
 	MsgVoteReply
 	MsgAppend
 	MsgAppendReply
-	MsgImage    // a whole state for a replica that is too far behind
-	MsgCampaign // the owner hands over: campaign at once
-	MsgNotMe    // the member addressed is gone; From is its new incarnation
-	MsgPart     // a part of a large image; hosts put it together
+	MsgSnapshot         // a whole state for a replica that is too far behind
+	MsgCampaign         // the owner hands over: campaign at once
+	MsgWrongIncarnation // the member addressed is gone; From is its new incarnation
+	MsgSnapshotChunk    // a part of a large image; hosts put it together
 )
 
 // Options found a replica.
 type Options struct {
-	Id     int64
-	Self   string // member id: name/incarnation
-	Roster []string
-	Bounds timing.Bounds
-	Seed   uint64
-	Prefer func(roster []string) string // who should own the group
-	Room   func(member string) bool     // whether the link to a member takes more; none given: always
-	Level  int64                        // the newest feature level that this replica can apply
-	Needed func() int64                 // the level that the group has agreed on, or is about to; none given: 0
+	Id             int64
+	Self           string // member id: name/incarnation
+	Roster         []string
+	Bounds         timing.Bounds
+	Seed           uint64
+	PreferredOwner func(roster []string) string // who should own the group
+	HasRoom        func(member string) bool     // whether the link to a member takes more; none given: always
+	SupportedLevel int64                        // the newest feature level that this replica can apply
+	RequiredLevel  func() int64                 // the level that the group has agreed on, or is about to; none given: 0
 }
 
 // HardState is what must be durable before a replica answers. Kept says that the
@@ -68,28 +68,28 @@
 	Commit int64
 }
 
-// Image is a whole state up to an index.
-type Image struct {
+// Snapshot is a whole state up to an index.
+type Snapshot struct {
 	Index, Term int64
 	Roster      []string
 	State       []byte
 }
 
-// Persist is what one step must sync before its After messages may leave.
-type Persist struct {
-	Hard    *HardState
-	Entries []wire.Entry // replaces everything from Entries[0].Index on
-	Image   *Image       // replaces the whole log
+// DurableUpdate is what one step must sync before its After messages may leave.
+type DurableUpdate struct {
+	Hard     *HardState
+	Entries  []wire.Entry // replaces everything from Entries[0].Index on
+	Snapshot *Snapshot    // replaces the whole log
 }
 
-// Out is all that one step wants done.
-type Out struct {
-	Persist *Persist
-	Now     []wire.GroupMsg // may leave at once
-	After   []wire.GroupMsg // may leave once Persist is synced
-	Apply   []wire.Entry    // committed, in order
-	Install *Image          // replaces the state machine's state, before Apply
-	Changed bool            // role, owner or term changed
+// Output is all that one step wants done.
+type Output struct {
+	Persist            *DurableUpdate
+	SendNow            []wire.GroupMsg // may leave at once
+	SendAfterSync      []wire.GroupMsg // may leave once Persist is synced
+	Apply              []wire.Entry    // committed, in order
+	Install            *Snapshot       // replaces the state machine's state, before Apply
+	IsOwnershipChanged bool            // role, owner or term changed
 }
 
 // Group is one replica.
@@ -100,40 +100,40 @@
 // synced is how far this replica's own log is on disk, and only that counts
 // towards a majority.
 type Group struct {
-	opts     Options
-	rand     *rand.Rand
-	role     Role
-	hard     HardState
-	owner    string
-	base     int64 // what the log begins behind
-	baseTerm int64
-	image    int64 // the newest image's index: base, or a little later
-	imageT   int64
-	log      []wire.Entry
-	rosters  []rosterAt // newest last; the first is that of base
-	synced   int64
-
-	applied         int64
-	heardAt         time.Duration // last word from the owner
-	electionAt      time.Duration
-	campaignPause   time.Duration // after the newest vain campaign; 0 once an owner was heard
-	heartbeatAt     time.Duration
-	heartbeatCommit int64 // commit when the last round began
-	votes           map[string]bool
-	peers           map[string]*peerState
-	round           int64
-	rounds          []roundAt // sent and not yet confirmed
-	confirmed       time.Duration
-	ownedAt         time.Duration // when this replica became the owner
-	isSure          bool          // confirmed is valid in this term
-	blankAt         int64
-	announcedCommit int64         // the newest commit that went out with entries or by a tick
-	replicatedAt    time.Duration // when entries went out last
-	preferredSince  time.Duration
-	preferredName   string
-	successor       string            // ownership is being handed to it: nothing is proposed meanwhile
-	successorUntil  time.Duration     // else this replica steps down
-	renamed         map[string]string // name -> new member id told by MsgNotMe
+	opts          Options
+	rand          *rand.Rand
+	role          Role
+	hard          HardState
+	owner         string
+	base          int64 // what the log begins behind
+	baseTerm      int64
+	snapshotIndex int64 // the newest image's index: base, or a little later
+	snapshotTerm  int64
+	log           []wire.Entry
+	rosters       []rosterAt // newest last; the first is that of base
+	synced        int64
+
+	applied          int64
+	heardAt          time.Duration // last word from the owner
+	electionAt       time.Duration
+	campaignPause    time.Duration // after the newest vain campaign; 0 once an owner was heard
+	heartbeatAt      time.Duration
+	heartbeatCommit  int64 // commit when the last round began
+	votes            map[string]bool
+	peers            map[string]*peerState
+	round            int64
+	rounds           []roundAt // sent and not yet confirmed
+	confirmedAt      time.Duration
+	ownedAt          time.Duration // when this replica became the owner
+	isConfirmed      bool          // confirmed is valid in this term
+	noOpIndex        int64
+	announcedCommit  int64         // the newest commit that went out with entries or by a tick
+	replicatedAt     time.Duration // when entries went out last
+	preferredSince   time.Duration
+	preferredMember  string
+	successor        string            // ownership is being handed to it: nothing is proposed meanwhile
+	transferDeadline time.Duration     // else this replica steps down
+	newIncarnations  map[string]string // name -> new member id told by MsgWrongIncarnation
 }
 
 type rosterAt struct {
@@ -148,14 +148,14 @@
 
 // New makes a replica from what its disk held. With no image and no roster it
 // is a listener that waits for an owner to bring it up to date.
-func New(opts Options, hard HardState, image *Image, log []wire.Entry, now time.Duration) *Group {
-	g := &Group{opts: opts, hard: hard, log: log, renamed: map[string]string{},
+func New(opts Options, hard HardState, snapshot *Snapshot, log []wire.Entry, now time.Duration) *Group {
+	g := &Group{opts: opts, hard: hard, log: log, newIncarnations: map[string]string{},
 		rand: rand.New(rand.NewPCG(opts.Seed, uint64(opts.Id)))}
 	roster := opts.Roster
-	if image != nil {
-		g.base, g.baseTerm, roster = image.Index, image.Term, image.Roster
+	if snapshot != nil {
+		g.base, g.baseTerm, roster = snapshot.Index, snapshot.Term, snapshot.Roster
 	}
-	g.image, g.imageT = g.base, g.baseTerm
+	g.snapshotIndex, g.snapshotTerm = g.base, g.baseTerm
 	g.rosters = []rosterAt{{g.base, roster}}
 	for _, e := range log {
 		g.noteRoster(e)
@@ -211,13 +211,13 @@
 
 func (g *Group) isVoter() bool { return slices.Contains(g.roster(), g.opts.Self) }
 
-// others are the members that this replica speaks to as an owner. There are
+// replicationTargets are the members that this replica speaks to as an owner. There are
 // none while its own disk lacks its first entry, and so may lack the term: one
 // that was elected by its own vote alone could lose both, own the term a second
 // time, and be found to have told its learners of another first entry.
-func (g *Group) others() []string {
+func (g *Group) replicationTargets() []string {
 	out := []string{}
-	if g.role == Owner && g.synced < g.blankAt && len(Voters(g.roster())) == 1 {
+	if g.role == Owner && g.synced < g.noOpIndex && len(Voters(g.roster())) == 1 {
 		return out
 	}
 	for _, m := range g.roster() {
@@ -229,11 +229,11 @@
 }
 
 func (g *Group) isPreferred() bool {
-	return g.opts.Prefer != nil && g.isVoter() && g.opts.Prefer(g.roster()) == g.opts.Self
+	return g.opts.PreferredOwner != nil && g.isVoter() && g.opts.PreferredOwner(g.roster()) == g.opts.Self
 }
 
-// majority reports whether the members for which test holds are enough.
-func (g *Group) majority(test func(member string) bool) bool {
+// hasMajority reports whether the members for which test holds are enough.
+func (g *Group) hasMajority(test func(member string) bool) bool {
 	voters, count := Voters(g.roster()), 0
 	for _, m := range voters {
 		if test(m) {
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -50,7 +50,7 @@
 				c.ask.Kind, c.ask.From, c.ask.To = MsgVote, "a/0", "b/0"
 				out := g.Receive(c.ask, time.Millisecond)
 				isYes := false
-				for _, m := range append(out.Now, out.After...) {
+				for _, m := range append(out.SendNow, out.SendAfterSync...) {
 					isYes = isYes || m.Kind == MsgVoteReply && !m.Reject
 				}
 				So(isYes, ShouldEqual, c.isYes)
@@ -67,13 +67,13 @@
 		g := follower(trio, HardState{Term: 1}, nil)
 		g.Receive(wire.GroupMsg{Kind: MsgAppend, From: "a/0", To: "b/0", Term: 1, Entries: entries(1, 1, 1)}, 0)
 		Convey("an image that ends at entry 2 takes nothing back", func() {
-			out := g.Receive(wire.GroupMsg{Kind: MsgImage, From: "a/0", To: "b/0", Term: 1, Index: 2, LogTerm: 1, Roster: trio}, 0)
+			out := g.Receive(wire.GroupMsg{Kind: MsgSnapshot, From: "a/0", To: "b/0", Term: 1, Index: 2, LogTerm: 1, Roster: trio}, 0)
 			So(out.Install, ShouldBeNil)
 			So(g.View().Last, ShouldEqual, 3)
 			So(g.View().Commit, ShouldEqual, 2)
 		})
 		Convey("an image of another history replaces it", func() {
-			out := g.Receive(wire.GroupMsg{Kind: MsgImage, From: "c/0", To: "b/0", Term: 2, Index: 2, LogTerm: 2, Roster: trio}, 0)
+			out := g.Receive(wire.GroupMsg{Kind: MsgSnapshot, From: "c/0", To: "b/0", Term: 2, Index: 2, LogTerm: 2, Roster: trio}, 0)
 			So(out.Install, ShouldNotBeNil)
 			So(g.View().Last, ShouldEqual, 2)
 		})
@@ -86,12 +86,12 @@
 		g.Receive(wire.GroupMsg{Kind: MsgAppend, From: "a/0", To: "b/0", Term: 4}, 0)
 		Convey("it denies a pre-vote and stays in its term", func() {
 			out := g.Receive(wire.GroupMsg{Kind: MsgPreVote, From: "c/0", To: "b/0", Term: 5, Index: 99, LogTerm: 4}, time.Millisecond)
-			So(out.Now[0].Reject, ShouldBeTrue)
+			So(out.SendNow[0].Reject, ShouldBeTrue)
 			So(g.View().Term, ShouldEqual, 4)
 		})
 		Convey("it grants one once the owner has been silent", func() {
-			out := g.Receive(wire.GroupMsg{Kind: MsgPreVote, From: "c/0", To: "b/0", Term: 5, Index: 99, LogTerm: 4}, timing.Default.Config)
-			So(out.Now[0].Reject, ShouldBeFalse)
+			out := g.Receive(wire.GroupMsg{Kind: MsgPreVote, From: "c/0", To: "b/0", Term: 5, Index: 99, LogTerm: 4}, timing.Default.ConfigApply)
+			So(out.SendNow[0].Reject, ShouldBeFalse)
 		})
 	})
 }
@@ -99,7 +99,7 @@
 func TestRosterChangesOneAtATime(t *testing.T) {
 	Convey("Given the owner of a group of one", t, func() {
 		g := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default}, HardState{}, nil, nil, 0)
-		g.Tick(timing.Default.Config)
+		g.Tick(timing.Default.ConfigApply)
 		So(g.View().Role, ShouldEqual, Owner)
 		_, err := g.ChangeRoster(Change{Learn: "b/0"}, 0)
 		So(errs.Is(err, errs.Conflict), ShouldBeTrue) // its own term has no commit yet
@@ -131,7 +131,7 @@
 func TestNewOwner(t *testing.T) {
 	Convey("Given a new owner with an entry of an older term that is not committed", t, func() {
 		g := follower(trio, HardState{Term: 1}, entries(1))
-		now := timing.Default.Config
+		now := timing.Default.ConfigApply
 		g.Tick(now)
 		g.Receive(wire.GroupMsg{Kind: MsgPreVoteReply, From: "a/0", To: "b/0", Term: 2}, now)
 		g.Receive(wire.GroupMsg{Kind: MsgVoteReply, From: "a/0", To: "b/0", Term: 2}, now)
@@ -150,12 +150,12 @@
 			So(g.View().Commit, ShouldEqual, 2)
 		})
 		Convey("its view is not sure before its own entry is committed and a round is answered", func() {
-			So(g.View().IsSure, ShouldBeFalse)
+			So(g.View().IsConfirmed, ShouldBeFalse)
 			reply(1)
-			So(g.View().IsSure, ShouldBeFalse)
+			So(g.View().IsConfirmed, ShouldBeFalse)
 			reply(2)
 			g.Synced(2, 2, now)
-			So(g.View().IsSure, ShouldBeTrue)
+			So(g.View().IsConfirmed, ShouldBeTrue)
 		})
 	})
 }
--- a/internal/group/handover_test.go
+++ b/internal/group/handover_test.go
@@ -10,11 +10,11 @@
 	"caperwheel/internal/wire"
 )
 
-// owned gives an owner of three whose own log is synced and whose peer "a/0"
+// ownerWithAck gives an owner of three whose own log is synced and whose peer "a/0"
 // has answered up to an index.
-func owned(upTo int64) *Group {
+func ownerWithAck(upTo int64) *Group {
 	g := follower(trio, HardState{}, nil)
-	var out Out
+	var out Output
 	g.become(Candidate, 1, "", 0, &out)
 	g.become(Owner, 1, "b/0", 0, &out)
 	g.Propose([]byte("x"), 0)
@@ -23,8 +23,8 @@
 	return g
 }
 
-func isCalled(out Out) bool {
-	for _, m := range out.Now {
+func isPrompted(out Output) bool {
+	for _, m := range out.SendNow {
 		if m.Kind == MsgCampaign && m.To == "a/0" {
 			return true
 		}
@@ -36,19 +36,19 @@
 // every entry, which a busy group's successor never has; it was dropped instead.
 func TestHandOver(t *testing.T) {
 	Convey("Given an owner whose heir misses an entry", t, func() {
-		g := owned(1)
+		g := ownerWithAck(1)
 		successor := g.Successor(func(string) bool { return false }, 2*time.Millisecond)
 		So(successor, ShouldEqual, "a/0")
-		out := g.HandOver(successor, 2*time.Millisecond)
+		out := g.TransferOwnership(successor, 2*time.Millisecond)
 		Convey("nothing is proposed any more, and whoever asks is sent to the heir", func() {
 			_, _, _, isOwner := g.Propose([]byte("y"), 3*time.Millisecond)
 			So(isOwner, ShouldBeFalse)
 			So(g.View().Owner, ShouldEqual, "a/0")
 		})
 		Convey("the heir is called once it has all", func() {
-			So(isCalled(out), ShouldBeFalse)
+			So(isPrompted(out), ShouldBeFalse)
 			out = g.Receive(wire.GroupMsg{Kind: MsgAppendReply, From: "a/0", To: "b/0", Term: 1, Round: 1, Index: 2}, 3*time.Millisecond)
-			So(isCalled(out), ShouldBeTrue)
+			So(isPrompted(out), ShouldBeTrue)
 		})
 		Convey("one that does not take over in time has the owner step down", func() {
 			g.Tick(timing.Default.Of(timing.TransferTimeout) + 10*time.Millisecond)
@@ -72,11 +72,11 @@
 			Convey(c.name, func() {
 				g := follower(trio, HardState{Term: 1}, nil)
 				g.Receive(wire.GroupMsg{Kind: MsgAppend, From: "a/0", To: "b/0", Term: 1}, 0)
-				g.Missing(c.missing, time.Millisecond)
+				g.ReportStoreDown(c.missing, time.Millisecond)
 				So(g.hasOwner(2*time.Millisecond), ShouldEqual, !c.isSoon)
 				out := g.Tick(timing.Default.Of(timing.Heartbeat) + 2*time.Millisecond)
 				isAsking := false
-				for _, m := range out.Now {
+				for _, m := range out.SendNow {
 					isAsking = isAsking || m.Kind == MsgPreVote
 				}
 				So(isAsking, ShouldEqual, c.isSoon)
--- a/internal/group/leaving_test.go
+++ b/internal/group/leaving_test.go
@@ -13,7 +13,7 @@
 // once went on sending to whom it had stopped to know, and its store died.
 func TestLeavingOwner(t *testing.T) {
 	Convey("Given an owner that drops itself and takes one more command", t, func() {
-		g := owned(2)
+		g := ownerWithAck(2)
 		_, err := g.ChangeRoster(Change{Drop: "b/0"}, 2*time.Millisecond)
 		So(err, ShouldBeNil)
 		g.Propose([]byte("y"), 2*time.Millisecond) // comes after the roster
--- a/internal/group/level_test.go
+++ b/internal/group/level_test.go
@@ -31,21 +31,21 @@
 		for _, c := range cases {
 			Convey(c.text, func() {
 				g := ownerOf(trio)
-				g.opts.Level = 2
+				g.opts.SupportedLevel = 2
 				c.hears(g)
-				So(g.View().Level, ShouldEqual, c.want)
+				So(g.View().CommonLevel, ShouldEqual, c.want)
 			})
 		}
 		Convey("none once a learner has come that has told nothing", func() {
 			g := ownerOf(append([]string{"~d/0"}, trio...))
-			g.opts.Level = 2
+			g.opts.SupportedLevel = 2
 			told(g, 2, "a/0", "c/0")
-			So(g.View().Level, ShouldEqual, 0)
+			So(g.View().CommonLevel, ShouldEqual, 0)
 		})
 	})
 	Convey("A learner gets its vote", t, func() {
 		g := ownerOf(append([]string{"~d/0"}, trio...), "a/0", "c/0")
-		g.opts.Level, g.opts.Needed = 2, func() int64 { return 1 }
+		g.opts.SupportedLevel, g.opts.RequiredLevel = 2, func() int64 { return 1 }
 		known, wanted := map[string]string{"a": "a/0", "b": "b/0", "c": "c/0", "d": "d/0"}, []string{"a", "b", "c", "d"}
 		Convey("not while it cannot apply what the group has agreed on", func() {
 			told(g, 0, "d/0")
--- a/internal/group/mend_test.go
+++ b/internal/group/mend_test.go
@@ -16,7 +16,7 @@
 // answering have acknowledged.
 func ownerOf(roster []string, answering ...string) *Group {
 	g := follower(roster, HardState{}, nil)
-	var out Out
+	var out Output
 	g.become(Candidate, 1, "", 0, &out)
 	g.become(Owner, 1, "b/0", 0, &out)
 	g.Synced(g.last(), 1, 0)
@@ -71,7 +71,7 @@
 func TestMendKeepsWhoAnswers(t *testing.T) {
 	Convey("Given an owner that was told of an older life of a member", t, func() {
 		g := ownerOf([]string{"a/2", "b/0", "c/0"}, "a/2", "c/0")
-		g.Receive(wire.GroupMsg{Kind: MsgNotMe, From: "a/1", To: "b/0"}, 0)
+		g.Receive(wire.GroupMsg{Kind: MsgWrongIncarnation, From: "a/1", To: "b/0"}, 0)
 		_, isDue := g.Repair(map[string]string{"a": "a/1", "b": "b/0", "c": "c/0"}, []string{"a", "b", "c"})
 		So(isDue, ShouldBeFalse)
 	})
--- a/internal/group/progress.go
+++ b/internal/group/progress.go
@@ -11,12 +11,12 @@
 // waited for longer than its link and disk take, so nothing is sent again for
 // being late: only an answer tells that something was lost.
 const (
-	appendCount = 256
-	appendBytes = 64 << 10 // of one append; a single entry may be larger
-	probeBytes  = 1 << 10  // of an append to a member whose log is not known
-	FlightBytes = 256 << 10
-	flightCount = 256       // appends with entries
-	tailBytes   = 128 << 10 // of the log that is kept behind an image
+	appendEntriesLimit   = 256
+	appendBytesLimit     = 64 << 10 // of one append; a single entry may be larger
+	probeBytesLimit      = 1 << 10  // of an append to a member whose log is not known
+	InFlightBytesLimit   = 256 << 10
+	inFlightAppendsLimit = 256       // appends with entries
+	tailBytesLimit       = 128 << 10 // of the log that is kept behind an image
 )
 
 // peerState is what an owner knows of another member: its progress. It is
@@ -31,15 +31,15 @@
 // became of those before: a rejected one that some were lost, and of an image
 // the answer to a later heartbeat.
 type peerState struct {
-	match, next int64
-	acked       int64 // newest heartbeat round answered
-	ackedAt     time.Duration
-	isProbing   bool
-	imageIndex  int64 // of the image on its way; 0 for none
-	imageRound  int64 // the newest heartbeat before it
-	flight      []inFlight
-	flightBytes int
-	level       int64 // the newest feature level that it can apply, as it told; 0 for not told
+	match, next    int64
+	acked          int64 // newest heartbeat round answered
+	ackedAt        time.Duration
+	isProbing      bool
+	snapshotIndex  int64 // of the image on its way; 0 for none
+	snapshotRound  int64 // the newest heartbeat before it
+	inFlight       []inFlight
+	inFlightBytes  int
+	supportedLevel int64 // the newest feature level that it can apply, as it told; 0 for not told
 }
 
 // inFlight is an append that carried entries and has not been answered.
@@ -59,14 +59,14 @@
 
 // probe begins anew at an index.
 func (p *peerState) probe(next int64) {
-	p.next, p.isProbing, p.imageIndex = next, true, 0
-	p.flight, p.flightBytes = nil, 0
+	p.next, p.isProbing, p.snapshotIndex = next, true, 0
+	p.inFlight, p.inFlightBytes = nil, 0
 }
 
 // accept takes in that the member's log is ours up to an index.
 func (p *peerState) accept(index int64) {
 	p.match = max(p.match, index)
-	if p.imageIndex > 0 && p.match < p.imageIndex {
+	if p.snapshotIndex > 0 && p.match < p.snapshotIndex {
 		return // the answer to an append before the image
 	}
 	if p.isProbing {
@@ -74,18 +74,18 @@
 		p.isProbing = false
 	}
 	p.next = max(p.next, p.match+1)
-	landed := 0
-	for landed < len(p.flight) && p.flight[landed].last <= p.match {
-		p.flightBytes -= p.flight[landed].bytes
-		landed++
+	acknowledged := 0
+	for acknowledged < len(p.inFlight) && p.inFlight[acknowledged].last <= p.match {
+		p.inFlightBytes -= p.inFlight[acknowledged].bytes
+		acknowledged++
 	}
-	p.flight = p.flight[landed:]
+	p.inFlight = p.inFlight[acknowledged:]
 }
 
 // isFull reports whether the flight takes no more entries. One is always taken,
 // however large.
 func (p *peerState) isFull() bool {
-	return p.flightBytes >= FlightBytes || len(p.flight) >= flightCount
+	return p.inFlightBytes >= InFlightBytesLimit || len(p.inFlight) >= inFlightAppendsLimit
 }
 
 // reject takes in that the member could not append behind an index, where its
@@ -103,18 +103,18 @@
 }
 
 // replicate sends new entries to every member that is not being probed.
-func (g *Group) replicate(now time.Duration, out *Out) {
+func (g *Group) replicate(now time.Duration, out *Output) {
 	g.announcedCommit, g.replicatedAt = g.hard.Commit, now
-	for _, m := range g.others() {
+	for _, m := range g.replicationTargets() {
 		if p := g.peer(m); !p.isProbing {
 			g.sendTo(m, false, now, out)
 		}
 	}
 }
 
-// refill sends what had no room before.
-func (g *Group) refill(now time.Duration, out *Out) {
-	for _, m := range g.others() {
+// sendPending sends what had no room before.
+func (g *Group) sendPending(now time.Duration, out *Output) {
+	for _, m := range g.replicationTargets() {
 		if p := g.peer(m); !p.isProbing && p.next <= g.last() {
 			g.sendTo(m, false, now, out)
 		}
@@ -122,31 +122,31 @@
 }
 
 // hasRoom reports whether the link to a member takes more than what is small.
-func (g *Group) hasRoom(m string) bool { return g.opts.Room == nil || g.opts.Room(m) }
+func (g *Group) hasRoom(m string) bool { return g.opts.HasRoom == nil || g.opts.HasRoom(m) }
 
 // sendTo sends what the member misses as far as there is room, or an empty
 // append if always is set.
-func (g *Group) sendTo(m string, always bool, now time.Duration, out *Out) {
+func (g *Group) sendTo(m string, allowEmpty bool, now time.Duration, out *Output) {
 	p := g.peer(m)
 	prev := p.next - 1
 	term, isHeld := g.termAt(prev)
 	if !isHeld { // compacted away: the member needs an image
-		g.sendImage(m, always, out)
+		g.sendSnapshot(m, allowEmpty, out)
 		return
 	}
 	for {
 		entries, size := g.entriesFor(m, p)
-		if len(entries) == 0 && !always {
+		if len(entries) == 0 && !allowEmpty {
 			return
 		}
-		out.Now = append(out.Now, g.msg(MsgAppend, m, wire.GroupMsg{Index: prev, LogTerm: term,
+		out.SendNow = append(out.SendNow, g.msg(MsgAppend, m, wire.GroupMsg{Index: prev, LogTerm: term,
 			Commit: g.hard.Commit, Round: g.round, Entries: append([]wire.Entry{}, entries...)}))
 		if p.isProbing || len(entries) == 0 {
 			return
 		}
 		p.next += int64(len(entries))
-		p.flight, p.flightBytes = append(p.flight, inFlight{p.next - 1, size}), p.flightBytes+size
-		always, prev = false, p.next-1
+		p.inFlight, p.inFlightBytes = append(p.inFlight, inFlight{p.next - 1, size}), p.inFlightBytes+size
+		allowEmpty, prev = false, p.next-1
 		term, _ = g.termAt(prev)
 	}
 }
@@ -154,14 +154,14 @@
 // entriesFor gives the entries that may go to a member now.
 func (g *Group) entriesFor(m string, p *peerState) (entries []wire.Entry, size int) {
 	entries = g.log[p.next-1-g.base:]
-	most, least := appendBytes, 1
+	maxBytes, minEntries := appendBytesLimit, 1
 	if p.isProbing {
-		most, least = probeBytes, 0
+		maxBytes, minEntries = probeBytesLimit, 0
 	} else if len(entries) > 0 && (p.isFull() || !g.hasRoom(m)) {
 		return nil, 0
 	}
 	for i, e := range entries {
-		if i >= appendCount || i >= least && size+len(e.Data) > most {
+		if i >= appendEntriesLimit || i >= minEntries && size+len(e.Data) > maxBytes {
 			return entries[:i], size
 		}
 		size += len(e.Data)
@@ -169,26 +169,26 @@
 	return entries, size
 }
 
-// sendImage sends the image if none is on its way, and else, if always is set,
+// sendSnapshot sends the image if none is on its way, and else, if always is set,
 // a heartbeat that no member accepts.
-func (g *Group) sendImage(m string, always bool, out *Out) {
+func (g *Group) sendSnapshot(m string, allowEmpty bool, out *Output) {
 	p := g.peer(m)
-	if p.imageIndex == 0 && g.hasRoom(m) {
+	if p.snapshotIndex == 0 && g.hasRoom(m) {
 		p.probe(p.next)
-		p.imageIndex, p.imageRound = g.image, g.round
-		out.Now = append(out.Now, g.msg(MsgImage, m, wire.GroupMsg{Index: g.image, LogTerm: g.imageT,
-			Round: g.round, Roster: g.rosterAt(g.image)}))
-	} else if always {
-		out.Now = append(out.Now, g.msg(MsgAppend, m, wire.GroupMsg{Round: g.round, Index: g.last() + 1, LogTerm: -1}))
+		p.snapshotIndex, p.snapshotRound = g.snapshotIndex, g.round
+		out.SendNow = append(out.SendNow, g.msg(MsgSnapshot, m, wire.GroupMsg{Index: g.snapshotIndex, LogTerm: g.snapshotTerm,
+			Round: g.round, Roster: g.rosterAt(g.snapshotIndex)}))
+	} else if allowEmpty {
+		out.SendNow = append(out.SendNow, g.msg(MsgAppend, m, wire.GroupMsg{Round: g.round, Index: g.last() + 1, LogTerm: -1}))
 	}
 }
 
-func (g *Group) onAppendReply(m wire.GroupMsg, now time.Duration, out *Out) {
+func (g *Group) onAppendReply(m wire.GroupMsg, now time.Duration, out *Output) {
 	if g.role != Owner {
 		return
 	}
 	p := g.peer(m.From)
-	p.acked, p.ackedAt, p.level = max(p.acked, m.Round), now, m.Level
+	p.acked, p.ackedAt, p.supportedLevel = max(p.acked, m.Round), now, m.Level
 	g.confirm(now)
 	if m.Reject {
 		g.onReject(m, p, now, out)
@@ -197,7 +197,7 @@
 	p.accept(m.Index)
 	g.advanceCommit(now, out)
 	if m.From == g.successor {
-		g.callSuccessor(out)
+		g.promptSuccessor(out)
 	}
 	if g.role == Owner && p.next <= g.last() {
 		g.sendTo(m.From, false, now, out)
@@ -206,10 +206,10 @@
 
 // onReject probes where the member's log ends, or sends the image again: it was
 // lost if the member has answered a later heartbeat without having it.
-func (g *Group) onReject(m wire.GroupMsg, p *peerState, now time.Duration, out *Out) {
-	if p.imageIndex > 0 {
-		if m.Round > p.imageRound {
-			p.imageIndex = 0
+func (g *Group) onReject(m wire.GroupMsg, p *peerState, now time.Duration, out *Output) {
+	if p.snapshotIndex > 0 {
+		if m.Round > p.snapshotRound {
+			p.snapshotIndex = 0
 			g.sendTo(m.From, false, now, out)
 		}
 		return
@@ -221,12 +221,12 @@
 
 // announceCommit lets members that have all entries know what is committed, when a
 // tick has passed since entries went out: while more come, the next ones tell.
-func (g *Group) announceCommit(now time.Duration, out *Out) {
+func (g *Group) announceCommit(now time.Duration, out *Output) {
 	if g.announcedCommit == g.hard.Commit || now-g.replicatedAt < g.opts.Bounds.Of(timing.Tick) {
 		return
 	}
 	g.announcedCommit = g.hard.Commit
-	for _, m := range g.others() {
+	for _, m := range g.replicationTargets() {
 		if p := g.peer(m); !p.isProbing && p.next > g.last() {
 			g.sendTo(m, true, now, out)
 		}
--- a/internal/group/progress_test.go
+++ b/internal/group/progress_test.go
@@ -32,13 +32,13 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p := c.is
-				p.flight, p.flightBytes = []inFlight{{19, 7}}, 7
+				p.inFlight, p.inFlightBytes = []inFlight{{19, 7}}, 7
 				So(p.reject(c.behind, c.hint), ShouldEqual, c.isTaken)
 				So(p.next, ShouldEqual, c.next)
 				if c.isTaken {
 					So(p.isProbing, ShouldBeTrue)
-					So(p.flight, ShouldBeEmpty)
-					So(p.flightBytes, ShouldEqual, 0)
+					So(p.inFlight, ShouldBeEmpty)
+					So(p.inFlightBytes, ShouldEqual, 0)
 				}
 			})
 		}
@@ -56,13 +56,13 @@
 		isProbing, isImaging   bool
 		flightCount, flightSum int
 	}{
-		{"part of what is under way", peerState{match: 9, next: 16, flight: flight, flightBytes: 600}, 12, 12, 16, false, false, 1, 300},
-		{"a part of one", peerState{match: 9, next: 16, flight: flight, flightBytes: 600}, 11, 11, 16, false, false, 2, 500},
-		{"an old answer", peerState{match: 12, next: 16, flight: flight[2:], flightBytes: 300}, 9, 12, 16, false, false, 1, 300},
+		{"part of what is under way", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 12, 12, 16, false, false, 1, 300},
+		{"a part of one", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 11, 11, 16, false, false, 2, 500},
+		{"an old answer", peerState{match: 12, next: 16, inFlight: flight[2:], inFlightBytes: 300}, 9, 12, 16, false, false, 1, 300},
 		{"more than was sent", peerState{match: 9, next: 16}, 20, 20, 21, false, false, 0, 0},
 		{"a probe", peerState{match: 0, next: 9, isProbing: true}, 8, 8, 9, false, false, 0, 0},
-		{"an append before the image on its way", peerState{match: 3, next: 5, isProbing: true, imageIndex: 40}, 4, 4, 5, true, true, 0, 0},
-		{"the image", peerState{match: 3, next: 5, isProbing: true, imageIndex: 40}, 40, 40, 41, false, false, 0, 0},
+		{"an append before the image on its way", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 4, 4, 5, true, true, 0, 0},
+		{"the image", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 40, 40, 41, false, false, 0, 0},
 	}
 	Convey("An owner takes in that a member holds", t, func() {
 		for _, c := range cases {
@@ -72,9 +72,9 @@
 				So(p.match, ShouldEqual, c.match)
 				So(p.next, ShouldEqual, c.next)
 				So(p.isProbing, ShouldEqual, c.isProbing)
-				So(p.imageIndex > 0, ShouldEqual, c.isImaging)
-				So(len(p.flight), ShouldEqual, c.flightCount)
-				So(p.flightBytes, ShouldEqual, c.flightSum)
+				So(p.snapshotIndex > 0, ShouldEqual, c.isImaging)
+				So(len(p.inFlight), ShouldEqual, c.flightCount)
+				So(p.inFlightBytes, ShouldEqual, c.flightSum)
 			})
 		}
 	})
@@ -85,11 +85,11 @@
 	Convey("Given an owner with a small entry and large ones", t, func() {
 		hasRoom := true
 		g := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0", "b/0", "c/0"}, Bounds: timing.Default,
-			Room: func(string) bool { return hasRoom }}, HardState{}, nil, nil, 0)
-		var out Out
+			HasRoom: func(string) bool { return hasRoom }}, HardState{}, nil, nil, 0)
+		var out Output
 		g.become(Owner, 1, "a/0", time.Millisecond, &out)
 		g.log = nil
-		for i, size := range []int{100, appendBytes - 200, 200, FlightBytes} {
+		for i, size := range []int{100, appendBytesLimit - 200, 200, InFlightBytesLimit} {
 			g.log = append(g.log, wire.Entry{Index: int64(i + 1), Term: 1, Data: make([]byte, size)})
 		}
 		cases := []struct {
@@ -104,8 +104,8 @@
 			{"an append carries at least one, however large", peerState{next: 4}, true, 1},
 			{"a link without room takes none", peerState{next: 1}, false, 0},
 			{"… but a probe's little", peerState{next: 1, isProbing: true}, false, 1},
-			{"a flight full of bytes takes none", peerState{next: 1, flightBytes: FlightBytes}, true, 0},
-			{"a flight full of appends takes none", peerState{next: 1, flight: make([]inFlight, flightCount)}, true, 0},
+			{"a flight full of bytes takes none", peerState{next: 1, inFlightBytes: InFlightBytesLimit}, true, 0},
+			{"a flight full of appends takes none", peerState{next: 1, inFlight: make([]inFlight, inFlightAppendsLimit)}, true, 0},
 		}
 		for _, c := range cases {
 			Convey(c.name, func() {
--- a/internal/group/roster.go
+++ b/internal/group/roster.go
@@ -38,12 +38,12 @@
 
 // ChangeRoster proposes one step. It is refused while another is under way and
 // before the owner has committed in its own term.
-func (g *Group) ChangeRoster(c Change, now time.Duration) (Out, error) {
-	out := Out{}
+func (g *Group) ChangeRoster(c Change, now time.Duration) (Output, error) {
+	out := Output{}
 	if g.role != Owner {
 		return out, errs.New(errs.NotOwner, "group %d", g.opts.Id)
 	}
-	if g.rosters[len(g.rosters)-1].index > g.hard.Commit || g.hard.Commit < g.blankAt {
+	if g.rosters[len(g.rosters)-1].index > g.hard.Commit || g.hard.Commit < g.noOpIndex {
 		return out, errs.New(errs.Conflict, "a roster change of group %d is under way", g.opts.Id)
 	}
 	next := slices.Clone(g.roster())
@@ -66,7 +66,7 @@
 	}
 	g.append(wire.Entry{Kind: EntryRoster, Data: data}, &out)
 	g.replicate(now, &out)
-	for _, m := range g.others() { // a new member is told at once
+	for _, m := range g.replicationTargets() { // a new member is told at once
 		if p := g.peer(m); p.isProbing {
 			g.sendTo(m, true, now, &out)
 		}
@@ -79,40 +79,40 @@
 // agreed on. What was committed since is on its way, and a busy group's learner never has all of it.
 func (g *Group) isCaughtUp(m string) bool {
 	p := g.peers[m]
-	return p != nil && p.match >= g.heartbeatCommit && p.match > 0 && p.level >= g.needed()
+	return p != nil && p.match >= g.heartbeatCommit && p.match > 0 && p.supportedLevel >= g.requiredLevel()
 }
 
-func (g *Group) needed() int64 {
-	if g.opts.Needed == nil {
+func (g *Group) requiredLevel() int64 {
+	if g.opts.RequiredLevel == nil {
 		return 0
 	}
-	return g.opts.Needed()
+	return g.opts.RequiredLevel()
 }
 
 // level is the newest feature level that every member of the roster can apply, learners too, as
 // they told this owner.
-func (g *Group) level() int64 {
-	least := g.opts.Level
-	for _, m := range g.others() {
+func (g *Group) commonLevel() int64 {
+	lowest := g.opts.SupportedLevel
+	for _, m := range g.replicationTargets() {
 		p := g.peers[m]
 		if p == nil {
 			return 0
 		}
-		least = min(least, p.level)
+		lowest = min(lowest, p.supportedLevel)
 	}
-	return least
+	return lowest
 }
 
 // onCommit acts on what a commit brings: an owner that has left steps down.
-func (g *Group) onCommit(now time.Duration, out *Out) {
+func (g *Group) onCommit(now time.Duration, out *Output) {
 	if r := g.rosters[len(g.rosters)-1]; r.index <= g.hard.Commit && !slices.Contains(r.members, g.opts.Self) {
 		for _, m := range Voters(r.members) { // the best one left takes over
 			if p := g.peers[m]; p != nil && p.match == g.last() {
-				out.Now = append(out.Now, g.msg(MsgCampaign, m, wire.GroupMsg{}))
+				out.SendNow = append(out.SendNow, g.msg(MsgCampaign, m, wire.GroupMsg{}))
 				break
 			}
 		}
-		g.advance(out)
+		g.emitCommitted(out)
 		g.become(Follower, g.hard.Term, "", now, out)
 	}
 }
--- a/internal/group/silence_test.go
+++ b/internal/group/silence_test.go
@@ -27,14 +27,14 @@
 	Convey("An owner has not heard of", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(owned(2).Silence(c.store, c.now), ShouldEqual, c.want) // a has answered after 1 ms
+				So(ownerWithAck(2).Silence(c.store, c.now), ShouldEqual, c.want) // a has answered after 1 ms
 			})
 		}
 	})
 	Convey("An owner that misses the answer of one voter says so", t, func() {
-		g := owned(2)
-		So(g.IsAnswered(), ShouldBeFalse)
+		g := ownerWithAck(2)
+		So(g.IsEveryVoterResponding(), ShouldBeFalse)
 		g.peer("c/0").acked = g.round
-		So(g.IsAnswered(), ShouldBeTrue)
+		So(g.IsEveryVoterResponding(), ShouldBeTrue)
 	})
 }
--- a/internal/group/step.go
+++ b/internal/group/step.go
@@ -8,29 +8,29 @@
 )
 
 // Tick lets time pass.
-func (g *Group) Tick(now time.Duration) Out {
-	out := Out{}
+func (g *Group) Tick(now time.Duration) Output {
+	out := Output{}
 	if g.role == Owner {
 		g.tickOwner(now, &out)
 	} else if now >= g.electionAt {
 		g.startPreVote(now, &out)
 	}
-	g.advance(&out)
+	g.emitCommitted(&out)
 	return out
 }
 
-func (g *Group) tickOwner(now time.Duration, out *Out) {
-	if now-g.confirmed > g.opts.Bounds.Of(timing.AnswerTimeout)*2 {
+func (g *Group) tickOwner(now time.Duration, out *Output) {
+	if now-g.confirmedAt > g.opts.Bounds.Of(timing.AnswerTimeout)*2 {
 		g.become(Follower, g.hard.Term, "", now, out) // cut off from the majority
 		return
 	}
-	if g.successor != "" && now > g.successorUntil {
+	if g.successor != "" && now > g.transferDeadline {
 		g.become(Follower, g.hard.Term, "", now, out) // the successor did not take over
 		return
 	}
-	g.callSuccessor(out)
+	g.promptSuccessor(out)
 	g.announceCommit(now, out)
-	g.refill(now, out)
+	g.sendPending(now, out)
 	if now >= g.heartbeatAt {
 		g.heartbeat(now, out)
 		g.transferToPreferred(now, out)
@@ -38,17 +38,17 @@
 }
 
 // Receive takes one message from another replica.
-func (g *Group) Receive(m wire.GroupMsg, now time.Duration) Out {
-	out := Out{}
+func (g *Group) Receive(m wire.GroupMsg, now time.Duration) Output {
+	out := Output{}
 	if m.To != g.opts.Self {
-		out.Now = append(out.Now, g.msg(MsgNotMe, m.From, wire.GroupMsg{}))
+		out.SendNow = append(out.SendNow, g.msg(MsgWrongIncarnation, m.From, wire.GroupMsg{}))
 		return out
 	}
-	if m.Kind == MsgNotMe {
-		g.renamed[Name(m.From)] = m.From
+	if m.Kind == MsgWrongIncarnation {
+		g.newIncarnations[Name(m.From)] = m.From
 		return out
 	}
-	if !g.admit(m, now, &out) {
+	if !g.checkTerm(m, now, &out) {
 		return out
 	}
 	switch m.Kind {
@@ -60,8 +60,8 @@
 		g.onVoteReply(m, now, &out)
 	case MsgAppend:
 		g.onAppend(m, now, &out)
-	case MsgImage:
-		g.onImage(m, now, &out)
+	case MsgSnapshot:
+		g.onSnapshot(m, now, &out)
 	case MsgAppendReply:
 		g.onAppendReply(m, now, &out)
 	case MsgCampaign:
@@ -69,13 +69,13 @@
 			g.campaign(now, &out)
 		}
 	}
-	g.advance(&out)
+	g.emitCommitted(&out)
 	return out
 }
 
-// admit compares the message's term with ours. It is false when the message
+// checkTerm compares the message's term with ours. It is false when the message
 // has been dealt with.
-func (g *Group) admit(m wire.GroupMsg, now time.Duration, out *Out) bool {
+func (g *Group) checkTerm(m wire.GroupMsg, now time.Duration, out *Output) bool {
 	switch m.Kind {
 	case MsgPreVote:
 		return true
@@ -86,8 +86,8 @@
 		return true
 	}
 	if m.Term < g.hard.Term {
-		if m.Kind == MsgAppend || m.Kind == MsgImage { // tell an old owner
-			out.Now = append(out.Now, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Reject: true, Index: g.last()}))
+		if m.Kind == MsgAppend || m.Kind == MsgSnapshot { // tell an old owner
+			out.SendNow = append(out.SendNow, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Reject: true, Index: g.last()}))
 		}
 		return false
 	}
@@ -100,18 +100,18 @@
 
 // Synced tells that all of this replica's log up to index (of that term) is on
 // disk.
-func (g *Group) Synced(index, term int64, now time.Duration) Out {
-	out := Out{}
+func (g *Group) Synced(index, term int64, now time.Duration) Output {
+	out := Output{}
 	if t, isHeld := g.termAt(index); isHeld && t == term {
 		g.synced = max(g.synced, index)
 	}
 	g.advanceCommit(now, &out)
-	g.advance(&out)
+	g.emitCommitted(&out)
 	return out
 }
 
-// advance hands out what has been committed and not yet applied.
-func (g *Group) advance(out *Out) {
+// emitCommitted hands out what has been committed and not yet applied.
+func (g *Group) emitCommitted(out *Output) {
 	if g.applied < g.base {
 		g.applied = g.base
 	}
@@ -123,13 +123,13 @@
 
 // Propose appends a command. The index and term name it; it is committed when
 // an entry with both is applied. False when this replica is not the owner.
-func (g *Group) Propose(data []byte, now time.Duration) (index, term int64, out Out, isOwner bool) {
+func (g *Group) Propose(data []byte, now time.Duration) (index, term int64, out Output, isOwner bool) {
 	return g.ProposeAll([][]byte{data}, now)
 }
 
 // ProposeAll appends commands, which must not be none, in one step. It returns the
 // index of the first one.
-func (g *Group) ProposeAll(commands [][]byte, now time.Duration) (first, term int64, out Out, isOwner bool) {
+func (g *Group) ProposeAll(commands [][]byte, now time.Duration) (first, term int64, out Output, isOwner bool) {
 	if g.role != Owner || g.successor != "" {
 		return 0, 0, out, false
 	}
@@ -143,14 +143,14 @@
 
 // Compact makes state the image at an applied index and forgets the log up to
 // there, but for a tail: members that miss little need no image.
-func (g *Group) Compact(index int64, state []byte) *Image {
-	if index <= g.image || index > g.applied {
+func (g *Group) Compact(index int64, state []byte) *Snapshot {
+	if index <= g.snapshotIndex || index > g.applied {
 		return nil
 	}
 	term, _ := g.termAt(index)
-	g.image, g.imageT = index, term
+	g.snapshotIndex, g.snapshotTerm = index, term
 	base, size := index, 0
-	for base > g.base && size+len(g.log[base-g.base-1].Data) <= tailBytes && index-base < appendCount {
+	for base > g.base && size+len(g.log[base-g.base-1].Data) <= tailBytesLimit && index-base < appendEntriesLimit {
 		size += len(g.log[base-g.base-1].Data)
 		base--
 	}
@@ -163,10 +163,10 @@
 	}
 	g.log = append([]wire.Entry{}, g.log[base-g.base:]...)
 	g.base, g.baseTerm, g.rosters = base, term, kept
-	return &Image{Index: g.image, Term: g.imageT, Roster: g.rosterAt(g.image), State: state}
+	return &Snapshot{Index: g.snapshotIndex, Term: g.snapshotTerm, Roster: g.rosterAt(g.snapshotIndex), State: state}
 }
 
 // Whole returns all that must be durable besides the image, for a slot on disk.
-func (g *Group) Whole() (HardState, []wire.Entry) {
-	return g.hard, append([]wire.Entry{}, g.log[g.image-g.base:]...)
+func (g *Group) DurableState() (HardState, []wire.Entry) {
+	return g.hard, append([]wire.Entry{}, g.log[g.snapshotIndex-g.base:]...)
 }
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -10,24 +10,24 @@
 
 // View is what others may know of a replica.
 type View struct {
-	Role      Role
-	Term      int64
-	Owner     string
-	Commit    int64
-	Last      int64
-	Roster    []string
-	Lag       int64    // entries that the slowest voter misses; owners only
-	Whole     []string // voters with all that was committed when the last round began; owners only
-	Confirmed time.Duration
-	IsSure    bool  // Confirmed holds: reads as of then are safe
-	Level     int64 // the newest feature level that all members can apply; owners only
+	Role        Role
+	Term        int64
+	Owner       string
+	Commit      int64
+	Last        int64
+	Roster      []string
+	Lag         int64    // entries that the slowest voter misses; owners only
+	CaughtUp    []string // voters with all that was committed when the last round began; owners only
+	ConfirmedAt time.Duration
+	IsConfirmed bool  // Confirmed holds: reads as of then are safe
+	CommonLevel int64 // the newest feature level that all members can apply; owners only
 }
 
 // View of this replica now.
 func (g *Group) View() View {
 	v := View{Role: g.role, Term: g.hard.Term, Owner: g.owner, Commit: g.hard.Commit, Last: g.last(),
-		Roster: slices.Clone(g.roster()), Confirmed: g.confirmed,
-		IsSure: g.role == Owner && g.isSure && g.hard.Commit >= g.blankAt && g.applied >= g.blankAt}
+		Roster: slices.Clone(g.roster()), ConfirmedAt: g.confirmedAt,
+		IsConfirmed: g.role == Owner && g.isConfirmed && g.hard.Commit >= g.noOpIndex && g.applied >= g.noOpIndex}
 	if g.successor != "" {
 		v.Owner = g.successor // whoever asks is sent there
 	}
@@ -37,17 +37,17 @@
 		}
 	}
 	if g.role == Owner {
-		v.Whole, v.Level = g.whole(), g.level()
+		v.CaughtUp, v.CommonLevel = g.caughtUpVoters(), g.commonLevel()
 	}
 	return v
 }
 
-// whole gives the voters whose synced log has all that was committed when the
+// caughtUpVoters gives the voters whose synced log has all that was committed when the
 // owner's last round began, and that answered one of the last rounds.
-func (g *Group) whole() []string {
+func (g *Group) caughtUpVoters() []string {
 	out := []string{}
 	for _, m := range Voters(g.roster()) {
-		if g.answers(m) && g.matchOf(m) >= g.heartbeatCommit {
+		if g.isResponding(m) && g.matchOf(m) >= g.heartbeatCommit {
 			out = append(out, m)
 		}
 	}
@@ -74,19 +74,19 @@
 	return now - heardAt
 }
 
-// IsAnswered reports whether every voter has answered one of the owner's last rounds.
-func (g *Group) IsAnswered() bool {
-	return !slices.ContainsFunc(Voters(g.roster()), func(m string) bool { return !g.answers(m) })
+// IsEveryVoterResponding reports whether every voter has answered one of the owner's last rounds.
+func (g *Group) IsEveryVoterResponding() bool {
+	return !slices.ContainsFunc(Voters(g.roster()), func(m string) bool { return !g.isResponding(m) })
 }
 
 // confirm finds the newest round that a majority has answered.
 func (g *Group) confirm(now time.Duration) {
 	for i := len(g.rounds) - 1; i >= 0; i-- {
 		r := g.rounds[i]
-		if g.majority(func(m string) bool {
+		if g.hasMajority(func(m string) bool {
 			return m == g.opts.Self || g.peers[m] != nil && g.peers[m].acked >= r.round
 		}) {
-			g.confirmed, g.isSure = max(g.confirmed, r.at), true
+			g.confirmedAt, g.isConfirmed = max(g.confirmedAt, r.at), true
 			g.rounds = g.rounds[i+1:]
 			return
 		}
--- a/internal/groupclock/groupclock.go
+++ b/internal/groupclock/groupclock.go
@@ -40,29 +40,29 @@
 	return c.reading + int64((now-c.readAt)/time.Millisecond)
 }
 
-// Follow takes in the newest command of another ownership, or a snapshot, by the
+// Reset takes in the newest command of another ownership, or a snapshot, by the
 // group's time that it tells: the replica's own count ends with it, also where that
 // was ahead.
-func (c *Clock) Follow(reading int64, now time.Duration) {
-	c.reading, c.readAt = reading, now
+func (c *Clock) Reset(millis int64, now time.Duration) {
+	c.reading, c.readAt = millis, now
 }
 
 // Confirm takes in a command of this replica's own ownership, which the clock itself
 // has stamped. Time goes on meanwhile: a command takes a while to be committed, and
 // spans must not be longer by that on a busy group.
-func (c *Clock) Confirm(reading int64, now time.Duration) {
-	if reading > c.At(now) {
-		c.Follow(reading, now)
+func (c *Clock) Confirm(millis int64, now time.Duration) {
+	if millis > c.At(now) {
+		c.Reset(millis, now)
 	}
 }
 
 // Apply takes in a command by the group's time that the newest one tells, and a moment at which the replica's log had the
 // command already: it was stamped before that.
-func (c *Clock) Apply(reading int64, isOwn bool, heldAt time.Duration) {
+func (c *Clock) Apply(millis int64, isOwn bool, heldAt time.Duration) {
 	if isOwn {
-		c.Confirm(reading, heldAt)
+		c.Confirm(millis, heldAt)
 	} else {
-		c.Follow(reading, heldAt)
+		c.Reset(millis, heldAt)
 	}
 }
 
--- a/internal/groupclock/groupclock_test.go
+++ b/internal/groupclock/groupclock_test.go
@@ -24,7 +24,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				clock := New(time.Minute)
-				clock.Follow(1000, time.Minute)
+				clock.Reset(1000, time.Minute)
 				now := time.Minute + 2*time.Second
 				So(clock.At(now), ShouldEqual, 3000)
 				clock.Apply(c.told, c.isOwn, now)
--- a/internal/host/apply.go
+++ b/internal/host/apply.go
@@ -14,31 +14,31 @@
 		var verdict any
 		if e.Kind == group.EntryData {
 			h.dataTerm, h.dataIndex = e.Term, e.Index
-			h.heldAt = h.replayed.heldAt(e, h.opts.Now())
+			h.loggedAt = h.recovered.loggedAt(e, h.opts.Now())
 			verdict = h.opts.Machine.Apply(e.Data, h.isOwner && e.Term == h.ownedTerm)
 		}
-		h.applied = e.Index
-		for len(h.begun) > 0 && h.begun[0].index <= e.Index {
-			h.begun = h.begun[1:]
+		h.appliedIndex = e.Index
+		for len(h.inFlight) > 0 && h.inFlight[0].index <= e.Index {
+			h.inFlight = h.inFlight[1:]
 		}
-		h.since++
+		h.entriesSinceSlot++
 		h.bytes += len(e.Data)
 		if w, isKnown := h.waiters[e.Index]; isKnown {
 			delete(h.waiters, e.Index)
 			if w.term == e.Term {
-				w.tell(verdict, nil)
+				w.done(verdict, nil)
 			} else { // another entry took its place: it can never be committed
-				w.tell(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
+				w.done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
 			}
 		}
 	}
 }
 
-// settle notices that ownership has begun or ended. It begins only once all
+// updateOwnership notices that ownership has begun or ended. It begins only once all
 // that earlier owners committed has been applied.
-func (h *Host) settle() {
+func (h *Host) updateOwnership() {
 	v := h.machine.View()
-	isOwner := v.Role == group.Owner && v.IsSure
+	isOwner := v.Role == group.Owner && v.IsConfirmed
 	if h.isOwner && v.Role == group.Owner {
 		isOwner = true
 	}
@@ -50,17 +50,17 @@
 	}
 	h.isOwner = isOwner
 	if !isOwner {
-		unproposed, orphans := h.gathered, h.waiters
-		h.gathered, h.gatheredBytes = nil, 0
+		unproposed, undecided := h.batch, h.waiters
+		h.batch, h.batchBytes = nil, 0
 		for _, p := range unproposed {
-			h.refuse(p.tell)
+			h.refuse(p.done)
 		}
-		h.waiters, h.begun = map[int64]waiter{}, nil
-		for _, index := range slices.Sorted(maps.Keys(orphans)) {
-			orphans[index].tell(nil, errs.New(errs.Undecided, "group %d changes hands", h.opts.Id))
+		h.waiters, h.inFlight = map[int64]waiter{}, nil
+		for _, index := range slices.Sorted(maps.Keys(undecided)) {
+			undecided[index].done(nil, errs.New(errs.Undecided, "group %d changes hands", h.opts.Id))
 		}
 	}
-	h.opts.Machine.Owned(isOwner)
+	h.opts.Machine.OwnershipChanged(isOwner)
 }
 
 func (h *Host) publish() {
@@ -70,35 +70,35 @@
 	h.mu.Unlock()
 }
 
-// Missing tells that a store's process is known to have ended.
-func (h *Host) Missing(name string) {
-	_ = h.Do(func() { h.machine.Missing(name, h.opts.Now()) })
+// ReportStoreDown tells that a store's process is known to have ended.
+func (h *Host) ReportStoreDown(name string) {
+	_ = h.Do(func() { h.machine.ReportStoreDown(name, h.opts.Now()) })
 }
 
-// HandOver gives ownership to the best other voter that is not avoided.
-func (h *Host) HandOver(isAvoided func(member string) bool) {
+// TransferOwnership gives ownership to the best other voter that is not avoided.
+func (h *Host) TransferOwnership(isAvoided func(member string) bool) {
 	_ = h.Do(func() {
 		now := h.opts.Now()
 		if successor := h.machine.Successor(isAvoided, now); successor != "" {
-			h.do(h.machine.HandOver(successor, now))
+			h.execute(h.machine.TransferOwnership(successor, now))
 		}
 	})
 }
 
-// onSynced brings the disk's word on what was persisted back to the host's
-// goroutine, and bringBack its word on anything.
-func (h *Host) onSynced(work func()) func(error) {
-	return h.bringBack(func() { h.pending--; work() })
+// onPersisted brings the disk's word on what was persisted back to the host's
+// goroutine, and onCompleted its word on anything.
+func (h *Host) onPersisted(work func()) func(error) {
+	return h.onCompleted(func() { h.pendingWrites--; work() })
 }
 
-func (h *Host) bringBack(work func()) func(error) {
+func (h *Host) onCompleted(work func()) func(error) {
 	return func(err error) {
 		if err != nil {
-			h.opts.Failed(err)
+			h.opts.OnFailure(err)
 			return
 		}
 		h.mu.Lock()
-		h.synced = append(h.synced, work)
+		h.completions = append(h.completions, work)
 		h.mu.Unlock()
 		select {
 		case h.wake <- struct{}{}:
@@ -108,11 +108,11 @@
 }
 
 func (h *Host) send(m wire.GroupMsg) {
-	if m.Kind == group.MsgImage {
-		if h.image == nil || h.image.Index != m.Index {
+	if m.Kind == group.MsgSnapshot {
+		if h.snapshot == nil || h.snapshot.Index != m.Index {
 			return
 		}
-		for _, part := range cut(m, h.image.State, h.opts.Whole) {
+		for _, part := range splitSnapshot(m, h.snapshot.State, h.opts.MaxMessageBytes) {
 			h.opts.Send(part)
 		}
 		return
--- a/internal/host/gather_test.go
+++ b/internal/host/batching_test.go
@@ -17,8 +17,8 @@
 func TestGather(t *testing.T) {
 	Convey("Given the owner of a group of three whose proposals are gathered", t, func() {
 		names := []string{"a", "b", "c"}
-		c := newHosts(names, names, names)
-		for len(c.holders()) == 0 && c.now < timing.Default.Config {
+		c := newCluster(names, names, names)
+		for len(c.voters()) == 0 && c.now < timing.Default.ConfigApply {
 			c.tick()
 		}
 		var owner *Host
@@ -27,12 +27,12 @@
 				owner = h
 			}
 		}
-		type later struct {
+		type timer struct {
 			span time.Duration
 			work func()
 		}
-		timers, appends := []later{}, 0
-		owner.opts.Later = func(span time.Duration, work func()) { timers = append(timers, later{span, work}) }
+		timers, appends := []timer{}, 0
+		owner.opts.Schedule = func(span time.Duration, work func()) { timers = append(timers, timer{span, work}) }
 		send := owner.opts.Send
 		owner.opts.Send = func(m wire.GroupMsg) {
 			if m.Kind == group.MsgAppend && len(m.Entries) > 0 {
@@ -40,19 +40,19 @@
 			}
 			send(m)
 		}
-		told, refused := 0, 0
+		committed, refused := 0, 0
 		propose := func(bytes int) {
 			owner.Propose(make([]byte, bytes), func(_ any, err error) {
 				switch {
 				case err == nil:
-					told++
+					committed++
 				case errs.Is(err, errs.NotOwner):
 					refused++
 				}
 			})
 		}
 		settle := func() {
-			owner.Pump()
+			owner.RunPending()
 			c.tick()
 			c.tick()
 		}
@@ -62,33 +62,33 @@
 		Convey("nothing is sent before the next moment of the grid, and only one waiting is begun", func() {
 			So(appends, ShouldEqual, 0)
 			So(timers, ShouldHaveLength, 1)
-			period := timing.Default.Of(timing.Gather)
+			period := timing.Default.Of(timing.BatchDelayLimit)
 			So(timers[0].span, ShouldBeBetweenOrEqual, 1, period)
 			So((c.now+timers[0].span)%period, ShouldEqual, time.Duration(0))
-			So(owner.Waiting(), ShouldEqual, 5)
+			So(owner.PendingProposals(), ShouldEqual, 5)
 			c.now += time.Millisecond
-			So(owner.Oldest(), ShouldEqual, time.Millisecond)
+			So(owner.OldestProposalAge(), ShouldEqual, time.Millisecond)
 		})
 		Convey("then all go in one message to each replica, and each caller is told", func() {
 			timers[0].work()
 			settle()
 			So(appends, ShouldEqual, 2)
-			So(told, ShouldEqual, 5)
-			So(owner.Waiting(), ShouldEqual, 0)
+			So(committed, ShouldEqual, 5)
+			So(owner.PendingProposals(), ShouldEqual, 0)
 		})
 		Convey("a moment that is missed is made up for by the tick", func() {
 			settle()
-			So(told, ShouldEqual, 5)
+			So(committed, ShouldEqual, 5)
 		})
 		Convey("many bytes are not held back", func() {
-			propose(gatherBytes)
+			propose(batchBytesLimit)
 			So(appends, ShouldBeGreaterThan, 0)
 		})
 		Convey("what was never proposed is refused when ownership ends, since it will never hold", func() {
 			owner.machine.Receive(wire.GroupMsg{Group: 1, Kind: group.MsgAppend, From: "x/0", To: owner.opts.Self, Term: 99}, c.now)
-			owner.settle()
+			owner.updateOwnership()
 			So(refused, ShouldEqual, 5)
-			So(owner.Waiting(), ShouldEqual, 0)
+			So(owner.PendingProposals(), ShouldEqual, 0)
 		})
 	})
 }
--- /dev/null
+++ b/internal/host/featurelevel.go
@@ -0,0 +1,17 @@
+package host
+
+// FeatureLeveled is a machine whose commands depend on a feature level that its group has agreed on.
+type FeatureLeveled interface {
+	// Level returns the level that is agreed on or proposed. A replica that cannot apply it
+	// never gets a vote.
+	Level() int64
+}
+
+// requiredLevel returns what tells the feature level that a machine's group needs.
+func requiredLevel(machine Machine) func() int64 {
+	leveled, isLeveled := machine.(FeatureLeveled)
+	if !isLeveled {
+		return nil
+	}
+	return leveled.Level
+}
--- a/internal/host/upkeep.go
+++ b/internal/host/maintenance.go
@@ -11,76 +11,76 @@
 	"caperwheel/internal/timing"
 )
 
-var rosters = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "repair",
+var rosterChanges = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "repair",
 	Name: "roster_changes_total", Help: "Steps towards the rosters that should be, taken as owner."})
 
-func init() { prometheus.MustRegister(rosters) }
+func init() { prometheus.MustRegister(rosterChanges) }
 
-// tick does the host's periodic work.
-func (h *Host) tick() {
+// runPeriodic does the host's periodic work.
+func (h *Host) runPeriodic() {
 	now := h.opts.Now()
-	h.settle()
+	h.updateOwnership()
 	h.flush()
 	h.opts.Machine.Tick(now)
-	if h.since >= h.opts.Compact || h.bytes >= max(h.opts.Bytes, h.imageBytes()) {
+	if h.entriesSinceSlot >= h.opts.CompactEntries || h.bytes >= max(h.opts.CompactBytes, h.snapshotBytes()) {
 		h.compact()
 	}
-	if h.isOwner && h.opts.Repair != nil && now-h.repaired >= h.repairPause() {
-		h.repaired = now
+	if h.isOwner && h.opts.PlanRoster != nil && now-h.lastRepair >= h.repairInterval() {
+		h.lastRepair = now
 		h.repair()
 	}
 	h.publish()
 }
 
-// repairPause returns for how long the roster is left as it is after a look at it:
+// repairInterval returns for how long the roster is left as it is after a look at it:
 // not at all while it is being changed, and shortly while a voter is silent, since
 // the next loss may follow as soon as this one should have been repaired.
-func (h *Host) repairPause() time.Duration {
+func (h *Host) repairInterval() time.Duration {
 	switch {
-	case h.isChanging:
+	case h.isRosterChanging:
 		return 0
-	case !h.machine.IsAnswered():
+	case !h.machine.IsEveryVoterResponding():
 		return h.opts.Bounds.Of(timing.Poll)
 	}
 	return h.opts.Bounds.Of(timing.AnswerTimeout)
 }
 
-// imageBytes is how large the newest image is: a group that holds much is
+// snapshotBytes is how large the newest image is: a group that holds much is
 // written whole only when as much has come since.
-func (h *Host) imageBytes() int {
-	if h.image == nil {
+func (h *Host) snapshotBytes() int {
+	if h.snapshot == nil {
 		return 0
 	}
-	return len(h.image.State)
+	return len(h.snapshot.State)
 }
 
 // DataTerm returns the term of the newest command that the machine has applied, on the host's goroutine. For one
 // that came with an image it is that of the image's last entry, which may be later where the image is of an older build.
 func (h *Host) DataTerm() int64 { return h.dataTerm }
 
-// Compact puts the group into its slot, so that old log segments can go.
+// CompactEntries puts the group into its slot, so that old log segments can go.
 func (h *Host) Compact() { _ = h.Do(h.compact) }
 
 // compact does nothing while the slot before is still being written: a disk
 // that stalls must not have the whole state waiting for it again and again.
 func (h *Host) compact() {
-	if h.saving {
+	if h.isSavingSlot {
 		return
 	}
-	h.saving = true
-	if image := h.machine.Compact(h.imageIndex(), h.opts.Machine.Image()); image != nil {
-		h.image = image
+	h.isSavingSlot = true
+	if image := h.machine.Compact(h.snapshotIndex(), h.opts.Machine.Snapshot()); image != nil {
+		h.snapshot = image
 	} // else nothing is new, but the slot must pass the log's old segments
-	h.since, h.bytes = 0, 0
-	hard, log := h.machine.Whole()
-	h.opts.Disk.SaveSlot(h.opts.Id, hard, h.image, &group.Persist{Entries: log}, h.bringBack(func() { h.saving = false }))
+	h.entriesSinceSlot, h.bytes = 0, 0
+	hard, log := h.machine.DurableState()
+	h.opts.Disk.SaveSlot(h.opts.Id, hard, h.snapshot, &group.DurableUpdate{Entries: log}, h.onCompleted(func() { h.isSavingSlot = false }))
 }
 
-// imageIndex is up to which entry an image of the state as it is now goes: up to the newest command, so that the image tells
+// snapshotIndex is up to which entry an image of the state as it is now goes: up to the newest command, so that the image tells
 // its term. Other entries change no state, and are left in the log unless they are many.
-func (h *Host) imageIndex() int64 {
-	if h.applied-h.dataIndex >= int64(h.opts.Compact) {
-		return h.applied
+func (h *Host) snapshotIndex() int64 {
+	if h.appliedIndex-h.dataIndex >= int64(h.opts.CompactEntries) {
+		return h.appliedIndex
 	}
 	return h.dataIndex
 }
@@ -89,9 +89,9 @@
 // is called with every tick: a group whose roster is between two states bears the
 // loss of one member less.
 func (h *Host) repair() {
-	known, wanted := h.opts.Repair(h.machine.Silence)
+	known, wanted := h.opts.PlanRoster(h.machine.Silence)
 	change, isDue := h.machine.Repair(known, wanted)
-	h.isChanging = isDue || slices.ContainsFunc(h.machine.View().Roster, group.IsLearner)
+	h.isRosterChanging = isDue || slices.ContainsFunc(h.machine.View().Roster, group.IsLearner)
 	if !isDue {
 		return
 	}
@@ -101,20 +101,20 @@
 		return
 	}
 	klog.Infof("repair: Group %d changes its roster: %+v.", h.opts.Id, change)
-	rosters.Inc()
-	h.do(out)
+	rosterChanges.Inc()
+	h.execute(out)
 }
 
-// Pump does all that waits, for the simulation.
-func (h *Host) Pump() {
+// RunPending does all that waits, for the simulation.
+func (h *Host) RunPending() {
 	for {
 		select {
-		case work := <-h.ring:
+		case work := <-h.queue:
 			work()
 			continue
 		default:
 		}
-		if !h.takeSynced() {
+		if !h.runCompletions() {
 			return
 		}
 	}
--- a/internal/host/propose.go
+++ b/internal/host/propose.go
@@ -7,24 +7,24 @@
 	"caperwheel/internal/timing"
 )
 
-// gatherBytes is how many bytes of gathered proposals are not held back any longer.
-const gatherBytes = 64 << 10
+// batchBytesLimit is how many bytes of gathered proposals are not held back any longer.
+const batchBytesLimit = 64 << 10
 
 // proposal is a command that is to become an entry of the log.
 type proposal struct {
-	data []byte
-	tell func(verdict any, err error)
-	at   time.Duration
+	data       []byte
+	done       func(verdict any, err error)
+	proposedAt time.Duration
 }
 
 type waiter struct {
 	term int64
-	tell func(verdict any, err error)
+	done func(verdict any, err error)
 }
 
-type begun struct {
-	index int64
-	at    time.Duration
+type inFlightProposal struct {
+	index      int64
+	proposedAt time.Duration
 }
 
 // Propose must be called on the host's goroutine. tell gets the verdict once
@@ -35,29 +35,29 @@
 // and to the other replicas together: each append costs every replica a message, an
 // answer and a write, whatever it carries. The moments are those of one grid, so that
 // all groups of a store write and send at the same time.
-func (h *Host) Propose(data []byte, tell func(verdict any, err error)) {
+func (h *Host) Propose(data []byte, done func(verdict any, err error)) {
 	if !h.isOwner {
-		h.refuse(tell)
+		h.refuse(done)
 		return
 	}
-	h.gathered = append(h.gathered, proposal{data, tell, h.opts.Now()})
-	h.gatheredBytes += len(data)
+	h.batch = append(h.batch, proposal{data, done, h.opts.Now()})
+	h.batchBytes += len(data)
 	switch {
-	case h.opts.Later == nil || h.gatheredBytes >= gatherBytes:
+	case h.opts.Schedule == nil || h.batchBytes >= batchBytesLimit:
 		h.flush()
-	case len(h.gathered) == 1:
-		period := h.opts.Bounds.Of(timing.Gather)
-		h.opts.Later(period-h.opts.Now()%period, func() { _ = h.Do(h.flush) }) // should the ring be full, the next tick does it
+	case len(h.batch) == 1:
+		period := h.opts.Bounds.Of(timing.BatchDelayLimit)
+		h.opts.Schedule(period-h.opts.Now()%period, func() { _ = h.Do(h.flush) }) // should the ring be full, the next tick does it
 	}
 }
 
 // flush proposes what was gathered.
 func (h *Host) flush() {
-	if len(h.gathered) == 0 {
+	if len(h.batch) == 0 {
 		return
 	}
-	gathered := h.gathered
-	h.gathered, h.gatheredBytes = nil, 0
+	gathered := h.batch
+	h.batch, h.batchBytes = nil, 0
 	commands := make([][]byte, len(gathered))
 	for i, p := range gathered {
 		commands[i] = p.data
@@ -65,31 +65,31 @@
 	first, term, out, isOwner := h.machine.ProposeAll(commands, h.opts.Now())
 	for i, p := range gathered {
 		if !isOwner {
-			h.refuse(p.tell)
+			h.refuse(p.done)
 			continue
 		}
 		index := first + int64(i)
-		h.waiters[index] = waiter{term, p.tell}
-		h.begun = append(h.begun, begun{index, p.at})
+		h.waiters[index] = waiter{term, p.done}
+		h.inFlight = append(h.inFlight, inFlightProposal{index, p.proposedAt})
 	}
-	h.do(out)
+	h.execute(out)
 }
 
 // refuse says of a proposal that it will never be committed.
-func (h *Host) refuse(tell func(verdict any, err error)) {
-	tell(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
+func (h *Host) refuse(done func(verdict any, err error)) {
+	done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
 }
 
-// Waiting reports how many proposals are under way. On the goroutine only.
-func (h *Host) Waiting() int { return len(h.waiters) + len(h.gathered) }
+// PendingProposals reports how many proposals are under way. On the goroutine only.
+func (h *Host) PendingProposals() int { return len(h.waiters) + len(h.batch) }
 
-// Oldest reports how long the oldest proposal under way has waited for its commit.
-func (h *Host) Oldest() time.Duration {
+// OldestProposalAge reports how long the oldest proposal under way has waited for its commit.
+func (h *Host) OldestProposalAge() time.Duration {
 	switch {
-	case len(h.begun) > 0:
-		return h.opts.Now() - h.begun[0].at
-	case len(h.gathered) > 0:
-		return h.opts.Now() - h.gathered[0].at
+	case len(h.inFlight) > 0:
+		return h.opts.Now() - h.inFlight[0].proposedAt
+	case len(h.batch) > 0:
+		return h.opts.Now() - h.batch[0].proposedAt
 	}
 	return 0
 }
--- a/internal/host/replayed.go
+++ b/internal/host/recoveredlog.go
@@ -8,14 +8,14 @@
 
 // replayed tells which entries were in the replica's log as it began: they were proposed before that moment, however
 // long it takes until they are known to be committed.
-type replayed struct {
-	at    time.Duration
-	first int64   // index of the first of them
-	terms []int64 // of each of them
+type recoveredLog struct {
+	startedAt time.Duration
+	first     int64   // index of the first of them
+	terms     []int64 // of each of them
 }
 
-func newReplayed(log []wire.Entry, at time.Duration) replayed {
-	r := replayed{at: at}
+func newRecoveredLog(log []wire.Entry, at time.Duration) recoveredLog {
+	r := recoveredLog{startedAt: at}
 	for _, e := range log {
 		if len(r.terms) == 0 {
 			r.first = e.Index
@@ -25,9 +25,9 @@
 	return r
 }
 
-// heldAt returns a moment at which the log had the entry already: the replica's beginning, or now. An entry is the one that was
+// loggedAt returns a moment at which the log had the entry already: the replica's beginning, or now. An entry is the one that was
 // there only if it has the same term; else another owner's has taken its place.
-func (r *replayed) heldAt(e wire.Entry, now time.Duration) time.Duration {
+func (r *recoveredLog) loggedAt(e wire.Entry, now time.Duration) time.Duration {
 	at := e.Index - r.first
 	if at >= int64(len(r.terms)) {
 		r.terms = nil // all that come are new
@@ -35,9 +35,9 @@
 	if at < 0 || at >= int64(len(r.terms)) || r.terms[at] != e.Term {
 		return now
 	}
-	return r.at
+	return r.startedAt
 }
 
-// HeldAt returns, while the machine applies a command, a moment of the replica's clock at which its log had that already. The
+// LoggedAt returns, while the machine applies a command, a moment of the replica's clock at which its log had that already. The
 // command was proposed before it.
-func (h *Host) HeldAt() time.Duration { return h.heldAt }
+func (h *Host) LoggedAt() time.Duration { return h.loggedAt }
--- a/internal/host/held_test.go
+++ b/internal/host/recoveredlog_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"caperwheel/internal/group"
-	"caperwheel/internal/slot"
+	"caperwheel/internal/storage"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
@@ -18,7 +18,7 @@
 // as it ran, beside its state.
 func TestHeldIsLetGo(t *testing.T) {
 	Convey("A replica that has read what its disk held keeps none of it besides", t, func() {
-		held := &slot.Held{Hard: group.HardState{Term: 1}, Log: []wire.Entry{{Index: 1, Term: 1}}}
+		held := &storage.StoredGroup{Hard: group.HardState{Term: 1}, Log: []wire.Entry{{Index: 1, Term: 1}}}
 		kept := weak.Make(held)
 		h, err := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default, Held: held,
 			Machine: &idleMachine{}, Now: func() time.Duration { return 0 }})
@@ -35,33 +35,33 @@
 func TestReplayed(t *testing.T) {
 	Convey("Of a log with three entries that a replica began with at 5 s", t, func() {
 		const began, now = 5 * time.Second, 9 * time.Second
-		log := newReplayed([]wire.Entry{{Index: 7, Term: 2}, {Index: 8, Term: 2}, {Index: 9, Term: 3}}, began)
+		log := newRecoveredLog([]wire.Entry{{Index: 7, Term: 2}, {Index: 8, Term: 2}, {Index: 9, Term: 3}}, began)
 		Convey("each was there then", func() {
-			So(log.heldAt(wire.Entry{Index: 7, Term: 2}, now), ShouldEqual, began)
-			So(log.heldAt(wire.Entry{Index: 9, Term: 3}, now), ShouldEqual, began)
+			So(log.loggedAt(wire.Entry{Index: 7, Term: 2}, now), ShouldEqual, began)
+			So(log.loggedAt(wire.Entry{Index: 9, Term: 3}, now), ShouldEqual, began)
 		})
 		Convey("one that has taken the place of another was not", func() {
-			So(log.heldAt(wire.Entry{Index: 8, Term: 4}, now), ShouldEqual, now)
+			So(log.loggedAt(wire.Entry{Index: 8, Term: 4}, now), ShouldEqual, now)
 		})
 		Convey("nor were those that came later, or are before it", func() {
-			So(log.heldAt(wire.Entry{Index: 6, Term: 2}, now), ShouldEqual, now)
-			So(log.heldAt(wire.Entry{Index: 10, Term: 3}, now), ShouldEqual, now)
+			So(log.loggedAt(wire.Entry{Index: 6, Term: 2}, now), ShouldEqual, now)
+			So(log.loggedAt(wire.Entry{Index: 10, Term: 3}, now), ShouldEqual, now)
 			So(log.terms, ShouldBeEmpty)
 		})
 	})
 	Convey("Without a log, none was there", t, func() {
-		log := newReplayed(nil, 0)
-		So(log.heldAt(wire.Entry{Index: 1, Term: 1}, time.Second), ShouldEqual, time.Second)
+		log := newRecoveredLog(nil, 0)
+		So(log.loggedAt(wire.Entry{Index: 1, Term: 1}, time.Second), ShouldEqual, time.Second)
 	})
 }
 
-// keptDisk keeps what a replica's disk holds after it.
-type keptDisk struct {
-	quickDisk
-	held *slot.Held
+// memoryDisk keeps what a replica's disk holds after it.
+type memoryDisk struct {
+	syncDisk
+	held *storage.StoredGroup
 }
 
-func (d keptDisk) Persist(_ int64, p *group.Persist, then func(error)) {
+func (d memoryDisk) Persist(_ int64, p *group.DurableUpdate, then func(error)) {
 	if p.Hard != nil {
 		d.held.Hard = *p.Hard
 	}
@@ -69,13 +69,13 @@
 	then(nil)
 }
 
-func (d keptDisk) SaveSlot(_ int64, hard group.HardState, image *group.Image, p *group.Persist, then func(error)) {
-	*d.held = slot.Held{Hard: hard, Image: image, Log: p.Entries}
+func (d memoryDisk) SaveSlot(_ int64, hard group.HardState, image *group.Snapshot, p *group.DurableUpdate, then func(error)) {
+	*d.held = storage.StoredGroup{Hard: hard, Snapshot: image, Log: p.Entries}
 	then(nil)
 }
 
-// live begins a replica on a disk and has it own its group of one.
-func (d keptDisk) live() *Host {
+// startOwner begins a replica on a disk and has it own its group of one.
+func (d memoryDisk) startOwner() *Host {
 	now := time.Duration(0)
 	held := *d.held
 	h, err := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default, Disk: d, Held: &held,
@@ -84,7 +84,7 @@
 	for range 100 {
 		now += timing.Default.Of(timing.Tick)
 		h.Tick()
-		h.Pump()
+		h.RunPending()
 	}
 	So(h.IsOwner(), ShouldBeTrue)
 	return h
@@ -94,21 +94,21 @@
 // its newest command, so that words of the time of the ownership before counted no more, and what a loss of all stores took was lost.
 func TestImageTerm(t *testing.T) {
 	Convey("Given a command of one ownership and the election of another", t, func() {
-		disk := keptDisk{held: &slot.Held{}}
-		first := disk.live()
+		disk := memoryDisk{held: &storage.StoredGroup{}}
+		first := disk.startOwner()
 		first.Propose([]byte("command"), func(any, error) {})
 		first.Tick()
-		first.Pump()
+		first.RunPending()
 		told := first.DataTerm()
 		So(told, ShouldEqual, first.Term())
-		second := disk.live()
+		second := disk.startOwner()
 		So(second.Term(), ShouldBeGreaterThan, told)
 		So(second.DataTerm(), ShouldEqual, told)
 		Convey("a replica that begins with an image of then knows the command's term", func() {
 			second.Compact()
-			second.Pump()
-			So(disk.held.Image, ShouldNotBeNil)
-			third := disk.live()
+			second.RunPending()
+			So(disk.held.Snapshot, ShouldNotBeNil)
+			third := disk.startOwner()
 			So(third.DataTerm(), ShouldEqual, told)
 		})
 	})
--- a/internal/host/repairpace_test.go
+++ b/internal/host/repairpace_test.go
@@ -15,26 +15,26 @@
 func TestPaceOfRepair(t *testing.T) {
 	Convey("Given a group of three with an owner", t, func() {
 		names := []string{"a", "b", "c"}
-		c, looks := newHosts(names, names, names), 0
-		for len(c.holders()) == 0 && c.now < timing.Default.Config {
+		c, checks := newCluster(names, names, names), 0
+		for len(c.voters()) == 0 && c.now < timing.Default.ConfigApply {
 			c.tick()
 		}
 		for _, h := range c.byName {
-			plan := h.opts.Repair
-			h.opts.Repair = func(silence repair.Silence) (map[string]string, []string) {
-				looks++
+			plan := h.opts.PlanRoster
+			h.opts.PlanRoster = func(silence repair.Silence) (map[string]string, []string) {
+				checks++
 				return plan(silence)
 			}
 		}
-		looksWithin := func() int {
-			looks = 0
-			for end := c.now + timing.Default.Config; c.now < end; {
+		checksPerBound := func() int {
+			checks = 0
+			for end := c.now + timing.Default.ConfigApply; c.now < end; {
 				c.tick()
 			}
-			return looks
+			return checks
 		}
-		calm := looksWithin()
-		So(calm, ShouldBeBetweenOrEqual, 3, 5)
+		baseline := checksPerBound()
+		So(baseline, ShouldBeBetweenOrEqual, 3, 5)
 		Convey("it looks three times as often once a voter is silent", func() {
 			for name, h := range c.byName {
 				if !h.IsOwner() {
@@ -42,7 +42,7 @@
 					break
 				}
 			}
-			So(looksWithin(), ShouldBeGreaterThanOrEqualTo, 2*calm+1)
+			So(checksPerBound(), ShouldBeGreaterThanOrEqualTo, 2*baseline+1)
 		})
 	})
 }
--- /dev/null
+++ b/internal/host/snapshot.go
@@ -0,0 +1,70 @@
+package host
+
+import (
+	"caperwheel/internal/group"
+	"caperwheel/internal/wire"
+)
+
+// An image that is larger than one message may be travels in parts: Commit has
+// a part's offset, and Reject marks the last one. Parts may come in any order
+// and be lost; the owner sends the whole image again until it is installed.
+const (
+	snapshotMessageBytesLimit = 8 << 20 // up to this an image is one message, as it was in wire version 1
+	maxSnapshotBytes          = 1 << 30
+)
+
+// parts gathers one image. Invariant: all are of the same sender, term and
+// index; size never passes maxSnapshotBytes.
+type partBuffer struct {
+	header   wire.GroupMsg // without state
+	byOffset map[int64][]byte
+	size     int64
+	total    int64 // -1 while the last part has not come
+}
+
+// splitSnapshot gives the messages that carry an image.
+func splitSnapshot(m wire.GroupMsg, state []byte, maxBytes int) []wire.GroupMsg {
+	if len(state) <= maxBytes {
+		m.State = state
+		return []wire.GroupMsg{m}
+	}
+	out := []wire.GroupMsg{}
+	for at := 0; at < len(state); at += maxBytes {
+		part := m
+		part.Kind, part.Commit = group.MsgSnapshotChunk, int64(at)
+		part.State, part.Reject = state[at:min(at+maxBytes, len(state))], at+maxBytes >= len(state)
+		out = append(out, part)
+	}
+	return out
+}
+
+// add adds a part. The image is whole when every byte of it is here.
+func (p *partBuffer) add(m wire.GroupMsg) (image wire.GroupMsg, isWhole bool) {
+	if p.byOffset == nil || p.header.From != m.From || p.header.Term != m.Term || p.header.Index != m.Index {
+		*p = partBuffer{header: m, byOffset: map[int64][]byte{}, total: -1}
+	}
+	if m.Commit < 0 || p.byOffset[m.Commit] != nil || p.size+int64(len(m.State)) > maxSnapshotBytes {
+		return image, false
+	}
+	p.byOffset[m.Commit] = m.State
+	p.size += int64(len(m.State))
+	if m.Reject {
+		p.total = m.Commit + int64(len(m.State))
+	}
+	if p.size != p.total {
+		return image, false
+	}
+	image = m
+	image.Kind, image.Commit, image.Reject, image.State = group.MsgSnapshot, 0, false, make([]byte, 0, p.total)
+	for at := int64(0); at < p.total; {
+		part := p.byOffset[at]
+		if len(part) == 0 { // parts of two cuts: begin anew
+			*p = partBuffer{}
+			return image, false
+		}
+		image.State = append(image.State, part...)
+		at += int64(len(part))
+	}
+	*p = partBuffer{}
+	return image, int64(len(image.State)) == int64(cap(image.State))
+}
--- a/internal/host/image_test.go
+++ b/internal/host/snapshot_test.go
@@ -15,11 +15,11 @@
 // so that a replica that had to be rebuilt never was.
 func TestImageInParts(t *testing.T) {
 	state := bytes.Repeat([]byte("abcdefg"), 50)
-	m := wire.GroupMsg{Kind: group.MsgImage, From: "a", Term: 3, Index: 9, Round: 4, Roster: []string{"a"}}
+	m := wire.GroupMsg{Kind: group.MsgSnapshot, From: "a", Term: 3, Index: 9, Round: 4, Roster: []string{"a"}}
 	cases := []struct {
 		name    string
 		most    int
-		hurt    func([]wire.GroupMsg) []wire.GroupMsg
+		alter   func([]wire.GroupMsg) []wire.GroupMsg
 		isWhole bool
 	}{
 		{"one that fits comes as it is", 350, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
@@ -41,11 +41,11 @@
 	Convey("Of an image", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				p, got := parts{}, []wire.GroupMsg{}
-				for _, part := range c.hurt(cut(m, state, c.most)) {
-					if part.Kind == group.MsgImage {
+				p, got := partBuffer{}, []wire.GroupMsg{}
+				for _, part := range c.alter(splitSnapshot(m, state, c.most)) {
+					if part.Kind == group.MsgSnapshot {
 						got = append(got, part)
-					} else if image, isWhole := p.take(part); isWhole {
+					} else if image, isWhole := p.add(part); isWhole {
 						got = append(got, image)
 					}
 				}
--- a/internal/host/spread_test.go
+++ b/internal/host/spread_test.go
@@ -18,29 +18,29 @@
 type idleMachine struct{}
 
 func (idleMachine) Apply([]byte, bool) any { return nil }
-func (idleMachine) Image() []byte          { return []byte{} }
+func (idleMachine) Snapshot() []byte       { return []byte{} }
 func (idleMachine) Restore([]byte) error   { return nil }
-func (idleMachine) Owned(bool)             {}
+func (idleMachine) OwnershipChanged(bool)  {}
 func (idleMachine) Tick(time.Duration)     {}
 
-// quickDisk has everything synced at once.
-type quickDisk struct{}
+// syncDisk has everything synced at once.
+type syncDisk struct{}
 
-func (quickDisk) Persist(_ int64, _ *group.Persist, then func(error)) { then(nil) }
-func (quickDisk) After(then func(error))                              { then(nil) }
-func (quickDisk) SaveSlot(_ int64, _ group.HardState, _ *group.Image, _ *group.Persist, then func(error)) {
+func (syncDisk) Persist(_ int64, _ *group.DurableUpdate, then func(error)) { then(nil) }
+func (syncDisk) AfterWrites(then func(error))                              { then(nil) }
+func (syncDisk) SaveSlot(_ int64, _ group.HardState, _ *group.Snapshot, _ *group.DurableUpdate, then func(error)) {
 	then(nil)
 }
 
-// hosts are the replicas of one group on several stores, on one clock.
-type hosts struct {
-	now    time.Duration
-	byName map[string]*Host
-	mail   []wire.GroupMsg
+// cluster are the replicas of one group on several stores, on one clock.
+type cluster struct {
+	now      time.Duration
+	byName   map[string]*Host
+	messages []wire.GroupMsg
 }
 
-func newHosts(founders, all, wanted []string) *hosts {
-	out, known, roster := &hosts{byName: map[string]*Host{}}, map[string]string{}, []string{}
+func newCluster(founders, all, wanted []string) *cluster {
+	out, known, roster := &cluster{byName: map[string]*Host{}}, map[string]string{}, []string{}
 	for _, name := range all {
 		known[name] = name + "/0"
 	}
@@ -48,9 +48,9 @@
 		roster = append(roster, known[name])
 	}
 	for i, name := range all {
-		opts := Options{Id: 1, Self: known[name], Bounds: timing.Default, Seed: uint64(i), Disk: quickDisk{}, Machine: idleMachine{},
-			Now: func() time.Duration { return out.now }, Send: func(m wire.GroupMsg) { out.mail = append(out.mail, m) },
-			Repair: func(repair.Silence) (map[string]string, []string) { return known, wanted }}
+		opts := Options{Id: 1, Self: known[name], Bounds: timing.Default, Seed: uint64(i), Disk: syncDisk{}, Machine: idleMachine{},
+			Now: func() time.Duration { return out.now }, Send: func(m wire.GroupMsg) { out.messages = append(out.messages, m) },
+			PlanRoster: func(repair.Silence) (map[string]string, []string) { return known, wanted }}
 		if slices.Contains(founders, name) {
 			opts.Roster = roster
 		}
@@ -61,29 +61,29 @@
 	return out
 }
 
-// tick lets one tick pass: what is said meets its receiver before the next.
-func (c *hosts) tick() {
+// runPeriodic lets one tick pass: what is said meets its receiver before the next.
+func (c *cluster) tick() {
 	c.now += timing.Default.Of(timing.Tick)
 	for _, h := range c.byName {
 		h.Tick()
 	}
-	for len(c.mail) > 0 {
-		mail := c.mail
-		c.mail = nil
+	for len(c.messages) > 0 {
+		mail := c.messages
+		c.messages = nil
 		for _, m := range mail {
 			if to := c.byName[group.Name(m.To)]; to != nil {
 				to.Receive(m)
 			}
 		}
 		for _, h := range c.byName {
-			h.Pump()
+			h.RunPending()
 		}
 	}
 }
 
-// holders gives the voters as the owner has them; none while there is no owner
+// voters gives the voters as the owner has them; none while there is no owner
 // or a learner is left.
-func (c *hosts) holders() []string {
+func (c *cluster) voters() []string {
 	out := []string{}
 	for _, h := range c.byName {
 		if v := h.View(); v.Role == group.Owner && !slices.ContainsFunc(v.Roster, group.IsLearner) {
@@ -108,15 +108,15 @@
 		return out
 	}
 	Convey("A group that is founded on five stores and belongs on five others is there within a bound of its first owner", t, func() {
-		c, wanted := newHosts(names(0, 5), names(0, 10), names(5, 10)), names(5, 10)
-		for len(c.holders()) == 0 && c.now < timing.Default.Config {
+		c, wanted := newCluster(names(0, 5), names(0, 10), names(5, 10)), names(5, 10)
+		for len(c.voters()) == 0 && c.now < timing.Default.ConfigApply {
 			c.tick()
 		}
 		owned := c.now
-		for !slices.Equal(c.holders(), wanted) && c.now < owned+10*timing.Default.Config {
+		for !slices.Equal(c.voters(), wanted) && c.now < owned+10*timing.Default.ConfigApply {
 			c.tick()
 		}
-		So(c.holders(), ShouldResemble, wanted)
-		So(c.now-owned, ShouldBeLessThan, timing.Default.Config)
+		So(c.voters(), ShouldResemble, wanted)
+		So(c.now-owned, ShouldBeLessThan, timing.Default.ConfigApply)
 	})
 }
--- a/internal/host/stall_test.go
+++ b/internal/host/stall_test.go
@@ -11,51 +11,51 @@
 	"caperwheel/internal/wire"
 )
 
-// stalled is a disk that answers nothing until it is told to.
-type stalled struct {
+// stalledDisk is a disk that answers nothing until it is told to.
+type stalledDisk struct {
 	waiting []func(error)
 	slots   int
 }
 
-func (d *stalled) Persist(_ int64, _ *group.Persist, then func(error)) {
+func (d *stalledDisk) Persist(_ int64, _ *group.DurableUpdate, then func(error)) {
 	d.waiting = append(d.waiting, then)
 }
-func (d *stalled) After(then func(error)) { d.waiting = append(d.waiting, then) }
-func (d *stalled) SaveSlot(_ int64, _ group.HardState, _ *group.Image, _ *group.Persist, then func(error)) {
+func (d *stalledDisk) AfterWrites(then func(error)) { d.waiting = append(d.waiting, then) }
+func (d *stalledDisk) SaveSlot(_ int64, _ group.HardState, _ *group.Snapshot, _ *group.DurableUpdate, then func(error)) {
 	d.slots++
 	d.waiting = append(d.waiting, then)
 }
 
 // answer has the disk do all that waits.
-func (d *stalled) answer(h *Host) {
+func (d *stalledDisk) answer(h *Host) {
 	for len(d.waiting) > 0 {
 		waiting := d.waiting
 		d.waiting = nil
 		for _, then := range waiting {
 			then(nil)
 		}
-		h.Pump()
+		h.RunPending()
 	}
 }
 
-// blank is a state machine that takes anything.
-type blank struct{}
+// noopMachine is a state machine that takes anything.
+type noopMachine struct{}
 
-func (blank) Apply([]byte, bool) any { return nil }
-func (blank) Image() []byte          { return []byte("state") }
-func (blank) Restore([]byte) error   { return nil }
-func (blank) Owned(bool)             {}
-func (blank) Tick(time.Duration)     {}
+func (noopMachine) Apply([]byte, bool) any { return nil }
+func (noopMachine) Snapshot() []byte       { return []byte("state") }
+func (noopMachine) Restore([]byte) error   { return nil }
+func (noopMachine) OwnershipChanged(bool)  {}
+func (noopMachine) Tick(time.Duration)     {}
 
 // TestStalledDisk: a group whose slot could not be written once queued its whole
 // state again and again.
 func TestStalledDisk(t *testing.T) {
 	Convey("Given the owner of a group of one", t, func() {
-		now, disk := time.Duration(0), &stalled{}
-		h, err := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default, Disk: disk, Machine: blank{},
-			Now: func() time.Duration { return now }, Send: func(wire.GroupMsg) {}, Failed: func(err error) { panic(err) }})
+		now, disk := time.Duration(0), &stalledDisk{}
+		h, err := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default, Disk: disk, Machine: noopMachine{},
+			Now: func() time.Duration { return now }, Send: func(wire.GroupMsg) {}, OnFailure: func(err error) { panic(err) }})
 		So(err, ShouldBeNil)
-		now = timing.Default.Config
+		now = timing.Default.ConfigApply
 		h.Tick()
 		disk.answer(h)
 		now += time.Millisecond
@@ -64,24 +64,24 @@
 		Convey("one slot at a time is under way", func() {
 			for range 20 {
 				h.Compact()
-				h.Pump()
+				h.RunPending()
 			}
 			So(disk.slots, ShouldEqual, 1)
 			disk.answer(h)
 			So(disk.slots, ShouldBeLessThanOrEqualTo, 2)
 			h.Compact()
-			h.Pump()
+			h.RunPending()
 			So(disk.slots, ShouldBeBetweenOrEqual, 2, 3)
 		})
 		Convey("it tells how long the oldest proposal has waited", func() {
-			So(h.Oldest(), ShouldEqual, 0)
+			So(h.OldestProposalAge(), ShouldEqual, 0)
 			h.Propose([]byte("x"), func(any, error) {})
 			now += time.Second
 			h.Propose([]byte("y"), func(any, error) {})
 			now += time.Second
-			So(h.Oldest(), ShouldEqual, 2*time.Second)
+			So(h.OldestProposalAge(), ShouldEqual, 2*time.Second)
 			disk.answer(h)
-			So(h.Oldest(), ShouldEqual, 0)
+			So(h.OldestProposalAge(), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/intake/codecs_test.go
+++ b/internal/intake/codecs_test.go
@@ -10,8 +10,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
 	"caperwheel/internal/intake"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/wire"
 	"caperwheel/platform"
 )
@@ -19,7 +19,7 @@
 var codecs = []struct {
 	name  string
 	codec intake.Codec
-}{{"our own codec", intake.Own}, {"the platform's codec", platform.Callers}}
+}{{"our own codec", intake.DefaultCodec}, {"the platform's codec", platform.Callers}}
 
 // chunks is a body that does not tell its length.
 type chunks struct{ io.Reader }
@@ -33,31 +33,31 @@
 		name   string
 		target string
 		body   string
-		s      intake.Scenery
+		s      intake.TestSetup
 		codes  [2]int
 	}{
-		{"a message that is held", "/a/b?c=%2Fd", "body", intake.Scenery{Take: held, Most: 9}, [2]int{202, 202}},
-		{"one without a body", "/a/", "", intake.Scenery{Take: held, Most: 9}, [2]int{202, 202}},
-		{"a path that no lane takes", "/b/", "body", intake.Scenery{Take: held, Most: 9}, [2]int{404, 404}},
-		{"too large a body", "/a/b", "0123456789", intake.Scenery{Take: held, Most: 9}, [2]int{413, 413}},
-		{"a stale adapter", "/a/b", "body", intake.Scenery{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
-		{"a stale adapter, on a path that it does not know", "/b/", "body", intake.Scenery{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
-		{"a full adapter", "/a/b", "body", intake.Scenery{Take: held}, [2]int{429, 429}},
-		{"a full place", "/a/b", "body", intake.Scenery{Take: kind(errs.Full), Most: 9}, [2]int{429, 429}},
-		{"a full disk", "/a/b", "body", intake.Scenery{Take: kind(errs.DiskFull), Most: 9}, [2]int{507, 503}},
-		{"no owner", "/a/b", "body", intake.Scenery{Most: 9}, [2]int{503, 503}},
+		{"a message that is held", "/a/b?c=%2Fd", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
+		{"one without a body", "/a/", "", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
+		{"a path that no lane takes", "/b/", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{404, 404}},
+		{"too large a body", "/a/b", "0123456789", intake.TestSetup{Take: held, Most: 9}, [2]int{413, 413}},
+		{"a stale adapter", "/a/b", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
+		{"a stale adapter, on a path that it does not know", "/b/", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
+		{"a full adapter", "/a/b", "body", intake.TestSetup{Take: held}, [2]int{429, 429}},
+		{"a full place", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), Most: 9}, [2]int{429, 429}},
+		{"a full disk", "/a/b", "body", intake.TestSetup{Take: kind(errs.DiskFull), Most: 9}, [2]int{507, 503}},
+		{"no owner", "/a/b", "body", intake.TestSetup{Most: 9}, [2]int{503, 503}},
 		{"a full place after an ask that may be held, settled as never", "/a/b", "body",
-			intake.Scenery{Take: kind(errs.Full), IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{429, 429}},
-		{"… settled as held", "/a/b", "body", intake.Scenery{Take: kind(errs.Full), IsOpen: true, Settle: held, Most: 9}, [2]int{202, 202}},
-		{"… not settled", "/a/b", "body", intake.Scenery{Take: kind(errs.Full), IsOpen: true, Most: 9}, [2]int{504, 504}},
-		{"a lost answer, settled as never", "/a/b", "body", intake.Scenery{IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{503, 503}},
-		{"a lost answer, not settled", "/a/b", "body", intake.Scenery{IsOpen: true, Most: 9}, [2]int{504, 504}},
+			intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{429, 429}},
+		{"… settled as held", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: held, Most: 9}, [2]int{202, 202}},
+		{"… not settled", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Most: 9}, [2]int{504, 504}},
+		{"a lost answer, settled as never", "/a/b", "body", intake.TestSetup{IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{503, 503}},
+		{"a lost answer, not settled", "/a/b", "body", intake.TestSetup{IsOpen: true, Most: 9}, [2]int{504, 504}},
 	}
 	for i, m := range codecs {
 		Convey("In "+m.name+" a caller that meets", t, func() {
 			for _, c := range cases {
 				for _, isChunked := range []bool{false, true} {
-					in, takes := intake.On(c.s)
+					in, takes := intake.NewTestIntake(c.s)
 					r := httptest.NewRequest("POST", c.target, strings.NewReader(c.body))
 					if isChunked {
 						r = httptest.NewRequest("POST", c.target, chunks{strings.NewReader(c.body)})
@@ -65,7 +65,7 @@
 					}
 					r.Host = "x.example"
 					w := httptest.NewRecorder()
-					in.AsItIs(m.codec)(w, r)
+					in.PassthroughHandler(m.codec)(w, r)
 					Convey(c.name+map[bool]string{true: ", in chunks"}[isChunked], func() {
 						So(w.Code, ShouldEqual, c.codes[i])
 						So(w.Header().Get("Content-Length"), ShouldNotBeEmpty)
@@ -73,19 +73,19 @@
 							So(w.Header().Get("Retry-After"), ShouldNotBeEmpty)
 						}
 						if w.Code == 202 {
-							kept, err := head.Decode(takes()[0].Head)
+							kept, err := requesthead.Decode(takes()[0].RequestHead)
 							So(err, ShouldBeNil)
 							So([]string{kept.Method, kept.Target, kept.Host}, ShouldResemble, []string{"POST", c.target, "x.example"})
-							So(takes()[0].Sum, ShouldEqual, wire.SumOf([]byte(c.body)))
+							So(takes()[0].Checksum, ShouldEqual, wire.Checksum([]byte(c.body)))
 						}
 					})
 				}
 			}
 		})
 		Convey("In "+m.name+" a message of an ordered lane without a key is about nothing that others are about", t, func() {
-			in, takes := intake.On(intake.Scenery{Take: held, Most: 9})
+			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9})
 			for range 2 {
-				in.AsItIs(m.codec)(httptest.NewRecorder(), httptest.NewRequest("POST", "/o/x", nil))
+				in.PassthroughHandler(m.codec)(httptest.NewRecorder(), httptest.NewRequest("POST", "/o/x", nil))
 			}
 			So(len(takes()), ShouldEqual, 2)
 			So(takes()[0].Key, ShouldNotBeEmpty)
@@ -96,7 +96,7 @@
 
 // TestAskers is the table of what the platform's askers hear of a message.
 func TestAskers(t *testing.T) {
-	body, sum := []byte("body"), wire.SumOf([]byte("body"))
+	body, sum := []byte("body"), wire.Checksum([]byte("body"))
 	cases := []struct {
 		name, path string
 		sight      wire.Sight
@@ -112,16 +112,16 @@
 		{"not known", "/v1/message/1-x", wire.Sight{Kind: "unknown"}, 404, ""},
 		{"out of reach", "/v1/message/1-x", wire.Sight{Kind: "undecided"}, 503, ""},
 		{"no id of ours", "/v1/message/x", wire.Sight{State: "held"}, 404, ""},
-		{"held, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Body: body, Sum: sum}, 200, "body"},
-		{"held, without bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Sum: wire.SumOf(nil)}, 200, ""},
-		{"failed, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "failed", Body: body, Sum: sum}, 200, "body"},
-		{"held, and its bytes are broken", "/v1/message-body/1-x", wire.Sight{State: "held", Body: []byte("bodY"), Sum: sum}, 503, ""},
-		{"ended, and its bytes have gone", "/v1/message-body/1-x", wire.Sight{State: "ended", Sum: sum}, 404, ""},
+		{"held, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Body: body, Checksum: sum}, 200, "body"},
+		{"held, without bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Checksum: wire.Checksum(nil)}, 200, ""},
+		{"failed, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "failed", Body: body, Checksum: sum}, 200, "body"},
+		{"held, and its bytes are broken", "/v1/message-body/1-x", wire.Sight{State: "held", Body: []byte("bodY"), Checksum: sum}, 503, ""},
+		{"ended, and its bytes have gone", "/v1/message-body/1-x", wire.Sight{State: "ended", Checksum: sum}, 404, ""},
 	}
 	Convey("Whoever asks of a message that is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				in, _ := intake.On(intake.Scenery{Sight: &c.sight, Most: 9})
+				in, _ := intake.NewTestIntake(intake.TestSetup{Sight: &c.sight, Most: 9})
 				mux := http.NewServeMux()
 				platform.ServeCallers(mux, in)
 				w := httptest.NewRecorder()
--- /dev/null
+++ b/internal/intake/helpers_test.go
@@ -0,0 +1,79 @@
+package intake
+
+import (
+	"cmp"
+	"context"
+	"net/http"
+	"time"
+
+	"caperwheel/internal/config"
+	"caperwheel/internal/daemon"
+	"caperwheel/internal/errs"
+	"caperwheel/internal/feed"
+	"caperwheel/internal/session"
+	"caperwheel/internal/settings"
+	"caperwheel/internal/timing"
+	"caperwheel/internal/wire"
+)
+
+// TestSetup is what tables from outside of the package say of an intake's
+// surroundings.
+type TestSetup struct {
+	Take, Settle *wire.Taken // nil: no owner answers
+	IsOpen       bool        // an earlier ask may have been held
+	Sight        *wire.Sight // what an owner knows of a message
+	IsStale      bool
+	Most         int
+	Rules        string // the configuration; empty for a plain one
+}
+
+// fakeLookupOwners also answers those who ask of a message.
+type fakeLookupOwners struct {
+	fakeOwners
+	sight *wire.Sight
+}
+
+func (s *fakeLookupOwners) CallOwner(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (any, error) {
+	if _, isLook := ask.(*wire.Look); isLook && s.sight != nil {
+		return s.sight, nil
+	}
+	return s.fakeOwners.CallOwner(ctx, id, ask, owned)
+}
+
+const passthroughConfig = `{"pools":{"p":{}},"lanes":{"l":{"pools":["p"],"size":9,"host":"x.example","prefix":"/a/","notify":true},
+	"o":{"pools":["p"],"prefix":"/o/","ordering":"key"}}}`
+
+// Refused returns what is wrong with a configuration, if anything is.
+func Refused(doc []byte) error {
+	if _, faults := config.Compile(doc); len(faults) > 0 {
+		return errs.New(errs.Invalid, "%v", faults)
+	}
+	return nil
+}
+
+// NewTestIntake builds an intake in these surroundings; takes gives what was put to owners.
+func NewTestIntake(s TestSetup) (in *Intake, takes func() []*wire.Take) {
+	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isOpen: s.IsOpen}, sight: s.Sight}
+	view := feed.NewView(0)
+	d := &daemon.Daemon{Started: time.Now().Add(-time.Hour), Bounds: timing.Default, View: view, Membership: session.NewMembership(),
+		Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: s.Most}}
+	at := d.Now()
+	if s.IsStale {
+		at = 0
+	}
+	rules := cmp.Or(s.Rules, passthroughConfig)
+	view.Update([]wire.PartNews{{To: 7, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 7, Value: []byte(rules)}}}}, at)
+	in = New(d, &config.Cache{View: view})
+	in.owners = owners
+	return in, func() []*wire.Take { return owners.takes }
+}
+
+// Handler returns all that the intake serves on the adapter's own address.
+func Handler(in *Intake) http.Handler { return in.d.Mux }
+
+// UpdateConfig has the intake's view hear of a newer configuration.
+func UpdateConfig(in *Intake, rules string) {
+	at := in.d.View.Revision(feed.ConfigPart)
+	change := wire.Change{Key: config.DocumentKey, Revision: at + 1, Value: []byte(rules)}
+	in.d.View.Update([]wire.PartNews{{From: at, To: at + 1, Changes: []wire.Change{change}}}, in.d.Now())
+}
--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -11,19 +11,19 @@
 	"caperwheel/internal/wire"
 )
 
-// turns answers each ask in turn: a kind of error, "held", "" for no owner, or
+// scriptedOwners answers each ask in turn: a kind of error, "held", "" for no owner, or
 // "open" for an ask of which nobody knows what became.
-type turns struct {
-	say    []string
-	places []int64
+type scriptedOwners struct {
+	replies []string
+	places  []int64
 }
 
-func (s *turns) Ask(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
+func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
 	t := ask.(*wire.Take)
 	s.places = append(s.places, t.Place)
 	say := "" // no owner from here on
-	if len(s.say) > 0 {
-		say, s.say = s.say[0], s.say[1:]
+	if len(s.replies) > 0 {
+		say, s.replies = s.replies[0], s.replies[1:]
 	}
 	switch say {
 	case "":
@@ -36,7 +36,7 @@
 	return &wire.Taken{Id: t.Id, Kind: say}, false, nil
 }
 
-func (s *turns) Group(context.Context, int64, any, func(any) (bool, string)) (any, error) {
+func (s *scriptedOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	return nil, errs.New(errs.Undecided, "not asked in these cases")
 }
 
@@ -54,7 +54,7 @@
 		{"the first place holds it", "", []string{"held"}, "", false, 1},
 		{"a place without an owner is passed over", "", []string{"", "held"}, "", false, 2},
 		{"a full place is passed over", "", []string{"full", "held"}, "", false, 2},
-		{"no place has an owner: it never will run", "", nil, errs.NotOwner, false, mostPlaces},
+		{"no place has an owner: it never will run", "", nil, errs.NotOwner, false, maxPlacesTried},
 		{"a keyed message has one place", "k", []string{"", "held"}, errs.NotOwner, false, 1},
 		{"an ask in the dark is asked again at its own place, and no other", "", []string{"open", "held"}, "", false, 2},
 		{"one that stays in the dark is no promise", "", []string{"open", "open"}, errs.Undecided, true, 2},
@@ -63,11 +63,11 @@
 	Convey("Of a caller that does not wait long,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				s := &turns{say: c.say}
-				in := intakeOn(&stand{})
-				in.quick = s
+				s := &scriptedOwners{replies: c.say}
+				in := newTestIntake(&fakeOwners{})
+				in.quickOwners = s
 				e := &request{ctx: context.Background(), deadline: time.Minute, take: wire.Take{Lane: "l", Key: c.key}}
-				in.putPlace(e)
+				in.assignPlace(e)
 				err := in.hold(e)
 				kind := errs.Kind("")
 				if err != nil {
@@ -76,7 +76,7 @@
 					kind = errs.Kind(e.taken.Kind)
 				}
 				So(kind, ShouldEqual, c.kind)
-				So(e.isOpen, ShouldEqual, c.isOpen)
+				So(e.mayBeHeld, ShouldEqual, c.isOpen)
 				So(len(s.places), ShouldEqual, c.asks)
 				if c.isOpen || len(c.say) > 0 && c.say[0] == "open" {
 					So(s.places[1], ShouldEqual, s.places[0])
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -15,22 +15,22 @@
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
 	"caperwheel/internal/feed"
-	"caperwheel/internal/path"
+	"caperwheel/internal/pipeline"
 	"caperwheel/internal/session"
 	"caperwheel/internal/settings"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
 
-// stand answers asks to owners as a test says.
-type stand struct {
+// fakeOwners answers asks to owners as a test says.
+type fakeOwners struct {
 	take, settle       *wire.Taken // nil: no owner answers
 	isOpen             bool        // an earlier ask may have been held
 	takes              []*wire.Take
 	settles, takeCalls int
 }
 
-func (s *stand) Ask(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
+func (s *fakeOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
 	s.takeCalls++
 	s.takes = append(s.takes, ask.(*wire.Take))
 	switch {
@@ -42,7 +42,7 @@
 	return nil, false, errs.New(errs.NotOwner, "no owner")
 }
 
-func (s *stand) Group(context.Context, int64, any, func(any) (bool, string)) (any, error) {
+func (s *fakeOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	s.settles++
 	if s.settle == nil {
 		return nil, errs.New(errs.Undecided, "no answer")
@@ -50,13 +50,13 @@
 	return s.settle, nil
 }
 
-func intakeOn(s *stand) *Intake {
+func newTestIntake(s *fakeOwners) *Intake {
 	view := feed.NewView(0)
-	d := &daemon.Daemon{Started: time.Now(), Bounds: timing.Default, View: view, Membership: session.NewMembership(), Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, Most: 9}}
-	view.Take([]wire.PartNews{{To: 7, Changes: []wire.Change{{Key: config.Key, Revision: 7,
+	d := &daemon.Daemon{Started: time.Now(), Bounds: timing.Default, View: view, Membership: session.NewMembership(), Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: 9}}
+	view.Update([]wire.PartNews{{To: 7, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 7,
 		Value: []byte(`{"pools":{"p":{}},"lanes":{"l":{"pools":["p"],"size":9},"o":{"pools":["p"],"ordering":"key"}}}`)}}}}, d.Now())
 	in := New(d, &config.Cache{View: view})
-	in.reach = s
+	in.owners = s
 	return in
 }
 
@@ -71,35 +71,35 @@
 		lane    string
 		idem    string
 		body    string
-		s       stand
+		s       fakeOwners
 		code    int
 		taken   any
 		retry   string
 		settles int
 	}{
-		{"a message that is held", "l", "", "b", stand{take: held}, 202, true, "", 0},
-		{"one that the owner rejects", "l", "", "b", stand{take: kind(errs.Full)}, 429, false, "7", 0},
+		{"a message that is held", "l", "", "b", fakeOwners{take: held}, 202, true, "", 0},
+		{"one that the owner rejects", "l", "", "b", fakeOwners{take: kind(errs.Full)}, 429, false, "7", 0},
 		{"one that the owner rejects after an ask that may have been held, settled as never", "l", "", "b",
-			stand{take: kind(errs.Full), isOpen: true, settle: kind(errs.Rejected)}, 429, false, "7", 1},
-		{"… settled as held", "l", "", "b", stand{take: kind(errs.Full), isOpen: true, settle: held}, 202, true, "", 1},
-		{"… not settled", "l", "", "b", stand{take: kind(errs.Full), isOpen: true}, 504, "undecided", "", 1},
-		{"one that met no owner", "l", "", "b", stand{}, 503, false, "1", 0},
-		{"one whose answer was lost, settled as never", "l", "", "b", stand{isOpen: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
-		{"too large a body", "l", "", "0123456789", stand{}, 413, false, "", 0},
-		{"no such lane", "x", "", "b", stand{}, 404, false, "", 0},
-		{"a key whose message is held", "l", "i", "b", stand{take: held}, 202, true, "", 0},
-		{"a key that the owner rejects", "l", "i", "b", stand{take: kind(errs.Full)}, 429, "undecided", "7", 0},
-		{"a key that met no owner", "l", "i", "b", stand{}, 503, "undecided", "1", 0},
-		{"a key whose answer was lost", "l", "i", "b", stand{isOpen: true}, 504, "undecided", "2", 0},
-		{"a key settled as never", "l", "i", "b", stand{take: kind(errs.Rejected)}, 409, false, "7", 0},
-		{"a key with other bytes", "l", "i", "b", stand{take: kind(errs.Conflict)}, 409, false, "7", 0},
-		{"a key with too large a body", "l", "i", "0123456789", stand{}, 413, "undecided", "", 0},
-		{"a key on a lane that is gone", "x", "i", "b", stand{}, 404, "undecided", "", 0},
+			fakeOwners{take: kind(errs.Full), isOpen: true, settle: kind(errs.Rejected)}, 429, false, "7", 1},
+		{"… settled as held", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true, settle: held}, 202, true, "", 1},
+		{"… not settled", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true}, 504, "undecided", "", 1},
+		{"one that met no owner", "l", "", "b", fakeOwners{}, 503, false, "1", 0},
+		{"one whose answer was lost, settled as never", "l", "", "b", fakeOwners{isOpen: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
+		{"too large a body", "l", "", "0123456789", fakeOwners{}, 413, false, "", 0},
+		{"no such lane", "x", "", "b", fakeOwners{}, 404, false, "", 0},
+		{"a key whose message is held", "l", "i", "b", fakeOwners{take: held}, 202, true, "", 0},
+		{"a key that the owner rejects", "l", "i", "b", fakeOwners{take: kind(errs.Full)}, 429, "undecided", "7", 0},
+		{"a key that met no owner", "l", "i", "b", fakeOwners{}, 503, "undecided", "1", 0},
+		{"a key whose answer was lost", "l", "i", "b", fakeOwners{isOpen: true}, 504, "undecided", "2", 0},
+		{"a key settled as never", "l", "i", "b", fakeOwners{take: kind(errs.Rejected)}, 409, false, "7", 0},
+		{"a key with other bytes", "l", "i", "b", fakeOwners{take: kind(errs.Conflict)}, 409, false, "7", 0},
+		{"a key with too large a body", "l", "i", "0123456789", fakeOwners{}, 413, "undecided", "", 0},
+		{"a key on a lane that is gone", "x", "i", "b", fakeOwners{}, 404, "undecided", "", 0},
 	}
 	Convey("A caller is told of", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				in := intakeOn(&c.s)
+				in := newTestIntake(&c.s)
 				r := httptest.NewRequest("POST", "/v1/lanes/"+c.lane+"/messages", strings.NewReader(c.body))
 				if c.idem != "" {
 					r.Header.Set("Idempotency-Key", c.idem)
@@ -124,11 +124,11 @@
 			})
 		}
 		Convey("the same id for the same key, whichever adapter it came to", func() {
-			a, b := &stand{}, &stand{}
-			for _, s := range []*stand{a, a, b} {
+			a, b := &fakeOwners{}, &fakeOwners{}
+			for _, s := range []*fakeOwners{a, a, b} {
 				r := httptest.NewRequest("POST", "/v1/lanes/l/messages", strings.NewReader("b"))
 				r.Header.Set("Idempotency-Key", "i")
-				intakeOn(s).d.Mux.ServeHTTP(httptest.NewRecorder(), r)
+				newTestIntake(s).d.Mux.ServeHTTP(httptest.NewRecorder(), r)
 			}
 			So(a.takes[0].Id, ShouldEqual, b.takes[0].Id)
 			So(a.takes[0].Id, ShouldEqual, a.takes[1].Id)
@@ -141,9 +141,9 @@
 // came is not taken under the older one.
 func TestSlowBody(t *testing.T) {
 	Convey("A request read under an older charter is stale once a newer one is known", t, func() {
-		in := intakeOn(&stand{})
+		in := newTestIntake(&fakeOwners{})
 		e := &request{compiled: in.configs.Current()}
-		in.d.View.Take([]wire.PartNews{{From: 7, To: 8, Changes: []wire.Change{{Key: config.Key, Revision: 8, Value: []byte(`{}`)}}}}, in.d.Now())
-		So(errs.Is(in.actions[path.Fresh](path.Step{}, e), errs.Stale), ShouldBeTrue)
+		in.d.View.Update([]wire.PartNews{{From: 7, To: 8, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 8, Value: []byte(`{}`)}}}}, in.d.Now())
+		So(errs.Is(in.actions[pipeline.RequireFreshView](pipeline.Step{}, e), errs.Stale), ShouldBeTrue)
 	})
 }
--- a/internal/intake/meanwhile_test.go
+++ b/internal/intake/keychange_test.go
@@ -11,8 +11,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"caperwheel/internal/head"
 	"caperwheel/internal/intake"
+	"caperwheel/internal/requesthead"
 	"caperwheel/platform"
 )
 
@@ -30,20 +30,20 @@
 
 // sendMeanwhile sends a message with key-3, and has the configuration change while its body comes.
 func sendMeanwhile(from, to string) (code int, tenant string, count int) {
-	doc, err := platform.ConfigOf([]byte(tenanted), time.Minute)
+	doc, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 	So(err, ShouldBeNil)
-	So(strings.Contains(tenanted, from), ShouldBeTrue)
-	next, err := platform.ConfigOf([]byte(strings.Replace(tenanted, from, to, 1)), time.Minute)
+	So(strings.Contains(tenantConfig, from), ShouldBeTrue)
+	next, err := platform.ConfigOf([]byte(strings.Replace(tenantConfig, from, to, 1)), time.Minute)
 	So(err, ShouldBeNil)
-	in, takes := intake.On(intake.Scenery{Take: held, Most: 9, Rules: string(doc)})
-	body := &slowBody{Reader: strings.NewReader("body"), meanwhile: func() { intake.Change(in, string(next)) }}
+	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(doc)})
+	body := &slowBody{Reader: strings.NewReader("body"), meanwhile: func() { intake.UpdateConfig(in, string(next)) }}
 	r := httptest.NewRequest(http.MethodPost, "/a/b", body)
 	r.Host = "x.example"
 	r.Header.Set("Authorization", "Bearer key-3")
 	w := httptest.NewRecorder()
-	in.AsItIs(platform.Callers)(w, r)
+	in.PassthroughHandler(platform.Callers)(w, r)
 	for _, take := range takes() {
-		kept, err := head.Decode(take.Head)
+		kept, err := requesthead.Decode(take.RequestHead)
 		So(err, ShouldBeNil)
 		tenant = kept.Field("X-Tenant")
 	}
--- a/internal/intake/leaving_test.go
+++ b/internal/intake/leaving_test.go
@@ -12,13 +12,13 @@
 	"caperwheel/internal/wire"
 )
 
-// countedLooks answers that a message is held, and counts how often it was asked.
-type countedLooks struct {
-	stand
+// countingOwners answers that a message is held, and counts how often it was asked.
+type countingOwners struct {
+	fakeOwners
 	count int
 }
 
-func (c *countedLooks) Group(context.Context, int64, any, func(any) (bool, string)) (any, error) {
+func (c *countingOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	c.count++
 	return &wire.Sight{Id: "1-x", State: "held"}, nil
 }
@@ -31,10 +31,10 @@
 		isLeaving bool
 	}{{"goes on while the daemon serves", false}, {"ends once it stops", true}} {
 		Convey("A wait for a message that is held "+c.name, t, func() {
-			in, looks := intakeOn(&stand{}), &countedLooks{}
-			in.reach = looks
+			in, looks := newTestIntake(&fakeOwners{}), &countingOwners{}
+			in.owners = looks
 			if c.isLeaving {
-				in.d.Leave()
+				in.d.StartDraining()
 			}
 			sight, err := in.await(context.Background(), "1-x", 300*time.Millisecond)
 			So(err, ShouldBeNil)
@@ -53,13 +53,13 @@
 		settles int
 	}{{"its caller has gone", context.Canceled, 1}, {"the daemon stops", web.ErrStopping, 0}} {
 		Convey("A message that may be held, when "+c.name, t, func() {
-			owners := &stand{isOpen: true}
-			in := intakeOn(owners)
+			owners := &fakeOwners{isOpen: true}
+			in := newTestIntake(owners)
 			ctx, cancel := context.WithCancelCause(context.Background())
 			cancel(c.cause)
 			e := &request{ctx: ctx, compiled: in.configs.Current(), lane: in.configs.Current().Rules.Lanes["l"]}
 			So(errs.Is(in.hold(e), errs.Undecided), ShouldBeTrue)
-			So(e.isOpen, ShouldBeTrue)
+			So(e.mayBeHeld, ShouldBeTrue)
 			So(owners.settles, ShouldEqual, c.settles)
 		})
 	}
