--- a/internal/intake/counts_limits_test.go
+++ b/internal/intake/limits_test.go
@@ -12,20 +12,20 @@
 	"caperwheel/internal/wire"
 )
 
-// tally counts permits by what became of them.
-type tally struct {
+// countingLimiter counts permits by what became of them.
+type countingLimiter struct {
 	counted, returned int
 	refusal           error
 }
 
-func (t *tally) Admit(context.Context, config.Tenant) (Permit, error) {
+func (t *countingLimiter) Admit(context.Context, config.Tenant) (Permit, error) {
 	if t.refusal != nil {
 		return nil, t.refusal
 	}
 	return t, nil
 }
 
-func (t *tally) End(isCounted bool) {
+func (t *countingLimiter) End(isCounted bool) {
 	if isCounted {
 		t.counted++
 		return
@@ -44,32 +44,32 @@
 	}{
 		{"held", request{taken: &wire.Taken{}}, nil, true},
 		{"held before by an earlier request", request{taken: &wire.Taken{IsRepeat: true}}, nil, false},
-		{"held before, perhaps by an ask of this request", request{taken: &wire.Taken{IsRepeat: true}, wasOpen: true}, nil, true},
+		{"held before, perhaps by an ask of this request", request{taken: &wire.Taken{IsRepeat: true}, mayBeHeldEarlier: true}, nil, true},
 		{"refused by its place", request{taken: &wire.Taken{Kind: string(errs.Full)}}, nil, false},
 		{"not put to any place", request{}, refused, false},
-		{"not put to any place, with a key of its caller's", request{isOpen: true}, refused, false},
-		{"of a fate that is not known", request{isOpen: true, wasOpen: true}, errs.New(errs.Undecided, "not known yet"), true},
+		{"not put to any place, with a key of its caller's", request{mayBeHeld: true}, refused, false},
+		{"of a fate that is not known", request{mayBeHeld: true, mayBeHeldEarlier: true}, errs.New(errs.Undecided, "not known yet"), true},
 	}
 	Convey("A message", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(c.request.counts(c.err), ShouldEqual, c.counts)
+				So(c.request.countsAgainstLimit(c.err), ShouldEqual, c.counts)
 			})
 		}
 	})
 	Convey("A message over its tenant's limit is put to no place", t, func() {
-		in, takes := On(Scenery{Take: &wire.Taken{}, Most: 9})
-		limits := &tally{refusal: errs.New(errs.OverQuota, "used up")}
-		in.SetLimits(limits)
+		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{}, Most: 9})
+		limits := &countingLimiter{refusal: errs.New(errs.OverQuota, "used up")}
+		in.SetLimiter(limits)
 		err := in.admit(&request{ctx: context.Background(), compiled: in.configs.Current()})
 		So(errors.Is(err, limits.refusal), ShouldBeTrue)
 		So(takes(), ShouldBeEmpty)
 		So([]int{limits.counted, limits.returned}, ShouldResemble, []int{0, 0})
 	})
 	Convey("A permit ends once", t, func() {
-		in, takes := On(Scenery{Take: &wire.Taken{State: "held"}, Most: 9})
-		limits := &tally{}
-		in.SetLimits(limits)
+		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{State: "held"}, Most: 9})
+		limits := &countingLimiter{}
+		in.SetLimiter(limits)
 		compiled := in.configs.Current()
 		e := &request{ctx: context.Background(), compiled: compiled, lane: compiled.Rules.Lanes["l"], take: wire.Take{Lane: "l", Body: []byte{}}}
 		So(in.admit(e), ShouldBeNil)
--- a/internal/intake/ask.go
+++ b/internal/intake/lookup.go
@@ -41,7 +41,7 @@
 	Sum     string `json:"answer_sha256"`
 }
 
-const mostWait = 30 * time.Second
+const maxWait = 30 * time.Second
 
 func isJson(body []byte) bool { return json.Valid(body) }
 
@@ -51,41 +51,41 @@
 		return 0, nil
 	}
 	wait, err := time.ParseDuration(text)
-	if err != nil || wait < 0 || wait > mostWait {
-		return 0, errs.New(errs.Invalid, "wait must be a duration up to %v", mostWait)
+	if err != nil || wait < 0 || wait > maxWait {
+		return 0, errs.New(errs.Invalid, "wait must be a duration up to %v", maxWait)
 	}
 	return wait, nil
 }
 
-// Look returns what is known of a message, with its bytes or without.
-func (in *Intake) Look(ctx context.Context, id string, isWithBody bool) (*wire.Sight, error) {
-	s, err := in.look(ctx, id, isWithBody, 0)
-	if err == nil && isWithBody && isDropped(s) {
+// Lookup returns what is known of a message, with its bytes or without.
+func (in *Intake) Lookup(ctx context.Context, id string, isWithBody bool) (*wire.Sight, error) {
+	s, err := in.lookup(ctx, id, isWithBody, 0)
+	if err == nil && isWithBody && isBodyDropped(s) {
 		return nil, errs.New(errs.Unknown, "the bytes went with the success")
 	}
-	if err == nil && isWithBody && s.State == string(place.Tomb) {
+	if err == nil && isWithBody && s.State == string(place.Tombstone) {
 		return nil, errs.New(errs.Unknown, "the message was not taken")
 	}
-	if err == nil && isWithBody && wire.SumOf(s.Body) != s.Sum {
+	if err == nil && isWithBody && wire.Checksum(s.Body) != s.Checksum {
 		return nil, errs.New(errs.Corrupt, "the bytes do not match their checksum")
 	}
 	return s, err
 }
 
-// isDropped: the lane does not keep the bytes of what succeeded.
-func isDropped(s *wire.Sight) bool {
-	return s.State == string(place.Ended) && len(s.Body) == 0 && s.Sum != wire.SumOf(nil)
+// isBodyDropped: the lane does not keep the bytes of what succeeded.
+func isBodyDropped(s *wire.Sight) bool {
+	return s.State == string(place.Ended) && len(s.Body) == 0 && s.Checksum != wire.Checksum(nil)
 }
 
-// look asks the owner of the message's place.
-func (in *Intake) look(ctx context.Context, id string, isWithBody bool, wait time.Duration) (*wire.Sight, error) {
-	number, err := in.placeOf(id)
+// lookup asks the owner of the message's place.
+func (in *Intake) lookup(ctx context.Context, id string, isWithBody bool, wait time.Duration) (*wire.Sight, error) {
+	number, err := in.parsePlace(id)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, in.d.Bounds.Config)
+	ctx, cancel := context.WithTimeout(ctx, in.d.Bounds.ConfigApply)
 	defer cancel()
-	reply, err := in.reach.Group(ctx, wire.PlaceGroup+number, &wire.Look{Place: number, Id: id, Body: isWithBody,
+	reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+number, &wire.Look{Place: number, Id: id, Body: isWithBody,
 		Wait: int64(wait / time.Millisecond)}, isOwner)
 	if err != nil {
 		return nil, errs.New(errs.Lost, "the message's place cannot be reached")
@@ -99,22 +99,22 @@
 
 func isOver(state string) bool { return place.State(state).IsOver() }
 
-// mostHeld is how many waits of one adapter owners may hold at a time, so that
+// maxOpenWaits is how many waits of one adapter owners may hold at a time, so that
 // they leave room on the links for messages. Those beyond do not wait.
-const mostHeld = 1024
+const maxOpenWaits = 1024
 
 // await asks the owner to answer when the message is over, and again until the
 // wait has passed; an owner of an older version answers at once. A daemon that
 // stops does not wait, and tells what is known: its connections are cut in the end.
 func (in *Intake) await(ctx context.Context, id string, wait time.Duration) (*wire.Sight, error) {
-	if in.held.Add(1) > mostHeld {
+	if in.openWaits.Add(1) > maxOpenWaits {
 		wait = 0
 	}
-	defer in.held.Add(-1)
+	defer in.openWaits.Add(-1)
 	until := time.Now().Add(wait)
 	for {
-		s, err := in.look(ctx, id, false, min(in.d.Bounds.Of(timing.Look), max(0, time.Until(until))))
-		if err != nil || isOver(s.State) || time.Now().After(until) || in.d.IsLeaving() {
+		s, err := in.lookup(ctx, id, false, min(in.d.Bounds.Of(timing.LongPollTimeout), max(0, time.Until(until))))
+		if err != nil || isOver(s.State) || time.Now().After(until) || in.d.IsDraining() {
 			return s, err
 		}
 		select {
@@ -126,11 +126,11 @@
 }
 
 func messageOf(s *wire.Sight) Message {
-	m := Message{Id: s.Id, Lane: s.Lane, Key: wire.CallerKey(s.Key), State: s.State, Attempts: s.Attempts, Cause: s.Cause, Sum: s.Sum,
+	m := Message{Id: s.Id, Lane: s.Lane, Key: wire.CallerKey(s.Key), State: s.State, Attempts: s.Attempts, Cause: s.Cause, Sum: s.Checksum,
 		Parent: s.Parent, Callback: s.Child}
 	if s.State == "ended" {
 		p := s.Proof
-		m.Proof = &Proof{p.Attempt, p.Worker, p.Adapter, p.Status, p.Ctype, p.Answer, p.Sum}
+		m.Proof = &Proof{p.Attempt, p.Worker, p.Adapter, p.Status, p.ContentType, p.Answer, p.Checksum}
 	}
 	if s.State == "rejected" {
 		m.Taken = false
@@ -138,7 +138,7 @@
 	return m
 }
 
-func (in *Intake) answerTaken(w http.ResponseWriter, r *http.Request, id, state string) {
+func (in *Intake) replyAccepted(w http.ResponseWriter, r *http.Request, id, state string) {
 	w.Header().Set("Location", "/v1/messages/"+id)
 	wait, _ := waitOf(r)
 	m := Message{Id: id, State: state, Taken: true}
@@ -152,13 +152,13 @@
 	if isOver(m.State) {
 		code = 200
 	}
-	web.Answer(w, code, m)
+	web.WriteJson(w, code, m)
 }
 
 func (in *Intake) get(w http.ResponseWriter, r *http.Request) {
 	wait, err := waitOf(r)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	s, err := in.await(r.Context(), r.PathValue("id"), wait)
@@ -166,55 +166,55 @@
 		s, err = in.settleById(r.Context(), r.PathValue("id"))
 	}
 	if errs.Is(err, errs.Unknown) {
-		web.Reject(w, 404, web.Problem{Error: errs.Unknown, Text: err.Error(), More: map[string]string{"state": "unknown"}}, 0)
+		web.WriteProblem(w, 404, web.Problem{Error: errs.Unknown, Text: err.Error(), More: map[string]string{"state": "unknown"}}, 0)
 		return
 	}
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
-	web.Answer(w, 200, messageOf(s))
+	web.WriteJson(w, 200, messageOf(s))
 }
 
 // settleById makes the fate of an undecided message definite: if its place has
 // not held it by now, it never will.
 func (in *Intake) settleById(ctx context.Context, id string) (*wire.Sight, error) {
-	number, err := in.placeOf(id)
+	number, err := in.parsePlace(id)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, in.d.Bounds.Config)
+	ctx, cancel := context.WithTimeout(ctx, in.d.Bounds.ConfigApply)
 	defer cancel()
-	reply, err := in.reach.Group(ctx, wire.PlaceGroup+number, &wire.Settle{Place: number, Id: id}, isOwner)
+	reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+number, &wire.Settle{Place: number, Id: id}, isOwner)
 	if err != nil {
 		return nil, errs.New(errs.Lost, "the message's place cannot be reached")
 	}
 	if kind := errs.Kind(reply.(*wire.Taken).Kind); kind != "" && kind != errs.Rejected {
 		return nil, errs.New(kind, "the message cannot be settled now")
 	}
-	return in.look(ctx, id, false, 0)
+	return in.lookup(ctx, id, false, 0)
 }
 
-// placeOf reads the place out of an id, which is place, dash, token.
-func (in *Intake) placeOf(id string) (int64, error) {
+// parsePlace reads the place out of an id, which is place, dash, token.
+func (in *Intake) parsePlace(id string) (int64, error) {
 	text, rest, isWhole := strings.Cut(id, "-")
 	number, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || !isWhole || rest == "" || len(id) > mostKey || number < 0 || number >= int64(in.d.Settings.Places) {
+	if err != nil || !isWhole || rest == "" || len(id) > maxKeyBytes || number < 0 || number >= int64(in.d.Settings.Places) {
 		return 0, errs.New(errs.Unknown, "no message has such an id")
 	}
 	return number, nil
 }
 
 func (in *Intake) getBody(w http.ResponseWriter, r *http.Request) {
-	s, err := in.Look(r.Context(), r.PathValue("id"), true)
+	s, err := in.Lookup(r.Context(), r.PathValue("id"), true)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
-	if s.Ctype != "" {
-		w.Header().Set("Content-Type", s.Ctype)
+	if s.ContentType != "" {
+		w.Header().Set("Content-Type", s.ContentType)
 	}
-	w.Header().Set("X-Content-SHA256", s.Sum)
+	w.Header().Set("X-Content-SHA256", s.Checksum)
 	w.Header().Set("Content-Length", strconv.Itoa(len(s.Body)))
 	w.WriteHeader(200)
 	_, _ = w.Write(s.Body) // a broken write breaks the connection, never closes it neatly
--- a/internal/intake/counts.go
+++ b/internal/intake/metrics.go
@@ -9,52 +9,52 @@
 	"caperwheel/internal/daemon"
 )
 
-var answered = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "intake",
+var answersTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "intake",
 	Name: "answers_total", Help: "Messages that came in, by lane and by what was told of them: taken, or the kind of mishap."},
 	[]string{"lane", "told"})
 
-func init() { prometheus.MustRegister(answered) }
+func init() { prometheus.MustRegister(answersTotal) }
 
-// taken is what is counted of a message that is held; all others are counted by their kind of error.
-const taken = "taken"
+// resultTaken is what is counted of a message that is held; all others are counted by their kind of error.
+const resultTaken = "taken"
 
 // count counts by lane and by tenant; names that are no lane's would grow without bound.
 func (in *Intake) count(e *request, told string) {
-	answered.WithLabelValues(e.lane.Name, told).Inc()
-	in.tenants.add(e.tenant.Name, told)
+	answersTotal.WithLabelValues(e.lane.Name, told).Inc()
+	in.tenantAnswers.add(e.tenant.Name, told)
 }
 
-// tenantCounts counts what tenants were told.
+// tenantAnswers counts what tenants were told.
 //
 // Invariant: after a reading it has tenants of the configuration alone, so it is bounded as that is.
-type tenantCounts struct {
-	mu   sync.Mutex
-	told map[string]map[string]float64 // by tenant and what was told
+type tenantAnswers struct {
+	mu     sync.Mutex
+	counts map[string]map[string]float64 // by tenant and what was told
 }
 
 // add counts one answer; those to callers who are no tenant's are not counted here.
-func (c *tenantCounts) add(tenant, told string) {
+func (c *tenantAnswers) add(tenant, told string) {
 	if tenant == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.told == nil {
-		c.told = map[string]map[string]float64{}
+	if c.counts == nil {
+		c.counts = map[string]map[string]float64{}
 	}
-	if c.told[tenant] == nil {
-		c.told[tenant] = map[string]float64{}
+	if c.counts[tenant] == nil {
+		c.counts[tenant] = map[string]float64{}
 	}
-	c.told[tenant][told]++
+	c.counts[tenant][told]++
 }
 
 // measure forgets tenants that are no longer there, and tells of the others.
-func (c *tenantCounts) measure(rules *config.Rules, emit daemon.Emit) {
+func (c *tenantAnswers) measure(rules *config.Rules, emit daemon.Emit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for tenant, counts := range c.told {
+	for tenant, counts := range c.counts {
 		if _, isThere := rules.Tenants[tenant]; !isThere {
-			delete(c.told, tenant)
+			delete(c.counts, tenant)
 			continue
 		}
 		for told, count := range counts {
--- a/internal/intake/counts_test.go
+++ b/internal/intake/metrics_test.go
@@ -13,8 +13,8 @@
 // TestTenantCounts: tenants are counted by what they were told, as long as the configuration has them.
 func TestTenantCounts(t *testing.T) {
 	Convey("Given answers to two tenants and to callers who are nobody's", t, func() {
-		c := &tenantCounts{}
-		for _, a := range [][2]string{{"a", taken}, {"a", taken}, {"a", "over_quota"}, {"b", taken}, {"", "unauthorized"}} {
+		c := &tenantAnswers{}
+		for _, a := range [][2]string{{"a", resultTaken}, {"a", resultTaken}, {"a", "over_quota"}, {"b", resultTaken}, {"", "unauthorized"}} {
 			c.add(a[0], a[1])
 		}
 		read := func(names ...string) []string {
@@ -35,11 +35,11 @@
 		Convey("those of a tenant that is gone are forgotten, also when it comes back", func() {
 			So(read("b"), ShouldResemble, []string{name + "1 [tenant b told taken]"})
 			So(read("a", "b"), ShouldResemble, []string{name + "1 [tenant b told taken]"})
-			So(len(c.told), ShouldEqual, 1)
+			So(len(c.counts), ShouldEqual, 1)
 		})
 		Convey("where there are no tenants, none is kept", func() {
 			So(read(), ShouldBeEmpty)
-			So(c.told, ShouldBeEmpty)
+			So(c.counts, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/intake/places_test.go
+++ b/internal/intake/places_test.go
@@ -18,7 +18,7 @@
 		places, other := map[int64]bool{}, map[int64]bool{}
 		for i := range 40 {
 			fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", i)}
-			serve, takes := fronts(2, tenanted, held)
+			serve, takes := newFronts(2, tenantConfig, held)
 			for _, front := range serve {
 				So(send(front, "/a/b", fields).Code, ShouldEqual, 202)
 			}
@@ -38,7 +38,7 @@
 
 // routesOver gives the platform's configuration with more routes over those of tenanted, which a document may hold as well.
 func routesOver(version int, routes ...string) string {
-	doc := strings.Replace(tenanted, `"version":3,"routes":[`, fmt.Sprintf(`"version":%d,"routes":[%s`, version, strings.Join(append(routes, ""), ",")), 1)
+	doc := strings.Replace(tenantConfig, `"version":3,"routes":[`, fmt.Sprintf(`"version":%d,"routes":[%s`, version, strings.Join(append(routes, ""), ",")), 1)
 	return strings.Replace(doc, `"services":[{"name":"s"}]`, `"services":[{"name":"s"},{"name":"other"}]`, 1)
 }
 
@@ -61,10 +61,10 @@
 	}
 	for _, order := range []string{"", "vent 4"} {
 		Convey(fmt.Sprintf("A message that is sent again, with the order key %q, has the place and name of its first send when", order), t, func() {
-			rules, err := platform.ConfigOf([]byte(tenanted), time.Minute)
+			rules, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 			So(err, ShouldBeNil)
-			in, takes := intake.On(intake.Scenery{Take: held, Most: 9, Rules: string(rules)})
-			serve := in.AsItIs(platform.Callers)
+			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(rules)})
+			serve := in.PassthroughHandler(platform.Callers)
 			for op := range 12 {
 				fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", op), "X-Order-Key": order}
 				So(send(serve, "/a/x/1", fields).Code, ShouldEqual, 202)
@@ -73,7 +73,7 @@
 				Convey(c.name, func() {
 					rules, err := platform.ConfigOf([]byte(c.doc), time.Minute)
 					So(err, ShouldBeNil)
-					intake.Change(in, string(rules))
+					intake.UpdateConfig(in, string(rules))
 					for op := range 12 {
 						fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", op), "X-Order-Key": order}
 						So(send(serve, "/a/x/1", fields).Code, ShouldEqual, 202)
--- a/internal/intake/take.go
+++ b/internal/intake/post.go
@@ -12,22 +12,22 @@
 	"caperwheel/internal/wire"
 )
 
-// revisionOf tells the caller under which configuration the answer was given.
-func revisionOf(w http.ResponseWriter, e *request) {
+// setRevisionHeader tells the caller under which configuration the answer was given.
+func setRevisionHeader(w http.ResponseWriter, e *request) {
 	if e.compiled != nil {
 		w.Header().Set("X-Charter-Stamp", strconv.FormatInt(e.compiled.Revision, 10))
 	}
 }
 
 func (in *Intake) post(w http.ResponseWriter, r *http.Request) {
-	if n := in.inHand.Add(1); n > int64(in.d.Settings.Most) {
-		in.inHand.Add(-1)
-		in.reject(w, errs.New(errs.Full, "the adapter has %d messages in hand", n-1), &request{isOpen: r.Header.Get("Idempotency-Key") != ""})
+	if n := in.inFlight.Add(1); n > int64(in.d.Settings.MaxInFlight) {
+		in.inFlight.Add(-1)
+		in.reject(w, errs.New(errs.Full, "the adapter has %d messages in hand", n-1), &request{mayBeHeld: r.Header.Get("Idempotency-Key") != ""})
 		return
 	}
-	defer in.inHand.Add(-1)
+	defer in.inFlight.Add(-1)
 	e := &request{ctx: r.Context()}
-	if err := in.read(r, e); err != nil {
+	if err := in.readRequest(r, e); err != nil {
 		in.reject(w, err, e)
 		return
 	}
@@ -39,35 +39,35 @@
 		in.reject(w, errs.New(errs.Kind(e.taken.Kind), "%s", e.taken.Text), e)
 		return
 	}
-	in.count(e, taken)
-	revisionOf(w, e)
-	in.answerTaken(w, r, e.taken.Id, e.taken.State)
+	in.count(e, resultTaken)
+	setRevisionHeader(w, e)
+	in.replyAccepted(w, r, e.taken.Id, e.taken.State)
 }
 
-func (in *Intake) read(r *http.Request, e *request) error {
-	if err := checkFields(r); err != nil {
+func (in *Intake) readRequest(r *http.Request, e *request) error {
+	if err := checkHeaders(r); err != nil {
 		return err
 	}
 	idem, ctype := r.Header.Get("Idempotency-Key"), r.Header.Get("Content-Type")
-	e.take = wire.Take{Lane: r.PathValue("lane"), Key: r.Header.Get("Ordering-Key"), Idem: idem, Ctype: ctype}
-	e.isOpen = idem != "" // an earlier send may be held, whatever becomes of this one
-	in.findSender(e, r)
-	e.scope()
+	e.take = wire.Take{Lane: r.PathValue("lane"), Key: r.Header.Get("Ordering-Key"), IdempotencyKey: idem, ContentType: ctype}
+	e.mayBeHeld = idem != "" // an earlier send may be held, whatever becomes of this one
+	in.identifyTenant(e, r)
+	e.scopeKeys()
 	if idem != "" {
-		in.putPlace(e)
+		in.assignPlace(e)
 	}
 	scopedTo := e.tenant.Name
 	if err := in.findRules(e, r); err != nil {
 		return err
 	}
-	body, err := web.Body(r, e.lane.Size)
+	body, err := web.ReadBody(r, e.lane.MaxBodyBytes)
 	if err != nil {
 		return err
 	}
 	if strings.HasPrefix(ctype, "application/json") && !isJson(body) {
 		return errs.New(errs.Invalid, "the body says that it is JSON and is not")
 	}
-	e.take.Body, e.take.Sum = body, wire.SumOf(body)
+	e.take.Body, e.take.Checksum = body, wire.Checksum(body)
 	if err := in.findRules(e, r); err != nil { // a body may take long to come
 		return err
 	}
@@ -77,12 +77,12 @@
 	return nil
 }
 
-// checkFields checks what a request says besides its body.
-func checkFields(r *http.Request) error {
+// checkHeaders checks what a request says besides its body.
+func checkHeaders(r *http.Request) error {
 	switch {
-	case len(r.Header.Get("Ordering-Key")) > mostKey, len(r.Header.Get("Idempotency-Key")) > mostKey:
-		return errs.New(errs.Invalid, "keys may have %d bytes at most", mostKey)
-	case len(r.Header.Get("Content-Type")) > mostKey:
+	case len(r.Header.Get("Ordering-Key")) > maxKeyBytes, len(r.Header.Get("Idempotency-Key")) > maxKeyBytes:
+		return errs.New(errs.Invalid, "keys may have %d bytes at most", maxKeyBytes)
+	case len(r.Header.Get("Content-Type")) > maxKeyBytes:
 		return errs.New(errs.Invalid, "the Content-Type is too long")
 	}
 	for name := range r.URL.Query() {
@@ -99,7 +99,7 @@
 	if err := in.findLane(e); err != nil {
 		return err
 	}
-	return in.findTenant(e, BearerOf(r))
+	return in.findTenant(e, BearerToken(r))
 }
 
 // errStale is what callers are told while the configuration may be an older one.
@@ -107,11 +107,11 @@
 	return errs.New(errs.Stale, "this adapter has lost touch with the control plane")
 }
 
-// findSender finds out whose keys those are that the request carries, before anything else: they
+// identifyTenant finds out whose keys those are that the request carries, before anything else: they
 // name another message for each tenant.
-func (in *Intake) findSender(e *request, r *http.Request) {
+func (in *Intake) identifyTenant(e *request, r *http.Request) {
 	if rules := in.configs.Current().Rules; rules.HasTenants() {
-		e.tenant, _ = rules.TenantOf(BearerOf(r))
+		e.tenant, _ = rules.TenantOf(BearerToken(r))
 	}
 }
 
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// isSettled: of a message with an idempotency key, only these errors say that
+// isDefinite: of a message with an idempotency key, only these errors say that
 // no send of it was or will be held: what it is made of, and its place's word.
-func isSettled(kind errs.Kind) bool {
+func isDefinite(kind errs.Kind) bool {
 	return kind == errs.Invalid || kind == errs.Rejected || kind == errs.Conflict
 }
 
@@ -140,21 +140,21 @@
 func (in *Intake) reject(w http.ResponseWriter, err error, e *request) {
 	kind := errs.KindOf(err)
 	p := web.Problem{Error: kind, Text: err.Error(), Taken: false}
-	if e.isOpen && !isSettled(kind) {
+	if e.mayBeHeld && !isDefinite(kind) {
 		p.Taken = "undecided"
 	}
-	if (e.isOpen || e.taken != nil) && kind != errs.Unauthorized { // then it is not known whose message it would be
+	if (e.mayBeHeld || e.taken != nil) && kind != errs.Unauthorized { // then it is not known whose message it would be
 		p.Id = e.take.Id
 	}
 	in.count(e, string(kind))
 	if kind != errs.Stale { // then no configuration was in use
-		revisionOf(w, e)
+		setRevisionHeader(w, e)
 	}
-	web.Reject(w, web.CodeOf(kind), p, in.retry(kind, e))
+	web.WriteProblem(w, web.StatusOf(kind), p, in.retryAfter(kind, e))
 }
 
-// retry reports when to come back, from what is known of the cause.
-func (in *Intake) retry(kind errs.Kind, e *request) time.Duration {
+// retryAfter reports when to come back, from what is known of the cause.
+func (in *Intake) retryAfter(kind errs.Kind, e *request) time.Duration {
 	if e.taken != nil && e.taken.Retry > 0 {
 		return time.Duration(e.taken.Retry) * time.Millisecond
 	}
@@ -166,7 +166,7 @@
 	case errs.Stale, errs.Lost: // a session is found again within this
 		return in.d.Bounds.Of(timing.AnswerTimeout)
 	case errs.DiskFull:
-		return 10 * in.d.Bounds.Config
+		return 10 * in.d.Bounds.ConfigApply
 	case errs.OverQuota: // a tenant's limit lets more in within this
 		return in.d.Bounds.Of(timing.Permit)
 	case errs.Full:
--- a/internal/intake/tenant.go
+++ b/internal/intake/tenant.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/wire"
 )
 
-// Limits admits messages of tenants, so that the whole fleet accepts no more of one than its limit allows.
-type Limits interface {
+// Limiter admits messages of tenants, so that the whole fleet accepts no more of one than its limit allows.
+type Limiter interface {
 	// Admit returns a permit for one message, or an error of kind errs.OverQuota, or errs.Lost if whether
 	// the tenant is within its limit cannot be found out now. A tenant without a limit is always admitted.
 	Admit(ctx context.Context, tenant config.Tenant) (Permit, error)
@@ -25,29 +25,29 @@
 	End(isCounted bool)
 }
 
-// NoLimits admits everything.
-type NoLimits struct{}
+// Unlimited admits everything.
+type Unlimited struct{}
 
-type freePermit struct{}
+type noopPermit struct{}
 
 // Admit implements Limits.
-func (NoLimits) Admit(context.Context, config.Tenant) (Permit, error) { return freePermit{}, nil }
+func (Unlimited) Admit(context.Context, config.Tenant) (Permit, error) { return noopPermit{}, nil }
 
-func (freePermit) End(bool) {}
+func (noopPermit) End(bool) {}
 
-// SetLimits has messages admitted by limits; called once, before anything is served.
-func (in *Intake) SetLimits(limits Limits) { in.limits = limits }
+// SetLimiter has messages admitted by limits; called once, before anything is served.
+func (in *Intake) SetLimiter(limits Limiter) { in.limiter = limits }
 
-// bearer is how a header field begins that holds an API key.
-const bearer = web.Scheme + " "
+// bearerPrefix is how a header field begins that holds an API key.
+const bearerPrefix = web.AuthScheme + " "
 
-// BearerOf returns the API key that a request carries, or an empty string without one.
-func BearerOf(r *http.Request) string {
+// BearerToken returns the API key that a request carries, or an empty string without one.
+func BearerToken(r *http.Request) string {
 	text := r.Header.Get("Authorization")
-	if len(text) < len(bearer) || !strings.EqualFold(text[:len(bearer)], bearer) {
+	if len(text) < len(bearerPrefix) || !strings.EqualFold(text[:len(bearerPrefix)], bearerPrefix) {
 		return ""
 	}
-	return strings.TrimSpace(text[len(bearer):])
+	return strings.TrimSpace(text[len(bearerPrefix):])
 }
 
 // findTenant takes the tenant that holds the caller's key, by the rules that the request's lane is of.
@@ -73,10 +73,10 @@
 	return tenant, nil
 }
 
-// putName gives the message what it is known by: the name that its tenant gave it, and the ordering key
+// assignKeys gives the message what it is known by: the name that its tenant gave it, and the ordering key
 // of the tenant's. One without a key is about nothing that others are about.
-func (e *request) putName(name, key string) {
-	e.name, e.order = name, key
+func (e *request) assignKeys(name, key string) {
+	e.operationKey, e.orderingKey = name, key
 	if !e.lane.IsOrdered {
 		return
 	}
@@ -84,101 +84,101 @@
 	case key == "" && name != "":
 		key = "-" + name
 	case key == "":
-		key = "-" + daemon.Random(8)
+		key = "-" + daemon.RandomId(8)
 	}
 	e.take.Key = wire.ScopedKey(e.tenant.Name, key)
 }
 
-// scope makes the keys of a message those of its tenant.
-func (e *request) scope() {
+// scopeKeys makes the keys of a message those of its tenant.
+func (e *request) scopeKeys() {
 	e.take.Key = wire.ScopedKey(e.tenant.Name, e.take.Key)
-	e.take.Idem = wire.ScopedKey(e.tenant.Name, e.take.Idem)
+	e.take.IdempotencyKey = wire.ScopedKey(e.tenant.Name, e.take.IdempotencyKey)
 }
 
 // Parts of a message's token.
 const (
-	tenantMark  = "t" // begins the token of a message that is a tenant's; no other token begins so
-	tenantTag   = 16  // hexadecimal digits of the tenant's name that follow
-	nameDigits  = 32  // hexadecimal digits that a name is known by: 128 bits
-	idemDigits  = 24
-	randomBytes = 12
+	tenantPrefix    = "t" // begins the token of a message that is a tenant's; no other token begins so
+	tenantDigits    = 16  // hexadecimal digits of the tenant's name that follow
+	operationDigits = 32  // hexadecimal digits that a name is known by: 128 bits
+	idemDigits      = 24
+	randomBytes     = 12
 )
 
 // tokenOf returns what follows the place in a message's id.
 func tokenOf(e *request) string {
 	t := &e.take
 	switch {
-	case e.name != "":
-		return OperationToken(e.tenant.Name, e.name)
-	case t.Idem != "":
-		return tagOf(e.tenant.Name) + "k" + wire.SumOf([]byte(t.Lane + "\x00" + t.Key + "\x00" + t.Idem))[:idemDigits]
+	case e.operationKey != "":
+		return OperationToken(e.tenant.Name, e.operationKey)
+	case t.IdempotencyKey != "":
+		return tenantTokenPrefix(e.tenant.Name) + "k" + wire.Checksum([]byte(t.Lane + "\x00" + t.Key + "\x00" + t.IdempotencyKey))[:idemDigits]
 	}
-	return tagOf(e.tenant.Name) + daemon.Random(randomBytes)
+	return tenantTokenPrefix(e.tenant.Name) + daemon.RandomId(randomBytes)
 }
 
 // OperationToken returns what follows the place in the id of all sends of a tenant with one operation key.
 func OperationToken(tenant, operation string) string {
-	return tagOf(tenant) + "n" + wire.SumOf([]byte(tenant + "\x00" + operation))[:nameDigits]
+	return tenantTokenPrefix(tenant) + "n" + wire.Checksum([]byte(tenant + "\x00" + operation))[:operationDigits]
 }
 
-// tagOf returns what marks the messages of a tenant, nothing for none.
-func tagOf(tenant string) string {
+// tenantTokenPrefix returns what marks the messages of a tenant, nothing for none.
+func tenantTokenPrefix(tenant string) string {
 	if tenant == "" {
 		return ""
 	}
-	return tenantMark + wire.SumOf([]byte(tenant))[:tenantTag]
+	return tenantPrefix + wire.Checksum([]byte(tenant))[:tenantDigits]
 }
 
-// isTenants reports whether a message is a tenant's, by its id.
-func isTenants(id string) bool {
+// hasTenant reports whether a message is a tenant's, by its id.
+func hasTenant(id string) bool {
 	_, token, _ := strings.Cut(id, "-")
-	return strings.HasPrefix(token, tenantMark)
+	return strings.HasPrefix(token, tenantPrefix)
 }
 
-// isOf reports whether a message is one of a tenant.
-func isOf(id, tenant string) bool {
+// belongsTo reports whether a message is one of a tenant.
+func belongsTo(id, tenant string) bool {
 	_, token, _ := strings.Cut(id, "-")
-	tag := tagOf(tenant)
+	tag := tenantTokenPrefix(tenant)
 	return tag != "" && len(token) >= len(tag) && subtle.ConstantTimeCompare([]byte(token[:len(tag)]), []byte(tag)) == 1
 }
 
-// CheckAsker returns an error of kind errs.Unauthorized, errs.Unknown or errs.Stale if the caller of a
+// CheckAccess returns an error of kind errs.Unauthorized, errs.Unknown or errs.Stale if the caller of a
 // request may not ask for a message. A tenant's is the tenant's alone, whatever became of the
 // configuration; anybody may ask for one that is nobody's.
-func (in *Intake) CheckAsker(r *http.Request, id string) error {
-	if !isTenants(id) {
+func (in *Intake) CheckAccess(r *http.Request, id string) error {
+	if !hasTenant(id) {
 		return nil
 	}
 	isFresh := in.d.IsFresh() // before the configuration, so that a key missing from it is missing
-	tenant, isHeld := in.configs.Current().Rules.TenantOf(BearerOf(r))
+	tenant, isHeld := in.configs.Current().Rules.TenantOf(BearerToken(r))
 	switch {
 	case !isFresh:
 		return errStale()
 	case !isHeld:
 		return errs.New(errs.Unauthorized, "no tenant holds the API key")
-	case !isOf(id, tenant.Name):
+	case !belongsTo(id, tenant.Name):
 		return errs.New(errs.Unknown, "no message has such an id")
 	}
 	return nil
 }
 
-// ForAskers serves callers who may ask for the message that the path's id names, and refuses others.
-func (in *Intake) ForAskers(serve http.HandlerFunc) http.HandlerFunc {
+// RequireAccess serves callers who may ask for the message that the path's id names, and refuses others.
+func (in *Intake) RequireAccess(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if err := in.CheckAsker(r, r.PathValue("id")); err != nil {
-			web.Fail(w, err)
+		if err := in.CheckAccess(r, r.PathValue("id")); err != nil {
+			web.WriteError(w, err)
 			return
 		}
 		serve(w, r)
 	}
 }
 
-// counts reports whether a message that was admitted counts against its tenant's limit: not one that is
+// countsAgainstLimit reports whether a message that was admitted counts against its tenant's limit: not one that is
 // known not to be held, nor a repeat of one that was counted.
-func (e *request) counts(err error) bool {
+func (e *request) countsAgainstLimit(err error) bool {
 	if err != nil || e.taken == nil {
 		return errs.Is(err, errs.Undecided)
 	}
-	isRepeat := e.taken.IsRepeat && !e.wasOpen // else it may be this request's own ask that is repeated
+	isRepeat := e.taken.IsRepeat && !e.mayBeHeldEarlier // else it may be this request's own ask that is repeated
 	return e.taken.Kind == "" && !isRepeat
 }
--- a/internal/intake/tenants_test.go
+++ b/internal/intake/tenants_test.go
@@ -9,31 +9,31 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"caperwheel/internal/head"
 	"caperwheel/internal/intake"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/wire"
 	"caperwheel/platform"
 )
 
-// tenanted is a configuration of the platform with two tenants, an open route and an ordered one.
-const tenanted = `{"version":3,"routes":[
+// tenantConfig is a configuration of the platform with two tenants, an open route and an ordered one.
+const tenantConfig = `{"version":3,"routes":[
  {"name":"r-1","hostname":"x.example","path_prefix":"/a/","timeout_ms":2000,"service":"s","max_attempts":3},
  {"name":"r-2","hostname":"x.example","path_prefix":"/o/","timeout_ms":2000,"service":"s","ordered":true,"public_access":false},
  {"name":"r-3","hostname":"x.example","path_prefix":"/p/","timeout_ms":2000,"service":"s","public_access":true}],
  "services":[{"name":"s"}],
  "tenants":[{"name":"halls","api_keys":["key-1","key-2"],"rate_per_s":50,"burst_size":50},{"name":"growers","api_keys":["key-3"]}]}`
 
-// held is what an owner answers of a message that it holds.
+// openWaits is what an owner answers of a message that it holds.
 var held = &wire.Taken{State: "held", Id: "1-x"}
 
-// fronts builds fronts of the platform that all know a configuration; takes gives what a front's
+// newFronts builds fronts of the platform that all know a configuration; takes gives what a front's
 // messages were put to owners as.
-func fronts(count int, doc string, taken *wire.Taken) (serve []http.HandlerFunc, takes []func() []*wire.Take) {
+func newFronts(count int, doc string, taken *wire.Taken) (serve []http.HandlerFunc, takes []func() []*wire.Take) {
 	rules, err := platform.ConfigOf([]byte(doc), time.Minute)
 	So(err, ShouldBeNil)
 	for range count {
-		in, took := intake.On(intake.Scenery{Take: taken, Most: 9, Rules: string(rules)})
-		serve, takes = append(serve, in.AsItIs(platform.Callers)), append(takes, took)
+		in, took := intake.NewTestIntake(intake.TestSetup{Take: taken, Most: 9, Rules: string(rules)})
+		serve, takes = append(serve, in.PassthroughHandler(platform.Callers)), append(takes, took)
 	}
 	return serve, takes
 }
@@ -67,7 +67,7 @@
 	Convey("A caller with", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				serve, takes := fronts(1, tenanted, held)
+				serve, takes := newFronts(1, tenantConfig, held)
 				w := send(serve[0], c.target, map[string]string{"Authorization": c.authorization, "X-Attempt-Id": "m"})
 				So(w.Code, ShouldEqual, c.code)
 				So(len(takes[0]()), ShouldEqual, map[bool]int{true: 1}[c.code == 202])
@@ -79,15 +79,15 @@
 // TestWorkersAreToldTheTenant guards against UNASKED: a worker was told no tenant, or might be told a caller's word for one.
 func TestWorkersAreToldTheTenant(t *testing.T) {
 	Convey("What a worker gets of a message", t, func() {
-		serve, takes := fronts(1, tenanted, held)
+		serve, takes := newFronts(1, tenantConfig, held)
 		for _, c := range []struct{ target, key, tenant string }{{"/a/b", "key-2", "halls"}, {"/a/b", "key-3", "growers"}, {"/p/b", "", ""}} {
 			w := send(serve[0], c.target, map[string]string{"Authorization": "Bearer " + c.key, "X-Tenant": "others", "X-Attempt-Id": "m"})
 			So(w.Code, ShouldEqual, 202)
 			all := takes[0]()
-			kept, err := head.Decode(all[len(all)-1].Head)
+			kept, err := requesthead.Decode(all[len(all)-1].RequestHead)
 			So(err, ShouldBeNil)
 			So([]string{kept.Field("X-Tenant"), kept.Field("X-Attempt-Id"), kept.Field("Authorization")}, ShouldResemble, []string{c.tenant, "m", ""})
-			So(strings.Contains(string(all[len(all)-1].Head), "key-"), ShouldBeFalse)
+			So(strings.Contains(string(all[len(all)-1].RequestHead), "key-"), ShouldBeFalse)
 		}
 	})
 }
@@ -95,7 +95,7 @@
 // TestSendsWithOneOperationKeyAreOneMessage guards against TWICE: two sends with one key ran, each by itself.
 func TestSendsWithOneOperationKeyAreOneMessage(t *testing.T) {
 	sent := func(target, key, operation, order string) *wire.Take {
-		serve, takes := fronts(1, tenanted, held) // a front of its own each time
+		serve, takes := newFronts(1, tenantConfig, held) // a front of its own each time
 		w := send(serve[0], target, map[string]string{"Authorization": "Bearer " + key, "X-Operation-Key": operation, "X-Order-Key": order})
 		So(w.Code, ShouldEqual, 202)
 		return takes[0]()[0]
@@ -112,7 +112,7 @@
 				So(sent(target, "key-3", "k-5512", "vent 4").Id, ShouldNotEqual, first.Id)
 			})
 			Convey("that are told of other bytes are held all the same, under the first one's name: "+target, func() {
-				serve, takes := fronts(1, tenanted, &wire.Taken{Kind: "conflict", Id: first.Id})
+				serve, takes := newFronts(1, tenantConfig, &wire.Taken{Kind: "conflict", Id: first.Id})
 				w := send(serve[0], target, map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": "k-5512", "X-Order-Key": "vent 4"})
 				So(w.Code, ShouldEqual, 202)
 				So(w.Header().Get("X-Message-Name"), ShouldEqual, first.Id)
@@ -147,8 +147,8 @@
 	Convey("A configuration is refused in which", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(strings.Contains(tenanted, c.from), ShouldBeTrue)
-				doc := strings.Replace(tenanted, c.from, c.to, 1)
+				So(strings.Contains(tenantConfig, c.from), ShouldBeTrue)
+				doc := strings.Replace(tenantConfig, c.from, c.to, 1)
 				raw, err := platform.ConfigOf([]byte(doc), time.Minute)
 				if err == nil {
 					err = intake.Refused(raw)
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -16,34 +16,34 @@
 	"caperwheel/internal/wire"
 )
 
-// Asker brings an ask to the owner of a place.
-type Asker func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error)
+// TokenClient brings an ask to the owner of a place.
+type TokenClient func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error)
 
 // Options are what the limits of an adapter work with.
 type Options struct {
-	Holder string // life of the adapter
-	Places int    // of the deployment
-	Bounds timing.Bounds
-	Now    func() time.Duration // a steady clock
-	Ask    Asker
+	Holder        string // life of the adapter
+	Places        int    // of the deployment
+	Bounds        timing.Bounds
+	Now           func() time.Duration // a steady clock
+	RequestTokens TokenClient
 }
 
-// Limits admit messages at one adapter. They implement intake.Limits.
+// Limiter admit messages at one adapter. They implement intake.Limits.
 //
 // Invariant: waits has a channel, with room for one decision, for each message that waits in the wallet.
-type Limits struct {
-	o Options
+type Limiter struct {
+	options Options
 
 	mu     sync.Mutex
-	wallet *quota.Wallet
+	wallet *quota.TokenCache
 	waits  map[int64]chan quota.Decision
 }
 
 // New returns limits that hold no tokens yet.
-func New(o Options) *Limits {
-	times := quota.Times{Lease: o.Bounds.Of(timing.QuotaLease), Pause: o.Bounds.Of(timing.QuotaPause), Answer: o.Bounds.Of(timing.QuotaAnswer),
+func New(o Options) *Limiter {
+	times := quota.Times{Lease: o.Bounds.Of(timing.QuotaLease), Pause: o.Bounds.Of(timing.QuotaMinInterval), Answer: o.Bounds.Of(timing.QuotaAnswerTimeout),
 		Horizon: o.Bounds.Of(timing.QuotaHorizon)}
-	return &Limits{o: o, wallet: quota.NewWallet(times), waits: map[int64]chan quota.Decision{}}
+	return &Limiter{options: o, wallet: quota.NewTokenCache(times), waits: map[int64]chan quota.Decision{}}
 }
 
 // PlaceOf returns the place that counts a tenant's messages.
@@ -54,14 +54,14 @@
 }
 
 // Run looks at intervals for what to tell and ask, until ctx ends.
-func (l *Limits) Run(ctx context.Context) {
-	timing.Every(ctx, l.o.Bounds.Of(timing.QuotaTurn), l.Turn)
+func (l *Limiter) Run(ctx context.Context) {
+	timing.Every(ctx, l.options.Bounds.Of(timing.QuotaPollInterval), l.RequestDue)
 }
 
 // Admit implements intake.Limits.
-func (l *Limits) Admit(ctx context.Context, tenant config.Tenant) (intake.Permit, error) {
+func (l *Limiter) Admit(ctx context.Context, tenant config.Tenant) (intake.Permit, error) {
 	if tenant.Rate <= 0 {
-		return intake.NoLimits{}.Admit(ctx, tenant)
+		return intake.Unlimited{}.Admit(ctx, tenant)
 	}
 	decision, wait := l.take(tenant.Name)
 	if wait != nil {
@@ -70,30 +70,30 @@
 	countAdmission(decision, wait != nil)
 	switch decision.Refusal {
 	case "":
-		return &permit{l, tenant.Name, decision.Life}, nil
+		return &permit{l, tenant.Name, decision.Epoch}, nil
 	case errs.OverQuota:
 		return nil, errs.New(errs.OverQuota, "the tenant's limit is used up")
 	}
 	return nil, errs.New(errs.Lost, "whether the tenant is within its limit is not known")
 }
 
-func (l *Limits) take(tenant string) (quota.Decision, chan quota.Decision) {
+func (l *Limiter) take(tenant string) (quota.Decision, chan quota.Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.o.Now()
+	now := l.options.Now()
 	decision := l.wallet.Take(now, tenant)
 	var wait chan quota.Decision
 	if decision.Waiting != 0 {
 		wait = make(chan quota.Decision, 1)
 		l.waits[decision.Waiting] = wait
 	}
-	l.askFor(now, tenant)
+	l.requestFor(now, tenant)
 	return decision, wait
 }
 
 // await waits for the decision on a message, but not for long.
-func (l *Limits) await(ctx context.Context, tenant string, number int64, wait chan quota.Decision) quota.Decision {
-	ctx, cancel := timing.Within(ctx, l.o.Bounds.Of(timing.QuotaWait))
+func (l *Limiter) await(ctx context.Context, tenant string, number int64, wait chan quota.Decision) quota.Decision {
+	ctx, cancel := timing.Within(ctx, l.options.Bounds.Of(timing.QuotaWaitTimeout))
 	defer cancel()
 	select {
 	case decision := <-wait:
@@ -112,8 +112,8 @@
 	return quota.Decision{Refusal: errs.Lost}
 }
 
-// settle tells messages that wait what was decided. l.mu is held.
-func (l *Limits) settle(all []quota.Settled) {
+// resolve tells messages that wait what was decided. l.mu is held.
+func (l *Limiter) resolve(all []quota.Settled) {
 	for _, s := range all {
 		l.waits[s.Number] <- s.Decision
 		delete(l.waits, s.Number)
@@ -122,7 +122,7 @@
 
 // permit is a token that a message was admitted with.
 type permit struct {
-	limits *Limits
+	limits *Limiter
 	tenant string
 	life   int64
 }
@@ -132,7 +132,7 @@
 	l := p.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.o.Now()
-	l.settle(l.wallet.End(now, p.tenant, p.life, isCounted))
-	l.askFor(now, p.tenant)
+	now := l.options.Now()
+	l.resolve(l.wallet.End(now, p.tenant, p.life, isCounted))
+	l.requestFor(now, p.tenant)
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -17,12 +17,12 @@
 	"caperwheel/internal/wire"
 )
 
-var _ intake.Limits = (*Limits)(nil)
+var _ intake.Limiter = (*Limiter)(nil)
 
 // owner is the owner of all places, which answers at once, or as long as it is held up not at all.
 type owner struct {
 	mu     sync.Mutex
-	ledger *quota.Ledger
+	ledger *quota.Allocator
 	now    time.Duration
 	asks   int
 	err    error
@@ -55,21 +55,21 @@
 	return o.asks
 }
 
-func newOwner(limit config.Tenant) (*owner, *Limits) {
-	o := &owner{ledger: quota.NewLedger(), now: time.Minute, limit: limit}
-	return o, New(Options{Holder: "front", Places: 7, Bounds: timing.Default, Now: o.clock, Ask: o.ask})
+func newOwner(limit config.Tenant) (*owner, *Limiter) {
+	o := &owner{ledger: quota.NewAllocator(), now: time.Minute, limit: limit}
+	return o, New(Options{Holder: "front", Places: 7, Bounds: timing.Default, Now: o.clock, RequestTokens: o.ask})
 }
 
-// patient has messages wait until they are settled: no test waits for time to pass.
-type patient struct{}
+// noTimeouts has messages wait until they are settled: no test waits for time to pass.
+type noTimeouts struct{}
 
-func (patient) Within(ctx context.Context, _ time.Duration) (context.Context, context.CancelFunc) {
+func (noTimeouts) Within(ctx context.Context, _ time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
-func (patient) Wait(context.Context, time.Duration) {}
+func (noTimeouts) Wait(context.Context, time.Duration) {}
 
 func TestAdmissions(t *testing.T) {
-	ctx := timing.WithClock(context.Background(), patient{})
+	ctx := timing.WithClock(context.Background(), noTimeouts{})
 	halls := config.Tenant{Name: "halls", Rate: 10, Burst: 10}
 	Convey("A tenant with a limit", t, func() {
 		o, limits := newOwner(halls)
@@ -117,7 +117,7 @@
 			over, cancel := context.WithCancel(ctx)
 			cancel()
 			o.mu.Lock() // its place does not answer
-			limits.o.Now = func() time.Duration { return time.Minute }
+			limits.options.Now = func() time.Duration { return time.Minute }
 			_, err := limits.Admit(over, halls)
 			o.mu.Unlock()
 			So(errs.KindOf(err), ShouldEqual, errs.Lost)
--- a/internal/limit/metrics.go
+++ b/internal/limit/metrics.go
@@ -9,14 +9,14 @@
 )
 
 var (
-	admissions = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "quota", Name: "admissions_total",
+	admissionsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "quota", Name: "admissions_total",
 		Help: "Messages of tenants with a limit, by what was decided (admitted, or why not) and whether they waited for a place's word."},
 		[]string{"told", "waited"})
-	asks = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "quota", Name: "asks_total",
+	requestsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "quota", Name: "asks_total",
 		Help: "Asks for tenants' tokens sent to places, by what came of them: answered, or the kind of mishap."}, []string{"told"})
 )
 
-func init() { prometheus.MustRegister(admissions, asks) }
+func init() { prometheus.MustRegister(admissionsTotal, requestsTotal) }
 
 func countAdmission(d quota.Decision, isWaited bool) {
 	told, waited := "admitted", "no"
@@ -26,19 +26,19 @@
 	if isWaited {
 		waited = "yes"
 	}
-	admissions.WithLabelValues(told, waited).Inc()
+	admissionsTotal.WithLabelValues(told, waited).Inc()
 }
 
-func countAsk(err error) {
+func countRequest(err error) {
 	told := "answered"
 	if err != nil {
 		told = string(errs.KindOf(err))
 	}
-	asks.WithLabelValues(told).Inc()
+	requestsTotal.WithLabelValues(told).Inc()
 }
 
 // Measure tells how many tokens are held, and of how many tenants.
-func (l *Limits) Measure(emit daemon.Emit) {
+func (l *Limiter) Measure(emit daemon.Emit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	emit("quota_tokens_held", "Tokens of tenants that this adapter holds for messages to come.", float64(l.wallet.Held()))
--- a/internal/limit/ask.go
+++ b/internal/limit/request.go
@@ -5,66 +5,66 @@
 	"time"
 
 	"caperwheel/internal/errs"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
 
-// Turn asks what is due.
-func (l *Limits) Turn() {
+// RequestDue asks what is due.
+func (l *Limiter) RequestDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.o.Now()
-	l.askFor(now, l.wallet.Tenants(now)...)
+	now := l.options.Now()
+	l.requestFor(now, l.wallet.Tenants(now)...)
 }
 
-// askFor sends what is due for tenants, those that one place counts in one message. l.mu is held.
-func (l *Limits) askFor(now time.Duration, tenants ...string) {
+// requestFor sends what is due for tenants, those that one place counts in one message. l.mu is held.
+func (l *Limiter) requestFor(now time.Duration, tenants ...string) {
 	counts := map[int64][]wire.QuotaCount(nil)
 	for _, tenant := range tenants {
-		count, isDue := l.wallet.Due(now, tenant)
+		count, isDue := l.wallet.DueRequest(now, tenant)
 		if !isDue {
 			continue
 		}
 		if counts == nil {
 			counts = map[int64][]wire.QuotaCount{}
 		}
-		place := PlaceOf(tenant, l.o.Places)
+		place := PlaceOf(tenant, l.options.Places)
 		counts[place] = append(counts[place], count)
 	}
 	for place, some := range counts {
-		go l.ask(now, &wire.QuotaAsk{Place: place, Holder: l.o.Holder, Lease: l.o.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: some})
+		go l.request(now, &wire.QuotaAsk{Place: place, Holder: l.options.Holder, Lease: l.options.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: some})
 	}
 }
 
-// ask brings one ask to its place and takes the answer in.
-func (l *Limits) ask(sentAt time.Duration, ask *wire.QuotaAsk) {
-	ctx, cancel := context.WithTimeout(context.Background(), l.o.Bounds.Of(timing.AnswerTimeout))
+// request brings one ask to its place and takes the answer in.
+func (l *Limiter) request(sentAt time.Duration, ask *wire.QuotaAsk) {
+	ctx, cancel := context.WithTimeout(context.Background(), l.options.Bounds.Of(timing.AnswerTimeout))
 	defer cancel()
-	reply, err := l.o.Ask(ctx, ask.Place, ask)
-	countAsk(err)
+	reply, err := l.options.RequestTokens(ctx, ask.Place, ask)
+	countRequest(err)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.o.Now()
+	now := l.options.Now()
 	isAnswered := map[string]bool{}
 	if err == nil {
 		for _, grant := range reply.Grants {
 			isAnswered[grant.Tenant] = true
-			l.settle(l.wallet.Answer(now, sentAt, grant))
+			l.resolve(l.wallet.Answer(now, sentAt, grant))
 		}
 	}
 	for _, count := range ask.Counts {
 		if !isAnswered[count.Tenant] {
-			l.settle(l.wallet.Fail(now, sentAt, count.Tenant))
+			l.resolve(l.wallet.Fail(now, sentAt, count.Tenant))
 		}
-		l.askFor(now, count.Tenant)
+		l.requestFor(now, count.Tenant)
 	}
 }
 
-// Through returns an Asker that finds owners through a reach.
-func Through(r *reach.Reach) Asker {
+// ClientFor returns an Asker that finds owners through a reach.
+func ClientFor(r *ownerclient.Client) TokenClient {
 	return func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error) {
-		reply, err := r.Group(ctx, wire.PlaceGroup+place, ask, isOwner)
+		reply, err := r.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/manager/lately_test.go
+++ b/internal/manager/absentstores_test.go
@@ -22,21 +22,21 @@
 		kind  errs.Kind
 	}{
 		{"its own, soon", 4, []string{"s9"}, errs.Stale},
-		{"its own, when it is forgotten", storesKept + 1, []string{"s9"}, errs.Unknown},
+		{"its own, when it is forgotten", absentStoreBounds + 1, []string{"s9"}, errs.Unknown},
 		{"a second one, while it may come back", 4, []string{"s1", "s2"}, errs.Stale},
-		{"a second one, when it is forgotten", storesKept + 1, []string{"s1", "s2"}, errs.Rejected},
+		{"a second one, when it is forgotten", absentStoreBounds + 1, []string{"s1", "s2"}, errs.Rejected},
 	}
 	Convey("Where a fifth store is away, retiring", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, _ := newFake()
-				m.stores.bound = m.d.Bounds.Config
-				four := m.d.Membership.Kind("store")
-				m.stores.note(append(four, wire.Who{Name: "s9", Kind: "store"}), m.d.Now()-c.ago*m.d.Bounds.Config)
-				settleStores(m)
+				m, _ := newFakeManager()
+				m.storeHistory.bound = m.d.Bounds.ConfigApply
+				four := m.d.Membership.OfKind("store")
+				m.storeHistory.observe(append(four, wire.Who{Name: "s9", Kind: "store"}), m.d.Now()-c.ago*m.d.Bounds.ConfigApply)
+				stabilizeStores(m)
 				var err error
 				for _, name := range c.calls {
-					_, err = m.operators.Retire(context.Background(), "x", name, 0)
+					_, err = m.operators.RetireStore(context.Background(), "x", name, 0)
 				}
 				So(errs.KindOf(err), ShouldEqual, c.kind)
 			})
@@ -54,24 +54,24 @@
 		calls   []string
 		kind    errs.Kind
 	}{
-		{"one store too many, by one that has just begun", storesKept - 1, false, []string{"s1", "s2"}, errs.Stale},
-		{"the same, by one that knows all that are remembered", storesKept + 1, false, []string{"s1", "s2"}, errs.Rejected},
-		{"the same, by one that began with the deployment", storesKept - 1, true, []string{"s1", "s2"}, errs.Rejected},
-		{"a store that it has not heard of, by one that has just begun", storesKept - 1, false, []string{"s9"}, errs.Stale},
-		{"that one, by a manager that began with the deployment", storesKept - 1, true, []string{"s9"}, errs.Unknown},
+		{"one store too many, by one that has just begun", absentStoreBounds - 1, false, []string{"s1", "s2"}, errs.Stale},
+		{"the same, by one that knows all that are remembered", absentStoreBounds + 1, false, []string{"s1", "s2"}, errs.Rejected},
+		{"the same, by one that began with the deployment", absentStoreBounds - 1, true, []string{"s1", "s2"}, errs.Rejected},
+		{"a store that it has not heard of, by one that has just begun", absentStoreBounds - 1, false, []string{"s9"}, errs.Stale},
+		{"that one, by a manager that began with the deployment", absentStoreBounds - 1, true, []string{"s9"}, errs.Unknown},
 	}
 	Convey("Retiring", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, _ := newFake()
-				m.d.Settings.IsFirst, m.d.Started = c.isFirst, time.Now().Add(-c.age*m.d.Bounds.Config)
-				settleStores(m)
+				m, _ := newFakeManager()
+				m.d.Settings.IsFirstStart, m.d.Started = c.isFirst, time.Now().Add(-c.age*m.d.Bounds.ConfigApply)
+				stabilizeStores(m)
 				for part := range int64(2) {
-					m.d.View.Take([]wire.PartNews{{Part: part}}, m.d.Now())
+					m.d.View.Update([]wire.PartNews{{Part: part}}, m.d.Now())
 				}
 				var err error
 				for _, name := range c.calls {
-					_, err = m.operators.Retire(context.Background(), "x", name, 0)
+					_, err = m.operators.RetireStore(context.Background(), "x", name, 0)
 				}
 				So(errs.KindOf(err), ShouldEqual, c.kind)
 			})
--- a/internal/manager/api.go
+++ b/internal/manager/api.go
@@ -24,23 +24,23 @@
 		"/v1/charter":                {"GET": m.getConfig, "PUT": m.putConfig, "PATCH": m.patchConfig},
 		"/v1/charter/history":        {"GET": m.getHistory},
 		"/v1/pools/{pool}/workers":   {"GET": m.getWorkers, "PUT": m.putWorkers, "PATCH": m.patchWorkers},
-		"/v1/cells/{cell}/empty":     {"POST": m.postOrder("cell", m.empty)},
-		"/v1/cells/{cell}/restore":   {"POST": m.postOrder("cell", m.restore)},
-		"/v1/stores/{store}/retire":  {"POST": m.postOrder("store", m.retire)},
-		"/v1/stores/{store}/restore": {"POST": m.postOrder("store", m.unretire)},
+		"/v1/cells/{cell}/empty":     {"POST": m.postOrder("cell", m.drainZone)},
+		"/v1/cells/{cell}/restore":   {"POST": m.postOrder("cell", m.restoreZone)},
+		"/v1/stores/{store}/retire":  {"POST": m.postOrder("store", m.retireStore)},
+		"/v1/stores/{store}/restore": {"POST": m.postOrder("store", m.restoreStore)},
 		"/v1/stores/{store}":         {"GET": m.getStore},
 		"/v1/status":                 {"GET": m.getStatus},
 		"/v1/daemons":                {"GET": m.getDaemons},
 	}
 	for path, methods := range paths {
-		m.d.Mux.HandleFunc(path, web.Methods(methods))
+		m.d.Mux.HandleFunc(path, web.ByMethod(methods))
 	}
 	m.d.Mux.HandleFunc("/", web.NotFound)
 }
 
-// revisionOf reads the revision that an edit is based on. A missing one is a reject:
+// baseRevision reads the revision that an edit is based on. A missing one is a reject:
 // an edit without a base could undo another unseen.
-func revisionOf(r *http.Request) (int64, error) {
+func baseRevision(r *http.Request) (int64, error) {
 	text := r.Header.Get("If-Match")
 	if r.Header.Get("If-None-Match") == "*" && text == "" {
 		return 0, nil
@@ -57,9 +57,9 @@
 
 func etag(revision int64) string { return `"` + strconv.FormatInt(revision, 10) + `"` }
 
-// operator names who made a change and when, for the history. The time is for
+// operatorName names who made a change and when, for the history. The time is for
 // people alone: nothing compares it.
-func operator(r *http.Request) string {
+func operatorName(r *http.Request) string {
 	name := r.Header.Get("X-Operator")
 	if name == "" {
 		name = "operator"
@@ -67,92 +67,92 @@
 	return name[:min(len(name), 64)] + " from " + r.RemoteAddr + " at " + time.Now().UTC().Format(time.RFC3339)
 }
 
-// failEdit answers for an edit that does not hold, or may not.
-func failEdit(w http.ResponseWriter, err error) {
+// rejectEdit answers for an edit that does not hold, or may not.
+func rejectEdit(w http.ResponseWriter, err error) {
 	if errs.Is(err, errs.Conflict) {
-		web.Reject(w, 412, web.Problem{Error: errs.Conflict, Text: "another change came first: " + err.Error()}, 0)
+		web.WriteProblem(w, 412, web.Problem{Error: errs.Conflict, Text: "another change came first: " + err.Error()}, 0)
 		return
 	}
-	web.Fail(w, err)
+	web.WriteError(w, err)
 }
 
 func (m *Manager) getConfig(w http.ResponseWriter, r *http.Request) {
 	doc, revision, err := m.operators.Config(r.Context())
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	w.Header().Set("ETag", etag(revision))
-	web.Answer(w, 200, json.RawMessage(doc))
+	web.WriteJson(w, 200, json.RawMessage(doc))
 }
 
 func (m *Manager) putConfig(w http.ResponseWriter, r *http.Request) {
-	body, err := web.Body(r, config.MostBytes)
+	body, err := web.ReadBody(r, config.MaxDocumentBytes)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	m.proposeConfig(w, r, body, func([]byte) ([]byte, error) { return body, nil })
 }
 
 func (m *Manager) patchConfig(w http.ResponseWriter, r *http.Request) {
-	body, err := web.Body(r, config.MostBytes)
+	body, err := web.ReadBody(r, config.MaxDocumentBytes)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	m.proposeConfig(w, r, body, func(base []byte) ([]byte, error) { return config.Merge(base, body) })
 }
 
 func (m *Manager) proposeConfig(w http.ResponseWriter, r *http.Request, body []byte, make func(base []byte) ([]byte, error)) {
-	revision, err := revisionOf(r)
+	revision, err := baseRevision(r)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	isCheck := r.URL.Query().Get("check") == "true"
-	p := Proposal{By: operator(r), OnRevision: revision, IsCheck: isCheck, Make: make}
+	p := Proposal{By: operatorName(r), BaseRevision: revision, IsDryRun: isCheck, Build: make}
 	if !isCheck {
-		p.Digest = digestOf(r.Method, revision, body)
+		p.Digest = editDigest(r.Method, revision, body)
 	}
 	got, err := m.operators.Propose(r.Context(), p)
 	var known *errs.Error
 	switch {
 	case len(got.Faults) > 0:
-		web.Reject(w, 422, web.Problem{Error: errs.Invalid, Text: "the configuration has faults", More: got.Faults}, 0)
+		web.WriteProblem(w, 422, web.Problem{Error: errs.Invalid, Text: "the configuration has faults", More: got.Faults}, 0)
 	case errs.Is(err, errs.Conflict) && errors.As(err, &known):
-		web.Reject(w, 412, web.Problem{Error: errs.Conflict, Text: known.Text}, 0)
+		web.WriteProblem(w, 412, web.Problem{Error: errs.Conflict, Text: known.Text}, 0)
 	case err != nil:
-		web.Fail(w, err)
+		web.WriteError(w, err)
 	case isCheck:
-		web.Answer(w, 200, map[string]any{"checked": true, "differences": got.Differences})
+		web.WriteJson(w, 200, map[string]any{"checked": true, "differences": got.Differences})
 	default:
 		w.Header().Set("ETag", etag(got.Revision))
-		web.Answer(w, 200, map[string]any{"stamp": got.Revision, "differences": got.Differences})
+		web.WriteJson(w, 200, map[string]any{"stamp": got.Revision, "differences": got.Differences})
 	}
 }
 
-// digestOf names an edit of the configuration: the same change on the same revision is
+// editDigest names an edit of the configuration: the same change on the same revision is
 // the same edit, sent again after an answer that was lost.
-func digestOf(method string, revision int64, body []byte) string {
+func editDigest(method string, revision int64, body []byte) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d\n%s", method, revision, body))
 	return hex.EncodeToString(sum[:16])
 }
 
 func (m *Manager) getHistory(w http.ResponseWriter, r *http.Request) {
-	c, err := m.pull(r.Context(), feed.ConfigPart, feed.History)
+	c, err := m.readKey(r.Context(), feed.ConfigPart, feed.History)
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
 	var past []wire.Change
 	if err := json.Unmarshal(c.Value, &past); err != nil {
-		web.Fail(w, errs.Wrap(err, errs.Corrupt, "history"))
+		web.WriteError(w, errs.Wrap(err, errs.Corrupt, "history"))
 		return
 	}
 	out := []map[string]any{}
 	for _, p := range past {
 		out = append(out, map[string]any{"stamp": p.Revision, "by": author(p.By)})
 	}
-	web.Answer(w, 200, out)
+	web.WriteJson(w, 200, out)
 }
--- a/internal/manager/api_test.go
+++ b/internal/manager/api_test.go
@@ -34,7 +34,7 @@
 	Convey("A configuration is confirmed once, and refused only where another came first:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, _ := newFake()
+				m, _ := newFakeManager()
 				for _, call := range c.calls {
 					r := httptest.NewRequest(call.method, "/v1/charter"+call.query, strings.NewReader(call.body))
 					if call.base == "" {
--- a/internal/manager/evacuation_test.go
+++ b/internal/manager/drainorder_test.go
@@ -12,12 +12,12 @@
 // TestMarks is the table of what stands at a zone's key after operators' calls.
 func TestMarks(t *testing.T) {
 	ctx := context.Background()
-	whole := func(m *Manager) (int64, error) { return m.operators.Empty(ctx, "x", "a", false) }
-	only := func(m *Manager) (int64, error) { return m.operators.Empty(ctx, "x", "a", true) }
-	back := func(m *Manager) (int64, error) { return m.operators.Restore(ctx, "x", "a") }
+	whole := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", false) }
+	only := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", true) }
+	back := func(m *Manager) (int64, error) { return m.operators.RestoreZone(ctx, "x", "a") }
 	var parts *fakeParts
 	later := func(m *Manager) (int64, error) { // no order that was given can come again
-		parts.now += (m.resend + m.d.Bounds.Config).Milliseconds()
+		parts.now += (m.resendWindow + m.d.Bounds.ConfigApply).Milliseconds()
 		return 0, nil
 	}
 	type calls = []func(*Manager) (int64, error)
@@ -45,8 +45,8 @@
 	Convey("At a cell's key stands, for", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
-				parts, m.resend = f, 2*m.d.Bounds.Config
+				m, f := newFakeManager()
+				parts, m.resendWindow = f, 2*m.d.Bounds.ConfigApply
 				if c.hasSource {
 					m.source = &Source{}
 				}
--- a/internal/manager/duties.go
+++ b/internal/manager/duties.go
@@ -23,30 +23,30 @@
 
 func init() { prometheus.MustRegister(dutyMoves) }
 
-// controlDuties keeps every worker's duty with a live adapter. Each pool is
+// runDutyController keeps every worker's duty with a live adapter. Each pool is
 // looked after by one manager; should two think so, the revisions let one win.
-func (m *Manager) controlDuties(ctx context.Context) {
+func (m *Manager) runDutyController(ctx context.Context) {
 	planner := newDutyPlanner(m)
-	steadySince := m.d.Now()
+	freshSince := m.d.Now()
 	timing.Every(ctx, m.d.Bounds.Of(timing.Poll), func() {
 		if !m.d.IsFresh() {
-			steadySince = m.d.Now()
+			freshSince = m.d.Now()
 			return
 		}
 		// A manager that has just come does not know all sessions yet: it only
 		// gives duties to new lives of those that hold them.
-		planner.turn(ctx, m.d.Now()-steadySince < m.d.Bounds.Of(timing.SessionTimeout))
+		planner.runRound(ctx, m.d.Now()-freshSince < m.d.Bounds.Of(timing.SessionTimeout))
 	})
 }
 
-// ownPools lists the pools that this manager looks after.
-func (m *Manager) ownPools(names map[string]bool) []string {
+// managedPools lists the pools that this manager looks after.
+func (m *Manager) managedPools(names map[string]bool) []string {
 	managers, out := []string{}, []string{}
-	for _, who := range m.d.Membership.Kind("manager") {
+	for _, who := range m.d.Membership.OfKind("manager") {
 		managers = append(managers, who.Name)
 	}
 	for name := range names {
-		if duty.First("pool/"+name, managers) == m.d.Who.Name {
+		if duty.HighestRanked("pool/"+name, managers) == m.d.Who.Name {
 			out = append(out, name)
 		}
 	}
@@ -55,23 +55,23 @@
 
 // Bounds of a turn: a pool of very many workers must not hold up the duties of others.
 const (
-	mostDutyEdits   = 64 // at once
-	mostAssignments = 1024
+	maxConcurrentDutyEdits = 64 // at once
+	maxAssignmentsPerRound = 1024
 )
 
 // dutyPlanner gives out the duties of the pools that this manager looks after.
 type dutyPlanner struct {
-	m      *Manager
-	edits  pond.Pool
-	steady *duty.Steady
+	m        *Manager
+	edits    pond.Pool
+	holdDown *duty.HoldDown
 	// A proposal of unknown outcome counts until a view that is fresh must show it.
-	proposed *duty.Proposals
-	idle     planInput // of the newest turn, if it found nothing to do
+	proposals *duty.Proposals
+	idleInput planInput // of the newest turn, if it found nothing to do
 }
 
 func newDutyPlanner(m *Manager) *dutyPlanner {
-	return &dutyPlanner{m: m, edits: pond.NewPool(mostDutyEdits), steady: &duty.Steady{Least: 2 * m.d.Bounds.Config},
-		proposed: &duty.Proposals{Kept: m.d.Bounds.Of(timing.Fresh)}}
+	return &dutyPlanner{m: m, edits: pond.NewPool(maxConcurrentDutyEdits), holdDown: &duty.HoldDown{Period: 2 * m.d.Bounds.ConfigApply},
+		proposals: &duty.Proposals{Timeout: m.d.Bounds.Of(timing.ViewAgeLimit)}}
 }
 
 // planInput is all that a plan depends on.
@@ -81,39 +81,39 @@
 	leaving  string
 }
 
-// turn plans and assigns. isNew has it give duties to new lives of those that hold them alone.
-func (p *dutyPlanner) turn(ctx context.Context, isNew bool) {
+// runRound plans and assigns. isStarting has it give duties to new lives of those that hold them alone.
+func (p *dutyPlanner) runRound(ctx context.Context, isStarting bool) {
 	m := p.m
-	adapters := duty.Adapters{Here: m.d.Membership.Kind("adapter"), Leaving: map[string]bool{}, Silent: map[string]bool{},
-		Proposed: p.proposed}
+	adapters := duty.Adapters{Members: m.d.Membership.OfKind("adapter"), Leaving: map[string]bool{}, Unresponsive: map[string]bool{},
+		Proposals: p.proposals}
 	_, members := m.registry.Members(m.d.Now())
 	for _, member := range members {
-		if member.Fact.Counts[deliver.Leaving] > 0 {
+		if member.Fact.Counts[deliver.DrainingCount] > 0 {
 			adapters.Leaving[member.Who.Name] = true
 		}
 		if time.Duration(member.Age)*time.Millisecond > m.d.Bounds.Of(timing.SessionTimeout)/2 {
-			adapters.Silent[member.Who.Name] = true
+			adapters.Unresponsive[member.Who.Name] = true
 		}
 	}
-	p.steady.Note(adapters.Here, m.d.Now())
-	p.proposed.Forget(m.d.Now())
+	p.holdDown.ObserveMembers(adapters.Members, m.d.Now())
+	p.proposals.Expire(m.d.Now())
 	input := planInput{m.configs.Current(), m.d.Membership.Hash(), strings.Join(sorted(adapters.Leaving), " ")}
-	if input == p.idle {
+	if input == p.idleInput {
 		return
 	}
 	wanted := p.plan(input.compiled, adapters)
-	p.idle = planInput{}
+	p.idleInput = planInput{}
 	if len(wanted) == 0 {
-		if p.proposed.IsEmpty() { // else a proposal may yet fail, and is then to be made again
-			p.idle = input
+		if p.proposals.IsEmpty() { // else a proposal may yet fail, and is then to be made again
+			p.idleInput = input
 		}
 		return
 	}
-	plan := p.steady.Filter(wanted, m.d.Now())
+	plan := p.holdDown.Filter(wanted, m.d.Now())
 	group := p.edits.NewGroup()
-	for _, change := range plan[:min(len(plan), mostAssignments)] {
-		if !isNew || change.IsReborn {
-			p.steady.Move(change, m.d.Now())
+	for _, change := range plan[:min(len(plan), maxAssignmentsPerRound)] {
+		if !isStarting || change.IsHolderRestarted {
+			p.holdDown.RecordMove(change, m.d.Now())
 			group.Submit(func() { p.assign(ctx, feed.PartOf(change.Pool, m.d.Settings.Parts), change) })
 		}
 	}
@@ -129,7 +129,7 @@
 	for name := range compiled.Duties {
 		pools[name] = true
 	}
-	for _, name := range m.ownPools(pools) {
+	for _, name := range m.managedPools(pools) {
 		part := feed.PartOf(name, m.d.Settings.Parts)
 		revision := func(key string) (int64, bool) {
 			c, isStanding := m.d.View.Get(part, key)
@@ -146,18 +146,18 @@
 // assign writes one duty.
 func (p *dutyPlanner) assign(ctx context.Context, part int64, change duty.Change) {
 	m := p.m
-	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.Config)
+	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.ConfigApply)
 	defer cancel()
 	e := wire.Edit{Part: part, Key: config.DutyKey + change.Pool + "/" + change.Worker, IfRevision: change.IfRevision,
-		Gone: change.IsGone, By: "duty controller at " + m.d.Who.Name}
-	if !change.IsGone {
+		Gone: change.IsRemoval, By: "duty controller at " + m.d.Who.Name}
+	if !change.IsRemoval {
 		e.Value = change.Next.Encode()
 	}
 	started := time.Now()
-	p.proposed.Propose(change, m.d.Now())
+	p.proposals.Add(change, m.d.Now())
 	if _, err := m.edit(ctx, e); err != nil {
 		if !errs.Is(err, errs.Undecided) { // else it may hold, and the view will show it
-			p.proposed.Fail(change)
+			p.proposals.Fail(change)
 		}
 		if !errs.Is(err, errs.Conflict) {
 			klog.Warningf("duty: %s/%s cannot be assigned after %v: %v.", change.Pool, change.Worker, time.Since(started), err)
--- a/internal/manager/duties_test.go
+++ b/internal/manager/duties_test.go
@@ -14,16 +14,16 @@
 	"caperwheel/internal/wire"
 )
 
-// planned is a manager with workers on its lists and adapters to hold their duties.
-type planned struct {
-	*listed
+// dutyFixture is a manager with workers on its lists and adapters to hold their duties.
+type dutyFixture struct {
+	*listFixture
 	planner *dutyPlanner
 }
 
-func newPlanned(workers int) *planned {
-	p := &planned{listed: newListed(workers, 0)}
-	p.workers = many(workers)
-	p.pass(2 * time.Second)
+func newDutyFixture(workers int) *dutyFixture {
+	p := &dutyFixture{listFixture: newListFixture(workers, 0)}
+	p.workers = manyWorkers(workers)
+	p.advance(2 * time.Second)
 	members := []wire.Member{{Who: p.m.d.Who}}
 	for _, zone := range []string{"a", "b", "c"} {
 		members = append(members, wire.Member{Who: wire.Who{Name: "adapter-" + zone, Kind: "adapter", Zone: zone, Boot: "1"}})
@@ -31,13 +31,13 @@
 	for _, name := range []string{"s1", "s2", "s3", "s4"} {
 		members = append(members, wire.Member{Who: wire.Who{Name: name, Kind: "store", Zone: "a", Addr: name}})
 	}
-	p.m.d.Membership.Take("with adapters", members)
+	p.m.d.Membership.Update("with adapters", members)
 	p.planner = newDutyPlanner(p.m)
 	return p
 }
 
 // dutyEdits counts the edits of duties so far.
-func (p *planned) dutyEdits() (count int) {
+func (p *dutyFixture) dutyEdits() (count int) {
 	for _, e := range p.f.edits {
 		if strings.HasPrefix(e.Key, config.DutyKey) {
 			count++
@@ -46,9 +46,9 @@
 	return count
 }
 
-func (p *planned) turns() int {
+func (p *dutyFixture) runRound() int {
 	before := p.dutyEdits()
-	p.planner.turn(context.Background(), false)
+	p.planner.runRound(context.Background(), false)
 	return p.dutyEdits() - before
 }
 
@@ -56,14 +56,14 @@
 // many duties were written twice.
 func TestDutiesAreProposedOnce(t *testing.T) {
 	Convey("While the view lags behind,", t, func() {
-		p := newPlanned(300)
-		p.f.isBlind = true
+		p := newDutyFixture(300)
+		p.f.isViewFrozen = true
 		Convey("each duty is proposed once", func() {
-			So(p.turns(), ShouldEqual, 301) // with the endpoint's
-			So(p.turns(), ShouldEqual, 0)
-			p.f.isBlind = false
-			p.f.show()
-			So(p.turns(), ShouldEqual, 0)
+			So(p.runRound(), ShouldEqual, 301) // with the endpoint's
+			So(p.runRound(), ShouldEqual, 0)
+			p.f.isViewFrozen = false
+			p.f.updateView()
+			So(p.runRound(), ShouldEqual, 0)
 			So(p.m.configs.Current().Duties["p"].Len(), ShouldEqual, 300)
 			held := map[string]int{}
 			for _, duty := range p.m.configs.Current().Duties["p"].All() {
@@ -72,17 +72,17 @@
 			So(held, ShouldResemble, map[string]int{"adapter-a": 100, "adapter-b": 100, "adapter-c": 100})
 		})
 		Convey("one that does not hold is proposed again in the next turn", func() {
-			p.f.refuse = errs.Conflict
-			So(p.turns(), ShouldEqual, 0)
-			p.f.refuse = ""
-			So(p.turns(), ShouldEqual, 301)
+			p.f.refuseKind = errs.Conflict
+			So(p.runRound(), ShouldEqual, 0)
+			p.f.refuseKind = ""
+			So(p.runRound(), ShouldEqual, 301)
 		})
 		Convey("what became of it is not known: it is proposed again, though nothing else changes, once a fresh view would show it", func() {
-			So(p.turns(), ShouldEqual, 301)
-			So(p.turns(), ShouldEqual, 0)
-			p.now += p.m.d.Bounds.Of(timing.Fresh)
-			p.confirm()
-			So(p.turns(), ShouldEqual, 301)
+			So(p.runRound(), ShouldEqual, 301)
+			So(p.runRound(), ShouldEqual, 0)
+			p.now += p.m.d.Bounds.Of(timing.ViewAgeLimit)
+			p.refreshView()
+			So(p.runRound(), ShouldEqual, 301)
 		})
 	})
 }
--- a/internal/manager/edit.go
+++ b/internal/manager/edit.go
@@ -17,25 +17,25 @@
 	if e.Value == nil {
 		e.Value = []byte{}
 	}
-	if e.Earlier == nil {
-		e.Earlier = []string{}
+	if e.EarlierOperations == nil {
+		e.EarlierOperations = []string{}
 	}
-	call := daemon.Random(6)
+	call := daemon.RandomId(6)
 	e.By += " #" + call
-	if e.Order == "" {
-		e.Order, e.Base = m.d.Who.Boot+"/"+call, wire.OneCall
+	if e.OperationId == "" {
+		e.OperationId, e.BaseVersion = m.d.Who.Boot+"/"+call, wire.SingleCallBase
 	}
-	ctx, cancel := timing.Within(ctx, m.d.Bounds.Config*2)
+	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply*2)
 	defer cancel()
-	for isOpen := false; ; { // whether a try may have had an effect that nobody told of
-		reply, wasOpen, err := m.reach.Ask(ctx, e.Part, &e, func(reply any) (bool, string) {
+	for mayHaveApplied := false; ; { // whether a try may have had an effect that nobody told of
+		reply, mayApply, err := m.reach.CallOwnerTracked(ctx, e.Part, &e, func(reply any) (bool, string) {
 			got, isEdited := reply.(*wire.Edited)
 			return isEdited && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.Undecided), ""
 		})
-		isOpen = isOpen || wasOpen
+		mayHaveApplied = mayHaveApplied || mayApply
 		switch {
-		case err != nil && isOpen:
-			return 0, undecided()
+		case err != nil && mayHaveApplied:
+			return 0, undecidedError()
 		case err != nil:
 			return 0, errs.New(errs.NotOwner, "part %d has no owner now; nothing was changed", e.Part)
 		}
@@ -44,13 +44,13 @@
 		case "":
 			return got.Revision, nil
 		case errs.Stale:
-			return 0, undecided()
+			return 0, undecidedError()
 		case errs.Conflict:
-			return m.lost(ctx, e, got)
+			return m.resolveConflict(ctx, e, got)
 		}
 		if timing.Wait(ctx, m.d.Bounds.Of(timing.StalePoll)); ctx.Err() != nil {
-			if isOpen {
-				return 0, undecided()
+			if mayHaveApplied {
+				return 0, undecidedError()
 			}
 			return 0, errs.New(errs.Kind(got.Kind), "part %d takes no change now", e.Part)
 		}
@@ -60,32 +60,32 @@
 // lost settles an edit that did not hold: a lost race, or, with a store of an
 // older build that remembers nothing, our own edit met twice. Who wrote last
 // tells as much as can be known then.
-func (m *Manager) lost(ctx context.Context, e wire.Edit, got *wire.Edited) (int64, error) {
-	now, err := m.pull(ctx, e.Part, e.Key)
+func (m *Manager) resolveConflict(ctx context.Context, e wire.Edit, got *wire.Edited) (int64, error) {
+	now, err := m.readKey(ctx, e.Part, e.Key)
 	switch {
 	case err == nil && now.By == e.By:
 		return now.Revision, nil
 	case err != nil && !errs.Is(err, errs.Unknown):
-		return 0, undecided()
+		return 0, undecidedError()
 	}
 	return 0, errs.New(errs.Conflict, "%s", got.Text)
 }
 
-func undecided() error {
+func undecidedError() error {
 	return errs.New(errs.Undecided, "the change may or may not hold; read it back")
 }
 
-// pull reads a key through a majority.
-func (m *Manager) pull(ctx context.Context, part int64, key string) (wire.Change, error) {
-	got, err := m.read(ctx, part, key)
+// readKey reads a key through a majority.
+func (m *Manager) readKey(ctx context.Context, part int64, key string) (wire.Change, error) {
+	got, err := m.readReply(ctx, part, key)
 	return got.Change, err
 }
 
 // read is pull with all that the part's owner tells.
-func (m *Manager) read(ctx context.Context, part int64, key string) (wire.Pulled, error) {
-	ctx, cancel := timing.Within(ctx, m.d.Bounds.Config)
+func (m *Manager) readReply(ctx context.Context, part int64, key string) (wire.Pulled, error) {
+	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply)
 	defer cancel()
-	reply, err := m.reach.Group(ctx, part, &wire.Pull{Part: part, Key: key}, func(reply any) (bool, string) {
+	reply, err := m.reach.CallOwner(ctx, part, &wire.Pull{Part: part, Key: key}, func(reply any) (bool, string) {
 		got, isPulled := reply.(*wire.Pulled)
 		return isPulled && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.DeadlineExceeded), ""
 	})
--- a/internal/manager/edit_test.go
+++ b/internal/manager/edit_test.go
@@ -16,7 +16,7 @@
 // answered, one after another, the last answer again and again.
 func TestEdit(t *testing.T) {
 	edited := func(kind errs.Kind) any { return &wire.Edited{Kind: string(kind), Revision: 7} }
-	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.Unsent{})
+	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.UnsentError{})
 	cases := []struct {
 		name    string
 		answers []any
@@ -41,16 +41,16 @@
 	Convey("Of an edit,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, _ := newFake()
-				m.d.Bounds.Config = 50 * time.Millisecond
+				m, _ := newFakeManager()
+				m.d.Bounds.ConfigApply = 50 * time.Millisecond
 				m.reach.Bounds = m.d.Bounds
 				turn, orders := 0, map[string]bool{}
-				m.reach.Call = func(_ context.Context, _ string, ask any) (any, error) {
+				m.reach.SendFunc = func(_ context.Context, _ string, ask any) (any, error) {
 					e, isEdit := ask.(*wire.Edit)
 					if !isEdit {
 						return &wire.Pulled{Kind: string(errs.Unknown)}, nil
 					}
-					orders[e.Order] = true
+					orders[e.OperationId] = true
 					answer := c.answers[min(turn, len(c.answers)-1)]
 					turn++
 					if err, isErr := answer.(error); isErr {
--- a/internal/manager/histories_test.go
+++ b/internal/manager/histories_test.go
@@ -17,61 +17,61 @@
 	"caperwheel/internal/errs"
 	"caperwheel/internal/feed"
 	"caperwheel/internal/linearize"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/wire"
 )
 
-// rough is a part whose owner loses answers, is replaced over edits, and takes
+// faultyPart is a part whose owner loses answers, is replaced over edits, and takes
 // old tries in late, long after they were answered. Its state passes through
 // images.
-type rough struct {
-	mu    sync.Mutex
-	draw  *rand.Rand
-	part  *feed.Part
-	tries []wire.Edit // that may come once more
-	turns int         // in one of so many calls it grows dark
-	dark  int         // calls that get no answer, so that managers give up
-	hurt  func(e *wire.Edit)
+type faultyPart struct {
+	mu          sync.Mutex
+	random      *rand.Rand
+	part        *feed.Part
+	lateEdits   []wire.Edit // that may come once more
+	outageOdds  int         // in one of so many calls it grows dark
+	outageCalls int         // calls that get no answer, so that managers give up
+	mutateEdit  func(e *wire.Edit)
 }
 
-func (r *rough) call(_ context.Context, _ string, ask any) (any, error) {
+func (r *faultyPart) call(_ context.Context, _ string, ask any) (any, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lost := errs.New(errs.Lost, "session")
-	if r.turns > 0 && r.draw.IntN(r.turns) == 0 {
-		r.dark = 900
+	if r.outageOdds > 0 && r.random.IntN(r.outageOdds) == 0 {
+		r.outageCalls = 900
 	}
-	if r.dark > 0 {
-		r.dark--
-		if e, isEdit := ask.(*wire.Edit); isEdit && r.dark%100 == 0 {
+	if r.outageCalls > 0 {
+		r.outageCalls--
+		if e, isEdit := ask.(*wire.Edit); isEdit && r.outageCalls%100 == 0 {
 			r.part.Apply(*e)
 		}
 		return nil, lost
 	}
 	switch a := ask.(type) {
 	case *wire.Pull:
-		if r.draw.IntN(20) == 0 {
+		if r.random.IntN(20) == 0 {
 			return nil, lost
 		}
 		got := r.part.Read(a.Key, 0)
 		return &got, nil
 	case *wire.Edit:
-		if len(r.tries) > 0 && r.draw.IntN(2) == 0 {
-			r.part.Apply(r.tries[r.draw.IntN(len(r.tries))])
+		if len(r.lateEdits) > 0 && r.random.IntN(2) == 0 {
+			r.part.Apply(r.lateEdits[r.random.IntN(len(r.lateEdits))])
 		}
 		e := *a
-		r.hurt(&e)
-		r.tries = append(r.tries, e)
-		if r.draw.IntN(10) == 0 {
+		r.mutateEdit(&e)
+		r.lateEdits = append(r.lateEdits, e)
+		if r.random.IntN(10) == 0 {
 			return nil, lost // it may come later
 		}
 		got := r.part.Apply(e)
-		if r.draw.IntN(8) == 0 {
-			if next, err := feed.RestorePart(r.part.Image()); err == nil {
+		if r.random.IntN(8) == 0 {
+			if next, err := feed.RestorePart(r.part.Snapshot()); err == nil {
 				r.part = next
 			}
 		}
-		switch r.draw.IntN(3) {
+		switch r.random.IntN(3) {
 		case 0:
 			return nil, lost
 		case 1:
@@ -82,9 +82,9 @@
 	return nil, lost
 }
 
-// operate has an operator send orders to any of the managers, some of them sent
+// runOperator has an operator send orders to any of the managers, some of them sent
 // again, and gives what was told. The clock counts what was begun and ended.
-func operate(client int, seed uint64, managers []*Manager, clock *atomic.Int64) (out []linearize.Operation) {
+func runOperator(client int, seed uint64, managers []*Manager, clock *atomic.Int64) (out []linearize.Operation) {
 	draw := rand.New(rand.NewPCG(seed, uint64(client)))
 	now := func() time.Duration { return time.Duration(clock.Add(1)) }
 	version, sent := int64(0), []linearize.Operation{}
@@ -96,8 +96,8 @@
 			o = sent[draw.IntN(len(sent))]
 		}
 		o.Call = now()
-		_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: o.Digest, OnVersion: o.Base, IsOnVersion: true,
-			Make: versioned(int(o.Version), o.Digest)})
+		_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: o.Digest, BaseVersion: o.Base, IsVersionBased: true,
+			Build: versioned(int(o.Version), o.Digest)})
 		o.Return, o.Outcome = now(), linearize.Unclear
 		switch {
 		case err == nil:
@@ -120,26 +120,26 @@
 	return out
 }
 
-// history plays eight operators at three managers over one rough part.
+// randomHistory plays eight operators at three managers over one rough part.
 // In one of turns calls it grows dark; 0 for never.
-func history(seed uint64, turns int, hurt func(e *wire.Edit)) (out []linearize.Operation) {
-	r := &rough{draw: rand.New(rand.NewPCG(seed, 99)), part: feed.NewPart(), hurt: hurt, turns: turns}
+func randomHistory(seed uint64, outageOdds int, mutateEdit func(e *wire.Edit)) (out []linearize.Operation) {
+	r := &faultyPart{random: rand.New(rand.NewPCG(seed, 99)), part: feed.NewPart(), mutateEdit: mutateEdit, outageOdds: outageOdds}
 	patience := 400 * time.Millisecond
-	if turns > 0 {
+	if outageOdds > 0 {
 		patience = 20 * time.Millisecond // managers give up in the dark
 	}
 	managers := []*Manager{}
 	for i := range 3 {
-		m, _ := newFake()
-		m.d.Who.Boot, m.d.Bounds.Config = strconv.Itoa(i), patience
-		m.reach = &reach.Reach{Membership: m.d.Membership, Bounds: m.d.Bounds, Call: r.call}
+		m, _ := newFakeManager()
+		m.d.Who.Boot, m.d.Bounds.ConfigApply = strconv.Itoa(i), patience
+		m.reach = &ownerclient.Client{Membership: m.d.Membership, Bounds: m.d.Bounds, SendFunc: r.call}
 		managers = append(managers, m)
 	}
 	var group sync.WaitGroup
 	var clock atomic.Int64
 	told := make([][]linearize.Operation, 8)
 	for client := range told {
-		group.Go(func() { told[client] = operate(client, seed, managers, &clock) })
+		group.Go(func() { told[client] = runOperator(client, seed, managers, &clock) })
 	}
 	group.Wait()
 	for _, part := range told {
@@ -154,7 +154,7 @@
 func TestOperatorsAreLinearizable(t *testing.T) {
 	Convey("Of operators' calls over rough parts", t, func() {
 		for seed := range uint64(6) {
-			ok, text := linearize.Check(history(seed, int(seed%2)*300, func(*wire.Edit) {}))
+			ok, text := linearize.Check(randomHistory(seed, int(seed%2)*300, func(*wire.Edit) {}))
 			So(text, ShouldBeBlank)
 			So(ok, ShouldBeTrue)
 		}
@@ -163,7 +163,7 @@
 		name string
 		out  func(e *wire.Edit)
 	}{
-		{"the memory of orders", func(e *wire.Edit) { e.Order = "" }},
+		{"the memory of orders", func(e *wire.Edit) { e.OperationId = "" }},
 		{"compare and set", func(e *wire.Edit) { e.IfRevision = -1 }},
 	}
 	Convey("Without", t, func() {
@@ -171,7 +171,7 @@
 			Convey(g.name+" a history without an order is found", func() {
 				isFound := false
 				for seed := uint64(0); seed < 10 && !isFound; seed++ {
-					ok, _ := linearize.Check(history(seed, 0, g.out))
+					ok, _ := linearize.Check(randomHistory(seed, 0, g.out))
 					isFound = !ok
 				}
 				So(isFound, ShouldBeTrue)
--- a/internal/manager/interleavings_test.go
+++ b/internal/manager/interleavings_test.go
@@ -12,10 +12,10 @@
 )
 
 // key tells states apart.
-func (p *play) key() string {
-	out := string(p.part.Image()) + fmt.Sprint(p.faults, p.waiting)
-	for _, s := range p.scripts {
-		out += "#" + s.told
+func (p *simulation) key() string {
+	out := string(p.part.Snapshot()) + fmt.Sprint(p.faults, p.delayedEdits)
+	for _, s := range p.operators {
+		out += "#" + s.transcript
 	}
 	for _, o := range p.history { // what was told before what was asked counts too
 		out += fmt.Sprint("@", o.Call, o.Return)
@@ -29,7 +29,7 @@
 	seen := map[string]bool{}
 	var walk func(path []choice)
 	walk = func(path []choice) {
-		p := newPlay(hurt)
+		p := newSimulation(hurt)
 		defer p.end()
 		for _, c := range path {
 			p.take(c)
@@ -66,7 +66,7 @@
 	})
 	Convey("It is found that they are not without", t, func() {
 		Convey("the memory of orders", func() {
-			_, _, broken := interleavings(func(e *wire.Edit) { e.Order = "" })
+			_, _, broken := interleavings(func(e *wire.Edit) { e.OperationId = "" })
 			So(broken, ShouldNotBeEmpty)
 		})
 		Convey("compare and set", func() {
--- a/internal/manager/list_test.go
+++ b/internal/manager/list_test.go
@@ -10,7 +10,7 @@
 
 	"caperwheel/internal/config"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/listing"
+	"caperwheel/internal/workerlist"
 	"strings"
 )
 
@@ -18,7 +18,7 @@
 func TestList(t *testing.T) {
 	w1, w2, left := listedWorker("w1", "live", false), listedWorker("w2", "live", true), listedWorker("w1", "leaving", false)
 	bad, untold := listedWorker("no name", "live", false), listedWorker("w3", "live", false)
-	untold.Identifier = strings.Repeat("i", config.MostIdentifier+1)
+	untold.Identifier = strings.Repeat("i", config.MaxIdentifierBytes+1)
 	type turn struct {
 		read  []config.Worker
 		err   error
@@ -45,10 +45,10 @@
 		Convey(name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
-					s := newListed(100, 0)
+					s := newListFixture(100, 0)
 					var now turn
 					s.fail = func(string, string) error { return now.err }
-					s.f.isBlind = isBlind
+					s.f.isViewFrozen = isBlind
 					for _, now = range c.turns {
 						s.workers = now.read
 						s.turn()
@@ -68,19 +68,19 @@
 // changed alone.
 func TestReaderChanges(t *testing.T) {
 	Convey("Given a long list that another manager has written", t, func() {
-		s := newListed(50, 40)
-		s.workers = many(1000)
-		s.pass(5 * time.Second)
+		s := newListFixture(50, 40)
+		s.workers = manyWorkers(1000)
+		s.advance(5 * time.Second)
 		So(s.written(), ShouldHaveLength, 1000)
-		s.l = newLister(s.m)
+		s.l = newListController(s.m)
 		edits := len(s.f.edits)
 		Convey("nothing is written where nothing has changed", func() {
-			s.pass(5 * time.Second)
+			s.advance(5 * time.Second)
 			So(len(s.f.edits), ShouldEqual, edits)
 		})
 		Convey("workers that went meanwhile are taken out, and their keys", func() {
 			s.workers = s.workers[:10]
-			s.pass(10 * time.Second)
+			s.advance(10 * time.Second)
 			So(s.written(), ShouldHaveLength, 10)
 			cut := 0
 			news, _ := s.f.part(1).News(1, 0)
@@ -93,10 +93,10 @@
 		})
 		Convey("a pool that a configuration adds is written at once", func() {
 			s.propose(`{"pools":{"p":{},"other":{}}}`)
-			s.mess = func(page *ListPage) {
+			s.mutatePage = func(page *ListPage) {
 				page.Workers["other"] = []config.Worker{listedWorker("o", "live", false)}
 			}
-			s.pass(5 * time.Second)
+			s.advance(5 * time.Second)
 			stands, _ := s.f.part(1).Get(config.WorkersKey + "other")
 			So(string(stands.Value), ShouldContainSubstring, `"o"`)
 		})
@@ -107,14 +107,14 @@
 func TestPeriods(t *testing.T) {
 	Convey("The calls of all lists together", t, func() {
 		for _, zones := range []int{0, 2, 9} {
-			plan, named := listing.NewPlan(time.Millisecond), map[string]bool{}
+			plan, named := workerlist.NewPlan(time.Millisecond), map[string]bool{}
 			for i := range zones {
 				named[fmt.Sprint("z", i)] = true
 			}
 			whole := plan.Cursors()[0]
-			whole.Ask(0)
-			whole.WholePages, whole.IsWhole = 1000, true
-			plan.Divide(named, 40)
+			whole.NextToken(0)
+			whole.LastReadPages, whole.HasRead = 1000, true
+			plan.Replan(named, 40)
 			Convey(fmt.Sprintf("are three quarters of the rate with %d zones", zones), func() {
 				So(plan.Cursors(), ShouldHaveLength, 1+zones)
 				sum := 0.0
@@ -131,19 +131,19 @@
 // began later than the source's lag has reached every daemon.
 func TestEasing(t *testing.T) {
 	Convey("A restored cell's workers", t, func() {
-		s := newListed(100, 0)
+		s := newListFixture(100, 0)
 		s.workers = []config.Worker{{Name: "w", Address: "127.0.0.1:80", Zone: "a", State: "live"}}
 		s.turn()
 		look := func() (isServed, isCold bool) {
 			w, isServed := s.m.configs.Current().CanServe("p", "w")
 			return isServed, w.IsCold
 		}
-		_, err := s.m.operators.Empty(context.Background(), "x", "a", true)
+		_, err := s.m.operators.DrainZone(context.Background(), "x", "a", true)
 		So(err, ShouldBeNil)
 		isServed, _ := look()
 		So(isServed, ShouldBeFalse)
-		So(s.m.configs.Current().MayWork("a"), ShouldBeTrue)
-		_, err = s.m.operators.Restore(context.Background(), "x", "a")
+		So(s.m.configs.Current().MayStartWork("a"), ShouldBeTrue)
+		_, err = s.m.operators.RestoreZone(context.Background(), "x", "a")
 		So(err, ShouldBeNil)
 		steps := []struct {
 			name   string
@@ -157,7 +157,7 @@
 			{"are as listed after that", 16 * time.Second, false},
 		}
 		for _, step := range steps {
-			s.pass(step.passed)
+			s.advance(step.passed)
 			isServed, isCold := look()
 			So(isServed, ShouldBeTrue)
 			So(step.name, ShouldEqual, map[bool]string{true: step.name}[isCold == step.isCold])
--- a/internal/manager/listed_test.go
+++ b/internal/manager/listfixture_test.go
@@ -16,53 +16,53 @@
 	"caperwheel/internal/wire"
 )
 
-// listed is a source of workers on a simulated clock, with a manager that reads it.
+// listFixture is a source of workers on a simulated clock, with a manager that reads it.
 //
 // Invariant: took has the moments of the calls of the last second, which are at most rate.
-type listed struct {
-	m       *Manager
-	f       *fakeParts
-	l       *lister
-	now     time.Duration
-	workers []config.Worker // in the list's order
-	page    int
-	rate    float64
-	took    []time.Duration
-	calls   int
-	over    int
-	fail    func(zone, token string) error // if given
-	mess    func(page *ListPage)           // if given
-	shown   func()                         // called after each flush, if given
+type listFixture struct {
+	m            *Manager
+	f            *fakeParts
+	l            *listController
+	now          time.Duration
+	workers      []config.Worker // in the list's order
+	page         int
+	rate         float64
+	callTimes    []time.Duration
+	calls        int
+	refusedCalls int
+	fail         func(zone, token string) error // if given
+	mutatePage   func(page *ListPage)           // if given
+	onFlush      func()                         // called after each flush, if given
 }
 
-func newListed(page int, rate float64) *listed {
-	m, f := newFake()
-	s := &listed{m: m, f: f, page: page, rate: rate}
+func newListFixture(page int, rate float64) *listFixture {
+	m, f := newFakeManager()
+	s := &listFixture{m: m, f: f, page: page, rate: rate}
 	s.now = m.d.Now()
 	m.d.Clock = func() time.Duration { return s.now }
-	m.resend = 5 * time.Second
-	m.source = &Source{Page: s.read, Rate: func() float64 { return s.rate }, Lag: time.Second}
+	m.resendWindow = 5 * time.Second
+	m.source = &Source{Page: s.servePage, Rate: func() float64 { return s.rate }, MaxLag: time.Second}
 	s.propose(`{"pools":{"p":{},"e":{"kind":"endpoint","address":"127.0.0.1:9"}}}`)
-	s.l = newLister(m)
+	s.l = newListController(m)
 	return s
 }
 
-func (s *listed) propose(doc string) {
+func (s *listFixture) propose(doc string) {
 	_, revision, err := s.m.operators.Config(context.Background())
 	So(err, ShouldBeNil)
-	_, err = s.m.operators.Propose(context.Background(), Proposal{OnRevision: revision, Make: func([]byte) ([]byte, error) { return []byte(doc), nil }})
+	_, err = s.m.operators.Propose(context.Background(), Proposal{BaseRevision: revision, Build: func([]byte) ([]byte, error) { return []byte(doc), nil }})
 	So(err, ShouldBeNil)
 }
 
 // read serves one page: the token is where it begins.
-func (s *listed) read(_ context.Context, zone, token string) (ListPage, error) {
+func (s *listFixture) servePage(_ context.Context, zone, token string) (ListPage, error) {
 	s.calls++
-	s.took = slices.DeleteFunc(s.took, func(at time.Duration) bool { return at <= s.now-time.Second })
-	if s.rate > 0 && float64(len(s.took)) >= s.rate {
-		s.over++
+	s.callTimes = slices.DeleteFunc(s.callTimes, func(at time.Duration) bool { return at <= s.now-time.Second })
+	if s.rate > 0 && float64(len(s.callTimes)) >= s.rate {
+		s.refusedCalls++
 		return ListPage{}, errs.New(errs.Full, "rate")
 	}
-	s.took = append(s.took, s.now)
+	s.callTimes = append(s.callTimes, s.now)
 	if s.fail != nil {
 		if err := s.fail(zone, token); err != nil {
 			return ListPage{}, err
@@ -81,55 +81,55 @@
 	if until < len(rows) {
 		out.Next = strconv.Itoa(until)
 	}
-	if s.mess != nil {
-		s.mess(&out)
+	if s.mutatePage != nil {
+		s.mutatePage(&out)
 	}
 	return out, nil
 }
 
-// confirm has the view be fresh.
-func (s *listed) confirm() {
+// refreshView has the view be fresh.
+func (s *listFixture) refreshView() {
 	for part := range int64(2) {
-		s.m.d.View.Take([]wire.PartNews{{Part: part, From: s.m.d.View.Revision(part), To: s.m.d.View.Revision(part)}}, s.now)
+		s.m.d.View.Update([]wire.PartNews{{Part: part, From: s.m.d.View.Revision(part), To: s.m.d.View.Revision(part)}}, s.now)
 	}
 }
 
-// pass lets time go by: each list that is due is asked, and what was read is written.
-func (s *listed) pass(span time.Duration) {
+// advance lets time go by: each list that is due is asked, and what was read is written.
+func (s *listFixture) advance(span time.Duration) {
 	const step = 10 * time.Millisecond
 	flushAt, idle := s.now, 0
 	defer func() { So(idle, ShouldEqual, 0) }()
 	for until := s.now + span; s.now < until; s.now += step {
-		s.confirm()
+		s.refreshView()
 		if !s.l.prepare() {
 			idle++
 			continue
 		}
 		for _, c := range s.l.plan.Cursors() {
-			if c.Due(s.now) == 0 {
-				s.l.step(context.Background(), c)
+			if c.Delay(s.now) == 0 {
+				s.l.readPage(context.Background(), c)
 			}
 		}
-		if s.now >= flushAt || len(s.l.passed) > 0 {
+		if s.now >= flushAt || len(s.l.completedReads) > 0 {
 			flushAt = s.now + s.m.d.Bounds.Of(timing.ListInterval)
 			s.l.flush(context.Background())
-			if s.shown != nil {
-				s.shown()
+			if s.onFlush != nil {
+				s.onFlush()
 			}
 		}
 	}
 }
 
-// turn is one read at most of a list of one page, and its write.
-func (s *listed) turn() { s.pass(s.m.d.Bounds.Of(timing.ListInterval)) }
+// runRound is one read at most of a list of one page, and its write.
+func (s *listFixture) turn() { s.advance(s.m.d.Bounds.Of(timing.ListInterval)) }
 
 // written returns what stands of the pool, by name.
-func (s *listed) written() map[string]config.Worker {
+func (s *listFixture) written() map[string]config.Worker {
 	out := map[string]config.Worker{}
 	revisions := map[string]int64{}
 	news, _ := s.f.part(1).News(1, 0)
 	for _, c := range news.Changes {
-		pool, _ := config.PoolOfList(c.Key)
+		pool, _ := config.ParseListKey(c.Key)
 		if c.Gone || !strings.HasPrefix(c.Key, config.WorkersKey) || pool != "p" {
 			continue
 		}
@@ -147,8 +147,8 @@
 	return config.Worker{Name: name, Address: "127.0.0.1:80", Zone: "a", State: state, IsCold: isCold}
 }
 
-// many returns so many workers of three zones.
-func many(count int) []config.Worker {
+// manyWorkers returns so many workers of three zones.
+func manyWorkers(count int) []config.Worker {
 	out := []config.Worker{}
 	for i := range count {
 		out = append(out, config.Worker{Name: fmt.Sprintf("w-%06d", i), Address: "127.0.0.1:80", Zone: []string{"a", "b", "c"}[i%3], State: "live"})
--- a/internal/manager/listread.go
+++ b/internal/manager/listread.go
@@ -9,58 +9,58 @@
 	"caperwheel/internal/config"
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/listing"
 	"caperwheel/internal/timing"
+	"caperwheel/internal/workerlist"
 )
 
 var listCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "list",
 	Name: "calls_total", Help: "Pages of the list of workers asked for, by what came of them: page, refused or failed."}, []string{"end"})
 
-var leftOut = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "list",
+var rejectedEntries = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "list",
 	Name: "entries_left_out_total", Help: "Entries read that a list of workers may not hold, by pool."}, []string{"pool"})
 
-func init() { prometheus.MustRegister(listCalls, leftOut) }
+func init() { prometheus.MustRegister(listCalls, rejectedEntries) }
 
 // startReaders has one reader run for each list of the plan.
-func (l *lister) startReaders(ctx context.Context) {
+func (l *listController) startReaders(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	wanted := map[*listing.Cursor]bool{}
+	wanted := map[*workerlist.Cursor]bool{}
 	for _, c := range l.plan.Cursors() {
 		wanted[c] = true
 		if l.readers[c] == nil {
 			readCtx, cancel := context.WithCancel(ctx)
 			l.readers[c] = cancel
-			go l.read(readCtx, c)
+			go l.readList(readCtx, c)
 		}
 	}
 	for c, cancel := range l.readers {
 		if !wanted[c] {
 			cancel()
 			delete(l.readers, c)
-			delete(l.isLost, c)
+			delete(l.isFailing, c)
 		}
 	}
 }
 
 // read reads one list again and again until ctx ends.
-func (l *lister) read(ctx context.Context, c *listing.Cursor) {
+func (l *listController) readList(ctx context.Context, c *workerlist.Cursor) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		wait := c.Due(l.m.d.Now())
+		wait := c.Delay(l.m.d.Now())
 		l.mu.Unlock()
 		timing.Wait(ctx, wait)
 		if ctx.Err() == nil {
-			l.step(ctx, c)
+			l.readPage(ctx, c)
 		}
 	}
 }
 
-// step asks for one page and takes it in.
-func (l *lister) step(ctx context.Context, c *listing.Cursor) {
+// readPage asks for one page and takes it in.
+func (l *listController) readPage(ctx context.Context, c *workerlist.Cursor) {
 	asked := l.m.d.Now()
 	l.mu.Lock()
-	token := c.Ask(asked)
+	token := c.NextToken(asked)
 	l.mu.Unlock()
 	page, err := l.m.source.Page(ctx, c.Zone, token)
 	l.mu.Lock()
@@ -68,21 +68,21 @@
 	if ctx.Err() != nil || l.plan == nil {
 		return
 	}
-	l.noteCall(c, err)
+	l.recordCall(c, err)
 	period, now := l.plan.Period(c, l.rate()), l.m.d.Now()
 	if err != nil {
-		c.Failed(errs.KindOf(err), now, period, l.m.d.Bounds.Of(timing.SettleTimeout))
+		c.PageFailed(errs.KindOf(err), now, period, l.m.d.Bounds.Of(timing.SettleTimeout))
 		return
 	}
 	for pool, list := range page.Workers {
-		for _, w := range l.healthy(pool, list) {
-			l.roster.See(pool, w, asked)
+		for _, w := range l.validEntries(pool, list) {
+			l.roster.Record(pool, w, asked)
 		}
 	}
-	if c.Took(page.Next, now, period, l.plan.Interval()) {
-		l.roster.Passed(c.Zone, c.WholeAt)
-		l.passed = append(l.passed, passed{c.Zone, c.WholeAt})
-		l.plan.Divide(l.roster.Zones(), l.rate())
+	if c.PageReceived(page.Next, now, period, l.plan.Interval()) {
+		l.roster.ReadCompleted(c.Zone, c.LastReadAt)
+		l.completedReads = append(l.completedReads, completedRead{c.Zone, c.LastReadAt})
+		l.plan.Replan(l.roster.Zones(), l.rate())
 		select {
 		case l.wake <- struct{}{}:
 		default:
@@ -90,35 +90,35 @@
 	}
 }
 
-func (l *lister) rate() float64 {
+func (l *listController) rate() float64 {
 	if l.m.source.Rate == nil {
 		return 0
 	}
 	return l.m.source.Rate()
 }
 
-// fullLogged is for how many bounds nothing more is logged of refused calls.
-const fullLogged = 10
+// refusalLogBounds is for how many bounds nothing more is logged of refused calls.
+const refusalLogBounds = 10
 
-// noteCall counts a call, and logs when a list can no longer be read, or again.
-func (l *lister) noteCall(c *listing.Cursor, err error) {
-	name, now := nameOf(c), l.m.d.Now()
+// recordCall counts a call, and logs when a list can no longer be read, or again.
+func (l *listController) recordCall(c *workerlist.Cursor, err error) {
+	name, now := listName(c), l.m.d.Now()
 	switch {
 	case err == nil:
 		listCalls.WithLabelValues("page").Inc()
 	case errs.Is(err, errs.Full):
 		listCalls.WithLabelValues("refused").Inc()
-		l.refused++
-		if l.toldFull == 0 || now-l.toldFull > fullLogged*l.m.d.Bounds.Config {
-			l.toldFull = now
-			klog.Infof("list: %s refuses calls over its rate, %d so far; the read goes on where it stands.", name, l.refused)
+		l.refusedCalls++
+		if l.refusalLoggedAt == 0 || now-l.refusalLoggedAt > refusalLogBounds*l.m.d.Bounds.ConfigApply {
+			l.refusalLoggedAt = now
+			klog.Infof("list: %s refuses calls over its rate, %d so far; the read goes on where it stands.", name, l.refusedCalls)
 		}
 		return
 	default:
 		listCalls.WithLabelValues("failed").Inc()
 	}
-	if isLost := err != nil; isLost != l.isLost[c] {
-		l.isLost[c] = isLost
+	if isLost := err != nil; isLost != l.isFailing[c] {
+		l.isFailing[c] = isLost
 		if isLost {
 			klog.Warningf("list: %s cannot be read: %v.", name, err)
 		} else {
@@ -127,15 +127,15 @@
 	}
 }
 
-func nameOf(c *listing.Cursor) string {
+func listName(c *workerlist.Cursor) string {
 	if c.Zone == "" {
 		return "The list of workers"
 	}
 	return "The list of zone " + c.Zone
 }
 
-// measure tells the age of each list that is read here, in seconds.
-func (l *lister) measure(emit daemon.Emit) {
+// emitMetrics tells the age of each list that is read here, in seconds.
+func (l *listController) emitMetrics(emit daemon.Emit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.plan == nil {
@@ -144,17 +144,17 @@
 	for _, c := range l.plan.Cursors() {
 		if age, isRead := c.Age(l.m.d.Now()); isRead {
 			emit("list_age_seconds", "Age of the newest complete read of the list of workers, by zone; no zone is all.", age.Seconds(), "zone", c.Zone)
-			emit("list_read_seconds", "How long the newest complete read of the list of workers took, by zone.", c.WholeTook.Seconds(), "zone", c.Zone)
+			emit("list_read_seconds", "How long the newest complete read of the list of workers took, by zone.", c.LastReadTook.Seconds(), "zone", c.Zone)
 		}
 	}
 }
 
-// healthy drops what a list may not hold. Called with mu held.
-func (l *lister) healthy(pool string, list []config.Worker) []config.Worker {
+// validEntries drops what a list may not hold. Called with mu held.
+func (l *listController) validEntries(pool string, list []config.Worker) []config.Worker {
 	out, seen := []config.Worker{}, map[string]bool{}
 	for _, w := range list {
 		if faults := w.Check(); len(faults) > 0 || seen[w.Name] {
-			l.leaveOut(pool, w, faults)
+			l.rejectEntry(pool, w, faults)
 			continue
 		}
 		seen[w.Name] = true
@@ -163,16 +163,16 @@
 	return out
 }
 
-// mostLoggedOut bounds the workers left out that are remembered so as to be logged once.
-const mostLoggedOut = 100
+// maxLoggedRejects bounds the workers left out that are remembered so as to be logged once.
+const maxLoggedRejects = 100
 
-// leaveOut counts a worker that gets no work since a list may not hold it, and logs it once.
-func (l *lister) leaveOut(pool string, w config.Worker, faults []config.Fault) {
-	leftOut.WithLabelValues(pool).Inc()
+// rejectEntry counts a worker that gets no work since a list may not hold it, and logs it once.
+func (l *listController) rejectEntry(pool string, w config.Worker, faults []config.Fault) {
+	rejectedEntries.WithLabelValues(pool).Inc()
 	key := pool + "/" + w.Name
-	if l.leftOut[key] || len(l.leftOut) >= mostLoggedOut {
+	if l.loggedRejects[key] || len(l.loggedRejects) >= maxLoggedRejects {
 		return
 	}
-	l.leftOut[key] = true
+	l.loggedRejects[key] = true
 	klog.Warningf("list: Worker %q of %s is left out and gets no work: %v.", w.Name, pool, faults)
 }
--- a/internal/manager/longlist_test.go
+++ b/internal/manager/longlist_test.go
@@ -18,16 +18,16 @@
 // TestLongList: a list of more pages than it takes calls in a second was never read.
 func TestLongList(t *testing.T) {
 	Convey("Of a list of 300 pages that takes 20 calls a second", t, func() {
-		s := newListed(4, 20)
-		s.workers = many(1200)
+		s := newListFixture(4, 20)
+		s.workers = manyWorkers(1200)
 		Convey("the first pages are written while the rest is read", func() {
-			s.pass(5 * time.Second)
+			s.advance(5 * time.Second)
 			So(len(s.written()), ShouldBeBetween, 100, 400)
 		})
 		Convey("all is read at three quarters of the rate, the rest is left to others", func() {
-			s.pass(22 * time.Second)
+			s.advance(22 * time.Second)
 			So(s.written(), ShouldHaveLength, 1200)
-			So(s.over, ShouldEqual, 0)
+			So(s.refusedCalls, ShouldEqual, 0)
 			So(float64(s.calls)/22, ShouldBeBetween, 0.7*s.rate, 0.8*s.rate)
 			Convey("then each zone by itself, and a change is written without the rest", func() {
 				zones := []string{}
@@ -37,7 +37,7 @@
 				So(zones, ShouldResemble, []string{"", "a", "b", "c"})
 				edits, bytes := len(s.f.edits), 0
 				s.workers[700].State = "leaving"
-				s.pass(40 * time.Second)
+				s.advance(40 * time.Second)
 				So(s.written()["w-000700"].State, ShouldEqual, "leaving")
 				for _, e := range s.f.edits[edits:] {
 					bytes += len(e.Value)
@@ -49,12 +49,12 @@
 		Convey("a 429 costs time and no page: the read goes on where it stands", func() {
 			s.rate = 7 // others call as well
 			s.m.source.Rate = func() float64 { return 20 }
-			s.pass(70 * time.Second)
-			So(s.over, ShouldBeGreaterThan, 10)
+			s.advance(70 * time.Second)
+			So(s.refusedCalls, ShouldBeGreaterThan, 10)
 			So(s.written(), ShouldHaveLength, 1200)
 		})
 		Convey("a zone whose pages fail holds up no other", func() {
-			s.pass(22 * time.Second)
+			s.advance(22 * time.Second)
 			s.fail = func(zone, _ string) error {
 				if zone == "b" {
 					return errs.New(errs.Lost, "down")
@@ -64,7 +64,7 @@
 			for i := range s.workers {
 				s.workers[i].State = "leaving"
 			}
-			s.pass(45 * time.Second)
+			s.advance(45 * time.Second)
 			left := map[string]int{}
 			for _, w := range s.written() {
 				if w.State == "leaving" {
@@ -74,25 +74,25 @@
 			So(left["a"], ShouldEqual, 400)
 			So(left["c"], ShouldEqual, 400)
 			counts := map[string]int64{}
-			s.l.say(counts)
-			So(counts[ListAge+"b"], ShouldEqual, -1)
-			So(counts[ListAge+"a"], ShouldBeBetween, 0, 45_000)
+			s.l.addCounts(counts)
+			So(counts[ListAgePrefix+"b"], ShouldEqual, -1)
+			So(counts[ListAgePrefix+"a"], ShouldBeBetween, 0, 45_000)
 		})
 		Convey("tokens that expire begin the read anew, and nothing is taken for gone", func() {
-			s.pass(22 * time.Second)
+			s.advance(22 * time.Second)
 			s.fail = func(_, token string) error {
 				if token != "" {
 					return errs.New(errs.Lost, "the token has expired")
 				}
 				return nil
 			}
-			s.pass(60 * time.Second)
+			s.advance(60 * time.Second)
 			So(s.written(), ShouldHaveLength, 1200)
 		})
 		Convey("workers that are gone are taken out", func() {
-			s.pass(22 * time.Second)
+			s.advance(22 * time.Second)
 			s.workers = s.workers[:600]
-			s.pass(120 * time.Second)
+			s.advance(120 * time.Second)
 			So(s.written(), ShouldHaveLength, 600)
 		})
 	})
@@ -103,9 +103,9 @@
 func TestNewWorkersRest(t *testing.T) {
 	const workers = 6000
 	Convey("Where writes take time,", t, func() {
-		s := newListed(5, 20)
-		s.workers = many(workers)
-		s.f.taken = func() { s.now += 50 * time.Millisecond }
+		s := newListFixture(5, 20)
+		s.workers = manyWorkers(workers)
+		s.f.afterEdit = func() { s.now += 50 * time.Millisecond }
 		bytes := func() (sum int) {
 			for _, e := range s.f.edits {
 				if strings.HasPrefix(e.Key, config.WorkersKey) {
@@ -115,19 +115,19 @@
 			return sum
 		}
 		Convey("a long list is written few times as it is first read", func() {
-			s.pass(200 * time.Second)
+			s.advance(200 * time.Second)
 			So(s.written(), ShouldHaveLength, workers)
 			So(bytes(), ShouldBeLessThan, 12*len(config.Workers{Workers: s.workers}.Encode()))
 			Convey("a change of a worker that is known waits for none of it", func() {
-				s.f.taken = nil
-				s.l.pool("p").newAt = s.now + time.Hour
-				s.l.roster.See("p", config.Worker{Name: "new", Address: "127.0.0.1:80", Zone: "a", State: "live"}, s.now)
-				s.l.roster.See("p", config.Worker{Name: "w-000007", Address: "127.0.0.1:80", Zone: "b", State: "leaving"}, s.now)
+				s.f.afterEdit = nil
+				s.l.poolListOf("p").newWorkersAt = s.now + time.Hour
+				s.l.roster.Record("p", config.Worker{Name: "new", Address: "127.0.0.1:80", Zone: "a", State: "live"}, s.now)
+				s.l.roster.Record("p", config.Worker{Name: "w-000007", Address: "127.0.0.1:80", Zone: "b", State: "leaving"}, s.now)
 				s.l.flush(context.Background())
 				So(s.written()["w-000007"].State, ShouldEqual, "leaving")
 				waits := func() bool { _, isWritten := s.written()["new"]; return !isWritten }
 				So(waits(), ShouldBeTrue)
-				s.l.pool("p").newAt = s.now
+				s.l.poolListOf("p").newWorkersAt = s.now
 				s.l.flush(context.Background())
 				So(waits(), ShouldBeFalse)
 			})
@@ -142,16 +142,16 @@
 		for seed := uint64(1); seed <= 4; seed++ {
 			Convey(fmt.Sprint(seed), func() {
 				r := rand.New(rand.NewPCG(seed, 5))
-				s := newListed(4, 20)
-				s.workers = many(160)
+				s := newListFixture(4, 20)
+				s.workers = manyWorkers(160)
 				stays := map[string]bool{}
 				for i, w := range s.workers {
 					stays[w.Name] = i%2 == 0
 				}
-				s.pass(8 * time.Second)
+				s.advance(8 * time.Second)
 				So(s.written(), ShouldHaveLength, 160)
 				lost := map[string]bool{}
-				s.shown = func() {
+				s.onFlush = func() {
 					now := s.written()
 					for name, isThere := range stays {
 						if _, isWritten := now[name]; isThere && !isWritten {
@@ -166,20 +166,20 @@
 					}
 					return nil
 				}
-				s.mess = func(page *ListPage) {
+				s.mutatePage = func(page *ListPage) {
 					if r.IntN(20) == 0 { // an entry that no list may hold, and one that comes twice
 						page.Workers["p"] = append(slices.Clone(page.Workers["p"]), config.Worker{Name: "no name"}, s.workers[0])
 					}
 				}
 				for range 30 {
-					s.pass(time.Second)
+					s.advance(time.Second)
 					for range 1 + r.IntN(2) {
 						s.change(r, stays)
 					}
 				}
 				So(lost, ShouldBeEmpty)
-				s.fail, s.mess = nil, nil
-				s.pass(60 * time.Second)
+				s.fail, s.mutatePage = nil, nil
+				s.advance(60 * time.Second)
 				want := map[string]config.Worker{}
 				for _, w := range s.workers {
 					want[w.Name] = w
@@ -190,8 +190,8 @@
 	})
 }
 
-// change takes a worker off the list, puts one on anywhere, or changes one.
-func (s *listed) change(r *rand.Rand, stays map[string]bool) {
+// updateDrainOrder takes a worker off the list, puts one on anywhere, or changes one.
+func (s *listFixture) change(r *rand.Rand, stays map[string]bool) {
 	at := r.IntN(len(s.workers))
 	switch r.IntN(3) {
 	case 0:
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/config"
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/session"
 	"caperwheel/internal/settings"
 	"caperwheel/internal/timing"
@@ -22,23 +22,23 @@
 
 // Manager is the daemon.
 type Manager struct {
-	d         *daemon.Daemon
-	configs   *config.Cache
-	registry  *session.Registry
-	reach     *reach.Reach
-	operators *Operators
-	source    *Source // nil: operators write the lists
-	lister    *lister // nil without a source; set before anything runs
-	resend    time.Duration
-	stores    settledStores
-	peers     peers
+	d              *daemon.Daemon
+	configs        *config.Cache
+	registry       *session.Registry
+	reach          *ownerclient.Client
+	operators      *Operators
+	source         *Source         // nil: operators write the lists
+	listController *listController // nil without a source; set before anything runs
+	resendWindow   time.Duration
+	storeHistory   storeHistory
+	peers          peerShares
 }
 
 // Options of a manager: what it meets beside its own interface.
 type Options struct {
-	Source *Source          // tells which workers there are, if given
-	Serve  func(*Operators) // serves another interface of the operators, if given
-	Resend time.Duration    // so long an order without a number may be sent again; 0 for twice the bound
+	Source         *Source          // tells which workers there are, if given
+	ServeOperators func(*Operators) // serves another interface of the operators, if given
+	ResendWindow   time.Duration    // so long an order without a number may be sent again; 0 for twice the bound
 }
 
 // Run is the manager's main; a source gives its settings another way. options
@@ -47,30 +47,30 @@
 	d := daemon.New("manager", source)
 	o := options(d)
 	m := &Manager{d: d, configs: &config.Cache{View: d.View}, registry: session.NewRegistry(d.Bounds.Of(timing.SessionTimeout)), source: o.Source,
-		resend: cmp.Or(o.Resend, 2*d.Bounds.Config), stores: settledStores{bound: d.Bounds.Config}}
+		resendWindow: cmp.Or(o.ResendWindow, 2*d.Bounds.ConfigApply), storeHistory: storeHistory{bound: d.Bounds.ConfigApply}}
 	m.operators = &Operators{m}
 	if m.source != nil {
-		m.lister = newLister(m)
+		m.listController = newListController(m)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.Link(map[string]transport.Handler{"session": m.onSession, "peer": m.onPeer})
-	m.reach = &reach.Reach{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PartLink}
+	d.OpenTransport(map[string]transport.Handler{"session": m.onSession, "peer": m.onPeer})
+	m.reach = &ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PartLink}
 	d.Ready = func() (bool, string) { return d.IsFresh(), string(errs.Stale) }
 	m.serveApi()
-	if o.Serve != nil {
-		o.Serve(m.operators)
+	if o.ServeOperators != nil {
+		o.ServeOperators(m.operators)
 	}
-	pause := func() time.Duration { return session.Pause(d.View, d.Now(), d.Bounds) }
-	go timing.Paced(ctx, pause, m.follow)
-	go timing.Paced(ctx, pause, m.share)
-	go timing.Every(ctx, d.Bounds.Of(timing.Poll), m.operators.Look)
-	go m.controlDuties(ctx)
-	go m.controlWeights(ctx)
-	d.Measure(m.measurePools)
-	if m.lister != nil {
-		d.Measure(m.lister.measure)
-		go m.lister.controlLists(ctx)
+	pause := func() time.Duration { return session.PollInterval(d.View, d.Now(), d.Bounds) }
+	go timing.EveryPaced(ctx, pause, m.followParts)
+	go timing.EveryPaced(ctx, pause, m.exchangeShares)
+	go timing.Every(ctx, d.Bounds.Of(timing.Poll), m.operators.ObserveStores)
+	go m.runDutyController(ctx)
+	go m.runWeightController(ctx)
+	d.AddMetrics(m.measurePools)
+	if m.listController != nil {
+		d.AddMetrics(m.listController.emitMetrics)
+		go m.listController.run(ctx)
 	}
 	d.Serve(nil)
 }
@@ -82,9 +82,9 @@
 		return
 	}
 	now := m.d.Now()
-	m.registry.Hear(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, now, true)
-	for _, b := range poll.Beside {
-		m.registry.Hear(b, now, true)
+	m.registry.Renew(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, now, true)
+	for _, b := range poll.Colocated {
+		m.registry.Renew(b, now, true)
 	}
 	answer(session.NewsFor(poll, m.d.View, now, m.d.Membership))
 }
@@ -95,43 +95,43 @@
 	if !isShare {
 		return
 	}
-	m.takeShare(share)
-	answer(m.answerTo(share.Who))
+	m.applyShare(share)
+	answer(m.shareFor(share.Who))
 }
 
 func (m *Manager) ownShare() *wire.Share {
-	return &wire.Share{Who: m.d.Who, Members: m.registry.Own(m.d.Now())}
+	return &wire.Share{Who: m.d.Who, Members: m.registry.SessionsForPeers(m.d.Now())}
 }
 
-func (m *Manager) takeShare(share *wire.Share) {
+func (m *Manager) applyShare(share *wire.Share) {
 	now := m.d.Now()
 	tellsOfItself := func(member wire.Member) bool { return member.Who.Name == share.Who.Name }
 	if !slices.ContainsFunc(share.Members, tellsOfItself) {
-		m.registry.Hear(wire.Member{Who: share.Who, Owns: []wire.Owned{}, Fact: wire.Fact{Counts: map[string]int64{}}}, now, false)
+		m.registry.Renew(wire.Member{Who: share.Who, Owns: []wire.Owned{}, Fact: wire.Fact{Counts: map[string]int64{}}}, now, false)
 	}
 	for _, member := range share.Members {
 		if member.Who.Kind == "manager" && !tellsOfItself(member) {
-			m.registry.Meet(member, now)
+			m.registry.AddIfUnknown(member, now)
 		} else {
-			m.registry.Hear(member, now, false)
+			m.registry.Renew(member, now, false)
 		}
 	}
 }
 
-// share exchanges sessions with the other managers, and renews our own membership.
-func (m *Manager) share() {
-	own := m.d.Poll()
-	if m.lister != nil {
-		m.lister.say(own.Fact.Counts)
+// exchangeShares exchanges sessions with the other managers, and renews our own membership.
+func (m *Manager) exchangeShares() {
+	own := m.d.NewPoll()
+	if m.listController != nil {
+		m.listController.addCounts(own.Fact.Counts)
 	}
-	m.registry.Hear(wire.Member{Who: m.d.Who, Owns: []wire.Owned{}, Fact: own.Fact}, m.d.Now(), true)
+	m.registry.Renew(wire.Member{Who: m.d.Who, Owns: []wire.Owned{}, Fact: own.Fact}, m.d.Now(), true)
 	peers := []string{}
-	for _, seed := range m.d.Live().Seeds {
+	for _, seed := range m.d.CurrentSettings().Seeds {
 		if seed != m.d.Who.Addr {
 			peers = append(peers, seed)
 		}
 	}
-	for _, who := range m.d.Membership.Kind("manager") {
+	for _, who := range m.d.Membership.OfKind("manager") {
 		if who.Name != m.d.Who.Name && !slices.Contains(peers, who.Addr) {
 			peers = append(peers, who.Addr)
 		}
@@ -139,22 +139,22 @@
 	for _, addr := range peers {
 		_ = m.d.Node.Peer(wire.PeerLink, addr).Post(m.ownShare(), func(reply any, err error) {
 			if share, isShare := reply.(*wire.Share); err == nil && isShare {
-				m.takeShare(share)
-				m.peers.answered(share.Who.Boot, m.d.Now())
+				m.applyShare(share)
+				m.peers.recordTaken(share.Who.Boot, m.d.Now())
 			}
 		})
 	}
-	m.d.Membership.Take(m.registry.Members(m.d.Now()))
+	m.d.Membership.Update(m.registry.Members(m.d.Now()))
 }
 
-// follow asks every store for news of the parts that it owns.
-func (m *Manager) follow() {
+// followParts asks every store for news of the parts that it owns.
+func (m *Manager) followParts() {
 	now := m.d.Now()
-	for _, who := range m.d.Membership.Kind("store") {
+	for _, who := range m.d.Membership.OfKind("store") {
 		ask := &wire.Follow{Revisions: m.d.View.Revisions()}
 		_ = m.d.Node.Peer(wire.PartLink, who.Addr).Post(ask, func(reply any, err error) {
 			if got, isNews := reply.(*wire.Followed); err == nil && isNews {
-				m.d.View.Take(got.Parts, now)
+				m.d.View.Update(got.Parts, now)
 			}
 		})
 	}
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -28,9 +28,9 @@
 	}
 	Convey("Given a manager that two others share with", t, func() {
 		seed, first, second := manager("seed"), manager("first"), manager("second")
-		seed.takeShare(&wire.Share{Who: first.d.Who, Members: []wire.Member{{Who: first.d.Who, Age: 500},
+		seed.applyShare(&wire.Share{Who: first.d.Who, Members: []wire.Member{{Who: first.d.Who, Age: 500},
 			{Who: wire.Who{Name: "store", Kind: "store"}, Age: 100}}})
-		second.takeShare(seed.ownShare())
+		second.applyShare(seed.ownShare())
 		Convey("one learns of the other by it, at the age that is true, and not of sessions that stand elsewhere", func() {
 			So(ages(second), ShouldContainKey, "first")
 			So(ages(second)["first"], ShouldBeGreaterThanOrEqualTo, 500)
@@ -41,7 +41,7 @@
 			for i := range share.Members {
 				share.Members[i].Age = 0
 			}
-			second.takeShare(share)
+			second.applyShare(share)
 			So(ages(second)["first"], ShouldBeGreaterThanOrEqualTo, 500)
 		})
 	})
@@ -63,7 +63,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute)}, registry: session.NewRegistry(2 * time.Second)}
-				m.takeShare(&wire.Share{Who: who, Members: c.members})
+				m.applyShare(&wire.Share{Who: who, Members: c.members})
 				_, members := m.registry.Members(m.d.Now())
 				So(len(members), ShouldEqual, 1)
 				So(members[0].Fact.Fresh, ShouldEqual, c.isFresh)
--- a/internal/manager/operators_test.go
+++ b/internal/manager/operators_test.go
@@ -13,7 +13,7 @@
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/errs"
 	"caperwheel/internal/feed"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/session"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
@@ -22,29 +22,29 @@
 // fakeParts hold all parts of the control state. lose loses the answer of the
 // next edits; before comes before an edit is taken in.
 type fakeParts struct {
-	mu      sync.Mutex
-	parts   map[int64]*feed.Part
-	lose    int
-	taken   func()    // called with each edit that is taken in, if given
-	refuse  errs.Kind // edits that come are refused so, and change nothing
-	before  func(e *wire.Edit)
-	edits   []wire.Edit
-	view    *feed.View
-	isBlind bool         // the view hears nothing
-	retired wire.Retired // what each store tells of its groups, but their number
-	holders []string     // of every group; all told of by the first store
-	groups  int64
-	now     int64  // part time of all parts
-	pulled  func() // called once while a read is on its way, if given
+	mu           sync.Mutex
+	parts        map[int64]*feed.Part
+	lostReplies  int
+	afterEdit    func()    // called with each edit that is taken in, if given
+	refuseKind   errs.Kind // edits that come are refused so, and change nothing
+	beforeEdit   func(e *wire.Edit)
+	edits        []wire.Edit
+	view         *feed.View
+	isViewFrozen bool         // the view hears nothing
+	retired      wire.Retired // what each store tells of its groups, but their number
+	holders      []string     // of every group; all told of by the first store
+	groups       int64
+	now          int64  // part time of all parts
+	duringPull   func() // called once while a read is on its way, if given
 }
 
-// tellGroups answers a question about a retirement: the first store owns all
+// reportGroups answers a question about a retirement: the first store owns all
 // groups, the others own none.
-func (f *fakeParts) tellGroups(addr string) *wire.Retired {
+func (f *fakeParts) reportGroups(addr string) *wire.Retired {
 	out := &wire.Retired{IsKnown: f.retired.IsKnown}
 	for group := range f.groups {
 		if addr == "s1" {
-			g := wire.Standing{Group: group, Term: 1, Stores: f.holders, Whole: int64(len(f.holders))}
+			g := wire.Standing{Group: group, Term: 1, Stores: f.holders, UpToDateStores: int64(len(f.holders))}
 			out.Groups = append(out.Groups, g)
 		}
 	}
@@ -56,47 +56,47 @@
 	defer f.mu.Unlock()
 	switch a := ask.(type) {
 	case *wire.Pull:
-		if pulled := f.pulled; pulled != nil {
-			f.pulled = nil
+		if pulled := f.duringPull; pulled != nil {
+			f.duringPull = nil
 			pulled()
 		}
 		got := f.part(a.Part).Read(a.Key, f.now)
 		return &got, nil
 	case *wire.Edit:
-		if f.refuse != "" {
-			return &wire.Edited{Kind: string(f.refuse)}, nil
+		if f.refuseKind != "" {
+			return &wire.Edited{Kind: string(f.refuseKind)}, nil
 		}
-		if f.before != nil {
-			before := f.before
-			f.before = nil
+		if f.beforeEdit != nil {
+			before := f.beforeEdit
+			f.beforeEdit = nil
 			before(a)
 		}
 		a.At = f.now
 		got := f.part(a.Part).Apply(*a)
 		f.edits = append(f.edits, *a)
-		if f.taken != nil {
-			f.taken()
+		if f.afterEdit != nil {
+			f.afterEdit()
 		}
-		f.show()
-		if f.lose > 0 {
-			f.lose--
+		f.updateView()
+		if f.lostReplies > 0 {
+			f.lostReplies--
 			return nil, errs.New(errs.Lost, "session")
 		}
 		return &got, nil
 	}
 	if _, isRetire := ask.(*wire.Retire); isRetire {
-		return f.tellGroups(addr), nil
+		return f.reportGroups(addr), nil
 	}
 	return nil, errs.New(errs.Lost, "session")
 }
 
-func (f *fakeParts) show() {
-	if f.isBlind {
+func (f *fakeParts) updateView() {
+	if f.isViewFrozen {
 		return
 	}
 	for number, p := range f.parts {
 		news, _ := p.News(number, f.view.Revision(number))
-		f.view.Take([]wire.PartNews{news}, 0)
+		f.view.Update([]wire.PartNews{news}, 0)
 	}
 }
 
@@ -107,27 +107,27 @@
 	return f.parts[number]
 }
 
-// newFake makes a manager that knows three stores and meets fake parts.
-func newFake() (*Manager, *fakeParts) {
+// newFakeManager makes a manager that knows three stores and meets fake parts.
+func newFakeManager() (*Manager, *fakeParts) {
 	view := feed.NewView(1)
 	f := &fakeParts{parts: map[int64]*feed.Part{}, view: view}
-	d := &daemon.Daemon{Bounds: timing.Bounds{Config: 20 * time.Second}, Started: time.Now().Add(-time.Hour), View: view,
+	d := &daemon.Daemon{Bounds: timing.Bounds{ConfigApply: 20 * time.Second}, Started: time.Now().Add(-time.Hour), View: view,
 		Membership: session.NewMembership(), Who: wire.Who{Name: "m1", Kind: "manager"}}
 	d.Settings.Parts, d.Settings.Founders = 1, 3
 	members := []wire.Member{{Who: d.Who}}
 	for i := range 4 {
 		members = append(members, wire.Member{Who: wire.Who{Name: "s" + strconv.Itoa(i+1), Kind: "store", Zone: "a", Addr: "s" + strconv.Itoa(i+1)}})
 	}
-	d.Membership.Take("x", members)
+	d.Membership.Update("x", members)
 	m := &Manager{d: d, configs: &config.Cache{View: view}, registry: session.NewRegistry(time.Hour)}
 	for _, member := range members {
-		m.registry.Hear(member, d.Now(), true)
+		m.registry.Renew(member, d.Now(), true)
 	}
 	// All was confirmed a moment ago.
 	for part := range int64(2) {
-		view.Take([]wire.PartNews{{Part: part}}, d.Now())
+		view.Update([]wire.PartNews{{Part: part}}, d.Now())
 	}
-	m.reach = &reach.Reach{Membership: d.Membership, Bounds: d.Bounds, Call: f.call}
+	m.reach = &ownerclient.Client{Membership: d.Membership, Bounds: d.Bounds, SendFunc: f.call}
 	m.operators = &Operators{m}
 	return m, f
 }
@@ -179,20 +179,22 @@
 	Convey("Of proposals", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
+				m, f := newFakeManager()
 				for _, s := range c.steps {
-					f.lose = s.lose
+					f.lostReplies = s.lose
 					if s.isOvertaken {
-						f.before = func(e *wire.Edit) { f.part(0).Apply(wire.Edit{Key: config.Key, Value: []byte(`{"version":8}`)}) }
+						f.beforeEdit = func(e *wire.Edit) {
+							f.part(0).Apply(wire.Edit{Key: config.DocumentKey, Value: []byte(`{"version":8}`)})
+						}
 					}
 					if s.isBuiltUpon {
-						f.before = func(e *wire.Edit) {
+						f.beforeEdit = func(e *wire.Edit) {
 							held := f.part(0).Apply(*e)
-							f.part(0).Apply(wire.Edit{Key: config.Key, Value: []byte(`{"version":9}`), IfRevision: held.Revision})
+							f.part(0).Apply(wire.Edit{Key: config.DocumentKey, Value: []byte(`{"version":9}`), IfRevision: held.Revision})
 						}
 					}
-					_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: s.digest, OnVersion: int64(s.on),
-						IsOnVersion: true, Make: versioned(s.version, "")})
+					_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: s.digest, BaseVersion: int64(s.on),
+						IsVersionBased: true, Build: versioned(s.version, "")})
 					if s.kind == "" {
 						So(err, ShouldBeNil)
 					} else {
@@ -205,13 +207,13 @@
 			})
 		}
 		Convey("two at once on one base have one winner", func() {
-			m, _ := newFake()
+			m, _ := newFakeManager()
 			var group sync.WaitGroup
 			kinds := make([]error, 8)
 			for i := range kinds {
 				group.Go(func() {
-					_, kinds[i] = m.operators.Propose(context.Background(), Proposal{By: "x", Digest: strconv.Itoa(i), IsOnVersion: true,
-						Make: versioned(i+1, "")})
+					_, kinds[i] = m.operators.Propose(context.Background(), Proposal{By: "x", Digest: strconv.Itoa(i), IsVersionBased: true,
+						Build: versioned(i+1, "")})
 				})
 			}
 			group.Wait()
--- a/internal/manager/peers.go
+++ b/internal/manager/peers.go
@@ -9,44 +9,44 @@
 	"caperwheel/internal/wire"
 )
 
-// peers notes which other managers have taken our shares, and when. Managers
+// peerShares notes which other managers have taken our shares, and when. Managers
 // tell each other their sessions once a turn, each way in a share of its own; an
 // answer that tells them again doubles what grows with the daemons.
 //
 // Invariant: heard holds lives, so that a manager that has begun anew, and knows
 // of no sessions, is a stranger.
-type peers struct {
-	mu    sync.Mutex
-	heard map[string]time.Duration // by boot
+type peerShares struct {
+	mu      sync.Mutex
+	takenAt map[string]time.Duration // by boot
 }
 
 // lately is for how many beats an answered share shows that the shares arrive.
-const lately = 4
+const recentPeriods = 4
 
 // answered notes that a life of a manager has taken a share of ours.
-func (p *peers) answered(boot string, now time.Duration) {
+func (p *peerShares) recordTaken(boot string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.heard == nil {
-		p.heard = map[string]time.Duration{}
+	if p.takenAt == nil {
+		p.takenAt = map[string]time.Duration{}
 	}
-	p.heard[boot] = now
+	p.takenAt[boot] = now
 }
 
-// hears reports whether a life of a manager has lately taken a share of ours.
-func (p *peers) hears(boot string, now, period time.Duration) bool {
+// hasTakenRecently reports whether a life of a manager has lately taken a share of ours.
+func (p *peerShares) hasTakenRecently(boot string, now, period time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.heard, func(_ string, at time.Duration) bool { return now-at > lately*period })
-	_, isKnown := p.heard[boot]
+	maps.DeleteFunc(p.takenAt, func(_ string, at time.Duration) bool { return now-at > recentPeriods*period })
+	_, isKnown := p.takenAt[boot]
 	return isKnown
 }
 
-// answerTo gives what a manager is told in answer to its share: all our sessions,
+// shareFor gives what a manager is told in answer to its share: all our sessions,
 // unless it has them by our own shares; then ours with ourselves alone.
-func (m *Manager) answerTo(peer wire.Who) *wire.Share {
+func (m *Manager) shareFor(peer wire.Who) *wire.Share {
 	out := m.ownShare()
-	if !m.peers.hears(peer.Boot, m.d.Now(), m.d.Bounds.Of(timing.Poll)) {
+	if !m.peers.hasTakenRecently(peer.Boot, m.d.Now(), m.d.Bounds.Of(timing.Poll)) {
 		return out
 	}
 	self := []wire.Member{}
--- a/internal/manager/peers_test.go
+++ b/internal/manager/peers_test.go
@@ -24,10 +24,10 @@
 		prepare func(m *Manager, now time.Duration)
 		isWhole bool
 	}{
-		{"one that takes our shares is told of us alone", func(m *Manager, now time.Duration) { m.peers.answered("1", now-2*beatOf) }, false},
+		{"one that takes our shares is told of us alone", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-2*beatOf) }, false},
 		{"a stranger is told of all our sessions", func(*Manager, time.Duration) {}, true},
-		{"so is the next life of one that took them", func(m *Manager, now time.Duration) { m.peers.answered("0", now) }, true},
-		{"so is one that took none for a while", func(m *Manager, now time.Duration) { m.peers.answered("1", now-5*beatOf) }, true},
+		{"so is the next life of one that took them", func(m *Manager, now time.Duration) { m.peers.recordTaken("0", now) }, true},
+		{"so is one that took none for a while", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-5*beatOf) }, true},
 	}
 	Convey("Of the managers that share their sessions with us,", t, func() {
 		for _, c := range cases {
@@ -36,9 +36,9 @@
 					m := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute), Bounds: timing.Default, Who: wire.Who{Name: "manager-1", Boot: "9"}},
 						registry: session.NewRegistry(timing.Default.Of(timing.SessionTimeout))}
 					now := m.d.Now()
-					m.registry.Hear(wire.Member{Who: m.d.Who, Fact: wire.Fact{Fresh: true}}, now, true)
+					m.registry.Renew(wire.Member{Who: m.d.Who, Fact: wire.Fact{Fresh: true}}, now, true)
 					for i := range daemons {
-						m.registry.Hear(wire.Member{Who: wire.Who{Name: fmt.Sprint("agent-", i), Boot: "a"}}, now, true)
+						m.registry.Renew(wire.Member{Who: wire.Who{Name: fmt.Sprint("agent-", i), Boot: "a"}}, now, true)
 					}
 					c.prepare(m, now)
 					var told *wire.Share
@@ -51,7 +51,7 @@
 					So(told.Who, ShouldResemble, m.d.Who)
 					Convey("and takes nothing of us for stale", func() {
 						other := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute)}, registry: session.NewRegistry(time.Hour)}
-						other.takeShare(told)
+						other.applyShare(told)
 						_, members := other.registry.Members(other.d.Now())
 						at := slices.IndexFunc(members, func(member wire.Member) bool { return member.Who.Name == "manager-1" })
 						So(at, ShouldBeGreaterThanOrEqualTo, 0)
--- a/internal/manager/orders_test.go
+++ b/internal/manager/proposals_test.go
@@ -16,9 +16,9 @@
 )
 
 // propose makes an order on a version, as the platform's operator does.
-func propose(m *Manager, digest string, on, version int) (Verdict, error) {
-	return m.operators.Propose(context.Background(), Proposal{By: "x", Digest: digest, OnVersion: int64(on), IsOnVersion: true,
-		Make: versioned(version, digest)})
+func propose(m *Manager, digest string, on, version int) (ProposalResult, error) {
+	return m.operators.Propose(context.Background(), Proposal{By: "x", Digest: digest, BaseVersion: int64(on), IsVersionBased: true,
+		Build: versioned(version, digest)})
 }
 
 // TestForgottenOrders: an order that may have been taken before all that is
@@ -53,11 +53,11 @@
 	Convey("An order that is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
+				m, f := newFakeManager()
 				base := 0
 				if c.older != "" {
 					base = 9
-					f.part(0).Apply(wire.Edit{Key: config.Key, Value: []byte(c.older)})
+					f.part(0).Apply(wire.Edit{Key: config.DocumentKey, Value: []byte(c.older)})
 				}
 				for i := range c.steps {
 					_, err := propose(m, strconv.Itoa(i+1), base+i, base+i+1)
@@ -82,10 +82,10 @@
 // taken once and acknowledged each time.
 func TestOneOrderAtOnce(t *testing.T) {
 	Convey("Of one order, eight times at once, with answers lost", t, func() {
-		m, f := newFake()
-		f.lose = 5
+		m, f := newFakeManager()
+		f.lostReplies = 5
 		var group sync.WaitGroup
-		got, failed := make([]Verdict, 8), make([]error, 8)
+		got, failed := make([]ProposalResult, 8), make([]error, 8)
 		for i := range got {
 			group.Go(func() { got[i], failed[i] = propose(m, "a", 0, 3) })
 		}
--- a/internal/manager/retire_test.go
+++ b/internal/manager/retire_test.go
@@ -11,16 +11,16 @@
 	"caperwheel/internal/wire"
 )
 
-// settleStores has a manager see the same stores for a bound.
-func settleStores(m *Manager) {
-	m.stores.note(m.d.Membership.Kind("store"), m.d.Now()-m.d.Bounds.Config)
+// stabilizeStores has a manager see the same stores for a bound.
+func stabilizeStores(m *Manager) {
+	m.storeHistory.observe(m.d.Membership.OfKind("store"), m.d.Now()-m.d.Bounds.ConfigApply)
 }
 
-// TestRetire is the table of which stores may be retired. newFake has s1 to s4.
+// TestRetire is the table of which stores may be retired. newFakeManager has s1 to s4.
 func TestRetire(t *testing.T) {
 	another := func(name string) func(*fakeParts) { // another manager admits one at the same time
 		return func(f *fakeParts) {
-			f.before = func(*wire.Edit) {
+			f.beforeEdit = func(*wire.Edit) {
 				f.part(0).Apply(wire.Edit{Key: config.RetirementsKey, Value: config.Retirements{Stores: []string{name}}.Encode(), IfRevision: -1})
 			}
 		}
@@ -45,16 +45,16 @@
 	Convey("Retiring", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
+				m, f := newFakeManager()
 				if c.isSettled {
-					settleStores(m)
+					stabilizeStores(m)
 				}
 				if c.given != nil {
 					c.given(f)
 				}
 				var err error
 				for _, name := range c.calls {
-					_, err = m.operators.Retire(context.Background(), "x", name, 0)
+					_, err = m.operators.RetireStore(context.Background(), "x", name, 0)
 				}
 				if c.kind == "" {
 					So(err, ShouldBeNil)
@@ -66,16 +66,18 @@
 			})
 		}
 		Convey("and taking it back leaves room for another", func() {
-			m, f := newFake()
-			settleStores(m)
+			m, f := newFakeManager()
+			stabilizeStores(m)
 			for _, call := range []func(context.Context, string, string) (int64, error){
-				func(ctx context.Context, by, name string) (int64, error) { return m.operators.Retire(ctx, by, name, 0) }, m.operators.Unretire} {
+				func(ctx context.Context, by, name string) (int64, error) {
+					return m.operators.RetireStore(ctx, by, name, 0)
+				}, m.operators.RestoreStore} {
 				_, err := call(context.Background(), "x", "s1")
 				So(err, ShouldBeNil)
 			}
 			_, isMarked := f.part(0).Get(config.StoreKey + "s1")
 			So(isMarked, ShouldBeFalse)
-			_, err := m.operators.Retire(context.Background(), "x", "s2", 0)
+			_, err := m.operators.RetireStore(context.Background(), "x", "s2", 0)
 			So(err, ShouldBeNil)
 		})
 	})
@@ -104,17 +106,17 @@
 	Convey("A store's retirement, where", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
-				settleStores(m)
+				m, f := newFakeManager()
+				stabilizeStores(m)
 				whole(f)
 				m.d.Settings.Places = 1
-				_, err := m.operators.Retire(context.Background(), "x", "s4", 0)
+				_, err := m.operators.RetireStore(context.Background(), "x", "s4", 0)
 				So(err, ShouldBeNil)
 				c.change(f)
 				if c.isLate {
-					f.now += m.d.Bounds.Config.Milliseconds()
+					f.now += m.d.Bounds.ConfigApply.Milliseconds()
 				}
-				got, err := m.operators.Retirement(context.Background(), "s4")
+				got, err := m.operators.RetirementProgress(context.Background(), "s4")
 				So(err, ShouldBeNil)
 				So(got.IsRetired, ShouldBeTrue)
 				So(got.IsDone, ShouldEqual, c.isDone)
@@ -122,9 +124,9 @@
 		}
 	})
 	Convey("Of two words about one group that of the newer term counts", t, func() {
-		s := standings{map[int64]wire.Standing{}, true}
-		s.take(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 5, Whole: 2}}})
-		s.take(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 4, Whole: 3}}})
-		So(s.least(), ShouldEqual, 2)
+		s := retirementReports{map[int64]wire.Standing{}, true}
+		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 5, UpToDateStores: 2}}})
+		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 4, UpToDateStores: 3}}})
+		So(s.minWholeCopies(), ShouldEqual, 2)
 	})
 }
--- a/internal/manager/status.go
+++ b/internal/manager/status.go
@@ -12,26 +12,26 @@
 
 // Status is what an operator sees at a glance.
 type Status struct {
-	Manager  string                        `json:"manager"`
-	Fresh    bool                          `json:"fresh"`
-	Revision int64                         `json:"charter_stamp"`
-	Members  []StatusMember                `json:"members"`
-	Places   []StatusGroup                 `json:"places"`
-	Parts    []StatusGroup                 `json:"parts"`
-	Lanes    []string                      `json:"lanes"`
-	Shares   map[string]map[string]float64 `json:"lane_weights,omitempty"` // of lanes with several pools
-	Pools    []StatusPool                  `json:"pools"`
-	Emptied  []string                      `json:"emptied_cells"`
-	Resting  []string                      `json:"resting_cells,omitempty"` // only their workers
-	Retired  []string                      `json:"retired_stores"`
-	Shape    map[string]int64              `json:"shape"`
+	Manager            string                        `json:"manager"`
+	IsFresh            bool                          `json:"fresh"`
+	Revision           int64                         `json:"charter_stamp"`
+	Members            []StatusMember                `json:"members"`
+	Places             []StatusGroup                 `json:"places"`
+	Parts              []StatusGroup                 `json:"parts"`
+	Lanes              []string                      `json:"lanes"`
+	LaneWeights        map[string]map[string]float64 `json:"lane_weights,omitempty"` // of lanes with several pools
+	Pools              []StatusPool                  `json:"pools"`
+	DrainedZones       []string                      `json:"emptied_cells"`
+	WorkerDrainedZones []string                      `json:"resting_cells,omitempty"` // only their workers
+	RetiredStores      []string                      `json:"retired_stores"`
+	Shape              map[string]int64              `json:"shape"`
 }
 
 // StatusMember is one daemon.
 type StatusMember struct {
 	wire.Who
 	AgeMs    int64            `json:"age_ms"`
-	Fresh    bool             `json:"fresh"`
+	IsFresh  bool             `json:"fresh"`
 	Revision int64            `json:"charter_stamp"`
 	Counts   map[string]int64 `json:"counts,omitempty"`
 }
@@ -55,7 +55,7 @@
 
 func (m *Manager) getStatus(w http.ResponseWriter, _ *http.Request) {
 	compiled := m.configs.Current()
-	out := Status{Manager: m.d.Who.Name, Fresh: m.d.IsFresh(), Revision: compiled.Revision, Members: []StatusMember{}, Pools: []StatusPool{},
+	out := Status{Manager: m.d.Who.Name, IsFresh: m.d.IsFresh(), Revision: compiled.Revision, Members: []StatusMember{}, Pools: []StatusPool{},
 		Shape: map[string]int64{"places": int64(m.d.Settings.Places), "parts": int64(m.d.Settings.Parts)}}
 	_, members := m.registry.Members(m.d.Now())
 	groups := map[int64]StatusGroup{}
@@ -71,9 +71,9 @@
 		out.Parts = append(out.Parts, withNumber(groups[number], number))
 	}
 	for number := range int64(m.d.Settings.Places) {
-		out.Places = append(out.Places, withNumber(groups[wire.PlaceGroup+number], number))
+		out.Places = append(out.Places, withNumber(groups[wire.FirstPlaceGroup+number], number))
 	}
-	out.Lanes, out.Shares = sorted(compiled.Rules.Lanes), compiled.Shares
+	out.Lanes, out.LaneWeights = sorted(compiled.Rules.Lanes), compiled.Shares
 	for _, name := range sorted(compiled.Rules.Pools) {
 		p := StatusPool{Name: name, Workers: compiled.Workers[name].Len(), Duties: map[string]string{}, Weights: compiled.Weights[name]}
 		for worker, d := range compiled.Duties[name].All() {
@@ -81,9 +81,9 @@
 		}
 		out.Pools = append(out.Pools, p)
 	}
-	out.Resting = sorted(compiled.Resting)
-	out.Emptied, out.Retired = sorted(compiled.Emptied), sorted(compiled.Retired)
-	web.Answer(w, 200, out)
+	out.WorkerDrainedZones = sorted(compiled.WorkerDrainedZones)
+	out.DrainedZones, out.RetiredStores = sorted(compiled.DrainedZones), sorted(compiled.RetiredStores)
+	web.WriteJson(w, 200, out)
 }
 
 // measurePools reports how many workers each pool has, and how many have a holder.
@@ -109,7 +109,7 @@
 // getDaemons lists daemons, for handing clients to adapters that are ready.
 func (m *Manager) getDaemons(w http.ResponseWriter, r *http.Request) {
 	isReadyOnly, kind := r.URL.Query().Get("ready") == "true", r.URL.Query().Get("kind")
-	emptied := m.configs.Current().Emptied
+	emptied := m.configs.Current().DrainedZones
 	out := []StatusMember{}
 	_, members := m.registry.Members(m.d.Now())
 	for _, member := range members {
@@ -119,15 +119,15 @@
 		}
 		out = append(out, StatusMember{member.Who, member.Age, member.Fact.Fresh, member.Fact.Revision, nil})
 	}
-	web.Answer(w, 200, out)
+	web.WriteJson(w, 200, out)
 }
 
 // getStore reports how far a store's retirement has come.
 func (m *Manager) getStore(w http.ResponseWriter, r *http.Request) {
-	got, err := m.operators.Retirement(r.Context(), r.PathValue("store"))
+	got, err := m.operators.RetirementProgress(r.Context(), r.PathValue("store"))
 	if err != nil {
-		web.Fail(w, err)
+		web.WriteError(w, err)
 		return
 	}
-	web.Answer(w, 200, got)
+	web.WriteJson(w, 200, got)
 }
--- a/internal/manager/tenants_test.go
+++ b/internal/manager/tenants_test.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/config"
 )
 
-// asked is what a manager answers a caller.
-func asked(serve http.HandlerFunc, method, base, body string) *httptest.ResponseRecorder {
+// serveRequest is what a manager answers a caller.
+func serveRequest(serve http.HandlerFunc, method, base, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "/v1/charter", strings.NewReader(body))
 	if base != "" {
 		r.Header.Set("If-Match", base)
@@ -26,7 +26,7 @@
 // TestTenantsThatAreRefused guards against CONFIG: an invalid configuration was confirmed. With one of these
 // nothing changes.
 func TestTenantsThatAreRefused(t *testing.T) {
-	first, second := config.HashKey("key-1").String(), config.HashKey("key-2").String()
+	first, second := config.HashApiKey("key-1").String(), config.HashApiKey("key-2").String()
 	cases := []struct{ name, patch, path string }{
 		{"a key that another tenant holds", `{"tenants":{"b":{"keys":["` + first + `"]}}}`, "tenants.b.keys"},
 		{"a key itself", `{"tenants":{"b":{"keys":["key-2"]}}}`, "tenants.b.keys"},
@@ -34,16 +34,16 @@
 		{"a name that no field holds", `{"tenants":{"a\nb":{}}}`, `tenants.a\nb`},
 	}
 	Convey("Given tenants with keys", t, func() {
-		m, _ := newFake()
+		m, _ := newFakeManager()
 		doc := fmt.Sprintf(`{"tenants":{"a":{"keys":[%q]},"b":{"keys":[%q]}}}`, first, second)
-		So(asked(m.putConfig, "PUT", `"0"`, doc).Code, ShouldEqual, 200)
-		before := asked(m.getConfig, "GET", "", "").Body.String()
+		So(serveRequest(m.putConfig, "PUT", `"0"`, doc).Code, ShouldEqual, 200)
+		before := serveRequest(m.getConfig, "GET", "", "").Body.String()
 		for _, c := range cases {
 			Convey(c.name+" is refused, and nothing changes", func() {
-				w := asked(m.patchConfig, "PATCH", `"1"`, c.patch)
+				w := serveRequest(m.patchConfig, "PATCH", `"1"`, c.patch)
 				So(w.Code, ShouldEqual, 422)
 				So(w.Body.String(), ShouldContainSubstring, `"path": "`+c.path+`"`)
-				after := asked(m.getConfig, "GET", "", "")
+				after := serveRequest(m.getConfig, "GET", "", "")
 				So(after.Header().Get("ETag"), ShouldEqual, `"1"`)
 				So(after.Body.String(), ShouldEqual, before)
 			})
@@ -55,10 +55,10 @@
 // told nowhere else, since it may hold keys.
 func TestOriginIsGivenWholeAndNotShown(t *testing.T) {
 	Convey("Given a configuration with its origin", t, func() {
-		m, _ := newFake()
-		first := asked(m.putConfig, "PUT", `"0"`, `{"origin":{"api_keys":["secret-1"]}}`)
+		m, _ := newFakeManager()
+		first := serveRequest(m.putConfig, "PUT", `"0"`, `{"origin":{"api_keys":["secret-1"]}}`)
 		So(first.Code, ShouldEqual, 200)
-		second := asked(m.patchConfig, "PATCH", `"1"`, `{"origin":{"api_keys":["secret-2"]},"note":"n"}`)
+		second := serveRequest(m.patchConfig, "PATCH", `"1"`, `{"origin":{"api_keys":["secret-2"]},"note":"n"}`)
 		So(second.Code, ShouldEqual, 200)
 		Convey("what has changed is told without it", func() {
 			So(first.Body.String()+second.Body.String(), ShouldNotContainSubstring, "secret")
@@ -66,10 +66,10 @@
 			So(second.Body.String(), ShouldContainSubstring, `"path": "note"`)
 		})
 		Convey("so is the history", func() {
-			So(asked(m.getHistory, "GET", "", "").Body.String(), ShouldNotContainSubstring, "secret")
+			So(serveRequest(m.getHistory, "GET", "", "").Body.String(), ShouldNotContainSubstring, "secret")
 		})
 		Convey("whoever reads the configuration gets it whole", func() {
-			So(asked(m.getConfig, "GET", "", "").Body.String(), ShouldContainSubstring, "secret-2")
+			So(serveRequest(m.getConfig, "GET", "", "").Body.String(), ShouldContainSubstring, "secret-2")
 		})
 	})
 }
--- a/internal/manager/weights.go
+++ b/internal/manager/weights.go
@@ -15,20 +15,20 @@
 	"k8s.io/klog/v2"
 )
 
-// controlWeights runs one controller for each pool that this manager looks
+// runWeightController runs one controller for each pool that this manager looks
 // after: what adapters see goes in, weights come out, and are published when
 // they have changed enough to matter.
-func (m *Manager) controlWeights(ctx context.Context) {
+func (m *Manager) runWeightController(ctx context.Context) {
 	timing.Every(ctx, m.d.Bounds.Of(timing.SessionTimeout), func() {
 		if !m.d.IsFresh() {
 			return
 		}
-		compiled, seen := m.configs.Current(), m.seen()
+		compiled, seen := m.configs.Current(), m.workerMeasurements()
 		pools := map[string]bool{}
 		for name, p := range compiled.Rules.Pools {
 			pools[name] = !p.IsEndpoint && compiled.Workers[name].Len() > 1
 		}
-		for _, pool := range m.ownPools(pools) {
+		for _, pool := range m.managedPools(pools) {
 			if pools[pool] {
 				m.publishWeights(ctx, compiled, pool, seen[pool])
 			}
@@ -38,8 +38,8 @@
 }
 
 // seen gathers what adapters tell of their workers, by pool and worker.
-func (m *Manager) seen() map[string]map[string]weight.Seen {
-	out := map[string]map[string]weight.Seen{}
+func (m *Manager) workerMeasurements() map[string]map[string]weight.Observation {
+	out := map[string]map[string]weight.Observation{}
 	compiled := m.configs.Current()
 	_, members := m.registry.Members(m.d.Now())
 	for _, member := range members {
@@ -51,10 +51,10 @@
 			}
 			pool, worker := name[:at], name[at+1:]
 			if out[pool] == nil {
-				out[pool] = map[string]weight.Seen{}
+				out[pool] = map[string]weight.Observation{}
 			}
 			listed, _ := compiled.Workers[pool].Get(worker)
-			out[pool][worker] = weight.Seen{Zone: listed.Zone, Micros: float64(micros),
+			out[pool][worker] = weight.Observation{Zone: listed.Zone, Micros: float64(micros),
 				Failed:  float64(member.Fact.Counts["run_misses "+name]) / 1000,
 				IsProbe: member.Fact.Counts["run_probes "+name] > 0}
 		}
@@ -62,37 +62,37 @@
 	return out
 }
 
-func (m *Manager) publishWeights(ctx context.Context, compiled *config.Compiled, pool string, seen map[string]weight.Seen) {
-	for worker := range seen {
+func (m *Manager) publishWeights(ctx context.Context, compiled *config.Compiled, pool string, measured map[string]weight.Observation) {
+	for worker := range measured {
 		if _, isListed := compiled.Workers[pool].Get(worker); !isListed {
-			delete(seen, worker)
+			delete(measured, worker)
 		}
 	}
 	old := compiled.Weights[pool]
-	next := weight.Next(old, seen)
-	if len(seen) > 0 && weight.IsNews(old, next) {
+	next := weight.NextWeights(old, measured)
+	if len(measured) > 0 && weight.IsWorthPublishing(old, next) {
 		m.publish(ctx, config.WeightKey, pool, next)
 	}
 }
 
 // publishShares weighs the pools of each lane that has several, by what is seen
 // of their workers. A lane is looked after as a pool of its name would be.
-func (m *Manager) publishShares(ctx context.Context, compiled *config.Compiled, seen map[string]map[string]weight.Seen) {
+func (m *Manager) publishShares(ctx context.Context, compiled *config.Compiled, measured map[string]map[string]weight.Observation) {
 	lanes := map[string]bool{}
 	for name, lane := range compiled.Rules.Lanes {
 		if len(lane.Pools) > 1 {
 			lanes[name] = true
 		}
 	}
-	for _, lane := range m.ownPools(lanes) {
-		pools := map[string]weight.Seen{}
+	for _, lane := range m.managedPools(lanes) {
+		pools := map[string]weight.Observation{}
 		for _, pool := range compiled.Rules.Lanes[lane].Pools {
-			if len(seen[pool]) > 0 {
-				pools[pool] = weight.Join(seen[pool])
+			if len(measured[pool]) > 0 {
+				pools[pool] = weight.Aggregate(measured[pool])
 			}
 		}
-		next := weight.Turn(compiled.Shares[lane], pools)
-		if len(pools) > 1 && weight.HasMoved(compiled.Shares[lane], next) {
+		next := weight.UpdateWeights(compiled.Shares[lane], pools)
+		if len(pools) > 1 && weight.HasChanged(compiled.Shares[lane], next) {
 			m.publish(ctx, config.ShareKey, lane, next)
 		}
 	}
@@ -108,7 +108,7 @@
 	if c, isStanding := m.d.View.Get(part, prefix+name); isStanding {
 		revision = c.Revision
 	}
-	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.Config)
+	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.ConfigApply)
 	defer cancel()
 	_, err = m.edit(ctx, wire.Edit{Part: part, Key: prefix + name, Value: raw, IfRevision: revision, By: "weight controller at " + m.d.Who.Name})
 	if err != nil && !errs.Is(err, errs.Conflict) {
--- a/internal/manager/evacuations.go
+++ b/internal/manager/zonedrain.go
@@ -31,66 +31,66 @@
 // what a manager has had for long is not carried out any more, nor one whose caller
 // has hung up.
 
-// mostRaces is how often an order about a zone is tried again when another change
+// maxConflictRetries is how often an order about a zone is tried again when another change
 // of the zone's order came first.
-const mostRaces = 3
+const maxConflictRetries = 3
 
-// Empty asks that a zone, or only its workers, get nothing new. A whole zone
+// DrainZone asks that a zone, or only its workers, get nothing new. A whole zone
 // stays emptied when only its workers are asked for. Where workers were asked for
 // before, both stand, and each is to be taken back.
-func (o *Operators) Empty(ctx context.Context, by, zone string, isOnlyWorkers bool) (int64, error) {
-	if err := checkSubject(zone); err != nil {
+func (o *Operators) DrainZone(ctx context.Context, by, zone string, isOnlyWorkers bool) (int64, error) {
+	if err := checkName(zone); err != nil {
 		return 0, err
 	}
 	if !isOnlyWorkers {
-		if !o.m.isKnown("cell", zone) {
-			return 0, o.m.unknown("cell", zone)
+		if !o.m.isKnownSubject("cell", zone) {
+			return 0, o.m.unknownError("cell", zone)
 		}
-		return o.setOrder(ctx, by, config.ZoneKey+zone, config.Order{}, -1)
+		return o.setDrainOrder(ctx, by, config.ZoneKey+zone, config.DrainOrder{}, -1)
 	}
 	// Any name will do: workers that are not listed yet may come.
-	return o.change(ctx, by, zone, o.m.emptied)
+	return o.updateDrainOrder(ctx, by, zone, o.m.nextDrain)
 }
 
-// Restore takes an emptying back. Where a source tells of the workers they
+// RestoreZone takes an emptying back. Where a source tells of the workers they
 // count as cold at first, since the source runs behind: the mark says so until
 // the list controller takes it away.
-func (o *Operators) Restore(ctx context.Context, by, zone string) (int64, error) {
-	if err := checkSubject(zone); err != nil {
+func (o *Operators) RestoreZone(ctx context.Context, by, zone string) (int64, error) {
+	if err := checkName(zone); err != nil {
 		return 0, err
 	}
 	if o.m.source == nil {
-		return o.clearOrder(ctx, by, config.ZoneKey+zone)
+		return o.clearDrainOrder(ctx, by, config.ZoneKey+zone)
 	}
-	return o.change(ctx, by, zone, o.m.restored)
+	return o.updateDrainOrder(ctx, by, zone, o.m.nextRestore)
 }
 
 // standing is what stands at a zone's key.
-type standing struct {
+type drainState struct {
 	revision int64 // 0 for nothing
-	order    config.Order
+	order    config.DrainOrder
 	age      time.Duration // since the last order
 }
 
-// change brings an order to a zone's order: next says what it makes of it, or that
+// updateDrainOrder brings an order to a zone's order: next says what it makes of it, or that
 // it is there already.
-func (o *Operators) change(ctx context.Context, by, zone string, next func(was standing) (config.Order, bool)) (revision int64, err error) {
+func (o *Operators) updateDrainOrder(ctx context.Context, by, zone string, next func(was drainState) (config.DrainOrder, bool)) (revision int64, err error) {
 	began := o.m.d.Now()
-	for range mostRaces {
+	for range maxConflictRetries {
 		var got wire.Pulled
-		got, err = o.m.read(ctx, feed.ConfigPart, config.ZoneKey+zone)
+		got, err = o.m.readReply(ctx, feed.ConfigPart, config.ZoneKey+zone)
 		if err != nil && !errs.Is(err, errs.Unknown) {
 			return 0, err
 		}
-		was := standing{got.Change.Revision, config.ReadOrder(got.Change.Value), ageOf(got)}
+		was := drainState{got.Change.Revision, config.ParseDrainOrder(got.Change.Value), orderAge(got)}
 		order, isThere := next(was)
 		if isThere {
 			return was.revision, nil
 		}
-		if err = o.stillAsked(ctx, began); err != nil {
+		if err = o.checkNotStale(ctx, began); err != nil {
 			return 0, err
 		}
-		revision, err = o.setOrder(ctx, by, config.ZoneKey+zone, order, was.revision)
+		revision, err = o.setDrainOrder(ctx, by, config.ZoneKey+zone, order, was.revision)
 		if !errs.Is(err, errs.Conflict) {
 			return revision, err
 		}
@@ -98,64 +98,64 @@
 	return revision, err
 }
 
-// stillAsked returns an error where an order without a number must not be carried out
+// checkNotStale returns an error where an order without a number must not be carried out
 // any more: its caller has hung up, or it came so long ago that it may have been
 // acknowledged and followed by another one. It is looked at behind the read that the
 // change builds on: nothing that came after that read is overwritten.
-func (o *Operators) stillAsked(ctx context.Context, began time.Duration) error {
+func (o *Operators) checkNotStale(ctx context.Context, began time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
 		return errs.New(errs.Stale, "the caller has hung up")
-	case o.m.d.Now()-began >= o.m.resend/2:
+	case o.m.d.Now()-began >= o.m.resendWindow/2:
 		return errs.New(errs.Stale, "the order came too long ago")
 	}
 	return nil
 }
 
-// ageOf gives the age of what was read; one that is not known is bounded, so that
+// orderAge gives the age of what was read; one that is not known is bounded, so that
 // it can be reckoned with.
-func ageOf(got wire.Pulled) time.Duration {
+func orderAge(got wire.Pulled) time.Duration {
 	return time.Duration(min(got.Age, int64(time.Hour/time.Millisecond))) * time.Millisecond
 }
 
-// emptied is what an order to empty a zone's workers makes of its mark.
-func (m *Manager) emptied(was standing) (next config.Order, isThere bool) {
-	next = config.Order{Only: config.OnlyWorkers, BackAgo: m.backAgo(was)}
+// nextDrain is what an order to empty a zone's workers makes of its mark.
+func (m *Manager) nextDrain(was drainState) (next config.DrainOrder, isThere bool) {
+	next = config.DrainOrder{Only: config.OnlyWorkers, RestoredAgoMs: m.msSinceRestore(was)}
 	switch {
 	case was.revision == 0 || was.order.Only == config.OnlyCold:
 		return next, false
-	case was.order.Only != config.OnlyWorkers, !was.order.IsBack && was.age < m.d.Bounds.Config:
+	case was.order.Only != config.OnlyWorkers, !was.order.IsLastRestore && was.age < m.d.Bounds.ConfigApply:
 		return next, true
 	}
-	next.Others = was.order.Others + 1
+	next.OtherDrains = was.order.OtherDrains + 1
 	return next, false
 }
 
-// restored is what an order to take an emptying back makes of a zone's order.
-func (m *Manager) restored(was standing) (next config.Order, isThere bool) {
+// nextRestore is what an order to take an emptying back makes of a zone's order.
+func (m *Manager) nextRestore(was drainState) (next config.DrainOrder, isThere bool) {
 	switch {
-	case was.revision == 0, was.order.Only == config.OnlyCold, m.backAgo(was) > 0:
+	case was.revision == 0, was.order.Only == config.OnlyCold, m.msSinceRestore(was) > 0:
 		return next, true
-	case was.order.Others > 0:
-		return config.Order{Only: config.OnlyWorkers, Others: was.order.Others - 1, IsBack: true}, false
+	case was.order.OtherDrains > 0:
+		return config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: was.order.OtherDrains - 1, IsLastRestore: true}, false
 	}
-	return config.Order{Only: config.OnlyCold}, false
+	return config.DrainOrder{Only: config.OnlyCold}, false
 }
 
-// backAgo gives the milliseconds since an emptying of the zone was last taken
+// msSinceRestore gives the milliseconds since an emptying of the zone was last taken
 // back; 0 if that was so long ago that it cannot be sent again.
-func (m *Manager) backAgo(was standing) int64 {
+func (m *Manager) msSinceRestore(was drainState) int64 {
 	ago := was.age
 	switch {
 	case was.revision == 0:
 		return 0
-	case was.order.Only == config.OnlyCold || was.order.IsBack:
-	case was.order.BackAgo > 0:
-		ago += time.Duration(was.order.BackAgo) * time.Millisecond
+	case was.order.Only == config.OnlyCold || was.order.IsLastRestore:
+	case was.order.RestoredAgoMs > 0:
+		ago += time.Duration(was.order.RestoredAgoMs) * time.Millisecond
 	default:
 		return 0
 	}
-	if ago >= m.resend {
+	if ago >= m.resendWindow {
 		return 0
 	}
 	return max(1, ago.Milliseconds())
--- a/internal/manager/evacuations_test.go
+++ b/internal/manager/zonedrain_test.go
@@ -54,22 +54,22 @@
 	Convey("Of evacuations", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m, f := newFake()
-				m.source, m.d.Bounds.Config, m.resend = &Source{}, 3*s, resend
+				m, f := newFakeManager()
+				m.source, m.d.Bounds.ConfigApply, m.resendWindow = &Source{}, 3*s, resend
 				for _, o := range c.orders {
 					f.now += o.after.Milliseconds()
-					f.isBlind = o.isLate
+					f.isViewFrozen = o.isLate
 					ask := map[string]func() (int64, error){
-						"start":  func() (int64, error) { return m.operators.Empty(context.Background(), "x", "a", true) },
-						"finish": func() (int64, error) { return m.operators.Restore(context.Background(), "x", "a") }}[o.verb]
+						"start":  func() (int64, error) { return m.operators.DrainZone(context.Background(), "x", "a", true) },
+						"finish": func() (int64, error) { return m.operators.RestoreZone(context.Background(), "x", "a") }}[o.verb]
 					_, err := ask()
 					So(err, ShouldBeNil)
 				}
 				last, isStanding := f.part(0).Get(config.ZoneKey + "a")
 				So(isStanding, ShouldBeTrue)
 				got := 0
-				if order := config.ReadOrder(last.Value); order.Only == config.OnlyWorkers {
-					got = int(order.Others) + 1
+				if order := config.ParseDrainOrder(last.Value); order.Only == config.OnlyWorkers {
+					got = int(order.OtherDrains) + 1
 				}
 				So(got, ShouldEqual, c.stands)
 			})
@@ -81,48 +81,48 @@
 // lost, or that another one overtakes, counts once.
 func TestOrdersWithoutNumberInTrouble(t *testing.T) {
 	ctx, key := context.Background(), config.ZoneKey+"a"
-	standing := func(f *fakeParts) config.Order {
+	standing := func(f *fakeParts) config.DrainOrder {
 		c, isStanding := f.part(0).Get(key)
 		So(isStanding, ShouldBeTrue)
-		return config.ReadOrder(c.Value)
+		return config.ParseDrainOrder(c.Value)
 	}
 	empty := func(m *Manager) error {
-		_, err := m.operators.Empty(ctx, "x", "a", true)
+		_, err := m.operators.DrainZone(ctx, "x", "a", true)
 		return err
 	}
 	Convey("An evacuation", t, func() {
-		m, f := newFake()
-		m.source, m.d.Bounds.Config, m.resend = &Source{}, 3*time.Second, 5*time.Second
+		m, f := newFakeManager()
+		m.source, m.d.Bounds.ConfigApply, m.resendWindow = &Source{}, 3*time.Second, 5*time.Second
 		So(empty(m), ShouldBeNil)
 		f.now += 20_000
 		Convey("whose answers are lost counts once", func() {
-			f.lose = 3
+			f.lostReplies = 3
 			So(empty(m), ShouldBeNil)
-			So(standing(f).Others, ShouldEqual, 1)
+			So(standing(f).OtherDrains, ShouldEqual, 1)
 		})
 		Convey("whose answer is lost under another one counts once", func() {
-			f.before = func(e *wire.Edit) {
+			f.beforeEdit = func(e *wire.Edit) {
 				held := f.part(0).Apply(*e)
-				f.part(0).Apply(wire.Edit{Key: key, Value: config.Order{Only: config.OnlyWorkers, Others: 2}.Encode(), IfRevision: held.Revision})
+				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 2}.Encode(), IfRevision: held.Revision})
 			}
 			So(empty(m), ShouldBeNil)
-			So(standing(f).Others, ShouldEqual, 2)
+			So(standing(f).OtherDrains, ShouldEqual, 2)
 		})
 		Convey("that another one overtakes counts beside it", func() {
-			f.before = func(e *wire.Edit) {
-				f.part(0).Apply(wire.Edit{Key: key, Value: config.Order{Only: config.OnlyWorkers, Others: 1}.Encode(), IfRevision: e.IfRevision})
+			f.beforeEdit = func(e *wire.Edit) {
+				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 1}.Encode(), IfRevision: e.IfRevision})
 			}
 			So(empty(m), ShouldBeNil)
-			So(standing(f).Others, ShouldEqual, 2)
+			So(standing(f).OtherDrains, ShouldEqual, 2)
 		})
 		Convey("that was restored whole is not taken back by an old try that comes late", func() {
 			m.source = nil
 			late := wire.Edit{}
-			f.before = func(e *wire.Edit) { late = *e }
-			_, err := m.operators.Restore(ctx, "x", "a")
+			f.beforeEdit = func(e *wire.Edit) { late = *e }
+			_, err := m.operators.RestoreZone(ctx, "x", "a")
 			So(err, ShouldBeNil)
 			So(empty(m), ShouldBeNil)
-			So(f.part(0).Apply(late).IsAgain, ShouldBeTrue)
+			So(f.part(0).Apply(late).IsRepeat, ShouldBeTrue)
 			So(standing(f).Only, ShouldEqual, config.OnlyWorkers)
 		})
 	})
@@ -142,27 +142,27 @@
 		{"that came long ago does not", false, 1, true},
 	}
 	for verb, order := range map[string]func(*Operators, context.Context) (int64, error){
-		"start":  func(o *Operators, ctx context.Context) (int64, error) { return o.Empty(ctx, "x", "a", true) },
-		"finish": func(o *Operators, ctx context.Context) (int64, error) { return o.Restore(ctx, "x", "a") },
+		"start":  func(o *Operators, ctx context.Context) (int64, error) { return o.DrainZone(ctx, "x", "a", true) },
+		"finish": func(o *Operators, ctx context.Context) (int64, error) { return o.RestoreZone(ctx, "x", "a") },
 	} {
 		Convey("A "+verb, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
-					m, f := newFake()
-					m.source, m.resend = &Source{}, 5*time.Second
+					m, f := newFakeManager()
+					m.source, m.resendWindow = &Source{}, 5*time.Second
 					if verb == "finish" {
-						_, err := m.operators.Empty(context.Background(), "x", "a", true)
+						_, err := m.operators.DrainZone(context.Background(), "x", "a", true)
 						So(err, ShouldBeNil)
 						f.now += 20000
 					}
 					was, _ := f.part(0).Get(config.ZoneKey + "a")
 					ctx, hangUp := context.WithCancel(context.Background())
 					defer hangUp()
-					f.pulled = func() { // while the read is on its way
+					f.duringPull = func() { // while the read is on its way
 						if c.isHungUp {
 							hangUp()
 						}
-						m.d.Started = m.d.Started.Add(-c.took * m.resend)
+						m.d.Started = m.d.Started.Add(-c.took * m.resendWindow)
 					}
 					_, err := order(m.operators, ctx)
 					is, _ := f.part(0).Get(config.ZoneKey + "a")
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -18,18 +18,18 @@
 	"caperwheel/internal/errs"
 )
 
-// Parent is the name that a route's parentRefs must give.
-const Parent = "caperwheel"
+// ParentName is the name that a route's parentRefs must give.
+const ParentName = "caperwheel"
 
 const (
-	pathBefore, pathBehind = "/v1/lanes/", "/messages"
-	mostDocument           = 1 << 20
+	lanePathPrefix, lanePathSuffix = "/v1/lanes/", "/messages"
+	maxManifestBytes               = 1 << 20
 )
 
 // Translate returns the configuration with the routes of a manifest merged in.
 func Translate(doc, manifest []byte) ([]byte, []config.Fault) {
 	faults := []config.Fault{}
-	if len(manifest) > mostDocument {
+	if len(manifest) > maxManifestBytes {
 		return nil, []config.Fault{{Path: "", Text: "is larger than a manifest may be"}}
 	}
 	for i, part := range bytes.Split(manifest, []byte("\n---")) {
@@ -72,8 +72,8 @@
 		return nil, nil
 	}
 	for i, parent := range r.Spec.ParentRefs {
-		if parent.Name != Parent {
-			t.fault(fmt.Sprintf("spec.parentRefs.%d.name", i), "must be "+Parent)
+		if parent.Name != ParentName {
+			t.fault(fmt.Sprintf("spec.parentRefs.%d.name", i), "must be "+ParentName)
 		}
 		r.Spec.ParentRefs[i].Name = ""
 	}
@@ -83,7 +83,7 @@
 	}
 	r.Name, r.Namespace, r.Labels, r.Annotations = "", "", nil, nil
 	r.Kind, r.APIVersion = "", ""
-	t.left(r)
+	t.rejectUntranslated(r)
 	out, err := json.Marshal(map[string]any{"lanes": patch})
 	return out, errs.Wrap(err, errs.Internal, "patch")
 }
@@ -120,11 +120,11 @@
 		m := &r.Matches[i]
 		lane, isLane := laneOf(m.Path)
 		if !isLane {
-			t.fault(fmt.Sprintf("%s.matches.%d.path", at, i), "must be Exact and "+pathBefore+"LANE"+pathBehind)
+			t.fault(fmt.Sprintf("%s.matches.%d.path", at, i), "must be Exact and "+lanePathPrefix+"LANE"+lanePathSuffix)
 			continue
 		}
 		m.Path = nil
-		put(patch, strings.Split(lane, "."), set)
+		setLane(patch, strings.Split(lane, "."), set)
 	}
 }
 
@@ -132,13 +132,13 @@
 	if m == nil || m.Type == nil || *m.Type != gateway.PathMatchExact || m.Value == nil {
 		return "", false
 	}
-	lane, isBefore := strings.CutPrefix(*m.Value, pathBefore)
-	lane, isBehind := strings.CutSuffix(lane, pathBehind)
+	lane, isBefore := strings.CutPrefix(*m.Value, lanePathPrefix)
+	lane, isBehind := strings.CutSuffix(lane, lanePathSuffix)
 	return lane, isBefore && isBehind && lane != "" && !strings.Contains(lane, "/")
 }
 
-// put sets a lane within the tree of lanes.
-func put(tree map[string]any, names []string, set map[string]any) {
+// setLane sets a lane within the tree of lanes.
+func setLane(tree map[string]any, names []string, set map[string]any) {
 	node, isKnown := tree[names[0]].(map[string]any)
 	if !isKnown {
 		node = map[string]any{}
@@ -153,11 +153,11 @@
 		children = map[string]any{}
 		node["children"] = children
 	}
-	put(children, names[1:], set)
+	setLane(children, names[1:], set)
 }
 
-// left refuses whatever nobody has translated.
-func (t *translator) left(r gateway.HTTPRoute) {
+// rejectUntranslated refuses whatever nobody has translated.
+func (t *translator) rejectUntranslated(r gateway.HTTPRoute) {
 	raw, err := json.Marshal(r)
 	var rest any
 	if err == nil {
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -38,7 +38,7 @@
 			lane := rules.Lanes[name]
 			So(lane.Pools, ShouldResemble, []string{"q", "p"})
 			So(lane.Patience.String(), ShouldEqual, "1m30s")
-			So(lane.Attempts, ShouldEqual, 5)
+			So(lane.MaxAttempts, ShouldEqual, 5)
 			So(lane.Backoff.String(), ShouldEqual, "500ms")
 		}
 		So(rules.Lanes["a"].Urgency, ShouldEqual, 7)
--- a/internal/reach/reach.go
+++ b/internal/ownerclient/client.go
@@ -1,6 +1,6 @@
-// Package reach brings an ask to the owner of a place: by hint, then by what
+// Package ownerclient brings an ask to the owner of a place: by hint, then by what
 // the asked store says, then by trying the others.
-package reach
+package ownerclient
 
 import (
 	"cmp"
@@ -15,37 +15,37 @@
 	"caperwheel/internal/wire"
 )
 
-// Reach of a daemon.
-type Reach struct {
-	Node       *transport.Node
-	Membership *session.Membership
-	Bounds     timing.Bounds
-	Link       *wire.Link
-	Call       func(ctx context.Context, addr string, ask any) (any, error) // the transport's, if not given
-	Saw        func(peer string, micros float64, isAnswered bool)           // told of each try of Ask, if given
-	Try        timing.Ratio                                                 // how long one try waits; 0 for Settle
+// Client of a daemon.
+type Client struct {
+	Node           *transport.Node
+	Membership     *session.Membership
+	Bounds         timing.Bounds
+	Link           *wire.Link
+	SendFunc       func(ctx context.Context, addr string, ask any) (any, error) // the transport's, if not given
+	OnAttempt      func(peer string, micros float64, isAnswered bool)           // told of each try of Ask, if given
+	AttemptTimeout timing.Ratio                                                 // how long one try waits; 0 for Settle
 }
 
-// freeHops is how often an ask follows a named owner without a pause.
-const freeHops = 3
+// immediateHops is how often an ask follows a named owner without a pause.
+const immediateHops = 3
 
-// Group asks the owner of a group until it answers or ctx ends. owned tells
+// CallOwner asks the owner of a group until it answers or ctx ends. owned tells
 // whether an answer came from the owner, and else whom it named. The error
 // says whether the ask may have had an effect: NotOwner and Full mean no,
 // Undecided means that it may.
-func (r *Reach) Group(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (any, error) {
+func (r *Client) CallOwner(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (any, error) {
 	reply, _, err := r.ask(ctx, id, ask, owned, nil)
 	return reply, err
 }
 
-// Ask is Group for asks that must not be said to have had no effect when they
+// CallOwnerTracked is Group for asks that must not be said to have had no effect when they
 // may: isOpen tells, also with an owner's answer, that the same ask went out
 // before and nobody knows what became of it.
-func (r *Reach) Ask(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (reply any, isOpen bool, err error) {
-	return r.ask(ctx, id, ask, owned, r.Saw)
+func (r *Client) CallOwnerTracked(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (reply any, isOpen bool, err error) {
+	return r.ask(ctx, id, ask, owned, r.OnAttempt)
 }
 
-func (r *Reach) ask(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string),
+func (r *Client) ask(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string),
 	saw func(string, float64, bool)) (reply any, isOpen bool, err error) {
 	hint, turn, hops := "", 0, 0
 	if who, isKnown := r.Membership.Owner(id); isKnown {
@@ -54,7 +54,7 @@
 	for {
 		who, isKnown := r.Membership.Find(hint)
 		if !isKnown {
-			stores := r.Membership.Kind("store")
+			stores := r.Membership.OfKind("store")
 			if len(stores) > 0 {
 				who, isKnown = stores[turn%len(stores)], true
 				turn++
@@ -63,17 +63,17 @@
 		hint = ""
 		if isKnown {
 			began := time.Now()
-			reply, err := r.One(ctx, who, ask)
+			reply, err := r.CallMember(ctx, who, ask)
 			if saw != nil {
 				saw(who.Name, float64(time.Since(began).Microseconds()), err == nil)
 			}
-			var unsent *transport.Unsent
+			var unsent *transport.UnsentError
 			switch {
 			case err == nil:
 				isOwner, named := owned(reply)
 				// Whoever was owner when the ask came has lost its place over it: the
 				// next owner may have what it began.
-				isOpen = isOpen || wire.ErrorOf(reply) == string(errs.Undecided)
+				isOpen = isOpen || wire.ErrorKindOf(reply) == string(errs.Undecided)
 				if isOwner {
 					return reply, isOpen, nil
 				}
@@ -86,10 +86,10 @@
 		}
 		wait := r.Bounds.Of(timing.StalePoll)
 		if hint != "" && ctx.Err() == nil {
-			if hops++; hops < freeHops {
+			if hops++; hops < immediateHops {
 				continue // the owner was named: no need to wait
 			}
-			wait /= freeHops // two name each other while ownership moves
+			wait /= immediateHops // two name each other while ownership moves
 		}
 		timing.Wait(ctx, wait)
 		if ctx.Err() != nil {
@@ -101,29 +101,29 @@
 	}
 }
 
-// One asks one daemon, once.
-func (r *Reach) One(ctx context.Context, who wire.Who, ask any) (any, error) {
-	ctx, cancel := timing.Within(ctx, r.Bounds.Of(cmp.Or(r.Try, timing.SettleTimeout)))
+// CallMember asks one daemon, once.
+func (r *Client) CallMember(ctx context.Context, who wire.Who, ask any) (any, error) {
+	ctx, cancel := timing.Within(ctx, r.Bounds.Of(cmp.Or(r.AttemptTimeout, timing.SettleTimeout)))
 	defer cancel()
-	if r.Call != nil {
-		return r.Call(ctx, who.Addr, ask)
+	if r.SendFunc != nil {
+		return r.SendFunc(ctx, who.Addr, ask)
 	}
 	return r.Node.Peer(r.Link, who.Addr).Call(ctx, ask)
 }
 
-// All asks several daemons at once and gives the answers of those that answered.
+// CallMembers asks several daemons at once and gives the answers of those that answered.
 // Where Call is given they are asked one after another, on the caller's goroutine.
-func (r *Reach) All(ctx context.Context, whom []wire.Who, ask any) []any {
+func (r *Client) CallMembers(ctx context.Context, whom []wire.Who, ask any) []any {
 	answers := make(chan any, len(whom))
 	for _, who := range whom {
 		one := func() {
-			reply, err := r.One(ctx, who, ask)
+			reply, err := r.CallMember(ctx, who, ask)
 			if err != nil {
 				reply = nil
 			}
 			answers <- reply
 		}
-		if r.Call != nil {
+		if r.SendFunc != nil {
 			one()
 		} else {
 			go one()
--- a/internal/reach/reach_test.go
+++ b/internal/ownerclient/client_test.go
@@ -1,4 +1,4 @@
-package reach
+package ownerclient
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 // callers were told "not taken" of messages that the next owner ran.
 func TestAsk(t *testing.T) {
 	taken := func(kind errs.Kind) any { return &wire.Taken{Kind: string(kind)} }
-	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.Unsent{})
+	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.UnsentError{})
 	cases := []struct {
 		name    string
 		answers []any // of one store after another; the last one again and again
@@ -42,9 +42,9 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				membership, turn := session.NewMembership(), 0
-				membership.Take("x", []wire.Member{{Who: wire.Who{Name: "s1", Kind: "store"}}, {Who: wire.Who{Name: "s2", Kind: "store"}}})
+				membership.Update("x", []wire.Member{{Who: wire.Who{Name: "s1", Kind: "store"}}, {Who: wire.Who{Name: "s2", Kind: "store"}}})
 				ctx, cancel := context.WithCancel(context.Background())
-				r := &Reach{Membership: membership, Bounds: timing.Bounds{Config: time.Millisecond}, Call: func(context.Context, string, any) (any, error) {
+				r := &Client{Membership: membership, Bounds: timing.Bounds{ConfigApply: time.Millisecond}, SendFunc: func(context.Context, string, any) (any, error) {
 					answer := c.answers[min(turn, len(c.answers)-1)]
 					if turn++; turn > 5 {
 						cancel()
@@ -54,7 +54,7 @@
 					}
 					return answer, nil
 				}}
-				reply, isOpen, err := r.Ask(ctx, 1, &wire.Take{}, func(reply any) (bool, string) {
+				reply, isOpen, err := r.CallOwnerTracked(ctx, 1, &wire.Take{}, func(reply any) (bool, string) {
 					kind := reply.(*wire.Taken).Kind
 					return kind != string(errs.NotOwner) && kind != string(errs.Undecided), ""
 				})
--- a/internal/path/path.go
+++ b/internal/pipeline/path.go
@@ -1,6 +1,6 @@
-// Package path runs a message's way through a process: a small interpreter over
+// Package pipeline runs a message's way through a process: a small interpreter over
 // rules that are compiled from the configuration, once for each configuration.
-package path
+package pipeline
 
 import (
 	"sync"
@@ -14,21 +14,21 @@
 
 // The steps of intake, in the order in which they are compiled.
 const (
-	Fresh   Op = "fresh"   // the view must be fresh
-	Size    Op = "size"    // the body must fit
-	Keyed   Op = "keyed"   // an ordering key must be given
-	Keyless Op = "keyless" // none may be given
-	Place   Op = "place"   // the place follows from lane and key, else from chance
-	Hold    Op = "hold"    // the place's owner holds it
+	RequireFreshView Op = "fresh"   // the view must be fresh
+	LimitBodySize    Op = "size"    // the body must fit
+	RequireKey       Op = "keyed"   // an ordering key must be given
+	ForbidKey        Op = "keyless" // none may be given
+	Place            Op = "place"   // the place follows from lane and key, else from chance
+	SubmitToOwner    Op = "hold"    // the place's owner holds it
 )
 
 // The steps of delivery.
 const (
-	Allowed Op = "allowed" // the lane may use the pool
-	Live    Op = "live"    // the worker is live and its zone not emptied
-	Holder  Op = "holder"  // this daemon holds the worker's duty
-	Whole   Op = "whole"   // the bytes are those that were taken
-	Send    Op = "send"    // run it
+	RequireAllowedPool Op = "allowed" // the lane may use the pool
+	RequireLiveWorker  Op = "live"    // the worker is live and its zone not emptied
+	RequireHolder      Op = "holder"  // this daemon holds the worker's duty
+	VerifyBody         Op = "whole"   // the bytes are those that were taken
+	SendToWorker       Op = "send"    // run it
 )
 
 // Step is one instruction of a program.
@@ -43,24 +43,24 @@
 
 // Intake compiles the steps by which messages of a lane are taken in.
 func Intake(l config.Lane) Program {
-	out := Program{{Op: Fresh}, {Op: Size, Number: l.Size}}
+	out := Program{{Op: RequireFreshView}, {Op: LimitBodySize, Number: l.MaxBodyBytes}}
 	if l.IsOrdered {
-		return append(out, Step{Op: Keyed}, Step{Op: Place}, Step{Op: Hold})
+		return append(out, Step{Op: RequireKey}, Step{Op: Place}, Step{Op: SubmitToOwner})
 	}
-	return append(out, Step{Op: Keyless}, Step{Op: Place}, Step{Op: Hold})
+	return append(out, Step{Op: ForbidKey}, Step{Op: Place}, Step{Op: SubmitToOwner})
 }
 
 // Delivery compiles the steps by which messages of a lane are delivered.
 func Delivery(l config.Lane) Program {
-	return Program{{Op: Fresh}, {Op: Allowed, Names: l.Pools}, {Op: Live}, {Op: Holder}, {Op: Whole}, {Op: Send}}
+	return Program{{Op: RequireFreshView}, {Op: RequireAllowedPool, Names: l.Pools}, {Op: RequireLiveWorker}, {Op: RequireHolder}, {Op: VerifyBody}, {Op: SendToWorker}}
 }
 
 // Programs caches the compiled programs of one configuration's lanes, until another
 // configuration's rules are asked for.
 type Programs struct {
-	mu    sync.Mutex
-	rules *config.Rules
-	known map[string]Program
+	mu       sync.Mutex
+	rules    *config.Rules
+	compiled map[string]Program
 }
 
 // Intake returns the program that takes messages of a lane in.
@@ -77,12 +77,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.rules != rules {
-		p.rules, p.known = rules, map[string]Program{}
+		p.rules, p.compiled = rules, map[string]Program{}
 	}
-	out, isKnown := p.known[key]
+	out, isKnown := p.compiled[key]
 	if !isKnown {
 		out = compile()
-		p.known[key] = out
+		p.compiled[key] = out
 	}
 	return out
 }
--- a/internal/place/archive.go
+++ b/internal/place/archive.go
@@ -14,37 +14,37 @@
 //
 // Invariant: a message stands either in a machine's messages or in its archive.
 type archived struct {
-	over  int64 // place time at which it may be forgotten
-	size  int64 // bytes of callers that it keeps
-	lane  string
-	state State
-	raw   []byte
+	forgetAt int64 // place time at which it may be forgotten
+	size     int64 // bytes of callers that it keeps
+	lane     string
+	state    State
+	raw      []byte
 }
 
 // The archive never leaves the process, so its records need no older form.
-var archiveCodec = wire.NewInner(&Message{})
+var archiveCodec = wire.NewLatestRecordCodec(&Message{})
 
-// isSettled reports whether nothing about a message can change any more until it is
+// isFinal reports whether nothing about a message can change any more until it is
 // forgotten.
-func (m *Machine) isSettled(e *Message) bool {
-	return e.State.IsOver() && !e.IsOwed && !e.IsHolder && m.outbox[e.Child].Id == ""
+func (m *Machine) isFinal(e *Message) bool {
+	return e.State.IsOver() && !e.IsNotificationPending && !e.IsHoldingKey && m.outbox[e.Child].Id == ""
 }
 
-// settle moves a message to the archive if it is settled. What is kept of its texts is
+// archiveIfFinal moves a message to the archive if it is settled. What is kept of its texts is
 // copied: the decoder cuts short texts out of blocks of a kilobyte, each of which lives
 // for as long as any of its texts.
-func (m *Machine) settle(id string) {
+func (m *Machine) archiveIfFinal(id string) {
 	e := m.messages[id]
-	if e == nil || !m.isSettled(e) {
+	if e == nil || !m.isFinal(e) {
 		return
 	}
-	m.queue.leave(e)
+	m.queue.remove(e)
 	delete(m.messages, id)
 	id = strings.Clone(id)
-	if e.Idem != "" && m.idems[e.idemOf()] == id {
-		m.idems[e.idemOf()] = id
+	if e.IdempotencyKey != "" && m.idempotencyKeys[e.idempotencyKey()] == id {
+		m.idempotencyKeys[e.idempotencyKey()] = id
 	}
-	m.archive[id] = archived{over: e.Over, size: e.size(), lane: m.name(e.Lane), state: e.State, raw: archiveCodec.Encode(e)}
+	m.archive[id] = archived{forgetAt: e.ForgetAt, size: e.size(), lane: m.intern(e.Lane), state: e.State, raw: archiveCodec.Encode(e)}
 }
 
 // Find returns a message by id, nil if there is none. One that is settled is a copy.
@@ -67,30 +67,30 @@
 	return e
 }
 
-// staleArchived gives the ids of up to most archived messages that may be forgotten,
+// forgettableArchived gives the ids of up to most archived messages that may be forgotten,
 // the oldest first.
-func (m *Machine) staleArchived(now int64, most int) []string {
+func (m *Machine) forgettableArchived(now int64, limit int) []string {
 	due := []rank{}
 	for id, a := range m.archive {
-		if a.over <= now {
-			due = append(due, rank{at: a.over, id: id})
+		if a.forgetAt <= now {
+			due = append(due, rank{at: a.forgetAt, id: id})
 		}
 	}
 	slices.SortFunc(due, func(x, y rank) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.id, y.id)) })
 	out := []string{}
-	for _, r := range due[:min(len(due), most)] {
+	for _, r := range due[:min(len(due), limit)] {
 		out = append(out, r.id)
 	}
 	return out
 }
 
-// name returns the same text, stored once for all messages that have it.
-func (m *Machine) name(text string) string {
-	if known, isKnown := m.names[text]; isKnown {
+// intern returns the same text, stored once for all messages that have it.
+func (m *Machine) intern(text string) string {
+	if known, isKnown := m.interned[text]; isKnown {
 		return known
 	}
 	text = strings.Clone(text)
-	m.names[text] = text
+	m.interned[text] = text
 	return text
 }
 
@@ -100,17 +100,17 @@
 	if e == nil || !e.State.IsOver() || m.outbox[e.Child].Id != "" {
 		return
 	}
-	if e.IsHolder {
-		e.IsHolder = false
-		m.release(e)
+	if e.IsHoldingKey {
+		e.IsHoldingKey = false
+		m.releaseKey(e)
 	}
-	delete(m.holders, id)
+	delete(m.keyHolders, id)
 	m.bytes -= e.size()
-	delete(m.owed, id)
+	delete(m.pendingNotifications, id)
 	delete(m.messages, id)
 	delete(m.archive, id)
-	if e.Idem != "" && m.idems[e.idemOf()] == id {
-		delete(m.idems, e.idemOf())
+	if e.IdempotencyKey != "" && m.idempotencyKeys[e.idempotencyKey()] == id {
+		delete(m.idempotencyKeys, e.idempotencyKey())
 	}
-	m.queue.leave(e)
+	m.queue.remove(e)
 }
--- a/internal/place/archive_test.go
+++ b/internal/place/archive_test.go
@@ -30,9 +30,9 @@
 		m := New()
 		for i := range count { // without assertions, which take memory themselves
 			c := take(fmt.Sprintf("9c41d07b%08x", i))
-			c.Body, c.Lane, c.Ctype, c.Sum = make([]byte, 500), "r-x5wa5xw", "application/json", strings.Repeat("5", 32)
+			c.Body, c.Lane, c.ContentType, c.Checksum = make([]byte, 500), "r-x5wa5xw", "application/json", strings.Repeat("5", 32)
 			c.Head = []byte("POST /bose230/zi72/2f HTTP/1.1\nHost: boye61.example\n")
-			for _, c := range []Command{c, start(c.Id, 1), dropping(c.Id, 1)} {
+			for _, c := range []Command{c, start(c.Id, 1), succeededAndDropped(c.Id, 1)} {
 				read, err := Decode(c.Encode()) // as from a log
 				if err != nil || m.Apply(read).Kind != "" {
 					failed++
@@ -41,7 +41,7 @@
 		}
 		So(failed, ShouldEqual, 0)
 		So((heapInUse()-before)/count, ShouldBeLessThan, most)
-		image := m.Image()
+		image := m.Snapshot()
 		m = nil
 		before = heapInUse()
 		again, err := Restore(image)
@@ -56,16 +56,16 @@
 func TestArchive(t *testing.T) {
 	done := func() *Machine {
 		c := notified("1")
-		c.Idem = "i"
-		m := on(New(), c, start("1", 1), dropping("1", 1))
+		c.IdempotencyKey = "i"
+		m := applyAll(New(), c, start("1", 1), succeededAndDropped("1", 1))
 		So(m.archive, ShouldBeEmpty) // its end is still to be told
-		m.Apply(told("1"))
+		m.Apply(markNotified("1"))
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.messages, ShouldBeEmpty)
 		return m
 	}
 	restored := func() *Machine {
-		m, err := Restore(done().Image())
+		m, err := Restore(done().Snapshot())
 		So(err, ShouldBeNil)
 		So(m.archive, ShouldHaveLength, 1)
 		return m
@@ -80,57 +80,57 @@
 				So(e.Notify, ShouldEqual, "http://10.0.0.9:1/x")
 				count, bytes := m.Count()
 				So([]int64{int64(count), bytes}, ShouldResemble, []int64{1, 0})
-				counts := m.Tally(0).Counts
+				counts := m.LaneStats(0).Counts
 				So(counts, ShouldResemble, map[string]map[State]int{"l": {Ended: 1}})
 			})
 			Convey("is not taken again", func() {
 				c := notified("1")
-				c.Idem = "i"
+				c.IdempotencyKey = "i"
 				So(m.Apply(c).State, ShouldEqual, Ended)
-				c.Sum = "another"
+				c.Checksum = "another"
 				So(m.Apply(c).Kind, ShouldEqual, errs.Conflict)
 				c.Id = "2"
 				So(m.Apply(c).Kind, ShouldEqual, errs.Conflict) // the same idempotency key
 			})
 			Convey("is changed by nothing", func() {
-				was := string(m.Image())
-				on(m, start("1", 2), back("1", 1), shut("1", 1, Failed), end("1", 1), told("1"))
-				So(string(m.Image()), ShouldEqual, was)
+				was := string(m.Snapshot())
+				applyAll(m, start("1", 2), runFailed("1", 1), closedAs("1", 1, Failed), runSucceeded("1", 1), markNotified("1"))
+				So(string(m.Snapshot()), ShouldEqual, was)
 			})
 			Convey("is forgotten in time, with its idempotency key", func() {
-				So(m.Stale(99, 9), ShouldBeEmpty)
-				So(m.Stale(100, 9), ShouldResemble, []string{"1"})
+				So(m.TakeForgettable(99, 9), ShouldBeEmpty)
+				So(m.TakeForgettable(100, 9), ShouldResemble, []string{"1"})
 				m.Apply(Command{Kind: CmdTrim, Ids: []string{"1"}})
 				So(m.Find("1"), ShouldBeNil)
-				So(m.idems, ShouldBeEmpty)
+				So(m.idempotencyKeys, ShouldBeEmpty)
 				count, _ := m.Count()
 				So(count, ShouldEqual, 0)
 			})
 		})
 	}
 	Convey("A failure keeps its bytes", t, func() {
-		m := on(New(), take("1"), start("1", 1), shut("1", 1, Failed))
+		m := applyAll(New(), take("1"), start("1", 1), closedAs("1", 1, Failed))
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.Find("1").Body, ShouldResemble, take("1").Body)
 		So(m.bytes, ShouldEqual, int64(len(take("1").Body)))
 	})
 	Convey("A parent stays as it is until its call-back is held elsewhere", t, func() {
-		c := end("1", 1)
+		c := runSucceeded("1", 1)
 		c.Child = Child{Id: "c", Lane: "back", Parent: "1"}
-		m := on(New(), take("1"), start("1", 1), c)
+		m := applyAll(New(), take("1"), start("1", 1), c)
 		So(m.archive, ShouldBeEmpty)
-		m.Apply(Command{Kind: CmdSent, Id: "c"})
+		m.Apply(Command{Kind: CmdOutboxDelivered, Id: "c"})
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.Find("1").Child, ShouldEqual, "c")
 	})
 	Convey("The oldest ends are forgotten first, and at most so many at once", t, func() {
 		m := New()
 		for i, id := range []string{"3", "1", "2"} {
-			c := end(id, 1)
+			c := runSucceeded(id, 1)
 			c.Retain = int64(10 - i)
-			on(m, take(id), start(id, 1), c)
+			applyAll(m, take(id), start(id, 1), c)
 		}
-		So(m.Stale(99, 2), ShouldResemble, []string{"2", "1"})
-		So(m.Find("2").Proof.Worker, ShouldEqual, end("2", 1).Proof.Worker)
+		So(m.TakeForgettable(99, 2), ShouldResemble, []string{"2", "1"})
+		So(m.Find("2").Proof.Worker, ShouldEqual, runSucceeded("2", 1).Proof.Worker)
 	})
 }
--- a/internal/place/counts.go
+++ b/internal/place/counts.go
@@ -5,22 +5,22 @@
 	"caperwheel/internal/quota"
 )
 
-// Count returns the command that decides a batch of what adapters tell and ask of tenants' limits. It may be
+// CountCommand returns the command that decides a batch of what adapters tell and ask of tenants' limits. It may be
 // proposed once the group has agreed on LevelQuotas.
-func Count(batch quota.Batch) Command { return Command{Kind: CmdCount, Counts: batch.Encode()} }
+func CountCommand(batch quota.Batch) Command { return Command{Kind: CmdCount, Counts: batch.Encode()} }
 
-// count has the ledger decide a batch. It is no message's business: what is counted waits for nothing, so a place
+// applyCounts has the ledger decide a batch. It is no message's business: what is counted waits for nothing, so a place
 // that only counts is idle.
-func (m *Machine) count(c Command) Verdict {
+func (m *Machine) applyCounts(c Command) Result {
 	if m.level < LevelQuotas {
-		return no(errs.Stale, "", "the group has not agreed to count")
+		return refuse(errs.Stale, "", "the group has not agreed to count")
 	}
 	batch, err := quota.DecodeBatch(c.Counts)
 	if err != nil { // the same at all replicas
-		return no(errs.Corrupt, "", err.Error())
+		return refuse(errs.Corrupt, "", err.Error())
 	}
-	return Verdict{Grants: m.counts.Apply(m.clock, batch)}
+	return Result{Grants: m.ledger.Apply(m.clock, batch)}
 }
 
-// Held returns how many tokens of tenants adapters hold, by what the place knows.
-func (m *Machine) Held() int64 { return m.counts.Held() }
+// HeldTokens returns how many tokens of tenants adapters hold, by what the place knows.
+func (m *Machine) HeldTokens() int64 { return m.ledger.Held() }
--- a/internal/place/counts_test.go
+++ b/internal/place/counts_test.go
@@ -11,14 +11,14 @@
 	"caperwheel/internal/wire"
 )
 
-// asking is a batch of one adapter that needs so many tokens of a tenant with a limit of 10 a second and 10.
-func asking(holder string, need int64) quota.Batch {
+// needing is a batch of one adapter that needs so many tokens of a tenant with a limit of 10 a second and 10.
+func needing(holder string, need int64) quota.Batch {
 	return quota.Batch{Limits: []quota.Limit{quota.LimitOf("halls", 10, 10)},
-		Asks: []quota.Ask{{Holder: holder, Lease: 1000, Count: wire.QuotaCount{Tenant: "halls", Life: 1, Need: need}}}}
+		Asks: []quota.Ask{{Holder: holder, Lease: 1000, Count: wire.QuotaCount{Tenant: "halls", Epoch: 1, Need: need}}}}
 }
 
-func counted(batch quota.Batch, at int64) Command {
-	c := Count(batch)
+func countAt(batch quota.Batch, at int64) Command {
+	c := CountCommand(batch)
 	c.At = at
 	return c
 }
@@ -28,24 +28,24 @@
 	Convey("A place", t, func() {
 		Convey("counts nothing before its group has agreed on it", func() {
 			m := New()
-			v := m.Apply(counted(asking("a", 3), 1000))
+			v := m.Apply(countAt(needing("a", 3), 1000))
 			So(v.Kind, ShouldEqual, errs.Stale)
-			So(m.Held(), ShouldEqual, 0)
-			So(New().Image(), ShouldResemble, on(New()).Image())
+			So(m.HeldTokens(), ShouldEqual, 0)
+			So(New().Snapshot(), ShouldResemble, applyAll(New()).Snapshot())
 		})
 		Convey("grants no more than the limit once it has", func() {
-			m := on(New(), Raise(LevelQuotas))
-			So(m.Apply(counted(asking("a", 7), 1000)).Grants[0].Granted, ShouldEqual, 7)
-			So(m.Apply(counted(asking("b", 7), 1000)).Grants[0].Granted, ShouldEqual, 3)
-			So(m.Held(), ShouldEqual, 10)
+			m := applyAll(New(), RaiseLevel(LevelQuotas))
+			So(m.Apply(countAt(needing("a", 7), 1000)).Grants[0].Granted, ShouldEqual, 7)
+			So(m.Apply(countAt(needing("b", 7), 1000)).Grants[0].Granted, ShouldEqual, 3)
+			So(m.HeldTokens(), ShouldEqual, 10)
 			So(m.IsIdle(), ShouldBeTrue)
 			Convey("and an image goes on as it would", func() {
-				again, err := Restore(m.Image())
+				again, err := Restore(m.Snapshot())
 				So(err, ShouldBeNil)
-				So(again.Image(), ShouldResemble, m.Image())
-				next := counted(asking("c", 7), 1200)
+				So(again.Snapshot(), ShouldResemble, m.Snapshot())
+				next := countAt(needing("c", 7), 1200)
 				So(again.Apply(next), ShouldResemble, m.Apply(next))
-				So(again.Image(), ShouldResemble, m.Image())
+				So(again.Snapshot(), ShouldResemble, m.Snapshot())
 			})
 		})
 		Convey("tells a repeat of a held message from the first of it", func() {
@@ -53,7 +53,7 @@
 			So(m.Apply(take("1")).IsRepeat, ShouldBeFalse)
 			So(m.Apply(take("1")).IsRepeat, ShouldBeTrue)
 			other := take("1")
-			other.Sum = "other"
+			other.Checksum = "other"
 			So(m.Apply(other).IsRepeat, ShouldBeTrue)
 		})
 	})
@@ -65,22 +65,22 @@
 			}
 			return count
 		}
-		commandMark, imageMark := wire.MarkNumberNumberText, wire.MarkNumberNumberList
+		commandMark, imageMark := wire.PrefixIntIntString, wire.PrefixIntIntList
 		Convey("reads what a group has that agreed on an older level", func() {
-			So(marks(Raise(LevelFreesKeys).Encode(), commandMark), ShouldEqual, 2)
-			old := on(New(), Raise(LevelFreesKeys)).Image()
+			So(marks(RaiseLevel(LevelFreesKeys).Encode(), commandMark), ShouldEqual, 2)
+			old := applyAll(New(), RaiseLevel(LevelFreesKeys)).Snapshot()
 			So(marks(old, imageMark), ShouldEqual, 2)
-			So(wire.NewOf(&image{}, 7).Decode(old[2*len(imageMark):], &image{}), ShouldBeNil)
-			written := append(bytes.Repeat([]byte(imageMark), 2), wire.NewOf(&image{}, 7).Encode(&image{Clock: 5, Level: LevelFreesKeys})...)
+			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(old[2*len(imageMark):], &snapshot{}), ShouldBeNil)
+			written := append(bytes.Repeat([]byte(imageMark), 2), wire.NewRecordCodecAt(&snapshot{}, 7).Encode(&snapshot{Clock: 5, Level: LevelFreesKeys})...)
 			m, err := Restore(written)
 			So(err, ShouldBeNil)
 			So([]int64{m.Clock(), m.Level()}, ShouldResemble, []int64{5, LevelFreesKeys})
 		})
 		Convey("refuses counts", func() {
-			count, state := Count(asking("a", 1)).Encode(), on(New(), Raise(LevelQuotas)).Image()
+			count, state := CountCommand(needing("a", 1)).Encode(), applyAll(New(), RaiseLevel(LevelQuotas)).Snapshot()
 			So([]int{marks(count, commandMark), marks(state, imageMark)}, ShouldResemble, []int{3, 3})
-			So(wire.NewOf(&Command{}, 7).Decode(count[2*len(commandMark):], &Command{}), ShouldNotBeNil)
-			So(wire.NewOf(&image{}, 7).Decode(state[2*len(imageMark):], &image{}), ShouldNotBeNil)
+			So(wire.NewRecordCodecAt(&Command{}, 7).Decode(count[2*len(commandMark):], &Command{}), ShouldNotBeNil)
+			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(state[2*len(imageMark):], &snapshot{}), ShouldNotBeNil)
 		})
 	})
 }
