--- a/internal/place/fuzz_test.go
+++ b/internal/place/fuzz_test.go
@@ -6,23 +6,23 @@
 // that was read back can go on.
 func FuzzRestore(f *testing.F) {
 	m := New()
-	for _, c := range []Command{take("1"), ordered("2"), start("1", 1), end("1", 1)} {
+	for _, c := range []Command{take("1"), ordered("2"), start("1", 1), runSucceeded("1", 1)} {
 		m.Apply(c)
 		f.Add(c.Encode())
 	}
-	f.Add(m.Image())
+	f.Add(m.Snapshot())
 	f.Add([]byte{0, 0, 0xfe, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if c, err := Decode(raw); err == nil {
 			m := New()
 			m.Apply(take("1"))
 			m.Apply(c)
-			m.Image()
+			m.Snapshot()
 		}
 		if m, err := Restore(raw); err == nil {
 			m.Ready(m.Clock())
-			m.Late(m.Clock())
-			m.Image()
+			m.TakeExpired(m.Clock())
+			m.Snapshot()
 		}
 	})
 }
--- a/internal/place/level.go
+++ b/internal/place/level.go
@@ -20,8 +20,8 @@
 // Level is the feature level that the group has agreed on.
 func (m *Machine) Level() int64 { return m.level }
 
-// Raise returns the command that raises a group's level.
-func Raise(level int64) Command { return Command{Kind: CmdLevel, Level: level} }
+// RaiseLevel returns the command that raises a group's level.
+func RaiseLevel(level int64) Command { return Command{Kind: CmdLevel, Level: level} }
 
 // checkLevel refuses what a newer build has written.
 func checkLevel(level int64) error {
@@ -31,30 +31,30 @@
 	return nil
 }
 
-// noteHolder notes a message that has succeeded while a later run of its own may still go on.
-func (m *Machine) noteHolder(e *Message) {
-	if e.State == Ended && e.IsHolder {
-		m.holders[e.Id] = true
+// trackKeyHolder notes a message that has succeeded while a later run of its own may still go on.
+func (m *Machine) trackKeyHolder(e *Message) {
+	if e.State == Ended && e.IsHoldingKey {
+		m.keyHolders[e.Id] = true
 	}
 }
 
-// freeKeys lets the keys go on of messages that have succeeded and whose last run must be over
+// releaseHeldKeys lets the keys go on of messages that have succeeded and whose last run must be over
 // by now. That follows from the clock alone, which is the same at all replicas. A lane may ask
 // that a key waits behind a failure: that is no holder.
-func (m *Machine) freeKeys() {
-	if m.level < LevelFreesKeys || len(m.holders) == 0 {
+func (m *Machine) releaseHeldKeys() {
+	if m.level < LevelFreesKeys || len(m.keyHolders) == 0 {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.holders)) {
+	for _, id := range slices.Sorted(maps.Keys(m.keyHolders)) {
 		e := m.messages[id]
 		if e != nil && m.clock < e.Due {
 			continue
 		}
-		delete(m.holders, id)
+		delete(m.keyHolders, id)
 		if e != nil {
-			e.IsHolder = false
-			m.release(e)
-			m.settle(id)
+			e.IsHoldingKey = false
+			m.releaseKey(e)
+			m.archiveIfFinal(id)
 		}
 	}
 }
--- a/internal/place/owed_test.go
+++ b/internal/place/owed_test.go
@@ -17,11 +17,15 @@
 	return c
 }
 
-func dropping(id string, attempt int64) Command { c := end(id, attempt); c.Drop = true; return c }
+func succeededAndDropped(id string, attempt int64) Command {
+	c := runSucceeded(id, attempt)
+	c.DropsBody = true
+	return c
+}
 
-func told(ids ...string) Command { return Command{Kind: CmdTold, Ids: ids} }
+func markNotified(ids ...string) Command { return Command{Kind: CmdNotified, Ids: ids} }
 
-func on(m *Machine, commands ...Command) *Machine {
+func applyAll(m *Machine, commands ...Command) *Machine {
 	for _, c := range commands {
 		m.Apply(c)
 	}
@@ -47,33 +51,33 @@
 	}{
 		{"nobody, while it is held", []Command{notified("1")}, []string{}, 12},
 		{"nobody, while it runs", []Command{notified("1"), start("1", 1)}, []string{}, 12},
-		{"a success", []Command{notified("1"), start("1", 1), end("1", 1)}, []string{"1"}, 12},
-		{"a failure", []Command{notified("1"), start("1", 1), shut("1", 1, Failed)}, []string{"1"}, 12},
-		{"what expired unbegun", []Command{notified("1"), shut("1", 0, Expired)}, []string{"1"}, 12},
-		{"nobody, who has not asked", []Command{take("1"), start("1", 1), end("1", 1)}, []string{}, 2},
-		{"nobody, once told", []Command{notified("1"), start("1", 1), end("1", 1), told("1")}, []string{}, 12},
-		{"nobody, told twice and with strangers", []Command{notified("1"), start("1", 1), end("1", 1), told("1", "9"), told("1")}, []string{}, 12},
-		{"who was told too early", []Command{notified("1"), told("1"), start("1", 1), end("1", 1)}, []string{"1"}, 12},
-		{"all but those told", []Command{notified("2"), notified("1"), start("1", 1), end("1", 1), start("2", 1), end("2", 1), told("2")}, []string{"1"}, 24},
-		{"nobody, once forgotten", []Command{notified("1"), start("1", 1), end("1", 1), {Kind: CmdTrim, Ids: []string{"1"}}}, []string{}, 0},
-		{"a success whose bytes went, with its head", []Command{notified("1"), start("1", 1), dropping("1", 1)}, []string{"1"}, 10},
-		{"… and the head goes once told", []Command{notified("1"), start("1", 1), dropping("1", 1), told("1")}, []string{}, 0},
-		{"a failure keeps its bytes, also where successes do not", []Command{notified("1"), start("1", 1), {Kind: CmdClose, Id: "1", Attempt: 1, State: "failed", Drop: true}, told("1")}, []string{}, 12},
-		{"nobody; bytes that went without an asker leave no head", []Command{{Kind: CmdTake, Id: "1", Head: []byte("h"), Body: []byte("b"), Deadline: 9}, start("1", 1), dropping("1", 1)}, []string{}, 0},
+		{"a success", []Command{notified("1"), start("1", 1), runSucceeded("1", 1)}, []string{"1"}, 12},
+		{"a failure", []Command{notified("1"), start("1", 1), closedAs("1", 1, Failed)}, []string{"1"}, 12},
+		{"what expired unbegun", []Command{notified("1"), closedAs("1", 0, Expired)}, []string{"1"}, 12},
+		{"nobody, who has not asked", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, []string{}, 2},
+		{"nobody, once told", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1")}, []string{}, 12},
+		{"nobody, told twice and with strangers", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1", "9"), markNotified("1")}, []string{}, 12},
+		{"who was told too early", []Command{notified("1"), markNotified("1"), start("1", 1), runSucceeded("1", 1)}, []string{"1"}, 12},
+		{"all but those told", []Command{notified("2"), notified("1"), start("1", 1), runSucceeded("1", 1), start("2", 1), runSucceeded("2", 1), markNotified("2")}, []string{"1"}, 24},
+		{"nobody, once forgotten", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), {Kind: CmdTrim, Ids: []string{"1"}}}, []string{}, 0},
+		{"a success whose bytes went, with its head", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1)}, []string{"1"}, 10},
+		{"… and the head goes once told", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1), markNotified("1")}, []string{}, 0},
+		{"a failure keeps its bytes, also where successes do not", []Command{notified("1"), start("1", 1), {Kind: CmdClose, Id: "1", Attempt: 1, State: "failed", DropsBody: true}, markNotified("1")}, []string{}, 12},
+		{"nobody; bytes that went without an asker leave no head", []Command{{Kind: CmdTake, Id: "1", Head: []byte("h"), Body: []byte("b"), Deadline: 9}, start("1", 1), succeededAndDropped("1", 1)}, []string{}, 0},
 	}
 	Convey("Of whose end somebody must be told:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				m := on(New(), c.commands...)
-				again, err := Restore(m.Image())
+				m := applyAll(New(), c.commands...)
+				again, err := Restore(m.Snapshot())
 				So(err, ShouldBeNil)
 				for _, m := range []*Machine{m, again} {
-					So(ids(m.Owed()), ShouldResemble, c.owed)
-					So(m.CountOwed(), ShouldEqual, len(c.owed))
+					So(ids(m.PendingNotifications()), ShouldResemble, c.owed)
+					So(m.CountPendingNotifications(), ShouldEqual, len(c.owed))
 					_, bytes := m.Count()
 					So(bytes, ShouldEqual, c.bytes)
-					m.Requeue() // a new owner begins so
-					So(ids(m.Owed()), ShouldResemble, c.owed)
+					m.RebuildQueue() // a new owner begins so
+					So(ids(m.PendingNotifications()), ShouldResemble, c.owed)
 				}
 			})
 		}
@@ -85,25 +89,25 @@
 	Convey("A message that may not run yet is due when its delay is over, also for a new owner", t, func() {
 		late := take("1")
 		late.At, late.Delay, late.Deadline = 500, 2000, 9000
-		m := on(New(), late)
+		m := applyAll(New(), late)
 		So(m.Find("1").Due, ShouldEqual, 2500)
-		again, err := Restore(m.Image())
+		again, err := Restore(m.Snapshot())
 		So(err, ShouldBeNil)
 		So(again.Find("1").Due, ShouldEqual, 2500)
 	})
 }
 
-// isRefused: a build of version 1 takes a record that ends early for a whole
+// isDecodeRefused: a build of version 1 takes a record that ends early for a whole
 // one, so that is no refusal.
-func isRefused(err error) bool { return err != nil && !errors.Is(err, io.EOF) }
+func isDecodeRefused(err error) bool { return err != nil && !errors.Is(err, io.EOF) }
 
 // TestVersions: what a build of version 1 wrote is read, and what this one
 // writes with new fields is refused there. Marks of one byte were once misread
 // at some place times, as commands that change nothing.
 func TestVersions(t *testing.T) {
-	oldCommand, oldImage := wire.NewPlain(&Command{}), wire.NewPlain(&image{})
+	oldCommand, oldImage := wire.NewRecordCodec(&Command{}), wire.NewRecordCodec(&snapshot{})
 	Convey("A command without new fields is written as in version 1, and read back", t, func() {
-		for _, c := range []Command{take("1"), start("1", 1), end("1", 1), back("1", 1), shut("1", 1, Failed), tomb("1")} {
+		for _, c := range []Command{take("1"), start("1", 1), runSucceeded("1", 1), runFailed("1", 1), closedAs("1", 1, Failed), tombstone("1")} {
 			c.Ids = []string{}
 			So(c.Encode(), ShouldResemble, oldCommand.Encode(&c))
 			got, err := Decode(oldCommand.Encode(&c))
@@ -112,30 +116,30 @@
 		}
 	})
 	Convey("An image without new fields is written as in version 1, and read back", t, func() {
-		m := on(New(), take("1"), ordered("2"), start("1", 1), end("1", 1))
-		var in image
-		So(oldImage.Decode(m.Image(), &in), ShouldBeNil)
-		So(oldImage.Encode(&in), ShouldResemble, m.Image())
-		again, err := Restore(m.Image())
+		m := applyAll(New(), take("1"), ordered("2"), start("1", 1), runSucceeded("1", 1))
+		var in snapshot
+		So(oldImage.Decode(m.Snapshot(), &in), ShouldBeNil)
+		So(oldImage.Encode(&in), ShouldResemble, m.Snapshot())
+		again, err := Restore(m.Snapshot())
 		So(err, ShouldBeNil)
-		So(again.Image(), ShouldResemble, m.Image())
+		So(again.Snapshot(), ShouldResemble, m.Snapshot())
 	})
 	Convey("What has new fields is read back here, and refused by version 1 at any place time", t, func() {
 		for _, at := range []int64{0, 1, 2, 3, 5, 8, 13, 40, 90, 700, 60_000, 1 << 33} {
-			for name, c := range map[string]Command{"head": notified("1"), "delay": {Kind: CmdTake, Id: "1", Delay: 5}, "drop": dropping("1", 1)} {
+			for name, c := range map[string]Command{"head": notified("1"), "delay": {Kind: CmdTake, Id: "1", Delay: 5}, "drop": succeededAndDropped("1", 1)} {
 				c.At = at
 				got, err := Decode(c.Encode())
 				So(err, ShouldBeNil)
 				So(got.Encode(), ShouldResemble, c.Encode())
-				SoMsg(fmt.Sprintf("%s at %d", name, at), isRefused(oldCommand.Decode(c.Encode(), &Command{})), ShouldBeTrue)
+				SoMsg(fmt.Sprintf("%s at %d", name, at), isDecodeRefused(oldCommand.Decode(c.Encode(), &Command{})), ShouldBeTrue)
 			}
 			c := notified("1")
 			c.At = at
-			m := on(New(), c)
-			again, err := Restore(m.Image())
+			m := applyAll(New(), c)
+			again, err := Restore(m.Snapshot())
 			So(err, ShouldBeNil)
-			So(again.Image(), ShouldResemble, m.Image())
-			SoMsg(fmt.Sprintf("image at %d", at), isRefused(oldImage.Decode(m.Image(), &image{})), ShouldBeTrue)
+			So(again.Snapshot(), ShouldResemble, m.Snapshot())
+			SoMsg(fmt.Sprintf("image at %d", at), isDecodeRefused(oldImage.Decode(m.Snapshot(), &snapshot{})), ShouldBeTrue)
 		}
 	})
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -10,30 +10,34 @@
 )
 
 func take(id string) Command {
-	return Command{Kind: CmdTake, Id: id, Lane: "l", Key: "k", Body: []byte("b" + id), Sum: "s" + id, Deadline: 1000}
+	return Command{Kind: CmdTake, Id: id, Lane: "l", Key: "k", Body: []byte("b" + id), Checksum: "s" + id, Deadline: 1000}
 }
 
 func ordered(id string) Command { c := take(id); c.Ordered = true; return c }
 
-func idem(id, key, sum string) Command { c := take(id); c.Idem, c.Sum = key, sum; return c }
+func idem(id, key, sum string) Command {
+	c := take(id)
+	c.IdempotencyKey, c.Checksum = key, sum
+	return c
+}
 
 func start(id string, attempt int64) Command {
 	return Command{Kind: CmdStart, Id: id, Attempt: attempt, Adapter: "a", Boot: "b"}
 }
 
-func end(id string, attempt int64) Command {
-	return Command{Kind: CmdEnd, Id: id, Proof: wire.Proof{Attempt: attempt, Worker: "w"}, Retain: 100}
+func runSucceeded(id string, attempt int64) Command {
+	return Command{Kind: CmdRunSucceeded, Id: id, Proof: wire.Proof{Attempt: attempt, Worker: "w"}, Retain: 100}
 }
 
-func back(id string, attempt int64) Command {
-	return Command{Kind: CmdBack, Id: id, Attempt: attempt, Cause: "unsound", Costs: true}
+func runFailed(id string, attempt int64) Command {
+	return Command{Kind: CmdRunFailed, Id: id, Attempt: attempt, Cause: "unsound", CountsAsAttempt: true}
 }
 
-func shut(id string, attempt int64, state State) Command {
+func closedAs(id string, attempt int64, state State) Command {
 	return Command{Kind: CmdClose, Id: id, Attempt: attempt, State: string(state), Retain: 100}
 }
 
-func tomb(id string) Command { return Command{Kind: CmdTomb, Id: id, Retain: 100} }
+func tombstone(id string) Command { return Command{Kind: CmdTombstone, Id: id, Retain: 100} }
 
 // TestCommands is the table of what each command does in each state.
 func TestCommands(t *testing.T) {
@@ -46,26 +50,26 @@
 	}{
 		{"a message is held", nil, take("1"), Held, ""},
 		{"the same take again changes nothing", []Command{take("1"), start("1", 1)}, take("1"), Started, ""},
-		{"a settled message is never taken", []Command{tomb("1")}, take("1"), Tomb, errs.Rejected},
-		{"a held message is not settled away", []Command{take("1")}, tomb("1"), Held, ""},
+		{"a settled message is never taken", []Command{tombstone("1")}, take("1"), Tombstone, errs.Rejected},
+		{"a held message is not settled away", []Command{take("1")}, tombstone("1"), Held, ""},
 		{"a held message starts", []Command{take("1")}, start("1", 1), Started, ""},
 		{"a started message does not start again", []Command{take("1"), start("1", 1)}, start("1", 2), Started, errs.Conflict},
 		{"an attempt number is not skipped", []Command{take("1")}, start("1", 2), Held, errs.Conflict},
-		{"a run's success ends it", []Command{take("1"), start("1", 1)}, end("1", 1), Ended, ""},
-		{"a run that never began ends nothing", []Command{take("1"), start("1", 1)}, end("1", 2), Started, errs.Conflict},
-		{"an ended message does not start again", []Command{take("1"), start("1", 1), end("1", 1)}, start("1", 2), Ended, errs.Conflict},
-		{"a mishap brings it back", []Command{take("1"), start("1", 1)}, back("1", 1), Held, ""},
-		{"an older run's mishap is passed over", []Command{take("1"), start("1", 1), back("1", 1), start("1", 2)}, back("1", 1), Started, ""},
-		{"an older run's success ends a held message", []Command{take("1"), start("1", 1), back("1", 1)}, end("1", 1), Ended, ""},
-		{"an older run's success waits for the open run", []Command{take("1"), start("1", 1), back("1", 1), start("1", 2)}, end("1", 1), Started, ""},
-		{"… and counts once that run has failed", []Command{take("1"), start("1", 1), back("1", 1), start("1", 2), end("1", 1)}, back("1", 2), Ended, ""},
-		{"a held message expires", []Command{take("1")}, shut("1", 0, Expired), Expired, ""},
-		{"a message that has started since does not expire", []Command{take("1"), start("1", 1)}, shut("1", 0, Expired), Started, ""},
-		{"an end is not undone by a failure", []Command{take("1"), start("1", 1), end("1", 1)}, shut("1", 1, Failed), Ended, ""},
-		{"a command for a stranger does nothing", nil, end("1", 1), "", errs.Unknown},
+		{"a run's success ends it", []Command{take("1"), start("1", 1)}, runSucceeded("1", 1), Ended, ""},
+		{"a run that never began ends nothing", []Command{take("1"), start("1", 1)}, runSucceeded("1", 2), Started, errs.Conflict},
+		{"an ended message does not start again", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, start("1", 2), Ended, errs.Conflict},
+		{"a mishap brings it back", []Command{take("1"), start("1", 1)}, runFailed("1", 1), Held, ""},
+		{"an older run's mishap is passed over", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runFailed("1", 1), Started, ""},
+		{"an older run's success ends a held message", []Command{take("1"), start("1", 1), runFailed("1", 1)}, runSucceeded("1", 1), Ended, ""},
+		{"an older run's success waits for the open run", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runSucceeded("1", 1), Started, ""},
+		{"… and counts once that run has failed", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2), runSucceeded("1", 1)}, runFailed("1", 2), Ended, ""},
+		{"a held message expires", []Command{take("1")}, closedAs("1", 0, Expired), Expired, ""},
+		{"a message that has started since does not expire", []Command{take("1"), start("1", 1)}, closedAs("1", 0, Expired), Started, ""},
+		{"an end is not undone by a failure", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, closedAs("1", 1, Failed), Ended, ""},
+		{"a command for a stranger does nothing", nil, runSucceeded("1", 1), "", errs.Unknown},
 		{"an ordered message does not pass an earlier one", []Command{ordered("0"), ordered("1")}, start("1", 1), Held, errs.Conflict},
 		{"… nor while that one is started", []Command{ordered("0"), ordered("1"), start("0", 1)}, start("1", 1), Held, errs.Conflict},
-		{"… but starts once it has ended", []Command{ordered("0"), ordered("1"), start("0", 1), end("0", 1)}, start("1", 1), Started, ""},
+		{"… but starts once it has ended", []Command{ordered("0"), ordered("1"), start("0", 1), runSucceeded("0", 1)}, start("1", 1), Started, ""},
 		{"the same idempotency key and bytes are one message", []Command{idem("0", "i", "s"), start("0", 1)}, idem("1", "i", "s"), "", ""},
 		{"the same idempotency key and other bytes conflict", []Command{idem("0", "i", "s")}, idem("1", "i", "t"), "", errs.Conflict},
 	}
@@ -83,9 +87,9 @@
 					state = e.State
 				}
 				So(state, ShouldEqual, c.state)
-				again, err := Restore(m.Image()) // an image tells the same
+				again, err := Restore(m.Snapshot()) // an image tells the same
 				So(err, ShouldBeNil)
-				So(again.Image(), ShouldResemble, m.Image())
+				So(again.Snapshot(), ShouldResemble, m.Snapshot())
 			})
 		}
 	})
@@ -94,18 +98,18 @@
 func TestProofIsOfTheRunThatSucceeded(t *testing.T) {
 	Convey("Given a message whose first run's answer came late", t, func() {
 		m := New()
-		for _, c := range []Command{take("1"), start("1", 1), back("1", 1), start("1", 2), end("1", 1)} {
+		for _, c := range []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2), runSucceeded("1", 1)} {
 			m.Apply(c)
 		}
 		Convey("the second run's success is proved by the second run", func() {
-			m.Apply(end("1", 2))
+			m.Apply(runSucceeded("1", 2))
 			So(m.Find("1").Proof.Attempt, ShouldEqual, 2)
 		})
 		Convey("the second run's mishap leaves the first run's proof", func() {
-			m.Apply(back("1", 2))
+			m.Apply(runFailed("1", 2))
 			So(m.Find("1").Proof.Attempt, ShouldEqual, 1)
 			Convey("which no later answer replaces", func() {
-				m.Apply(end("1", 2))
+				m.Apply(runSucceeded("1", 2))
 				So(m.Find("1").Proof.Attempt, ShouldEqual, 1)
 			})
 		})
@@ -131,10 +135,10 @@
 		})
 		Convey("a pause is kept, and a new owner keeps it too", func() {
 			m.Apply(start("4", 1))
-			pause := back("4", 1)
+			pause := runFailed("4", 1)
 			pause.Deadline = 50
 			m.Apply(pause)
-			again, err := Restore(m.Image())
+			again, err := Restore(m.Snapshot())
 			So(err, ShouldBeNil)
 			So(again.Ready(49)["l"], ShouldEqual, 2)
 			So(again.Ready(50)["l"], ShouldEqual, 3)
@@ -144,7 +148,7 @@
 				id := "r" + string(rune('a'+i))
 				m.Apply(take(id))
 				m.Apply(start(id, 1))
-				m.Apply(back(id, 1))
+				m.Apply(runFailed(id, 1))
 			}
 			fresh := 0
 			for range 4 {
@@ -155,17 +159,17 @@
 			So(fresh, ShouldEqual, 3)
 		})
 		Convey("what is late is told once, what is over is told to be forgotten", func() {
-			So(len(m.Late(999)), ShouldEqual, 0)
-			So(len(m.Late(1000)), ShouldEqual, 5)
-			m.Apply(shut("4", 0, Expired))
-			So(m.Stale(99, 9), ShouldBeEmpty)
-			So(m.Stale(100, 9), ShouldResemble, []string{"4"})
+			So(len(m.TakeExpired(999)), ShouldEqual, 0)
+			So(len(m.TakeExpired(1000)), ShouldEqual, 5)
+			m.Apply(closedAs("4", 0, Expired))
+			So(m.TakeForgettable(99, 9), ShouldBeEmpty)
+			So(m.TakeForgettable(100, 9), ShouldResemble, []string{"4"})
 			m.Apply(Command{Kind: CmdTrim, Ids: []string{"4"}})
 			So(m.Find("4"), ShouldBeNil)
 		})
 		Convey("a failure that holds its key keeps the next waiting", func() {
-			c := shut("1", 0, Failed)
-			c.Hold = true
+			c := closedAs("1", 0, Failed)
+			c.HoldsKey = true
 			m.Apply(c)
 			So(m.Ready(0)["l"], ShouldEqual, 2)
 			m.Apply(Command{Kind: CmdTrim, Ids: []string{"1"}})
@@ -173,14 +177,14 @@
 		})
 		Convey("a call-back stays in the outbox until it is taken elsewhere", func() {
 			m.Apply(start("4", 1))
-			e := end("4", 1)
+			e := runSucceeded("4", 1)
 			e.Child = Child{Id: "c", Lane: "back"}
 			m.Apply(e)
 			m.Apply(Command{Kind: CmdTrim, Ids: []string{"4"}})
 			So(m.Find("4"), ShouldNotBeNil)
-			again, _ := Restore(m.Image())
+			again, _ := Restore(m.Snapshot())
 			So(again.Outbox()["c"].Lane, ShouldEqual, "back")
-			m.Apply(Command{Kind: CmdSent, Id: "c"})
+			m.Apply(Command{Kind: CmdOutboxDelivered, Id: "c"})
 			So(m.Outbox(), ShouldBeEmpty)
 		})
 	})
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -15,25 +15,25 @@
 // most one of ready and pauses. Nothing else keeps a message alive: what is
 // forgotten stands nowhere.
 type queue struct {
-	stands   map[string][]standing // id -> where it stands
-	ready    map[string]*lane
-	pauses   *sortedSet // held, by when due
-	deadline *sortedSet // held, by expiry
-	over     *sortedSet // over, by when to forget
-	open     map[string]bool
-	picked   map[string]bool
+	positions map[string][]position // id -> where it stands
+	ready     map[string]*laneQueue
+	delayed   *sortedSet // held, by when due
+	expiries  *sortedSet // held, by expiry
+	finished  *sortedSet // over, by when to forget
+	running   map[string]bool
+	picked    map[string]bool
 }
 
-// lane holds the ready messages of one lane. Fresh ones were never run; those
+// laneQueue holds the ready messages of one lane. Fresh ones were never run; those
 // to be run again stand apart, so that they cannot crowd the fresh ones out.
-type lane struct {
-	fresh, again *sortedSet
-	turns        int
+type laneQueue struct {
+	fresh, retries *sortedSet
+	picks          int
 }
 
-// Of againShare turns one goes to a repeated run while both wait; of lateShare
+// Of retryPickInterval turns one goes to a repeated run while both wait; of oldestPickInterval
 // turns one goes to the oldest, however late.
-const againShare, lateShare = 4, 4
+const retryPickInterval, oldestPickInterval = 4, 4
 
 // rank orders messages by a moment, and those of one moment as they were taken.
 type rank struct {
@@ -44,7 +44,7 @@
 // sortedSet is a sorted set of messages; entering and leaving take logarithmic time.
 type sortedSet struct{ tree *treemap.Map }
 
-type standing struct {
+type position struct {
 	set  *sortedSet
 	rank rank
 }
@@ -56,9 +56,9 @@
 	})}
 }
 
-func newLane() *lane { return &lane{fresh: newSortedSet(), again: newSortedSet()} }
+func newLaneQueue() *laneQueue { return &laneQueue{fresh: newSortedSet(), retries: newSortedSet()} }
 
-func (l *lane) size() int { return l.fresh.tree.Size() + l.again.tree.Size() }
+func (l *laneQueue) size() int { return l.fresh.tree.Size() + l.retries.tree.Size() }
 
 // first returns the message of the least rank.
 func (o *sortedSet) first() (at int64, e *Message) {
@@ -72,8 +72,8 @@
 // next gives the message that can still begin when it is wanted and is wanted
 // first; else the least late, which is of the key that is soonest in time again;
 // where the turn is that of the late ones, or nothing is wanted, the oldest.
-func (o *sortedSet) next(now int64, isLateTurn bool) *Message {
-	if !isLateTurn {
+func (o *sortedSet) next(now int64, isOldestPick bool) *Message {
+	if !isOldestPick {
 		if _, value := o.tree.Ceiling(rank{at: now}); value != nil {
 			return value.(*Message)
 		}
@@ -86,55 +86,55 @@
 }
 
 func newQueue() queue {
-	return queue{stands: map[string][]standing{}, ready: map[string]*lane{}, open: map[string]bool{}, picked: map[string]bool{},
-		pauses: newSortedSet(), deadline: newSortedSet(), over: newSortedSet()}
+	return queue{positions: map[string][]position{}, ready: map[string]*laneQueue{}, running: map[string]bool{}, picked: map[string]bool{},
+		delayed: newSortedSet(), expiries: newSortedSet(), finished: newSortedSet()}
 }
 
-// enter has a message stand in a set; leave has it stand nowhere, leaveSet not
+// add has a message stand in a set; leave has it stand nowhere, removeFrom not
 // in one set.
-func (q *queue) enter(e *Message, set *sortedSet, at int64) {
+func (q *queue) add(e *Message, set *sortedSet, at int64) {
 	r := rank{at, e.Seq, e.Id}
 	set.tree.Put(r, e)
-	q.stands[e.Id] = append(q.stands[e.Id], standing{set, r})
+	q.positions[e.Id] = append(q.positions[e.Id], position{set, r})
 }
 
-func (q *queue) leave(e *Message) {
-	for _, s := range q.stands[e.Id] {
+func (q *queue) remove(e *Message) {
+	for _, s := range q.positions[e.Id] {
 		s.set.tree.Remove(s.rank)
 	}
-	delete(q.stands, e.Id)
-	delete(q.open, e.Id)
+	delete(q.positions, e.Id)
+	delete(q.running, e.Id)
 	delete(q.picked, e.Id)
 }
 
-func (q *queue) leaveSet(e *Message, set *sortedSet) {
-	q.stands[e.Id] = slices.DeleteFunc(q.stands[e.Id], func(s standing) bool {
+func (q *queue) removeFrom(e *Message, set *sortedSet) {
+	q.positions[e.Id] = slices.DeleteFunc(q.positions[e.Id], func(s position) bool {
 		if s.set == set {
 			set.tree.Remove(s.rank)
 		}
 		return s.set == set
 	})
-	if len(q.stands[e.Id]) == 0 {
-		delete(q.stands, e.Id)
+	if len(q.positions[e.Id]) == 0 {
+		delete(q.positions, e.Id)
 	}
 }
 
-// note puts a message where its state asks for.
-func (q *queue) note(m *Machine, e *Message) {
-	q.leave(e)
+// reindex puts a message where its state asks for.
+func (q *queue) reindex(m *Machine, e *Message) {
+	q.remove(e)
 	switch {
 	case e.State == Started:
-		q.open[e.Id] = true
+		q.running[e.Id] = true
 		return
 	case e.State.IsOver():
-		q.enter(e, q.over, e.Over)
+		q.add(e, q.finished, e.ForgetAt)
 		return
 	}
-	q.enter(e, q.deadline, e.expiry())
+	q.add(e, q.expiries, e.expiry())
 	switch {
-	case !m.isFirst(e): // waits in its key's list
+	case !m.isFirstOfKey(e): // waits in its key's list
 	case e.Due > m.clock:
-		q.enter(e, q.pauses, e.Due)
+		q.add(e, q.delayed, e.Due)
 	default:
 		q.makeReady(e)
 	}
@@ -143,31 +143,31 @@
 func (q *queue) makeReady(e *Message) {
 	l := q.ready[e.Lane]
 	if l == nil {
-		l = newLane()
+		l = newLaneQueue()
 		q.ready[e.Lane] = l
 	}
 	if e.Attempt == 0 {
-		q.enter(e, l.fresh, e.Wanted)
+		q.add(e, l.fresh, e.StartBy)
 	} else {
-		q.enter(e, l.again, e.Wanted)
+		q.add(e, l.retries, e.StartBy)
 	}
 }
 
-// wake moves messages whose pause is over to the ready ones.
-func (q *queue) wake(now int64) {
+// releaseDelayed moves messages whose pause is over to the ready ones.
+func (q *queue) releaseDelayed(now int64) {
 	for {
-		at, e := q.pauses.first()
+		at, e := q.delayed.first()
 		if e == nil || at > now {
 			return
 		}
-		q.leaveSet(e, q.pauses)
+		q.removeFrom(e, q.delayed)
 		q.makeReady(e)
 	}
 }
 
 // Ready counts the messages of each lane that may run at the given place time.
 func (m *Machine) Ready(now int64) map[string]int {
-	m.queue.wake(now)
+	m.queue.releaseDelayed(now)
 	out := map[string]int{}
 	for name, l := range m.queue.ready {
 		if n := l.size(); n > 0 {
@@ -181,22 +181,22 @@
 // the ready ones until its state changes; Unpick puts it back.
 func (m *Machine) Pick(name string, now int64) *Message {
 	q := &m.queue
-	q.wake(now)
+	q.releaseDelayed(now)
 	l := q.ready[name]
 	if l == nil {
 		return nil
 	}
-	l.turns++
+	l.picks++
 	from := l.fresh
-	if _, fresh := l.fresh.first(); fresh == nil || l.again.tree.Size() > 0 && l.turns%againShare == 0 {
-		from = l.again
+	if _, fresh := l.fresh.first(); fresh == nil || l.retries.tree.Size() > 0 && l.picks%retryPickInterval == 0 {
+		from = l.retries
 	}
 	for {
-		e := from.next(now, l.turns%lateShare == 0)
+		e := from.next(now, l.picks%oldestPickInterval == 0)
 		if e == nil {
 			return nil
 		}
-		q.leaveSet(e, from)
+		q.removeFrom(e, from)
 		if e.Deadline > now { // else it is about to expire
 			q.picked[e.Id] = true
 			return e
@@ -213,36 +213,36 @@
 }
 
 // Late gives messages that are held beyond their patience; each is told once.
-func (m *Machine) Late(now int64) []*Message {
+func (m *Machine) TakeExpired(now int64) []*Message {
 	out := []*Message{}
 	for {
-		at, e := m.queue.deadline.first()
+		at, e := m.queue.expiries.first()
 		if e == nil || at > now {
 			return out
 		}
-		m.queue.leaveSet(e, m.queue.deadline)
+		m.queue.removeFrom(e, m.queue.expiries)
 		out = append(out, e)
 	}
 }
 
-// Stale gives the ids of up to most messages that are over and may be forgotten.
-func (m *Machine) Stale(now int64, most int) []string {
+// TakeForgettable gives the ids of up to most messages that are over and may be forgotten.
+func (m *Machine) TakeForgettable(now int64, limit int) []string {
 	out := []string{}
-	for len(out) < most {
-		at, e := m.queue.over.first()
+	for len(out) < limit {
+		at, e := m.queue.finished.first()
 		if e == nil || at > now {
 			break
 		}
-		m.queue.leaveSet(e, m.queue.over)
+		m.queue.removeFrom(e, m.queue.finished)
 		out = append(out, e.Id)
 	}
-	return append(out, m.staleArchived(now, most-len(out))...)
+	return append(out, m.forgettableArchived(now, limit-len(out))...)
 }
 
-// Open gives the messages whose run is under way.
-func (m *Machine) Open() []*Message {
+// Running gives the messages whose run is under way.
+func (m *Machine) Running() []*Message {
 	out := []*Message{}
-	for id := range m.queue.open {
+	for id := range m.queue.running {
 		out = append(out, m.messages[id])
 	}
 	slices.SortFunc(out, func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
--- a/internal/place/queue_test.go
+++ b/internal/place/queue_test.go
@@ -18,20 +18,20 @@
 			m.Apply(take(id))
 			for attempt := range int64(5) {
 				m.Apply(start(id, attempt+1))
-				m.Apply(back(id, attempt+1))
+				m.Apply(runFailed(id, attempt+1))
 			}
 		}
 		Convey("each stands in the queue for as much as its state asks", func() {
-			So(m.queue.deadline.tree.Size(), ShouldEqual, 50)
+			So(m.queue.expiries.tree.Size(), ShouldEqual, 50)
 			So(m.Ready(0), ShouldResemble, map[string]int{"l": 50})
 		})
 		Convey("and nowhere once it is forgotten", func() {
 			for i := range 50 {
-				m.Apply(shut(fmt.Sprint(i), 5, Failed))
+				m.Apply(closedAs(fmt.Sprint(i), 5, Failed))
 				m.Apply(Command{Kind: CmdTrim, Ids: []string{fmt.Sprint(i)}})
 			}
 			q := m.queue
-			So(len(q.stands)+len(q.open)+len(q.picked)+q.deadline.tree.Size()+q.pauses.tree.Size()+q.over.tree.Size(), ShouldEqual, 0)
+			So(len(q.positions)+len(q.running)+len(q.picked)+q.expiries.tree.Size()+q.delayed.tree.Size()+q.finished.tree.Size(), ShouldEqual, 0)
 			So(m.Ready(0), ShouldBeEmpty)
 		})
 	})
@@ -45,19 +45,19 @@
 		m.Apply(ordered("0"))
 		m.Apply(ordered("1"))
 		m.Apply(start("0", 1))
-		open := back("0", 1)
-		open.Hold, open.Deadline = true, 1500
+		open := runFailed("0", 1)
+		open.HoldsKey, open.Deadline = true, 1500
 		m.Apply(open)
-		again, err := Restore(m.Image())
+		again, err := Restore(m.Snapshot())
 		So(err, ShouldBeNil)
 		for _, m := range []*Machine{m, again} {
 			So(m.Ready(1499), ShouldBeEmpty)
 			late := []string{}
-			for _, e := range m.Late(1499) {
+			for _, e := range m.TakeExpired(1499) {
 				late = append(late, e.Id)
 			}
 			So(late, ShouldResemble, []string{"1"})
-			So(m.Late(1500)[0].Id, ShouldEqual, "0")
+			So(m.TakeExpired(1500)[0].Id, ShouldEqual, "0")
 			So(m.Ready(1500)["l"], ShouldEqual, 1)
 		}
 	})
@@ -70,7 +70,7 @@
 		m := New()
 		for i := range 40 {
 			c := take(fmt.Sprint(i))
-			c.At, c.Prompt, c.Deadline = int64(i), 100, 100_000
+			c.At, c.StartWithin, c.Deadline = int64(i), 100, 100_000
 			if i >= 30 {
 				c.At = 5000
 			}
@@ -92,12 +92,12 @@
 	Convey("A message is wanted so long after its delay", t, func() {
 		m := New()
 		c := take("1")
-		c.Delay, c.Prompt = 300, 100
+		c.Delay, c.StartWithin = 300, 100
 		m.Apply(c)
-		So(m.Find("1").Wanted, ShouldEqual, 400)
-		again, err := Restore(m.Image())
+		So(m.Find("1").StartBy, ShouldEqual, 400)
+		again, err := Restore(m.Snapshot())
 		So(err, ShouldBeNil)
-		So(again.Find("1").Wanted, ShouldEqual, 400)
+		So(again.Find("1").StartBy, ShouldEqual, 400)
 	})
 }
 
@@ -112,10 +112,10 @@
 		for range count / 10 {
 			e := m.Pick("l", 0)
 			m.Apply(start(e.Id, 1))
-			m.Apply(back(e.Id, 1))
+			m.Apply(runFailed(e.Id, 1))
 		}
-		for _, e := range m.Late(1000) {
-			m.Apply(shut(e.Id, e.Attempt, Expired))
+		for _, e := range m.TakeExpired(1000) {
+			m.Apply(closedAs(e.Id, e.Attempt, Expired))
 		}
 	}
 }
--- a/internal/place/size_test.go
+++ b/internal/place/size_test.go
@@ -16,14 +16,14 @@
 			m := New()
 			for i := range count {
 				m.Apply(Command{Kind: CmdTake, At: int64(i), Id: fmt.Sprintf("17-%024d", i), Lane: "parked", Deadline: 86_400_000,
-					Body: make([]byte, 256), Sum: fmt.Sprintf("%064d", i), Ctype: "application/octet-stream"})
+					Body: make([]byte, 256), Checksum: fmt.Sprintf("%064d", i), ContentType: "application/octet-stream"})
 			}
 			held := liveBytes() - before
 			var image []byte
 			made, read := time.Duration(0), time.Duration(0)
 			for b.Loop() {
 				began := time.Now()
-				image = m.Image()
+				image = m.Snapshot()
 				made += time.Since(began)
 				began = time.Now()
 				if _, err := Restore(image); err != nil {
--- a/internal/place/image.go
+++ b/internal/place/snapshot.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/wire"
 )
 
-type image struct {
+type snapshot struct {
 	Clock    int64     `avro:"clock"`
 	Seq      int64     `avro:"seq"`
 	Messages []Message `avro:"errands"`
@@ -18,12 +18,12 @@
 }
 
 // The clock of an image is never negative.
-var imageCodec = wire.NewGrown(&image{}, wire.MarkNumberNumberList)
+var snapshotCodec = wire.NewVersionedCodec(&snapshot{}, wire.PrefixIntIntList)
 
-// Image gives the whole state as bytes.
-func (m *Machine) Image() []byte {
+// Snapshot gives the whole state as bytes.
+func (m *Machine) Snapshot() []byte {
 	isGrown := false
-	out := image{Level: m.level, Clock: m.clock, Seq: m.seq, Messages: make([]Message, 0, len(m.messages)+len(m.archive)), Outbox: []Child{}}
+	out := snapshot{Level: m.level, Clock: m.clock, Seq: m.seq, Messages: make([]Message, 0, len(m.messages)+len(m.archive)), Outbox: []Child{}}
 	for _, e := range m.messages {
 		out.Messages = append(out.Messages, *e)
 	}
@@ -32,7 +32,7 @@
 	}
 	for i := range out.Messages {
 		e := &out.Messages[i]
-		isGrown = isGrown || len(e.Head) > 0 || e.Notify != "" || e.Wanted != 0
+		isGrown = isGrown || len(e.Head) > 0 || e.Notify != "" || e.StartBy != 0
 	}
 	slices.SortFunc(out.Messages, func(a, b Message) int { return int(a.Seq - b.Seq) })
 	for _, id := range slices.Sorted(maps.Keys(m.outbox)) {
@@ -40,18 +40,18 @@
 	}
 	switch {
 	case m.level >= LevelQuotas:
-		out.Counts = m.counts.Image()
-		return imageCodec.EncodeOf(&out, 8)
+		out.Counts = m.ledger.Snapshot()
+		return snapshotCodec.EncodeVersion(&out, 8)
 	case m.level > 0:
-		return imageCodec.EncodeOf(&out, 6)
+		return snapshotCodec.EncodeVersion(&out, 6)
 	}
-	return imageCodec.Encode(&out, isGrown)
+	return snapshotCodec.Encode(&out, isGrown)
 }
 
 // Restore reads a whole state back.
 func Restore(raw []byte) (*Machine, error) {
-	var in image
-	if err := imageCodec.Decode(raw, &in); err != nil {
+	var in snapshot
+	if err := snapshotCodec.Decode(raw, &in); err != nil {
 		return nil, err
 	}
 	if err := checkLevel(in.Level); err != nil {
@@ -62,37 +62,37 @@
 	if err != nil {
 		return nil, err
 	}
-	m.clock, m.seq, m.level, m.counts = in.Clock, in.Seq, in.Level, counts
+	m.clock, m.seq, m.level, m.ledger = in.Clock, in.Seq, in.Level, counts
 	for _, read := range in.Messages {
 		e := &read // by itself, so that no message keeps all others in memory
 		m.messages[e.Id] = e
 		m.bytes += e.size()
-		if e.IsOwed {
-			m.owed[e.Id] = true
+		if e.IsNotificationPending {
+			m.pendingNotifications[e.Id] = true
 		}
-		if e.Idem != "" {
-			m.idems[e.idemOf()] = e.Id
+		if e.IdempotencyKey != "" {
+			m.idempotencyKeys[e.idempotencyKey()] = e.Id
 		}
-		if e.Ordered && (!e.State.IsOver() || e.IsHolder) {
-			m.keys[e.keyOf()] = append(m.keys[e.keyOf()], e.Id)
+		if e.Ordered && (!e.State.IsOver() || e.IsHoldingKey) {
+			m.keys[e.orderKey()] = append(m.keys[e.orderKey()], e.Id)
 		}
-		m.noteHolder(e)
+		m.trackKeyHolder(e)
 	}
 	for _, c := range in.Outbox {
 		m.outbox[c.Id] = c
 	}
 	for _, e := range in.Messages {
-		m.settle(e.Id)
+		m.archiveIfFinal(e.Id)
 	}
-	m.Requeue()
+	m.RebuildQueue()
 	return m, nil
 }
 
-// Requeue derives the queue anew: a new owner picks afresh.
-func (m *Machine) Requeue() {
+// RebuildQueue derives the queue anew: a new owner picks afresh.
+func (m *Machine) RebuildQueue() {
 	m.queue = newQueue()
 	all := slices.SortedFunc(maps.Values(m.messages), func(a, b *Message) int { return int(a.Seq - b.Seq) })
 	for _, e := range all {
-		m.queue.note(m, e)
+		m.queue.reindex(m, e)
 	}
 }
--- a/internal/place/walk_test.go
+++ b/internal/place/walk_test.go
@@ -17,21 +17,21 @@
 // they are made, and other commands come between.
 type placeWalk struct {
 	m        *Machine
-	draws    *rand.Rand
+	random   *rand.Rand
 	now      int64
 	count    int
 	proposed []Command
 }
 
 func newPlaceWalk(seed uint64) *placeWalk {
-	w := &placeWalk{m: New(), draws: rand.New(rand.NewPCG(seed, 7))}
+	w := &placeWalk{m: New(), random: rand.New(rand.NewPCG(seed, 7))}
 	if seed%2 == 0 { // as older replicas apply commands, and as newer ones do
-		w.apply(Raise(NewestLevel))
+		w.apply(RaiseLevel(NewestLevel))
 	}
 	return w
 }
 
-func (w *placeWalk) apply(c Command) Verdict {
+func (w *placeWalk) apply(c Command) Result {
 	c.At = w.now
 	return w.m.Apply(c)
 }
@@ -47,73 +47,73 @@
 func (w *placeWalk) take() {
 	w.count++
 	c := take(fmt.Sprint(w.count))
-	c.Deadline, c.Delay = 50+w.draws.Int64N(2000), w.draws.Int64N(3)*w.draws.Int64N(300)
-	c.Ordered, c.Key = w.draws.IntN(2) == 0, fmt.Sprint(w.draws.IntN(4))
-	c.Notify = []string{"", "http://10.0.0.1/"}[w.draws.IntN(2)]
+	c.Deadline, c.Delay = 50+w.random.Int64N(2000), w.random.Int64N(3)*w.random.Int64N(300)
+	c.Ordered, c.Key = w.random.IntN(2) == 0, fmt.Sprint(w.random.IntN(4))
+	c.Notify = []string{"", "http://10.0.0.1/"}[w.random.IntN(2)]
 	w.apply(c)
 }
 
-// begin picks a message and starts it, or does not after all.
-func (w *placeWalk) begin() {
+// pickAndStart picks a message and starts it, or does not after all.
+func (w *placeWalk) pickAndStart() {
 	e := w.m.Pick("l", w.now)
 	if e == nil {
 		return
 	}
 	c := start(e.Id, e.Attempt+1)
-	c.Deadline = w.draws.Int64N(200)
-	if w.draws.IntN(6) == 0 || w.apply(c).Kind != "" {
+	c.Deadline = w.random.Int64N(200)
+	if w.random.IntN(6) == 0 || w.apply(c).Kind != "" {
 		w.m.Unpick(e)
 	}
 }
 
 // end tells of a run, of the newest or of an older one.
-func (w *placeWalk) end() {
+func (w *placeWalk) finishRun() {
 	e := w.any()
 	if e == nil || e.Attempt == 0 {
 		return
 	}
-	attempt := e.Attempt - w.draws.Int64N(2)
-	switch w.draws.IntN(4) {
+	attempt := e.Attempt - w.random.Int64N(2)
+	switch w.random.IntN(4) {
 	case 0:
-		w.apply(end(e.Id, max(1, attempt)))
+		w.apply(runSucceeded(e.Id, max(1, attempt)))
 	case 1:
-		w.apply(shut(e.Id, attempt, Failed))
+		w.apply(closedAs(e.Id, attempt, Failed))
 	default:
-		c := back(e.Id, attempt)
-		c.Deadline, c.Hold = w.draws.Int64N(200), w.draws.IntN(2) == 0
+		c := runFailed(e.Id, attempt)
+		c.Deadline, c.HoldsKey = w.random.Int64N(200), w.random.IntN(2) == 0
 		w.apply(c)
 	}
 }
 
 func (w *placeWalk) step() {
-	w.now += w.draws.Int64N(40)
-	switch w.draws.IntN(10) {
+	w.now += w.random.Int64N(40)
+	switch w.random.IntN(10) {
 	case 0, 1, 2:
 		w.take()
 	case 3, 4, 5:
-		w.begin()
+		w.pickAndStart()
 	case 6, 7:
-		w.end()
+		w.finishRun()
 	case 8:
-		for _, e := range w.m.Late(w.now) { // committed after what else was under way
-			w.proposed = append(w.proposed, shut(e.Id, e.Attempt, Expired))
+		for _, e := range w.m.TakeExpired(w.now) { // committed after what else was under way
+			w.proposed = append(w.proposed, closedAs(e.Id, e.Attempt, Expired))
 		}
-		w.apply(Command{Kind: CmdTrim, Ids: w.m.Stale(w.now, 5)})
+		w.apply(Command{Kind: CmdTrim, Ids: w.m.TakeForgettable(w.now, 5)})
 	case 9:
 		for _, c := range w.proposed {
 			w.apply(c)
 		}
 		w.proposed = nil
-		if w.draws.IntN(8) == 0 {
-			w.m.Requeue() // another ownership
+		if w.random.IntN(8) == 0 {
+			w.m.RebuildQueue() // another ownership
 		}
 	}
 }
 
-// forgotten names a message that nothing will take up again, if there is one.
-func (w *placeWalk) forgotten() string {
+// stuck names a message that nothing will take up again, if there is one.
+func (w *placeWalk) stuck() string {
 	for key, list := range w.m.keys {
-		if e := w.m.messages[list[0]]; e == nil || e.State.IsOver() && !e.IsHolder {
+		if e := w.m.messages[list[0]]; e == nil || e.State.IsOver() && !e.IsHoldingKey {
 			return fmt.Sprintf("key %q waits for %s, which is over", key, list[0])
 		}
 	}
@@ -123,19 +123,19 @@
 	}
 	for id, e := range w.m.messages {
 		sets := map[*sortedSet]bool{}
-		for _, s := range w.m.queue.stands[id] {
+		for _, s := range w.m.queue.positions[id] {
 			sets[s.set] = true
 		}
-		isReady := w.m.queue.ready[e.Lane] != nil && (sets[w.m.queue.ready[e.Lane].fresh] || sets[w.m.queue.ready[e.Lane].again])
-		isWatched := sets[w.m.queue.deadline] || closing[id]
+		isReady := w.m.queue.ready[e.Lane] != nil && (sets[w.m.queue.ready[e.Lane].fresh] || sets[w.m.queue.ready[e.Lane].retries])
+		isWatched := sets[w.m.queue.expiries] || closing[id]
 		switch {
-		case w.m.level >= LevelFreesKeys && e.State == Ended && e.IsHolder && e.Due <= w.m.clock:
+		case w.m.level >= LevelFreesKeys && e.State == Ended && e.IsHoldingKey && e.Due <= w.m.clock:
 			return id + " holds its key though its last run must be over"
-		case e.State == Started && !w.m.queue.open[id]:
+		case e.State == Started && !w.m.queue.running[id]:
 			return id + " is started and not open"
 		case e.State == Held && !isWatched:
 			return id + " is held and never expires"
-		case e.State == Held && w.m.isFirst(e) && !isReady && !sets[w.m.queue.pauses] && e.Deadline > w.now:
+		case e.State == Held && w.m.isFirstOfKey(e) && !isReady && !sets[w.m.queue.delayed] && e.Deadline > w.now:
 			return id + " is held, may run, and is not ready"
 		}
 	}
@@ -146,18 +146,18 @@
 // a pause, under way or behind another of its key, and expires at last.
 func TestNothingIsForgotten(t *testing.T) {
 	Convey("Whatever an owner does, no message is left lying", t, func() {
-		lying := []string{}
+		stuck := []string{}
 		for seed := uint64(1); seed <= walks; seed++ {
 			w := newPlaceWalk(seed)
 			for range walkSteps {
 				w.step()
-				if text := w.forgotten(); text != "" {
-					lying = append(lying, fmt.Sprintf("seed %d at %d: %s", seed, w.now, text))
+				if text := w.stuck(); text != "" {
+					stuck = append(stuck, fmt.Sprintf("seed %d at %d: %s", seed, w.now, text))
 					break
 				}
 			}
 		}
-		So(lying, ShouldBeEmpty)
+		So(stuck, ShouldBeEmpty)
 	})
 }
 
@@ -166,14 +166,14 @@
 func TestKeyOfAnOlderSuccess(t *testing.T) {
 	Convey("Given two messages of a key, the first with a run that may go on until 1500, once replicas have agreed on that", t, func() {
 		m := New()
-		m.Apply(Raise(LevelFreesKeys))
-		for _, c := range []Command{ordered("0"), ordered("1"), start("0", 1), back("0", 1), start("0", 2)} {
+		m.Apply(RaiseLevel(LevelFreesKeys))
+		for _, c := range []Command{ordered("0"), ordered("1"), start("0", 1), runFailed("0", 1), start("0", 2)} {
 			m.Apply(c)
 		}
-		open := back("0", 2)
-		open.Hold, open.Deadline = true, 1500
+		open := runFailed("0", 2)
+		open.HoldsKey, open.Deadline = true, 1500
 		m.Apply(open)
-		older := end("0", 1)
+		older := runSucceeded("0", 1)
 		older.Retain = 100_000
 		m.Apply(older)
 		So(m.Find("0").State, ShouldEqual, Ended)
--- a/internal/place/where_test.go
+++ b/internal/place/where_test.go
@@ -10,7 +10,7 @@
 func TestWhere(t *testing.T) {
 	delayed := take("0")
 	delayed.Delay = 500
-	paused := back("0", 1)
+	paused := runFailed("0", 1)
 	paused.Deadline = 80
 	short := take("0")
 	short.Deadline = 50
@@ -20,27 +20,27 @@
 		commands []Command
 		then     func(m *Machine)
 		id       string
-		want     Where
+		want     WaitStatus
 		isKnown  bool
 	}{
-		{"a slot, since it may run", []Command{take("0")}, nil, "0", Where{WaitSlot, "", 100, -1}, true},
-		{"its delay", []Command{delayed}, nil, "0", Where{WaitTime, "", -1, 400}, true},
-		{"a pause between two runs", []Command{take("0"), start("0", 1), paused, markedAt(20)}, nil, "0", Where{WaitSlot, "", 20, -1}, true},
-		{"another message of its key", []Command{ordered("0"), ordered("1")}, nil, "1", Where{WaitKey, "0", -1, -1}, true},
-		{"its start, once it was picked", []Command{take("0")}, pick, "0", Where{WaitStart, "", 100, -1}, true},
-		{"its run", []Command{take("0"), start("0", 1)}, nil, "0", Where{WaitRun, "", -1, -1}, true},
-		{"its end, once its patience is over", []Command{short}, nil, "0", Where{WaitEnd, "", 50, -1}, true},
-		{"nothing, once it is over", []Command{take("0"), start("0", 1), end("0", 1)}, nil, "0", Where{WaitNothing, "", -1, -1}, true},
-		{"nothing, where it is not known", nil, nil, "0", Where{WaitNothing, "", -1, -1}, false},
+		{"a slot, since it may run", []Command{take("0")}, nil, "0", WaitStatus{WaitSlot, "", 100, -1}, true},
+		{"its delay", []Command{delayed}, nil, "0", WaitStatus{WaitTime, "", -1, 400}, true},
+		{"a pause between two runs", []Command{take("0"), start("0", 1), paused, timeMarkAt(20)}, nil, "0", WaitStatus{WaitSlot, "", 20, -1}, true},
+		{"another message of its key", []Command{ordered("0"), ordered("1")}, nil, "1", WaitStatus{WaitKey, "0", -1, -1}, true},
+		{"its start, once it was picked", []Command{take("0")}, pick, "0", WaitStatus{WaitStart, "", 100, -1}, true},
+		{"its run", []Command{take("0"), start("0", 1)}, nil, "0", WaitStatus{WaitRun, "", -1, -1}, true},
+		{"its end, once its patience is over", []Command{short}, nil, "0", WaitStatus{WaitEnd, "", 50, -1}, true},
+		{"nothing, once it is over", []Command{take("0"), start("0", 1), runSucceeded("0", 1)}, nil, "0", WaitStatus{WaitNothing, "", -1, -1}, true},
+		{"nothing, where it is not known", nil, nil, "0", WaitStatus{WaitNothing, "", -1, -1}, false},
 	}
 	Convey("At place time 100 a message waits for", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
-				m := on(New(), c.commands...)
+				m := applyAll(New(), c.commands...)
 				if c.then != nil {
 					c.then(m)
 				}
-				got, isKnown := m.Where(c.id, 100)
+				got, isKnown := m.WaitStatus(c.id, 100)
 				So(got, ShouldResemble, c.want)
 				So(isKnown, ShouldEqual, c.isKnown)
 			})
@@ -56,7 +56,7 @@
 		return c
 	}
 	Convey("Of messages with delays of 500 and 300 and one without, two wait at place time 100", t, func() {
-		m := on(New(), delayed("0", 500), delayed("1", 300), take("2"))
+		m := applyAll(New(), delayed("0", 500), delayed("1", 300), take("2"))
 		count, first := m.Delayed(100)
 		So([]int64{int64(count), first}, ShouldResemble, []int64{2, 200})
 		Convey("and none once they are over", func() {
--- a/internal/quota/account.go
+++ b/internal/quota/bucket.go
@@ -7,11 +7,11 @@
 	"caperwheel/internal/wire"
 )
 
-// account is the bucket of one tenant, and who holds tokens of it.
+// bucket is the bucket of one tenant, and who holds tokens of it.
 //
 // Invariant: Free and what all holders hold are at most Burst together, but for what was held when the limit was
 // lowered: Free is 0 until that fits. Holders are sorted by name.
-type account struct {
+type bucket struct {
 	Tenant  string   `avro:"tenant"`
 	Rate    int64    `avro:"rate"`
 	Burst   int64    `avro:"burst"`
@@ -25,7 +25,7 @@
 // Invariant: Spent and Returned are at most Granted together.
 type holder struct {
 	Name     string `avro:"name"`
-	Life     int64  `avro:"life"`
+	Epoch    int64  `avro:"life"`
 	Granted  int64  `avro:"granted"`
 	Spent    int64  `avro:"spent"`
 	Returned int64  `avro:"returned"`
@@ -38,115 +38,115 @@
 func (h *holder) held() int64  { return h.Granted - h.Spent - h.Returned }
 func (h *holder) unmet() int64 { return max(0, h.Need-h.Granted) }
 
-// sharedPart is how much of the burst, in quarters, is held ahead by adapters. The rest is for messages that wait.
-const sharedPart = 3
+// heldAheadQuarters is how much of the burst, in quarters, is held ahead by adapters. The rest is for messages that wait.
+const heldAheadQuarters = 3
 
-// leastLevel is the least that is worth holding.
-const leastLevel = 2
+// minHoldingLimit is the least that is worth holding.
+const minHoldingLimit = 2
 
 // Of the lease of a holder: how long its unmet need is reserved for it, and how long it is kept besides.
 const (
-	reservedPart = 8
-	marginPart   = 4
-	pausePart    = 16
+	reservedDivisor = 8
+	marginDivisor   = 4
+	pauseDivisor    = 16
 )
 
-func newAccount(limit Limit, at int64) *account {
-	return &account{Tenant: limit.Tenant, Rate: limit.Rate, Burst: limit.Burst, Free: limit.Burst, At: at}
+func newBucket(limit Limit, at int64) *bucket {
+	return &bucket{Tenant: limit.Tenant, Rate: limit.Rate, Burst: limit.Burst, Free: limit.Burst, At: at}
 }
 
 // held is what all holders hold, in millionths.
-func (a *account) held() int64 {
+func (a *bucket) held() int64 {
 	sum := int64(0)
 	for i := range a.Holders {
 		sum += a.Holders[i].held()
 	}
-	return sum * token
+	return sum * tokenUnits
 }
 
 // advance refills the bucket for the time that has passed and drops holders whose time is over. What they held
 // is spent: it makes room that only time fills.
-func (a *account) advance(at int64) {
-	span := max(0, min(at-a.At, longestSpan))
-	a.gain(a.Rate * span)
+func (a *bucket) advance(at int64) {
+	span := max(0, min(at-a.At, refillSpanLimitMs))
+	a.refill(a.Rate * span)
 	a.At = max(a.At, at)
 	a.Holders = slices.DeleteFunc(a.Holders, func(h holder) bool { return at >= h.Until })
 }
 
-// change takes a limit in. A lower one counts from where the bucket was refilled last, a higher one from now on.
-func (a *account) change(limit Limit, at int64) {
+// setLimit takes a limit in. A lower one counts from where the bucket was refilled last, a higher one from now on.
+func (a *bucket) setLimit(limit Limit, at int64) {
 	a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)
 	a.advance(at)
 	a.Rate, a.Burst = limit.Rate, limit.Burst
 }
 
-// gain adds to the bucket what it has room for.
-func (a *account) gain(amount int64) { a.Free = max(0, min(a.Free+amount, a.Burst-a.held())) }
+// refill adds to the bucket what it has room for.
+func (a *bucket) refill(amount int64) { a.Free = max(0, min(a.Free+amount, a.Burst-a.held())) }
 
 // isUnused reports whether the account is as one that begins anew.
-func (a *account) isUnused() bool { return len(a.Holders) == 0 && a.Free >= a.Burst }
+func (a *bucket) isUnused() bool { return len(a.Holders) == 0 && a.Free >= a.Burst }
 
-func (a *account) find(name string) (int, bool) {
+func (a *bucket) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(a.Holders, name, func(h holder, name string) int { return cmp.Compare(h.Name, name) })
 }
 
 // report takes in what a holder tells. It returns nil for an ask of an earlier life of the holder's account.
-func (a *account) report(ask Ask, at int64) *holder {
+func (a *bucket) report(ask Ask, at int64) *holder {
 	c := ask.Count
 	i, isKnown := a.find(ask.Holder)
 	if !isKnown {
-		a.Holders = slices.Insert(a.Holders, i, holder{Name: ask.Holder, Life: c.Life})
+		a.Holders = slices.Insert(a.Holders, i, holder{Name: ask.Holder, Epoch: c.Epoch})
 	}
 	h := &a.Holders[i]
-	if c.Life < h.Life {
+	if c.Epoch < h.Epoch {
 		return nil
 	}
-	if c.Life > h.Life { // it has forgotten what it held before, which counts as spent
-		*h = holder{Name: ask.Holder, Life: c.Life}
+	if c.Epoch > h.Epoch { // it has forgotten what it held before, which counts as spent
+		*h = holder{Name: ask.Holder, Epoch: c.Epoch}
 	}
 	returned := max(0, min(c.Returned-h.Returned, h.held()))
 	h.Returned += returned
-	a.gain(returned * token)
+	a.refill(returned * tokenUnits)
 	h.Spent += max(0, min(c.Spent-h.Spent, h.held()))
 	h.Need, h.Target, h.AskedAt = max(h.Need, c.Need), max(0, c.Target), at
-	h.Until = max(h.Until, at+ask.Lease+ask.Lease/marginPart)
+	h.Until = max(h.Until, at+ask.Lease+ask.Lease/marginDivisor)
 	return h
 }
 
 // grant gives a holder what it needs now, then what it may hold for later.
-func (a *account) grant(ask Ask, h *holder, at int64) wire.QuotaGrant {
-	a.give(h, a.urgent(ask, h, at))
-	share := min(h.Target, a.level())
+func (a *bucket) grant(ask Ask, h *holder, at int64) wire.QuotaGrant {
+	a.grantTokens(h, a.urgentGrant(ask, h, at))
+	share := min(h.Target, a.holdingLimit())
 	ahead := h.held() - max(0, min(ask.Count.InFlight, h.held()))
-	a.give(h, min(share-ahead, a.Free/token-a.reserved(ask, h, at)))
-	out := wire.QuotaGrant{Tenant: a.Tenant, Life: h.Life, Granted: h.Granted, Share: share}
+	a.grantTokens(h, min(share-ahead, a.Free/tokenUnits-a.reserved(ask, h, at)))
+	out := wire.QuotaGrant{Tenant: a.Tenant, Epoch: h.Epoch, Granted: h.Granted, Share: share}
 	if h.unmet() > 0 {
-		out.Wait = a.wait(ask.Lease)
+		out.Wait = a.retryDelay(ask.Lease)
 	}
 	return out
 }
 
-// level is the most that a holder may hold for messages to come. Of a small burst none is held: what one holder
+// holdingLimit is the most that a holder may hold for messages to come. Of a small burst none is held: what one holder
 // keeps, another lacks.
-func (a *account) level() int64 {
-	level := fairLevel(a.Burst/token*sharedPart/4, a.targets())
-	if level < leastLevel {
+func (a *bucket) holdingLimit() int64 {
+	level := maxMinFairShare(a.Burst/tokenUnits*heldAheadQuarters/4, a.targets())
+	if level < minHoldingLimit {
 		return 0
 	}
 	return level
 }
 
-func (a *account) give(h *holder, count int64) {
+func (a *bucket) grantTokens(h *holder, count int64) {
 	if count > 0 {
 		h.Granted += count
-		a.Free -= count * token
+		a.Free -= count * tokenUnits
 	}
 }
 
-// urgent is how many tokens a holder gets for messages that wait: all that it needs, or a fair part of what
+// urgentGrant is how many tokens a holder gets for messages that wait: all that it needs, or a fair part of what
 // there is where others have asked lately for more than they got.
-func (a *account) urgent(ask Ask, h *holder, at int64) int64 {
-	free, need := a.Free/token, h.unmet()
+func (a *bucket) urgentGrant(ask Ask, h *holder, at int64) int64 {
+	free, need := a.Free/tokenUnits, h.unmet()
 	if need == 0 || free == 0 {
 		return 0
 	}
@@ -154,27 +154,27 @@
 		return need
 	}
 	needs := []int64{need}
-	a.eachUnmet(ask, h, at, func(unmet int64) { needs = append(needs, unmet) })
-	return max(1, min(need, fairLevel(free, needs)))
+	a.forEachUnmet(ask, h, at, func(unmet int64) { needs = append(needs, unmet) })
+	return max(1, min(need, maxMinFairShare(free, needs)))
 }
 
 // reserved is what other holders lack for messages that waited lately.
-func (a *account) reserved(ask Ask, h *holder, at int64) int64 {
+func (a *bucket) reserved(ask Ask, h *holder, at int64) int64 {
 	sum := int64(0)
-	a.eachUnmet(ask, h, at, func(unmet int64) { sum += unmet })
+	a.forEachUnmet(ask, h, at, func(unmet int64) { sum += unmet })
 	return sum
 }
 
-func (a *account) eachUnmet(ask Ask, h *holder, at int64, work func(unmet int64)) {
+func (a *bucket) forEachUnmet(ask Ask, h *holder, at int64, work func(unmet int64)) {
 	for i := range a.Holders {
 		other := &a.Holders[i]
-		if other != h && other.unmet() > 0 && at-other.AskedAt <= ask.Lease/reservedPart {
+		if other != h && other.unmet() > 0 && at-other.AskedAt <= ask.Lease/reservedDivisor {
 			work(other.unmet())
 		}
 	}
 }
 
-func (a *account) targets() []int64 {
+func (a *bucket) targets() []int64 {
 	out := make([]int64, 0, len(a.Holders))
 	for i := range a.Holders {
 		out = append(out, a.Holders[i].Target)
@@ -182,19 +182,19 @@
 	return out
 }
 
-// wait is after how many milliseconds a holder should ask again for what it did not get.
-func (a *account) wait(lease int64) int64 {
-	pause := max(1, lease/pausePart)
-	missing := token - a.Free
-	if missing <= 0 || a.Burst-a.held() < token { // reserved, or all held by others
+// retryDelay is after how many milliseconds a holder should ask again for what it did not get.
+func (a *bucket) retryDelay(lease int64) int64 {
+	pause := max(1, lease/pauseDivisor)
+	missing := tokenUnits - a.Free
+	if missing <= 0 || a.Burst-a.held() < tokenUnits { // reserved, or all held by others
 		return pause
 	}
 	return min(missing/max(1, a.Rate)+1, max(1, lease))
 }
 
-// fairLevel is the most that each of those who want something may have, so that all of them have the same or
+// maxMinFairShare is the most that each of those who want something may have, so that all of them have the same or
 // what they want, and together no more than there is (water-filling). It rounds down.
-func fairLevel(available int64, wants []int64) int64 {
+func maxMinFairShare(available int64, wants []int64) int64 {
 	slices.Sort(wants)
 	left := int64(len(wants))
 	for _, want := range wants {
@@ -204,5 +204,5 @@
 		available -= want
 		left--
 	}
-	return largestBurst
+	return burstLimit
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/load_test.go
@@ -21,11 +21,11 @@
 			if i < 3 {
 				usual = 1400 * 0.15
 			}
-			w := newWorld(conditions{limit: LimitOf("t", 1.6*usual, 1.6*usual), rates: slices.Repeat([]float64{usual / 4}, 4),
+			w := newSimulation(conditions{limit: LimitOf("t", 1.6*usual, 1.6*usual), rates: slices.Repeat([]float64{usual / 4}, 4),
 				length: span * time.Second}, uint64(i))
 			w.run()
 			asks, batches, messages, refused, waited = asks+w.asks, batches+w.batches, messages+w.messages, refused+w.refused, waited+w.waited
-			So(mostOver(w.spends, w.limit), ShouldBeLessThan, 1e-6)
+			So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
 		}
 		t.Logf("a second: %d messages, %d asks, %d batches; refused %.2f %%, waited %.2f %%", messages/span, asks/span, batches/span,
 			100*float64(refused)/float64(messages), 100*float64(waited)/float64(messages))
@@ -34,15 +34,15 @@
 		So(float64(waited), ShouldBeLessThan, 0.05*float64(messages))
 	})
 	Convey("An ask, its answer and what it adds to a place's log are short", t, func() {
-		count := wire.QuotaCount{Tenant: "tenant-12-8f21c0de", Life: 300, Spent: 40_000, Need: 40_010, Target: 6}
+		count := wire.QuotaCount{Tenant: "tenant-12-8f21c0de", Epoch: 300, Spent: 40_000, Need: 40_010, Target: 6}
 		asks, replies := wire.PlaceLink.Codecs(wire.Version)
 		size := func(codec *wire.Codec, body any) int {
-			w := codec.Writer(64)
-			So(codec.Append(w, wire.Item{Corr: 70_000, Body: body}), ShouldBeNil)
+			w := codec.NewWriter(64)
+			So(codec.Append(w, wire.Item{CorrelationId: 70_000, Body: body}), ShouldBeNil)
 			return len(w.Buffer())
 		}
 		ask := size(asks, &wire.QuotaAsk{Place: 40, Holder: "0123456789abcdef", Lease: 1500, Counts: []wire.QuotaCount{count}})
-		reply := size(replies, &wire.QuotaGrants{Grants: []wire.QuotaGrant{{Tenant: count.Tenant, Life: 300, Granted: 40_016, Share: 6}}})
+		reply := size(replies, &wire.QuotaGrants{Grants: []wire.QuotaGrant{{Tenant: count.Tenant, Epoch: 300, Granted: 40_016, Share: 6}}})
 		entry := len(Batch{Limits: []Limit{LimitOf(count.Tenant, 15, 15)}, Asks: []Ask{{Holder: "0123456789abcdef", Lease: 1500, Count: count}}}.Encode())
 		t.Logf("ask %d bytes, answer %d, batch of one ask %d", ask, reply, entry)
 		So(ask+reply, ShouldBeLessThan, 150)
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -13,61 +13,61 @@
 // modelSeeds is how many random worlds a run of the model plays.
 const modelSeeds = 400
 
-// rough draws the conditions of a world in which all goes wrong that may.
-func rough(seed uint64) conditions {
+// randomConditions draws the conditions of a world in which all goes wrong that may.
+func randomConditions(seed uint64) conditions {
 	r := rand.New(rand.NewPCG(seed, 3))
 	rate := []float64{0.5, 3, 8, 20, 100}[r.IntN(5)]
 	burst := max(1, rate*[]float64{0.4, 1, 3, 20}[r.IntN(4)])
-	c := conditions{limit: LimitOf("t", rate, burst), length: 20 * time.Second, isRough: true, jumps: r.IntN(4) == 0,
-		pace: []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond}[r.IntN(2)]}
+	c := conditions{limit: LimitOf("t", rate, burst), length: 20 * time.Second, hasFaults: true, spreadsMessages: r.IntN(4) == 0,
+		maxFaultInterval: []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond}[r.IntN(2)]}
 	load := rate * []float64{0.5, 1.2, 4, 20}[r.IntN(4)]
 	for range 3 {
 		c.rates = append(c.rates, load*2*r.Float64()/3+0.01)
 	}
 	if r.IntN(3) == 0 {
 		c.lowerAt, c.lower = 6*time.Second, LimitOf("t", rate/4, max(1, burst/4))
-		c.calms = r.IntN(2) == 0
+		c.lullsAtLowering = r.IntN(2) == 0
 	}
 	return c
 }
 
-// lowerBinds is after how long a lower limit must hold.
-const lowerBinds = 5 * time.Second
+// lowerLimitDelay is after how long a lower limit must hold.
+const lowerLimitDelay = 5 * time.Second
 
-// broken tells what is wrong with what was accepted in a world.
-func broken(w *world) string {
-	slices.Sort(w.spends)
-	high := w.spends
+// findViolation tells what is wrong with what was accepted in a world.
+func findViolation(w *simulation) string {
+	slices.Sort(w.admissions)
+	high := w.admissions
 	if w.lowerAt > 0 {
 		high = nil
 		low := []time.Duration{}
-		for _, at := range w.spends {
+		for _, at := range w.admissions {
 			if at < w.lowerAt {
 				high = append(high, at)
 			}
-			if at >= w.lowerAt+lowerBinds {
+			if at >= w.lowerAt+lowerLimitDelay {
 				low = append(low, at)
 			}
 		}
-		if over := mostOver(low, w.lower); over > 1e-6 {
+		if over := maxExcess(low, w.lower); over > 1e-6 {
 			return fmt.Sprintf("over the lower limit by %.3f messages", over)
 		}
 	}
-	if over := mostOver(high, w.limit); over > 1e-6 {
+	if over := maxExcess(high, w.limit); over > 1e-6 {
 		return fmt.Sprintf("over the limit by %.3f messages", over)
 	}
-	return w.unsafe
+	return w.violation
 }
 
-// search plays worlds until one breaks, and tells which and how.
-func search(f flaws, seeds uint64) (what string, seed uint64, accepted int) {
+// searchViolation plays worlds until one breaks, and tells which and how.
+func searchViolation(f defects, seeds uint64) (what string, seed uint64, accepted int) {
 	for seed := range seeds {
-		c := rough(seed)
-		c.flaws = f
-		w := newWorld(c, seed)
+		c := randomConditions(seed)
+		c.defects = f
+		w := newSimulation(c, seed)
 		w.run()
-		accepted += len(w.spends)
-		if what := broken(w); what != "" {
+		accepted += len(w.admissions)
+		if what := findViolation(w); what != "" {
 			return what, seed, accepted
 		}
 	}
@@ -77,19 +77,19 @@
 // TestNeverOver: whatever is lost, late, repeated, frozen or restarted, no window has more messages than the limit.
 func TestNeverOver(t *testing.T) {
 	Convey("Given fronts and an owner whose asks, answers and processes fail in all ways", t, func() {
-		what, seed, accepted := search(flaws{}, modelSeeds)
+		what, seed, accepted := searchViolation(defects{}, modelSeeds)
 		t.Logf("%d messages accepted in %d worlds", accepted, modelSeeds)
 		SoMsg(fmt.Sprint("seed ", seed), what, ShouldBeBlank)
 		So(accepted, ShouldBeGreaterThan, modelSeeds*50)
 	})
 	Convey("The model finds what an owner or a front must not do", t, func() {
-		for name, f := range map[string]flaws{
+		for name, f := range map[string]defects{
 			"a grant is told before it is committed":          {answersEarly: true},
 			"a new owner begins without the counts":           {forgetsLedger: true},
 			"a restarted front spends on what it held":        {keepsTokens: true},
 			"a restarted front goes on under its former name": {sharesHolder: true},
 		} {
-			what, seed, _ := search(f, modelSeeds)
+			what, seed, _ := searchViolation(f, modelSeeds)
 			t.Logf("%s: seed %d: %s", name, seed, what)
 			SoMsg(name, what, ShouldNotBeBlank)
 		}
@@ -100,15 +100,15 @@
 func TestReplicasAgree(t *testing.T) {
 	Convey("An image is the state", t, func() {
 		for seed := range uint64(50) {
-			w := newWorld(rough(seed), seed)
+			w := newSimulation(randomConditions(seed), seed)
 			w.run()
-			again, err := Restore(w.ledger.Image())
+			again, err := Restore(w.ledger.Snapshot())
 			So(err, ShouldBeNil)
-			So(again.Image(), ShouldResemble, w.ledger.Image())
+			So(again.Snapshot(), ShouldResemble, w.ledger.Snapshot())
 			batch := Batch{Limits: []Limit{w.limit}, Asks: []Ask{{Holder: "x", Lease: 1500}}}
-			batch.Asks[0].Count.Tenant, batch.Asks[0].Count.Life, batch.Asks[0].Count.Need = "t", 1, 5
-			So(again.Apply(w.stamp+700, batch), ShouldResemble, w.ledger.Apply(w.stamp+700, batch))
-			So(again.Image(), ShouldResemble, w.ledger.Image())
+			batch.Asks[0].Count.Tenant, batch.Asks[0].Count.Epoch, batch.Asks[0].Count.Need = "t", 1, 5
+			So(again.Apply(w.lastPlaceTime+700, batch), ShouldResemble, w.ledger.Apply(w.lastPlaceTime+700, batch))
+			So(again.Snapshot(), ShouldResemble, w.ledger.Snapshot())
 		}
 	})
 }
@@ -136,13 +136,13 @@
 	Convey("Over two minutes without faults", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				w := newWorld(conditions{limit: LimitOf("t", c.rate, c.rate), rates: slices.Repeat([]float64{c.rate * c.load / float64(c.fronts)}, c.fronts),
-					length: 120 * time.Second, jumps: c.jumps}, 1)
+				w := newSimulation(conditions{limit: LimitOf("t", c.rate, c.rate), rates: slices.Repeat([]float64{c.rate * c.load / float64(c.fronts)}, c.fronts),
+					length: 120 * time.Second, spreadsMessages: c.jumps}, 1)
 				w.run()
 				share := func(n int) float64 { return float64(n) / float64(w.messages) }
 				t.Logf("%s: refused %.2f %%, waited %.1f %%, asks a message %.2f, batches a second %.1f", c.name, 100*share(w.refused), 100*share(w.waited),
 					share(w.asks), float64(w.batches)/120)
-				So(mostOver(w.spends, w.limit), ShouldBeLessThan, 1e-6)
+				So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
 				So(share(w.refused), ShouldBeLessThan, c.refused)
 				So(share(w.asks), ShouldBeLessThan, c.asksAtMost)
 				So(share(w.waited), ShouldBeLessThan, c.waitingAtMost)
@@ -155,11 +155,11 @@
 func TestHotTenant(t *testing.T) {
 	Convey("A tenant that sends many times its limit", t, func() {
 		for _, times := range []float64{4, 20} {
-			w := newWorld(conditions{limit: LimitOf("t", 50, 50), rates: slices.Repeat([]float64{50 * times / 4}, 4), length: 60 * time.Second}, 1)
+			w := newSimulation(conditions{limit: LimitOf("t", 50, 50), rates: slices.Repeat([]float64{50 * times / 4}, 4), length: 60 * time.Second}, 1)
 			w.run()
-			t.Logf("%v times: accepted %d of %d allowed, asks a second %.1f, refused %d", times, len(w.spends), 50*61, float64(w.asks)/60, w.refused)
-			So(mostOver(w.spends, w.limit), ShouldBeLessThan, 1e-6)
-			So(len(w.spends), ShouldBeGreaterThan, 50*60*95/100)
+			t.Logf("%v times: accepted %d of %d allowed, asks a second %.1f, refused %d", times, len(w.admissions), 50*61, float64(w.asks)/60, w.refused)
+			So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
+			So(len(w.admissions), ShouldBeGreaterThan, 50*60*95/100)
 			So(float64(w.asks)/60, ShouldBeLessThan, 100)
 		}
 	})
--- a/internal/quota/mutants_test.go
+++ b/internal/quota/mutants_test.go
@@ -18,38 +18,38 @@
 
 // mutants is the table of guards. Each must be found by the model.
 var mutants = []mutant{
-	{"what a dropped holder held is given back", "account.go",
-		"return at >= h.Until })", "if IsMutant(NAME) && at >= h.Until {\n\t\t\ta.Free += h.held() * token\n\t\t}\n\t\treturn at >= h.Until\n\t})"},
-	{"the ledger's expiry is shorter than the front's lease", "account.go",
-		"at+ask.Lease+ask.Lease/marginPart", "at+map[bool]int64{false: ask.Lease + ask.Lease/marginPart, true: ask.Lease / 2}[IsMutant(NAME)]"},
-	{"the bucket is filled beside what is held", "account.go",
+	{"what a dropped holder held is given back", "bucket.go",
+		"return at >= h.Until })", "if IsMutant(NAME) && at >= h.Until {\n\t\t\ta.Free += h.held() * tokenUnits\n\t\t}\n\t\treturn at >= h.Until\n\t})"},
+	{"the ledger's expiry is shorter than the front's lease", "bucket.go",
+		"at+ask.Lease+ask.Lease/marginDivisor", "at+map[bool]int64{false: ask.Lease + ask.Lease/marginDivisor, true: ask.Lease / 2}[IsMutant(NAME)]"},
+	{"the bucket is filled beside what is held", "bucket.go",
 		"a.Burst-a.held())) }", "a.Burst-map[bool]int64{false: a.held()}[IsMutant(NAME)])) }"},
-	{"time is counted again", "account.go", "a.At = max(a.At, at)", "if !IsMutant(NAME) {\n\t\ta.At = max(a.At, at)\n\t}"},
-	{"a repeated report counts down twice", "account.go", "min(c.Spent-h.Spent, h.held())",
+	{"time is counted again", "bucket.go", "a.At = max(a.At, at)", "if !IsMutant(NAME) {\n\t\ta.At = max(a.At, at)\n\t}"},
+	{"a repeated report counts down twice", "bucket.go", "min(c.Spent-h.Spent, h.held())",
 		"min(c.Spent-map[bool]int64{false: h.Spent}[IsMutant(NAME)], h.held())"},
-	{"what is given back counts twice", "account.go", "min(c.Returned-h.Returned, h.held())",
+	{"what is given back counts twice", "bucket.go", "min(c.Returned-h.Returned, h.held())",
 		"min(c.Returned-map[bool]int64{false: h.Returned}[IsMutant(NAME)], h.held())"},
-	{"a late ask of an earlier life counts", "account.go", "if c.Life < h.Life {", "if c.Life < h.Life && !IsMutant(NAME) {"},
-	{"a new life goes on with the counts of the one before", "account.go", "*h = holder{Name: ask.Holder, Life: c.Life}",
-		"if IsMutant(NAME) {\n\t\t\th.Life = c.Life\n\t\t} else {\n\t\t\t*h = holder{Name: ask.Holder, Life: c.Life}\n\t\t}"},
-	{"a lower limit is not taken in", "account.go", "a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)",
+	{"a late ask of an earlier life counts", "bucket.go", "if c.Epoch < h.Epoch {", "if c.Epoch < h.Epoch && !IsMutant(NAME) {"},
+	{"a new life goes on with the counts of the one before", "bucket.go", "*h = holder{Name: ask.Holder, Epoch: c.Epoch}",
+		"if IsMutant(NAME) {\n\t\t\th.Epoch = c.Epoch\n\t\t} else {\n\t\t\t*h = holder{Name: ask.Holder, Epoch: c.Epoch}\n\t\t}"},
+	{"a lower limit is not taken in", "bucket.go", "a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)",
 		"if IsMutant(NAME) {\n\t\tlimit.Rate, limit.Burst = max(a.Rate, limit.Rate), max(a.Burst, limit.Burst)\n\t}\n" +
 			"\ta.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)"},
-	{"an account is forgotten before its bucket is full", "account.go", "a.Free >= a.Burst }", "(a.Free >= a.Burst || IsMutant(NAME)) }"},
-	{"a front spends after its lease", "wallet.go", "|| now < p.leaseEnd {", "|| now < p.leaseEnd || IsMutant(NAME) {"},
-	{"a lease counts from the answer", "purse.go", "max(p.leaseEnd, sentAt+p.times.Lease)",
+	{"an account is forgotten before its bucket is full", "bucket.go", "a.Free >= a.Burst }", "(a.Free >= a.Burst || IsMutant(NAME)) }"},
+	{"a front spends after its lease", "tokencache.go", "|| now < p.leaseEnd {", "|| now < p.leaseEnd || IsMutant(NAME) {"},
+	{"a lease counts from the answer", "tenanttokens.go", "max(p.leaseEnd, sentAt+p.times.Lease)",
 		"max(p.leaseEnd, map[bool]time.Duration{false: sentAt, true: now}[IsMutant(NAME)]+p.times.Lease)"},
-	{"an answer counts whose lease is over", "wallet.go", "sentAt+w.times.Lease <= now", "sentAt+w.times.Lease <= now && !IsMutant(NAME)"},
-	{"an answer to an earlier life counts", "wallet.go", "if grant.Life != p.life ||", "if grant.Life != p.life && !IsMutant(NAME) ||"},
-	{"a life's number is used again", "wallet.go", "w.lives++", "if !IsMutant(NAME) || w.lives == 0 {\n\t\tw.lives++\n\t}"},
-	{"the end of a message of an earlier life counts", "wallet.go", "if p.life != life {", "if p.life != life && !IsMutant(NAME) {"},
-	{"what is in flight is held as well", "purse.go", "p.returned - p.inFlight }", "p.returned - map[bool]int64{false: p.inFlight}[IsMutant(NAME)] }"},
+	{"an answer counts whose lease is over", "tokencache.go", "sentAt+w.times.Lease <= now", "sentAt+w.times.Lease <= now && !IsMutant(NAME)"},
+	{"an answer to an earlier life counts", "tokencache.go", "if grant.Epoch != p.epoch ||", "if grant.Epoch != p.epoch && !IsMutant(NAME) ||"},
+	{"a life's number is used again", "tokencache.go", "w.lastEpoch++", "if !IsMutant(NAME) || w.lastEpoch == 0 {\n\t\tw.lastEpoch++\n\t}"},
+	{"the end of a message of an earlier life counts", "tokencache.go", "if p.epoch != epoch {", "if p.epoch != epoch && !IsMutant(NAME) {"},
+	{"what is in flight is held as well", "tenanttokens.go", "p.returned - p.inFlight }", "p.returned - map[bool]int64{false: p.inFlight}[IsMutant(NAME)] }"},
 }
 
 const (
-	mutantEnv = "CAPERWHEEL_MUTANT"
-	childMark = "VERDICT "
-	huntSeeds = 1000
+	mutantEnv   = "CAPERWHEEL_MUTANT"
+	childMark   = "VERDICT "
+	mutantSeeds = 1000
 )
 
 // mutantSource is added to the package of a child.
@@ -111,7 +111,7 @@
 	if os.Getenv(mutantEnv) == "" {
 		t.Skip("runs in the children of TestMutants")
 	}
-	what, seed, _ := search(flaws{}, huntSeeds)
+	what, seed, _ := searchViolation(defects{}, mutantSeeds)
 	fmt.Printf("%s%s|seed %d\n", childMark, what, seed)
 }
 
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -7,19 +7,19 @@
 )
 
 // placeTime falls behind real time with each owner, and never runs ahead.
-func (w *world) placeTime() int64 {
-	w.stamp = max(w.stamp, (w.now - w.lost).Milliseconds())
-	return w.stamp
+func (w *simulation) placeTime() int64 {
+	w.lastPlaceTime = max(w.lastPlaceTime, (w.now - w.lost).Milliseconds())
+	return w.lastPlaceTime
 }
 
-func (w *world) limitNow() Limit {
+func (w *simulation) limitNow() Limit {
 	if w.lowerAt > 0 && w.now >= w.lowerAt {
 		return w.lower
 	}
 	return w.limit
 }
 
-func (w *world) receive(a asked) {
+func (w *simulation) receive(a queuedRequest) {
 	if w.now < w.downUntil {
 		return
 	}
@@ -27,8 +27,8 @@
 	w.propose()
 }
 
-func (w *world) propose() {
-	if w.underWay != nil || len(w.gathered) == 0 {
+func (w *simulation) propose() {
+	if w.pendingBatch != nil || len(w.gathered) == 0 {
 		return
 	}
 	all := w.gathered
@@ -38,26 +38,26 @@
 		batch.Asks = append(batch.Asks, a.ask)
 	}
 	w.batches++
-	w.underWay, w.underAt = &batch, w.placeTime()
+	w.pendingBatch, w.pendingAt = &batch, w.placeTime()
 	answer := func(grants []wire.QuotaGrant) {
 		for i, grant := range grants {
 			if grant.Tenant != "" {
-				w.travel(func() { all[i].answer(grant) })
+				w.transmit(func() { all[i].answer(grant) })
 			}
 		}
 	}
 	term := w.term
-	if w.flaws.answersEarly {
-		early, _ := Restore(w.ledger.Image())
-		answer(early.Apply(w.underAt, batch))
+	if w.defects.answersEarly {
+		early, _ := Restore(w.ledger.Snapshot())
+		answer(early.Apply(w.pendingAt, batch))
 	}
 	w.after(w.between(8*time.Millisecond, 20*time.Millisecond), func() {
 		if term != w.term {
 			return
 		}
-		grants := w.ledger.Apply(w.underAt, batch)
-		w.underWay = nil
-		if !w.flaws.answersEarly {
+		grants := w.ledger.Apply(w.pendingAt, batch)
+		w.pendingBatch = nil
+		if !w.defects.answersEarly {
 			answer(grants)
 		}
 		w.propose()
@@ -65,20 +65,20 @@
 }
 
 // changeOwner has another store go on with what is committed, to which what is under way may belong or not.
-func (w *world) changeOwner() {
-	if w.underWay != nil && w.rand.IntN(2) == 0 {
-		w.ledger.Apply(w.underAt, *w.underWay)
+func (w *simulation) changeOwner() {
+	if w.pendingBatch != nil && w.rand.IntN(2) == 0 {
+		w.ledger.Apply(w.pendingAt, *w.pendingBatch)
 	}
 	w.term++
-	w.underWay, w.gathered = nil, nil
+	w.pendingBatch, w.gathered = nil, nil
 	w.lost += w.between(0, 800*time.Millisecond)
 	w.downUntil = w.now + w.between(0, 900*time.Millisecond)
-	again, err := Restore(w.ledger.Image())
+	again, err := Restore(w.ledger.Snapshot())
 	if err != nil {
 		panic(err)
 	}
-	if w.flaws.forgetsLedger {
-		again = NewLedger()
+	if w.defects.forgetsLedger {
+		again = NewAllocator()
 	}
 	w.ledger = again
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -21,11 +21,11 @@
 // Units. Buckets are counted in millionths of a token, rates in thousandths a second: so a rate times
 // milliseconds is what a bucket gains, exactly.
 const (
-	token        = 1_000_000
-	rateUnit     = 1_000
-	longestSpan  = 3_600_000       // milliseconds that a bucket is refilled for at once; no product overflows
-	largestRate  = 10_000_000      // tokens a second
-	largestBurst = largestRate * 4 // tokens
+	tokenUnits        = 1_000_000
+	rateUnit          = 1_000
+	refillSpanLimitMs = 3_600_000     // milliseconds that a bucket is refilled for at once; no product overflows
+	rateLimit         = 10_000_000    // tokens a second
+	burstLimit        = rateLimit * 4 // tokens
 )
 
 // Limit is a tenant's limit as replicas count it.
@@ -37,8 +37,8 @@
 
 // LimitOf returns a limit given in tokens. It must be positive.
 func LimitOf(tenant string, rate, burst float64) Limit {
-	return Limit{Tenant: tenant, Rate: max(1, int64(min(rate, largestRate)*rateUnit)),
-		Burst: max(token, int64(min(burst, largestBurst)*token))}
+	return Limit{Tenant: tenant, Rate: max(1, int64(min(rate, rateLimit)*rateUnit)),
+		Burst: max(tokenUnits, int64(min(burst, burstLimit)*tokenUnits))}
 }
 
 // Ask is what one holder tells and asks of one tenant.
@@ -55,7 +55,7 @@
 	Asks   []Ask   `avro:"asks"`
 }
 
-var batchCodec = wire.NewPlain(&Batch{})
+var batchCodec = wire.NewRecordCodec(&Batch{})
 
 // Encode returns the batch's bytes for a group's log.
 func (b Batch) Encode() []byte { return batchCodec.Encode(&b) }
--- /dev/null
+++ b/internal/quota/tenanttokens.go
@@ -0,0 +1,177 @@
+package quota
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"caperwheel/internal/errs"
+	"caperwheel/internal/wire"
+)
+
+// maxWaitingMessages is how many messages of a tenant may wait for one answer.
+const maxWaitingMessages = 200
+
+// renewDivisor: of the lease, what is left when it is renewed.
+const renewDivisor = 3
+
+// refillDivisor: of what an adapter would hold, what is left when it asks for more.
+const refillDivisor = 3
+
+// tenantTokens is an adapter's account of one tenant.
+//
+// Invariants: spent, returned and inFlight are at most granted together; nothing is spent but while isLeased and
+// before leaseEnd; a message waits only while none is held.
+type tenantTokens struct {
+	tenant   string
+	times    Times
+	epoch    int64
+	granted  int64
+	spent    int64
+	returned int64
+	inFlight int64 // admitted, and it is not known yet whether they are accepted
+	share    int64 // most to hold for messages to come, as the ledger told
+	isLeased bool
+	leaseEnd time.Duration
+	demand   demandEstimate
+	waiting  []int64
+
+	isRequestOpen     bool // the newest ask is not answered yet
+	askedAt           time.Duration
+	reportedCount     int64 // spent and returned, as the ledger is known to know
+	lastReportedCount int64 // the same, as the newest ask told
+	refuseUntil       time.Duration
+	refusalKind       errs.Kind // why messages are refused until then
+	isShort           bool      // the ledger had less than was needed
+}
+
+func (p *tenantTokens) held() int64 { return p.granted - p.spent - p.returned - p.inFlight }
+
+// target is how many tokens the purse would like to hold.
+func (p *tenantTokens) target(now time.Duration) int64 {
+	return p.demand.expectedWithin(now, p.times.Horizon, p.times.Horizon)
+}
+
+// expectedInPause is how many messages come until the next ask may be sent.
+func (p *tenantTokens) expectedInPause(now time.Duration) int64 {
+	return p.demand.expectedWithin(now, p.times.Pause, p.times.Horizon)
+}
+
+func (p *tenantTokens) isDue(now time.Duration) bool {
+	switch {
+	case p.isRequestOpen && now-p.askedAt < p.times.Answer:
+		return false
+	case len(p.waiting) > 0:
+		return true
+	case p.askedAt > 0 && now-p.askedAt < p.times.Pause:
+		return false
+	}
+	wanted := min(p.target(now), p.share)
+	switch {
+	case wanted > 0 && p.held()*refillDivisor <= wanted && now >= p.refuseUntil:
+		return true
+	case wanted == 0 && p.spent+p.returned > p.reportedCount:
+		return true
+	}
+	return p.isLeased && p.held()+p.inFlight > 0 && p.target(now) > 0 && p.leaseEnd-now < p.times.Lease/renewDivisor
+}
+
+// ask returns what to tell the ledger.
+func (p *tenantTokens) ask(now time.Duration) wire.QuotaCount {
+	p.isRequestOpen, p.askedAt, p.lastReportedCount = true, now, p.spent+p.returned
+	need := int64(len(p.waiting))
+	if need > 0 && p.isShort {
+		need += p.expectedInPause(now)
+	}
+	return wire.QuotaCount{Tenant: p.tenant, Epoch: p.epoch, Spent: p.spent, Returned: p.returned, Need: p.granted + need, Target: p.target(now),
+		InFlight: p.inFlight}
+}
+
+// close notes that the ask sent at a moment is over.
+func (p *tenantTokens) close(sentAt time.Duration) {
+	if p.askedAt == sentAt {
+		p.isRequestOpen = false
+	}
+}
+
+func (p *tenantTokens) answer(now, sentAt time.Duration, grant wire.QuotaGrant) []Settled {
+	p.granted = max(p.granted, grant.Granted)
+	p.share, p.isLeased, p.leaseEnd = grant.Share, true, max(p.leaseEnd, sentAt+p.times.Lease)
+	if p.askedAt == sentAt {
+		p.reportedCount = p.lastReportedCount
+	}
+	p.isShort = grant.Wait > 0
+	settled := p.admitWaiting()
+	if p.isShort {
+		wait := max(time.Duration(grant.Wait)*time.Millisecond, p.times.Pause)
+		return append(settled, p.refuseWaiting(errs.OverQuota, now+wait)...)
+	}
+	p.refuseUntil = 0
+	p.returnSurplus(now)
+	return settled
+}
+
+// returnSurplus gives up what is held beyond the purse's share, for others to use.
+func (p *tenantTokens) returnSurplus(now time.Duration) {
+	keep := max(min(p.share, p.target(now)), p.expectedInPause(now))
+	p.returned += max(0, p.held()-keep)
+}
+
+// admitWaiting admits messages that wait, the first first.
+func (p *tenantTokens) admitWaiting() []Settled {
+	count := int(min(int64(len(p.waiting)), max(0, p.held())))
+	out := make([]Settled, 0, count)
+	for _, number := range p.waiting[:count] {
+		out = append(out, Settled{number, Decision{Epoch: p.epoch}})
+	}
+	p.inFlight += int64(count)
+	p.waiting = p.waiting[count:]
+	return out
+}
+
+// refuseWaiting refuses the messages that wait, and those that come before a moment and find no token.
+func (p *tenantTokens) refuseWaiting(kind errs.Kind, until time.Duration) []Settled {
+	out := make([]Settled, 0, len(p.waiting))
+	for _, number := range p.waiting {
+		out = append(out, Settled{number, Decision{Refusal: kind}})
+	}
+	p.waiting, p.refuseUntil, p.refusalKind = nil, until, kind
+	return out
+}
+
+func (p *tenantTokens) cancel(number int64) {
+	p.waiting = slices.DeleteFunc(p.waiting, func(other int64) bool { return other == number })
+}
+
+// isIdle reports whether nothing would be lost with the purse.
+func (p *tenantTokens) isIdle(now time.Duration) bool {
+	return !p.isLeased && len(p.waiting) == 0 && now >= p.refuseUntil && !p.isRequestOpen && p.target(now) == 0
+}
+
+// demandEstimate estimates how many messages come, weighing older ones less.
+type demandEstimate struct {
+	perSecond float64
+	notedAt   time.Duration
+}
+
+// minDemand is what counts as none, in messages within a horizon.
+const minDemand = 0.25
+
+func (d *demandEstimate) note(now, horizon time.Duration) {
+	span := 2 * horizon.Seconds()
+	d.perSecond = d.rateAt(now, horizon) + 1/span
+	d.notedAt = now
+}
+
+func (d *demandEstimate) rateAt(now, horizon time.Duration) float64 {
+	return d.perSecond * math.Exp(-(now-d.notedAt).Seconds()/(2*horizon.Seconds()))
+}
+
+// expectedWithin is how many messages are expected in a span, rounded up.
+func (d *demandEstimate) expectedWithin(now, span, horizon time.Duration) int64 {
+	rate := d.rateAt(now, horizon)
+	if rate*horizon.Seconds() < minDemand {
+		return 0
+	}
+	return int64(math.Ceil(rate * span.Seconds()))
+}
--- a/internal/quota/wallet_test.go
+++ b/internal/quota/tokencache_test.go
@@ -14,42 +14,42 @@
 func TestWallet(t *testing.T) {
 	Convey("Given a wallet with tokens for a tenant that many messages came of", t, func() {
 		now := time.Second
-		w := NewWallet(testTimes)
+		w := NewTokenCache(testTimes)
 		So(w.Take(now, "t").Waiting, ShouldEqual, 1)
 		for range 100 {
 			w.Take(now, "t")
 		}
-		count, isDue := w.Due(now, "t")
+		count, isDue := w.DueRequest(now, "t")
 		So(isDue, ShouldBeTrue)
 		So(count.Need, ShouldEqual, 101)
-		w.Answer(now, now, wire.QuotaGrant{Tenant: "t", Life: count.Life, Granted: 141, Share: 40})
+		w.Answer(now, now, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 40})
 		So(w.Held(), ShouldEqual, 40)
 		later := now + testTimes.Pause
 		Convey("it gives back what is beyond a share that is lower now, once", func() {
-			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Life: count.Life, Granted: 141, Share: 4})
+			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 4})
 			So(w.Held(), ShouldBeLessThan, 10)
 			held := w.Held()
-			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Life: count.Life, Granted: 141, Share: 4})
+			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 4})
 			So(w.Held(), ShouldEqual, held)
-			told, _ := w.Due(later+testTimes.Lease*4/5, "t")
+			told, _ := w.DueRequest(later+testTimes.Lease*4/5, "t")
 			So(told.Returned, ShouldEqual, 40-held)
 		})
 		Convey("it spends them within its lease, and none after", func() {
-			So(w.Take(now+testTimes.Lease-1, "t").Life, ShouldEqual, count.Life)
+			So(w.Take(now+testTimes.Lease-1, "t").Epoch, ShouldEqual, count.Epoch)
 			So(w.Take(now+testTimes.Lease, "t").Waiting, ShouldNotEqual, 0)
 			So(w.Held(), ShouldEqual, 0)
-			again, _ := w.Due(now+testTimes.Lease, "t")
-			So(again.Life, ShouldBeGreaterThan, count.Life)
+			again, _ := w.DueRequest(now+testTimes.Lease, "t")
+			So(again.Epoch, ShouldBeGreaterThan, count.Epoch)
 		})
 		Convey("an answer of before, told again, gives nothing more", func() {
-			w.Answer(later, now, wire.QuotaGrant{Tenant: "t", Life: count.Life, Granted: 120, Share: 40})
+			w.Answer(later, now, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 120, Share: 40})
 			So(w.Held(), ShouldEqual, 40)
 		})
 		Convey("an ask that fails refuses those that wait, and what comes for a while", func() {
 			for range 41 {
 				w.Take(later, "t")
 			}
-			w.Due(later, "t")
+			w.DueRequest(later, "t")
 			settled := w.Fail(later, later, "t")
 			So(len(settled), ShouldEqual, 1)
 			So(settled[0].Refusal, ShouldEqual, errs.Lost)
@@ -63,8 +63,8 @@
 			wants     []int64
 			level     int64
 		}{{10, []int64{3, 9, 9}, 3}, {12, []int64{1, 9, 9}, 5}, {2, []int64{5, 5, 5}, 0}, {10, []int64{10}, 10}} {
-			So(fairLevel(c.available, c.wants), ShouldEqual, c.level)
+			So(maxMinFairShare(c.available, c.wants), ShouldEqual, c.level)
 		}
-		So(fairLevel(100, []int64{3, 9}), ShouldBeGreaterThan, 9)
+		So(maxMinFairShare(100, []int64{3, 9}), ShouldBeGreaterThan, 9)
 	})
 }
--- a/internal/repair/handover.go
+++ b/internal/repair/delivery.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"caperwheel/internal/errs"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
@@ -17,9 +17,9 @@
 	StepHas    = "has"    // is the run's result kept?
 )
 
-// Serve takes an outcome that is to be kept, forgotten or asked for; nil when
+// Handle takes an outcome that is to be kept, forgotten or asked for; nil when
 // it is meant for an owner.
-func (k *Keeper) Serve(o *wire.Outcome, now time.Duration) *wire.OutcomeAck {
+func (k *ResultBuffer) Handle(o *wire.Outcome, now time.Duration) *wire.OutcomeAck {
 	ack := &wire.OutcomeAck{}
 	switch o.Step {
 	case StepHas:
@@ -27,7 +27,7 @@
 			ack.Kind = string(errs.Unknown)
 		}
 	case StepLeave:
-		k.Keep(o, now)
+		k.Add(o, now)
 	case StepForget:
 		k.Forget(o.Id, o.Proof.Attempt)
 	default:
@@ -36,14 +36,14 @@
 	return ack
 }
 
-// HandOver delivers kept results to their owners until ctx ends.
-func (k *Keeper) HandOver(ctx context.Context, r *reach.Reach, group func(place int64) int64, now func() time.Duration) {
+// DeliverResults delivers kept results to their owners until ctx ends.
+func (k *ResultBuffer) DeliverResults(ctx context.Context, r *ownerclient.Client, group func(place int64) int64, now func() time.Duration) {
 	timing.Every(ctx, r.Bounds.Of(timing.Resend), func() {
 		for _, o := range k.Due(now()) {
 			go func() {
-				ctx, cancel := context.WithTimeout(ctx, r.Bounds.Config)
+				ctx, cancel := context.WithTimeout(ctx, r.Bounds.ConfigApply)
 				defer cancel()
-				_, err := r.Group(ctx, group(o.Place), o, Acknowledged)
+				_, err := r.CallOwner(ctx, group(o.Place), o, ParseAck)
 				if err == nil {
 					k.Forget(o.Id, o.Proof.Attempt)
 				}
@@ -52,8 +52,8 @@
 	})
 }
 
-// Acknowledged tells an owner's acknowledgement from the word of a store that is not.
-func Acknowledged(reply any) (isOwner bool, hint string) {
+// ParseAck tells an owner's acknowledgement from the word of a store that is not.
+func ParseAck(reply any) (isOwner bool, hint string) {
 	ack, isAck := reply.(*wire.OutcomeAck)
 	if !isAck {
 		return false, ""
--- a/internal/repair/plan.go
+++ b/internal/repair/plan.go
@@ -11,8 +11,8 @@
 // of an even spread, so that traffic does not feel it, more where copies are
 // missing.
 const (
-	mostMoves   = 2
-	mostRepairs = 8
+	maxConcurrentMoves   = 2
+	maxConcurrentRepairs = 8
 )
 
 // Silence tells for how long a group's owner has not heard of a store that holds
@@ -34,9 +34,9 @@
 
 // Note takes in which stores are members now; the owner calls it only while what
 // it knows of them is fresh.
-func (p *Planner) Note(members []Store, now time.Duration) {
+func (p *Planner) UpdateMembers(members []Store, now time.Duration) {
 	p.members = members
-	p.presence.Note(members, now)
+	p.presence.Update(members, now)
 }
 
 // Group is one group as its owner sees it.
@@ -47,7 +47,7 @@
 	Silence    Silence
 }
 
-// Seats names the stores that should hold a group: an even spread where nothing
+// HoldersFor names the stores that should hold a group: an even spread where nothing
 // is missing, else as little change as repairs it. under is how many groups of the
 // owner are changing now.
 //
@@ -56,7 +56,7 @@
 // here, for Abandon where any other store would have to do, and for Outage where
 // all of its zone is away: a zone that is cut off comes back with its disks, and
 // until then each group bears its loss.
-func (p *Planner) Seats(g Group, retired map[string]bool, under int, now time.Duration) []string {
+func (p *Planner) HoldersFor(g Group, retired map[string]bool, changing int, now time.Duration) []string {
 	stores, isWhole := slices.Clone(p.members), len(g.Holders) >= p.copies
 	isMember := func(name string) bool {
 		return slices.ContainsFunc(p.members, func(s Store) bool { return s.Name == name })
@@ -66,28 +66,28 @@
 		if isMember(name) {
 			continue
 		}
-		absent, span := p.presence.Away(name, now)
+		absent, span := p.presence.Absent(name, now)
 		absent.IsRetired = retired[name]
 		absent.IsLost = p.isLost(absent, min(span, g.Silence(name, now)))
 		stores = append(stores, absent)
 	}
 	switch {
-	case isWhole && (g.IsChanging || under < mostMoves):
-		return Spread(g.Id, stores, p.copies)
-	case !isWhole && !g.IsChanging && under >= mostRepairs:
+	case isWhole && (g.IsChanging || changing < maxConcurrentMoves):
+		return SpreadHolders(g.Id, stores, p.copies)
+	case !isWhole && !g.IsChanging && changing >= maxConcurrentRepairs:
 		return g.Holders
 	}
-	return Wanted(g.Id, g.Holders, stores, p.copies)
+	return SelectHolders(g.Id, g.Holders, stores, p.copies)
 }
 
 func (p *Planner) isLost(absent Store, span time.Duration) bool {
 	isOfZone := func(s Store) bool { return s.Zone == absent.Zone }
-	patience := timing.Abandon
+	limit := timing.ReassignTimeout
 	switch {
-	case p.presence.HasSuccessor(absent, p.members, p.bounds.Of(timing.Abandon)):
-		patience = timing.Replace
+	case p.presence.HasSuccessor(absent, p.members, p.bounds.Of(timing.ReassignTimeout)):
+		limit = timing.ReplaceTimeout
 	case !slices.ContainsFunc(p.members, isOfZone):
-		patience = timing.Outage
+		limit = timing.ZoneOutageTimeout
 	}
-	return span >= p.bounds.Of(patience)
+	return span >= p.bounds.Of(limit)
 }
--- a/internal/repair/plan_test.go
+++ b/internal/repair/plan_test.go
@@ -16,7 +16,7 @@
 func TestSeats(t *testing.T) {
 	store := func(name, zone string) Store { return Store{Name: name, Zone: zone} }
 	a, b, c := store("a", "x"), store("b", "y"), store("c", "z")
-	replace, abandon, outage := timing.Default.Of(timing.Replace), timing.Default.Of(timing.Abandon), timing.Default.Of(timing.Outage)
+	replace, abandon, outage := timing.Default.Of(timing.ReplaceTimeout), timing.Default.Of(timing.ReassignTimeout), timing.Default.Of(timing.ZoneOutageTimeout)
 	trio := []string{"a", "b", "c"}
 	cases := []struct {
 		name    string
@@ -42,7 +42,7 @@
 		{"of two lost ones one gets a successor", []string{"a", "b", "c"}, []Store{a, b, c}, []Store{c, store("a2", "x")}, replace, replace, 0, []string{"a2", "b", "c"}},
 		{"a lost store that was never seen here has any successor", trio, []Store{b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, replace, replace, 0, []string{"b", "c", "d"}},
 		{"a successor that holds the group already frees the seat for another", []string{"a", "b", "a2"}, []Store{a, b, store("d", "y")}, []Store{b, store("a2", "x"), store("d", "y")}, replace, replace, 0, []string{"a2", "b", "d"}},
-		{"while many groups change, none begins to", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, mostRepairs, trio},
+		{"while many groups change, none begins to", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, maxConcurrentRepairs, trio},
 		{"an over-full roster loses the store that is away", []string{"a", "b", "c", "d"}, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, 0, 0, 0, []string{"b", "c", "d"}},
 	}
 	Convey("A group should stand on", t, func() {
@@ -50,11 +50,11 @@
 			Convey(k.name, func() {
 				const gone = time.Hour // when the later members are first seen
 				p := NewPlanner(timing.Default, 3)
-				p.Note(k.first, 0)
-				p.Note(k.later, gone)
+				p.UpdateMembers(k.first, 0)
+				p.UpdateMembers(k.later, gone)
 				g := Group{Id: 1, Holders: k.holders, Silence: func(string, time.Duration) time.Duration { return k.silence }}
-				p.Seats(g, nil, k.under, gone)
-				got := p.Seats(g, nil, k.under, gone+k.after)
+				p.HoldersFor(g, nil, k.under, gone)
+				got := p.HoldersFor(g, nil, k.under, gone+k.after)
 				slices.Sort(got)
 				So(got, ShouldResemble, k.want)
 			})
@@ -67,13 +67,13 @@
 	Convey("Given a store that was away and came back", t, func() {
 		p := NewPresence()
 		s := []Store{{Name: "a", Zone: "x"}}
-		p.Note(s, 0)
-		p.Note(nil, time.Second)
-		p.Note(s, 2*time.Second)
-		p.Note(nil, 5*time.Second)
-		absent, span := p.Away("a", 6*time.Second)
+		p.Update(s, 0)
+		p.Update(nil, time.Second)
+		p.Update(s, 2*time.Second)
+		p.Update(nil, 5*time.Second)
+		absent, span := p.Absent("a", 6*time.Second)
 		So(span, ShouldEqual, time.Second)
-		So(absent, ShouldResemble, Store{Name: "a", Zone: "x", IsAway: true})
+		So(absent, ShouldResemble, Store{Name: "a", Zone: "x", IsAbsent: true})
 	})
 }
 
@@ -83,9 +83,9 @@
 	Convey("Given a store that came shortly before another one went", t, func() {
 		p := NewPresence()
 		a, b := Store{Name: "a", Zone: "x"}, Store{Name: "b", Zone: "x"}
-		p.Note([]Store{a}, 0)
-		p.Note([]Store{a, b}, time.Minute)
-		p.Note([]Store{b}, time.Minute+2*time.Second)
+		p.Update([]Store{a}, 0)
+		p.Update([]Store{a, b}, time.Minute)
+		p.Update([]Store{b}, time.Minute+2*time.Second)
 		So(p.HasSuccessor(a, []Store{b}, 2*time.Second), ShouldBeTrue)
 		So(p.HasSuccessor(a, []Store{b}, 2*time.Second-1), ShouldBeFalse)
 	})
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -14,7 +14,7 @@
 // TestWanted is the table of who should hold a group.
 func TestWanted(t *testing.T) {
 	four := []Store{{Name: "s1", Zone: "a"}, {Name: "s2", Zone: "b"}, {Name: "s3", Zone: "c"}, {Name: "s4", Zone: "a"}}
-	away := func(s Store) Store { s.IsAway = true; return s }
+	away := func(s Store) Store { s.IsAbsent = true; return s }
 	cases := []struct {
 		name    string
 		roster  []string
@@ -37,7 +37,7 @@
 					s.IsRetired = c.retired[s.Name]
 					stores = append(stores, s)
 				}
-				got := Wanted(1, c.roster, stores, 3)
+				got := SelectHolders(1, c.roster, stores, 3)
 				slices.Sort(got)
 				So(got, ShouldResemble, c.want)
 			})
@@ -60,7 +60,7 @@
 		held := map[string]int{}
 		for g := range int64(groups) {
 			in := map[string]bool{}
-			for _, name := range Spread(g, laid(9), 3) {
+			for _, name := range SpreadHolders(g, laid(9), 3) {
 				held[name]++
 				for _, s := range laid(9) {
 					if s.Name == name {
@@ -76,8 +76,8 @@
 		Convey("a tenth moves only what it takes", func() {
 			moved, taken := 0, 0
 			for g := range int64(groups) {
-				before := Spread(g, laid(9), 3)
-				for _, name := range Spread(g, laid(10), 3) {
+				before := SpreadHolders(g, laid(9), 3)
+				for _, name := range SpreadHolders(g, laid(10), 3) {
 					if name == "s9" {
 						taken++
 					} else if !slices.Contains(before, name) {
@@ -96,8 +96,8 @@
 		return &wire.Outcome{Id: id, Step: StepLeave, Proof: wire.Proof{Attempt: attempt}}
 	}
 	Convey("Given a keeper with room for two", t, func() {
-		k := NewKeeper(2, time.Second, 2*time.Second)
-		k.Serve(result("x", 1), 0)
+		k := NewResultBuffer(2, time.Second, 2*time.Second)
+		k.Handle(result("x", 1), 0)
 		ids := func(now time.Duration) string {
 			out := ""
 			for _, o := range k.Due(now) {
@@ -108,23 +108,23 @@
 		Convey("a result is handed over in time, and again until it is forgotten", func() {
 			So([]string{ids(999 * time.Millisecond), ids(time.Second), ids(2 * time.Second), ids(3 * time.Second)}, ShouldResemble,
 				[]string{"", "x", "", "x"})
-			k.Serve(&wire.Outcome{Id: "x", Step: StepForget, Proof: wire.Proof{Attempt: 1}}, 0)
+			k.Handle(&wire.Outcome{Id: "x", Step: StepForget, Proof: wire.Proof{Attempt: 1}}, 0)
 			So(ids(time.Hour), ShouldEqual, "")
 		})
 		Convey("it knows what it keeps, by attempt", func() {
 			has := func(attempt int64) string {
-				return k.Serve(&wire.Outcome{Id: "x", Step: StepHas, Proof: wire.Proof{Attempt: attempt}}, 0).Kind
+				return k.Handle(&wire.Outcome{Id: "x", Step: StepHas, Proof: wire.Proof{Attempt: attempt}}, 0).Kind
 			}
 			So([]string{has(1), has(2)}, ShouldResemble, []string{"", "unknown"})
 		})
 		Convey("what it hands over is meant for an owner, and what is meant for one is not its own", func() {
 			So(k.Due(time.Hour)[0].Step, ShouldEqual, "")
-			So(k.Serve(&wire.Outcome{Id: "y"}, 0), ShouldBeNil)
+			So(k.Handle(&wire.Outcome{Id: "y"}, 0), ShouldBeNil)
 		})
 		Convey("a third result finds no room", func() {
-			So(k.Keep(result("y", 1), 0), ShouldBeTrue)
-			So(k.Keep(result("z", 1), 0), ShouldBeFalse)
-			So(k.Keep(result("x", 1), 0), ShouldBeTrue)
+			So(k.Add(result("y", 1), 0), ShouldBeTrue)
+			So(k.Add(result("z", 1), 0), ShouldBeFalse)
+			So(k.Add(result("x", 1), 0), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/repair/wanted.go
+++ b/internal/repair/selection.go
@@ -14,7 +14,7 @@
 type Store struct {
 	Name, Zone string
 	IsRetired  bool // it is to be emptied
-	IsAway     bool // it has a seat, but is not a member now
+	IsAbsent   bool // it has a seat, but is not a member now
 	IsLost     bool // it has been away for so long that another may have its seat
 }
 
@@ -24,14 +24,14 @@
 	return inc
 }
 
-// Spread gives the stores that should hold a group by name alone: one of each
+// SpreadHolders gives the stores that should hold a group by name alone: one of each
 // zone first, drawn by hash, so that a store that comes or goes changes only
 // the groups that it takes or leaves.
-func Spread(groupId int64, stores []Store, copies int) []string {
-	return Wanted(groupId, nil, stores, copies)
+func SpreadHolders(groupId int64, stores []Store, copies int) []string {
+	return SelectHolders(groupId, nil, stores, copies)
 }
 
-// Wanted gives the stores that should hold a group whose seats are taken by the
+// SelectHolders gives the stores that should hold a group whose seats are taken by the
 // stores of roster. stores lists the members and, marked as away, the absent ones
 // of the roster. Seats go, as far as copies reaches, first to those that hold one
 // and are members, then to those that are merely away, since they will be back
@@ -39,32 +39,32 @@
 // are lost. Within each of these the zones with the fewest seats come first, and
 // then the draw by hash. A retired store keeps its seat only where fewer than two
 // others are left to hold the group.
-func Wanted(groupId int64, roster []string, stores []Store, copies int) []string {
-	d := draw{groupId: groupId, copies: copies, zones: map[string]int{}}
+func SelectHolders(groupId int64, roster []string, stores []Store, copies int) []string {
+	d := selection{groupId: groupId, copies: copies, zones: map[string]int{}}
 	holds := func(s Store) bool { return slices.Contains(roster, s.Name) }
-	d.seat(stores, func(s Store) bool { return holds(s) && !s.IsRetired && !s.IsAway })
-	d.seat(stores, func(s Store) bool { return holds(s) && !s.IsRetired && s.IsAway && !s.IsLost })
-	d.seat(stores, func(s Store) bool { return !holds(s) && !s.IsRetired && !s.IsAway })
-	d.seat(stores, func(s Store) bool { return holds(s) && !s.IsRetired && s.IsLost })
-	d.copies = min(copies, leastHolders)
-	d.seat(stores, func(s Store) bool { return holds(s) && s.IsRetired })
+	d.fill(stores, func(s Store) bool { return holds(s) && !s.IsRetired && !s.IsAbsent })
+	d.fill(stores, func(s Store) bool { return holds(s) && !s.IsRetired && s.IsAbsent && !s.IsLost })
+	d.fill(stores, func(s Store) bool { return !holds(s) && !s.IsRetired && !s.IsAbsent })
+	d.fill(stores, func(s Store) bool { return holds(s) && !s.IsRetired && s.IsLost })
+	d.copies = min(copies, minHolders)
+	d.fill(stores, func(s Store) bool { return holds(s) && s.IsRetired })
 	return d.names
 }
 
-// leastHolders is how many stores a group stands on at least, even if one of
+// minHolders is how many stores a group stands on at least, even if one of
 // them is to be emptied.
-const leastHolders = 2
+const minHolders = 2
 
-// draw fills the seats of one group.
-type draw struct {
+// selection fills the seats of one group.
+type selection struct {
 	groupId int64
 	copies  int
 	zones   map[string]int // seats given, by zone
 	names   []string
 }
 
-// seat gives seats to those that are eligible, until none is left of either.
-func (d *draw) seat(stores []Store, isEligible func(Store) bool) {
+// fill gives seats to those that are eligible, until none is left of either.
+func (d *selection) fill(stores []Store, isEligible func(Store) bool) {
 	for len(d.names) < d.copies {
 		best, top := Store{}, uint64(0)
 		for _, s := range stores {
@@ -85,7 +85,7 @@
 
 // rank is higher the fewer seats a store's zone has; among equals the hash of
 // group and store decides.
-func (d *draw) rank(s Store) uint64 {
+func (d *selection) rank(s Store) uint64 {
 	fewest := uint64(255 - min(d.zones[s.Zone], 255))
 	return duty.Rank(strconv.FormatInt(d.groupId, 10), s.Name)>>8 | fewest<<56
 }
--- a/internal/head/fuzz_test.go
+++ b/internal/requesthead/fuzz_test.go
@@ -1,4 +1,4 @@
-package head
+package requesthead
 
 import (
 	"reflect"
@@ -20,6 +20,6 @@
 		if err != nil || !reflect.DeepEqual(one, two) {
 			t.Fatalf("%q is read as %+v, and again as %+v, %v", raw, one, two, err)
 		}
-		one.To("10.0.0.9:1", nil)
+		one.NewRequest("10.0.0.9:1", nil)
 	})
 }
--- a/internal/head/head.go
+++ b/internal/requesthead/head.go
@@ -1,6 +1,6 @@
-// Package head keeps what must not change of a request that is a message as it
+// Package requesthead keeps what must not change of a request that is a message as it
 // came: its method, target, host, and the header fields that matter.
-package head
+package requesthead
 
 import (
 	"net/http"
@@ -18,8 +18,8 @@
 	Fields               [][2]string
 }
 
-// Of returns the head of a request that has arrived, with the named fields.
-func Of(r *http.Request, names ...string) Head {
+// FromRequest returns the head of a request that has arrived, with the named fields.
+func FromRequest(r *http.Request, names ...string) Head {
 	out := Head{Method: r.Method, Target: r.RequestURI, Host: r.Host}
 	for _, name := range names {
 		if value := r.Header.Get(name); value != "" {
@@ -73,8 +73,8 @@
 	return out, nil
 }
 
-// To returns the request with body for an address, its target unchanged.
-func (h Head) To(address string, body []byte) *http.Request {
+// NewRequest returns the request with body for an address, its target unchanged.
+func (h Head) NewRequest(address string, body []byte) *http.Request {
 	r := &http.Request{Method: h.Method, Host: h.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    urlOf(address, h.Target),
 		Header: http.Header{"User-Agent": {""}}} // none of the library's own
@@ -84,7 +84,7 @@
 	r.ContentLength = int64(len(body))
 	r.Body = http.NoBody
 	if len(body) > 0 {
-		r.Body = readerOf(body)
+		r.Body = bodyReader(body)
 	}
 	return r
 }
--- a/internal/head/head_test.go
+++ b/internal/requesthead/head_test.go
@@ -1,4 +1,4 @@
-package head
+package requesthead
 
 import (
 	"bufio"
@@ -27,11 +27,11 @@
 				var body bytes.Buffer
 				_, err = body.ReadFrom(r.Body)
 				So(err, ShouldBeNil)
-				kept, err := Decode(Of(r, "X-Id", "X-None").Encode())
+				kept, err := Decode(FromRequest(r, "X-Id", "X-None").Encode())
 				So(err, ShouldBeNil)
 				So(kept.Field("X-Id"), ShouldEqual, "1")
 				var out bytes.Buffer
-				So(kept.To("127.0.0.1:1", body.Bytes()).Write(&out), ShouldBeNil)
+				So(kept.NewRequest("127.0.0.1:1", body.Bytes()).Write(&out), ShouldBeNil)
 				again, err := http.ReadRequest(bufio.NewReader(&out))
 				So(err, ShouldBeNil)
 				So([]string{again.Method, again.RequestURI, again.Host, again.Header.Get("X-Id")}, ShouldResemble,
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -28,24 +28,24 @@
 	Self       func() wire.Poll // what to say of ourselves; Revisions and Membership are filled in
 	OnNews     func()           // called after each answer
 
-	mu       sync.Mutex
-	at       int
-	answered time.Duration
-	isAsking bool
-	refused  string
-	turns    int // polls sent
+	mu            sync.Mutex
+	targetIndex   int
+	lastAnswer    time.Duration
+	isPolling     bool
+	lastRejection string
+	pollCount     int // polls sent
 }
 
 // Run polls until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	c.at = rand.IntN(len(c.Seeds()))
-	timing.Paced(ctx, func() time.Duration { return Pause(c.View, c.Now(), c.Bounds) }, c.poll)
+	c.targetIndex = rand.IntN(len(c.Seeds()))
+	timing.EveryPaced(ctx, func() time.Duration { return PollInterval(c.View, c.Now(), c.Bounds) }, c.poll)
 }
 
-// Pause is how long whoever follows the parts waits before it asks again: a
+// PollInterval is how long whoever follows the parts waits before it asks again: a
 // daemon that has just begun must not lose a turn on each hop of the feed.
-func Pause(view *feed.View, now time.Duration, bounds timing.Bounds) time.Duration {
-	if age, isSure := view.Age(now); !isSure || age > bounds.Of(timing.Fresh)/2 {
+func PollInterval(view *feed.View, now time.Duration, bounds timing.Bounds) time.Duration {
+	if age, isSure := view.Age(now); !isSure || age > bounds.Of(timing.ViewAgeLimit)/2 {
 		return bounds.Of(timing.StalePoll)
 	}
 	return bounds.Of(timing.Poll)
@@ -54,53 +54,53 @@
 func (c *Client) poll() {
 	now, kind := c.Now(), c.Node.Self().Kind
 	c.mu.Lock()
-	if now-c.answered > c.Bounds.Of(timing.AnswerTimeout) { // silent: turn to the next
+	if now-c.lastAnswer > c.Bounds.Of(timing.AnswerTimeout) { // silent: turn to the next
 		targets := c.targets(kind)
-		c.at = (c.at + 1) % len(targets)
-		c.answered, c.isAsking, c.turns = now, false, 0 // the next hears all at once
+		c.targetIndex = (c.targetIndex + 1) % len(targets)
+		c.lastAnswer, c.isPolling, c.pollCount = now, false, 0 // the next hears all at once
 	}
-	if c.isAsking {
+	if c.isPolling {
 		c.mu.Unlock()
 		return
 	}
 	targets := c.targets(kind)
-	addr := targets[c.at%len(targets)]
-	c.isAsking = true
+	addr := targets[c.targetIndex%len(targets)]
+	c.isPolling = true
 	c.mu.Unlock()
 	ask := c.Self()
-	if c.turns++; c.turns%wholeEvery != 1 {
-		ask.Fact = compact(ask.Fact)
-		for i := range ask.Beside {
-			ask.Beside[i].Fact = compact(ask.Beside[i].Fact)
+	if c.pollCount++; c.pollCount%fullFactInterval != 1 {
+		ask.Fact = withoutBulk(ask.Fact)
+		for i := range ask.Colocated {
+			ask.Colocated[i].Fact = withoutBulk(ask.Colocated[i].Fact)
 		}
 	}
 	ask.Revisions, ask.MembershipHash = c.View.Revisions(), c.Membership.Hash()
 	err := c.Node.Peer(wire.SessionLink, addr).Post(&ask, func(reply any, err error) {
 		news, isNews := reply.(*wire.News)
 		c.mu.Lock()
-		c.isAsking = false
+		c.isPolling = false
 		if err != nil || !isNews {
 			c.mu.Unlock()
 			return
 		}
-		isRefused := news.Reject != "" && news.Reject != c.refused
-		c.answered, c.refused = c.Now(), news.Reject
+		isRefused := news.Reject != "" && news.Reject != c.lastRejection
+		c.lastAnswer, c.lastRejection = c.Now(), news.Reject
 		c.mu.Unlock()
 		if isRefused {
 			klog.Warningf("session: %s refuses us: %s.", addr, news.Reject)
 			return
 		}
 		if news.MembershipHash != ask.MembershipHash {
-			c.Membership.Take(news.MembershipHash, news.Members)
+			c.Membership.Update(news.MembershipHash, news.Members)
 		}
-		c.View.Take(news.Parts, now)
+		c.View.Update(news.Parts, now)
 		if c.OnNews != nil {
 			c.OnNews()
 		}
 	})
 	if err != nil {
 		c.mu.Lock()
-		c.isAsking = false
+		c.isPolling = false
 		c.mu.Unlock()
 	}
 }
@@ -112,7 +112,7 @@
 	if kind == "adapter" {
 		return out
 	}
-	for _, who := range c.Membership.Kind("manager") {
+	for _, who := range c.Membership.OfKind("manager") {
 		if !slices.Contains(out, who.Addr) {
 			out = append(out, who.Addr)
 		}
--- a/internal/session/membership.go
+++ b/internal/session/membership.go
@@ -18,7 +18,7 @@
 	members map[string]wire.Member
 	owners  map[int64]ownerHint
 	// Some store is asked to stop.
-	hasLeavingStores bool
+	hasDrainingStores bool
 	// Managers and stores alone: all that an adapter or agent needs to know of,
 	// however many of its own kind there are.
 	coreHash string
@@ -43,23 +43,23 @@
 	return r.hash
 }
 
-// Take brings a list in. One of the same hash tells nothing new: whatever else
+// Update brings a list in. One of the same hash tells nothing new: whatever else
 // its members say is for managers, who keep it in their registry.
-func (r *Membership) Take(hash string, members []wire.Member) {
+func (r *Membership) Update(hash string, members []wire.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if hash == r.hash && hash != "" && len(members) == len(r.list) {
 		return
 	}
 	r.hash, r.list, r.members = hash, members, map[string]wire.Member{}
-	r.kinds, r.core, r.hasLeavingStores = map[string][]wire.Who{}, []wire.Member{}, false
+	r.kinds, r.core, r.hasDrainingStores = map[string][]wire.Who{}, []wire.Member{}, false
 	owners := map[int64]ownerHint{}
 	for _, m := range members {
 		r.members[m.Who.Name] = m
 		r.kinds[m.Who.Kind] = append(r.kinds[m.Who.Kind], m.Who)
 		if isCore(m.Who.Kind) {
 			r.core = append(r.core, m)
-			r.hasLeavingStores = r.hasLeavingStores || m.Who.Kind == "store" && isLeaving(m)
+			r.hasDrainingStores = r.hasDrainingStores || m.Who.Kind == "store" && isDraining(m)
 		}
 		for _, o := range m.Owns {
 			if o.Term > owners[o.Group].term {
@@ -70,10 +70,10 @@
 	r.owners, r.coreHash = owners, MembershipHash(r.core)
 }
 
-// LeavingCount is the count by which a daemon tells that it is asked to stop.
-const LeavingCount = "leaving"
+// DrainingCount is the count by which a daemon tells that it is asked to stop.
+const DrainingCount = "leaving"
 
-func isLeaving(m wire.Member) bool { return m.Fact.Counts[LeavingCount] > 0 }
+func isDraining(m wire.Member) bool { return m.Fact.Counts[DrainingCount] > 0 }
 
 func isCore(kind string) bool { return kind == "manager" || kind == "store" }
 
@@ -105,22 +105,22 @@
 	return false
 }
 
-// IsLeaving reports whether a member says that it is asked to stop.
-func (r *Membership) IsLeaving(name string) bool {
+// IsDraining reports whether a member says that it is asked to stop.
+func (r *Membership) IsDraining(name string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return isLeaving(r.members[name])
+	return isDraining(r.members[name])
 }
 
-// HasLeavingStores reports whether some store says that it is asked to stop.
-func (r *Membership) HasLeavingStores() bool {
+// HasDrainingStores reports whether some store says that it is asked to stop.
+func (r *Membership) HasDrainingStores() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.hasLeavingStores
+	return r.hasDrainingStores
 }
 
-// Kind returns the members of a kind. The list is the caller's own.
-func (r *Membership) Kind(kind string) []wire.Who {
+// OfKind returns the members of a kind. The list is the caller's own.
+func (r *Membership) OfKind(kind string) []wire.Who {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return append([]wire.Who{}, r.kinds[kind]...)
@@ -133,8 +133,8 @@
 	return r.hash, r.list
 }
 
-// For returns what a daemon of a kind needs to know of the members.
-func (r *Membership) For(kind string) (string, []wire.Member) {
+// VisibleTo returns what a daemon of a kind needs to know of the members.
+func (r *Membership) VisibleTo(kind string) (string, []wire.Member) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if kind == "adapter" || kind == "agent" {
--- a/internal/session/news.go
+++ b/internal/session/news.go
@@ -7,11 +7,11 @@
 	"caperwheel/internal/wire"
 )
 
-// forOthers gives what others than managers need of a member's fact.
-func forOthers(m wire.Member) wire.Fact {
+// factForMembers gives what others than managers need of a member's fact.
+func factForMembers(m wire.Member) wire.Fact {
 	counts := map[string]int64{}
-	if isCore(m.Who.Kind) && isLeaving(m) {
-		counts[LeavingCount] = 1
+	if isCore(m.Who.Kind) && isDraining(m) {
+		counts[DrainingCount] = 1
 	}
 	return wire.Fact{Counts: counts}
 }
@@ -20,11 +20,11 @@
 // confirms no more than it was told itself.
 func NewsFor(poll *wire.Poll, view *feed.View, now time.Duration, membership *Membership) *wire.News {
 	out := &wire.News{Parts: view.News(poll.Revisions, now), Members: []wire.Member{}}
-	hash, list := membership.For(poll.Who.Kind)
+	hash, list := membership.VisibleTo(poll.Who.Kind)
 	out.MembershipHash = hash
 	if hash != poll.MembershipHash {
 		for _, m := range list {
-			m.Fact = forOthers(m)
+			m.Fact = factForMembers(m)
 			if m.Owns == nil {
 				m.Owns = []wire.Owned{}
 			}
--- a/internal/session/registry.go
+++ b/internal/session/registry.go
@@ -20,55 +20,55 @@
 // Invariant: of one name only one life is a member: the one heard last, but for late polls of former
 // lives (see lives); ages only ever add up, so no manager makes a session younger than it was told.
 type Registry struct {
-	mu    sync.Mutex
-	gone  time.Duration // silence after which a session is over
-	known map[string]entry
+	mu      sync.Mutex
+	timeout time.Duration // silence after which a session is over
+	entries map[string]registryEntry
 }
 
-type entry struct {
-	member  wire.Member
-	heardAt time.Duration
-	isOwn   bool
-	lives   lives
+type registryEntry struct {
+	member       wire.Member
+	lastSeen     time.Duration
+	isDirect     bool
+	incarnations incarnations
 }
 
 // NewRegistry returns an empty registry whose sessions end after gone of silence.
-func NewRegistry(gone time.Duration) *Registry {
-	return &Registry{gone: gone, known: map[string]entry{}}
+func NewRegistry(timeout time.Duration) *Registry {
+	return &Registry{timeout: timeout, entries: map[string]registryEntry{}}
 }
 
-// Hear renews a member's session.
-func (r *Registry) Hear(m wire.Member, now time.Duration, isOwn bool) {
+// Renew renews a member's session.
+func (r *Registry) Renew(m wire.Member, now time.Duration, isDirect bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heardAt := now - time.Duration(m.Age)*time.Millisecond
-	was, isKnown := r.known[m.Who.Name]
-	if now-heardAt > r.gone || isKnown && heardAt < was.heardAt {
+	lastSeen := now - time.Duration(m.Age)*time.Millisecond
+	previous, isKnown := r.entries[m.Who.Name]
+	if now-lastSeen > r.timeout || isKnown && lastSeen < previous.lastSeen {
 		return
 	}
-	lives := was.lives
-	if isKnown && now-was.heardAt <= r.gone && isOwn && !lives.polled(m.Who.Boot) {
-		was.lives = lives
-		r.known[m.Who.Name] = was
+	known := previous.incarnations
+	if isKnown && now-previous.lastSeen <= r.timeout && isDirect && !known.notePoll(m.Who.Boot) {
+		previous.incarnations = known
+		r.entries[m.Who.Name] = previous
 		return
 	}
-	lives.follow(m.Who.Boot)
-	before := wire.Fact{}
-	if was.member.Who.Boot == m.Who.Boot {
-		before = was.member.Fact
+	known.setCurrent(m.Who.Boot)
+	previousFact := wire.Fact{}
+	if previous.member.Who.Boot == m.Who.Boot {
+		previousFact = previous.member.Fact
 	}
-	m.Fact = expand(m.Fact, before)
-	r.known[m.Who.Name] = entry{m, heardAt, isOwn, lives}
+	m.Fact = restoreBulk(m.Fact, previousFact)
+	r.entries[m.Who.Name] = registryEntry{m, lastSeen, isDirect, known}
 }
 
-// Meet takes in what a peer has heard of somebody else. It makes nobody's session
+// AddIfUnknown takes in what a peer has heard of somebody else. It makes nobody's session
 // younger: whoever is known already is heard by itself.
-func (r *Registry) Meet(m wire.Member, now time.Duration) {
+func (r *Registry) AddIfUnknown(m wire.Member, now time.Duration) {
 	r.mu.Lock()
-	was, isKnown := r.known[m.Who.Name]
+	known, isKnown := r.entries[m.Who.Name]
 	r.mu.Unlock()
-	if !isKnown || now-was.heardAt > r.gone {
-		r.Hear(m, now, false)
+	if !isKnown || now-known.lastSeen > r.timeout {
+		r.Renew(m, now, false)
 	}
 }
 
@@ -78,31 +78,31 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := []wire.Member{}
-	for name, e := range r.known {
-		if now-e.heardAt > r.gone {
-			delete(r.known, name)
+	for name, e := range r.entries {
+		if now-e.lastSeen > r.timeout {
+			delete(r.entries, name)
 			continue
 		}
-		e.member.Age = int64((now - e.heardAt) / time.Millisecond)
+		e.member.Age = int64((now - e.lastSeen) / time.Millisecond)
 		out = append(out, e.member)
 	}
 	slices.SortFunc(out, func(a, b wire.Member) int { return cmp.Compare(a.Who.Name, b.Who.Name) })
 	return MembershipHash(out), out
 }
 
-// Own lists the sessions that stand with this manager, for its peers, and the
+// SessionsForPeers lists the sessions that stand with this manager, for its peers, and the
 // other managers that it knows of, so that those who are no seeds meet. Every
-// share of one turn in wholeEvery is whole.
-func (r *Registry) Own(now time.Duration) []wire.Member {
+// share of one turn in fullFactInterval is whole.
+func (r *Registry) SessionsForPeers(now time.Duration) []wire.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	isWhole := now/r.shareInterval()%wholeEvery == 0
+	isFull := now/r.shareInterval()%fullFactInterval == 0
 	out := []wire.Member{}
-	for _, e := range r.known {
-		if (e.isOwn || e.member.Who.Kind == "manager") && now-e.heardAt <= r.gone {
-			e.member.Age = int64((now - e.heardAt) / time.Millisecond)
-			if !isWhole {
-				e.member.Fact = compact(e.member.Fact)
+	for _, e := range r.entries {
+		if (e.isDirect || e.member.Who.Kind == "manager") && now-e.lastSeen <= r.timeout {
+			e.member.Age = int64((now - e.lastSeen) / time.Millisecond)
+			if !isFull {
+				e.member.Fact = withoutBulk(e.member.Fact)
 			}
 			out = append(out, e.member)
 		}
@@ -112,7 +112,7 @@
 
 // shareInterval is how often peers are told; gone is a ratio of the same bound.
 func (r *Registry) shareInterval() time.Duration {
-	return max(1, r.gone*time.Duration(timing.Poll)/time.Duration(timing.SessionTimeout))
+	return max(1, r.timeout*time.Duration(timing.Poll)/time.Duration(timing.SessionTimeout))
 }
 
 // MembershipHash hashes what matters of a list of members.
@@ -128,7 +128,7 @@
 			line = append(line, word...)
 		}
 		line = append(line, '}')
-		if isCore(w.Kind) && isLeaving(m) { // of others only managers need to know it
+		if isCore(w.Kind) && isDraining(m) { // of others only managers need to know it
 			line = append(line, " leaving"...)
 		}
 		for _, o := range m.Owns {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -26,16 +26,16 @@
 		at   time.Duration
 		boot string // of x; empty for no member
 	}{
-		{"whoever was heard lately", func(r *Registry) { r.Hear(member("x", "1", 0), 0, true) }, gone, "1"},
-		{"not who has been silent", func(r *Registry) { r.Hear(member("x", "1", 0), 0, true) }, gone + 1, ""},
-		{"not who was silent already when a peer told", func(r *Registry) { r.Hear(member("x", "1", 1500), time.Second, false) }, 1600 * time.Millisecond, ""},
+		{"whoever was heard lately", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone, "1"},
+		{"not who has been silent", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone + 1, ""},
+		{"not who was silent already when a peer told", func(r *Registry) { r.Renew(member("x", "1", 1500), time.Second, false) }, 1600 * time.Millisecond, ""},
 		{"the newest life", func(r *Registry) {
-			r.Hear(member("x", "1", 0), 0, true)
-			r.Hear(member("x", "2", 0), 1, false)
+			r.Renew(member("x", "1", 0), 0, true)
+			r.Renew(member("x", "2", 0), 1, false)
 		}, 1, "2"},
 		{"not an older life that a peer still tells of", func(r *Registry) {
-			r.Hear(member("x", "2", 0), time.Second, true)
-			r.Hear(member("x", "1", 900), time.Second, false)
+			r.Renew(member("x", "2", 0), time.Second, true)
+			r.Renew(member("x", "1", 900), time.Second, false)
 		}, time.Second, "2"},
 	}
 	Convey("A member is", t, func() {
@@ -53,20 +53,20 @@
 		}
 		Convey("told on by peers with ages that only grow", func() {
 			one, two := NewRegistry(gone), NewRegistry(gone)
-			one.Hear(member("x", "1", 0), 0, true)
-			for _, m := range one.Own(time.Second) {
-				two.Hear(m, 5*time.Second, false)
+			one.Renew(member("x", "1", 0), 0, true)
+			for _, m := range one.SessionsForPeers(time.Second) {
+				two.Renew(m, 5*time.Second, false)
 			}
 			_, list := two.Members(5*time.Second + 500*time.Millisecond)
 			So(list[0].Age, ShouldEqual, 1500)
-			So(two.Own(5*time.Second), ShouldBeEmpty)
+			So(two.SessionsForPeers(5*time.Second), ShouldBeEmpty)
 		})
 	})
 	Convey("The owner of a group is the one of the newest term", t, func() {
 		membership := NewMembership()
 		a, b := member("a", "1", 0), member("b", "1", 0)
 		a.Owns, b.Owns = []wire.Owned{{Group: 1, Term: 3}}, []wire.Owned{{Group: 1, Term: 4}}
-		membership.Take("h", []wire.Member{a, b})
+		membership.Update("h", []wire.Member{a, b})
 		who, _ := membership.Owner(1)
 		So(who.Name, ShouldEqual, "b")
 		_, isKnown := membership.Owner(2)
@@ -102,7 +102,7 @@
 			Convey(c.name, func() {
 				r, at := NewRegistry(gone), time.Duration(0)
 				for _, p := range c.polls {
-					r.Hear(member("x", p.boot, 0), p.at, p.isOwn)
+					r.Renew(member("x", p.boot, 0), p.at, p.isOwn)
 					at = p.at
 				}
 				_, list := r.Members(at)
@@ -116,7 +116,7 @@
 // TestInterest: every agent and adapter once had the whole membership, and got it anew
 // whenever any one of them came or went.
 func TestInterest(t *testing.T) {
-	of := func(kind string, count int) (out []wire.Member) {
+	membersOfKind := func(kind string, count int) (out []wire.Member) {
 		for i := range count {
 			m := member(kind+string(rune('a'+i)), "1", 0)
 			m.Who.Kind = kind
@@ -126,8 +126,8 @@
 	}
 	Convey("Given managers, stores, agents and adapters", t, func() {
 		membership, view := NewMembership(), feed.NewView(0)
-		all := append(append(of("manager", 3), of("store", 4)...), append(of("agent", 20), of("adapter", 20)...)...)
-		membership.Take(MembershipHash(all), all)
+		all := append(append(membersOfKind("manager", 3), membersOfKind("store", 4)...), append(membersOfKind("agent", 20), membersOfKind("adapter", 20)...)...)
+		membership.Update(MembershipHash(all), all)
 		news := func(kind, hash string) *wire.News {
 			return NewsFor(&wire.Poll{Who: wire.Who{Kind: kind}, Revisions: view.Revisions(), MembershipHash: hash}, view, 0, membership)
 		}
@@ -142,16 +142,16 @@
 			hash := news("agent", "").MembershipHash
 			So(news("agent", hash).Members, ShouldBeEmpty)
 			more := append(all, member("new", "1", 0))
-			membership.Take(MembershipHash(more), more)
+			membership.Update(MembershipHash(more), more)
 			So(news("agent", hash).MembershipHash, ShouldEqual, hash)
 			So(len(news("store", MembershipHash(all)).Members), ShouldEqual, 48)
 		})
 		Convey("what an agent passes on to its adapter is what it was told", func() {
-			told := news("agent", "")
+			received := news("agent", "")
 			agent := NewMembership()
-			agent.Take(told.MembershipHash, told.Members)
-			hash, list := agent.For("adapter")
-			So(hash, ShouldEqual, told.MembershipHash)
+			agent.Update(received.MembershipHash, received.Members)
+			hash, list := agent.VisibleTo("adapter")
+			So(hash, ShouldEqual, received.MembershipHash)
 			So(len(list), ShouldEqual, 7)
 		})
 	})
@@ -172,29 +172,29 @@
 	said := func(boot string, f wire.Fact) wire.Member { m := member("x", boot, 0); m.Fact = f; return m }
 	Convey("Given a registry that has heard all of a daemon", t, func() {
 		r := NewRegistry(2100 * time.Millisecond)
-		r.Hear(said("1", whole(7)), 0, true)
+		r.Renew(said("1", whole(7)), 0, true)
 		counts := func() map[string]int64 { _, list := r.Members(3); return list[0].Fact.Counts }
 		Convey("a thin fact keeps what was heard, and brings the rest", func() {
-			next := compact(whole(9))
+			next := withoutBulk(whole(9))
 			next.Counts["runs"] = 4
-			r.Hear(said("1", next), 1, true)
+			r.Renew(said("1", next), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 4, "run_micros p/w": 7, "run_misses p/w": 5})
-			r.Hear(said("1", compact(next)), 2, true)
+			r.Renew(said("1", withoutBulk(next)), 2, true)
 			So(counts()["run_micros p/w"], ShouldEqual, 7)
 		})
 		Convey("a whole one replaces it, also by nothing", func() {
-			r.Hear(said("1", wire.Fact{Counts: map[string]int64{"runs": 1}}), 1, true)
+			r.Renew(said("1", wire.Fact{Counts: map[string]int64{"runs": 1}}), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 1})
 		})
 		Convey("nothing is kept from an earlier life", func() {
-			r.Hear(said("2", compact(whole(9))), 1, true)
+			r.Renew(said("2", withoutBulk(whole(9))), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 3})
 		})
 		Convey("of four beats' shares to peers one is whole", func() {
 			wholes := 0
 			for beat := range 16 {
-				r.Hear(said("1", whole(7)), time.Duration(beat)*120*time.Millisecond, true)
-				if _, isThick := r.Own(time.Duration(beat) * 120 * time.Millisecond)[0].Fact.Counts["run_micros p/w"]; isThick {
+				r.Renew(said("1", whole(7)), time.Duration(beat)*120*time.Millisecond, true)
+				if _, isThick := r.SessionsForPeers(time.Duration(beat) * 120 * time.Millisecond)[0].Fact.Counts["run_micros p/w"]; isThick {
 					wholes++
 				}
 			}
@@ -203,6 +203,6 @@
 	})
 	Convey("A fact without bulk is never marked", t, func() {
 		f := wire.Fact{Counts: map[string]int64{"leaving": 1}}
-		So(compact(f), ShouldResemble, f)
+		So(withoutBulk(f), ShouldResemble, f)
 	})
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -39,23 +39,23 @@
 	must(slices.Contains([]int{1, 3, 5}, s.Founders), "founders", "must be 1, 3 or 5")
 	must(s.Places >= 1 && s.Places <= 1024, "places", "must be from 1 to 1024")
 	must(s.Parts >= 1 && s.Parts <= 64, "parts", "must be from 1 to 64")
-	must(s.Bound.Duration >= 500*time.Millisecond && s.Bound.Duration <= time.Minute, "bound", "must be from 500ms to 1m")
+	must(s.ConfigBound.Duration >= 500*time.Millisecond && s.ConfigBound.Duration <= time.Minute, "bound", "must be from 500ms to 1m")
 	must(s.Batch >= 1 && s.Batch <= 4096, "batch", "must be from 1 to 4096")
-	must(s.Pool >= 1 && s.Pool <= 1024, "pool", "must be from 1 to 1024")
+	must(s.TransportWorkers >= 1 && s.TransportWorkers <= 1024, "pool", "must be from 1 to 1024")
 	must(s.Window >= s.Batch, "window", "must be at least batch")
-	must(s.Most >= 1, "most", "must be at least 1")
+	must(s.MaxInFlight >= 1, "most", "must be at least 1")
 	must(s.Flush.Duration > 0 && s.Flush.Duration <= 100*time.Millisecond, "flush", "must be from above 0 to 100ms")
 	must(s.Verbosity >= 0 && s.Verbosity <= 4, "verbosity", "must be from 0 to 4")
 	must(s.Copies >= 0 && s.Copies <= 5, "copies", "must be from 0 to 5")
-	must(s.Memory >= 0, "memory", "must not be below 0")
+	must(s.MemoryLimit >= 0, "memory", "must not be below 0")
 	must(s.ListRate >= 0, "list_rate", "must not be below 0")
 	for _, span := range []struct {
 		key   string
 		value Duration
-	}{{"grace", s.Grace}, {"linger", s.Linger}, {"list_lag", s.ListLag}, {"keep", s.Keep}, {"resend", s.Resend}} {
+	}{{"grace", s.Grace}, {"linger", s.Linger}, {"list_lag", s.ListLag}, {"keep", s.ResultRetention}, {"resend", s.ResendWindow}} {
 		must(span.value.Duration >= 0, span.key, "must not be below 0")
 	}
-	must(s.Linger.Duration < s.Stay(), "linger", "must be below grace")
+	must(s.Linger.Duration < s.GracePeriod(), "linger", "must be below grace")
 	addr("front", s.Front, false)
 	addr("probe", s.Probe, false)
 	addr("operators", s.Operators, false)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,40 +32,40 @@
 
 // Settings of a daemon. Tags name the file's keys; flags are the same words.
 type Settings struct {
-	File      string   `arg:"--settings" json:"-" help:"settings file (JSON); flags override it"`
-	Name      string   `arg:"--name" json:"name" help:"name of this daemon, one of its kind in the deployment"`
-	Zone      string   `arg:"--cell" json:"cell" help:"zone that this machine stands in"`
-	Listen    string   `arg:"--listen" json:"listen" help:"IP number and port for other daemons"`
-	Advertise string   `arg:"--advertise" json:"advertise" help:"address told to other daemons, if not the one listened on"`
-	Http      string   `arg:"--http" json:"http" help:"IP number and port for HTTP"`
-	Seeds     []string `arg:"--seeds" json:"seeds" help:"addresses of managers (an adapter: of its agent)"`
-	Data      string   `arg:"--data" json:"data" help:"data folder (stores)"`
-	Founders  int      `arg:"--founders" json:"founders" help:"stores that found a new deployment together"`
-	Places    int      `arg:"--places" json:"places" help:"durable places; fixed when the deployment is founded"`
-	Parts     int      `arg:"--parts" json:"parts" help:"parts of the control state beside the configuration's; fixed"`
-	Bound     Duration `arg:"--bound" json:"bound" help:"time within which a configuration holds everywhere"`
-	Batch     int      `arg:"--batch" json:"batch" help:"messages per transport buffer"`
-	Pool      int      `arg:"--pool" json:"pool" help:"transport pool workers"`
-	Flush     Duration `arg:"--flush" json:"flush" help:"longest wait of a partial transport buffer"`
-	Window    int      `arg:"--window" json:"window" help:"unconsumed messages per session and direction"`
-	Most      int      `arg:"--most" json:"most" help:"messages in hand at once on an adapter"`
-	Reserve   int64    `arg:"--reserve" json:"reserve" help:"bytes of disk kept free; intake stops below (stores)"`
-	Verbosity int      `arg:"--verbosity" json:"verbosity" help:"log verbosity, 0 to 4; may change while running"`
-
-	Founds    bool     `arg:"--founds" json:"founds" help:"whether a blank store may found a new deployment, or only joins one (stores)"`
-	IsFirst   bool     `arg:"--first" json:"first" help:"whether this is the very first start of the whole deployment (managers)"`
-	Copies    int      `arg:"--copies" json:"copies" help:"replicas that a group should have; 0: as many as founders (stores)"`
-	Memory    int64    `arg:"--memory" json:"memory" help:"bytes of memory that the process may take; 0: no bound is known"`
-	Grace     Duration `arg:"--grace" json:"grace" help:"time between being asked to stop and being killed; 0: twice the bound"`
-	Linger    Duration `arg:"--linger" json:"linger" help:"how long a daemon that was asked to stop still serves as before"`
-	Front     string   `arg:"--front" json:"front" help:"IP number and port for callers who send messages as they come"`
-	Probe     string   `arg:"--probe" json:"probe" help:"IP number and port that only tells readiness"`
-	Operators string   `arg:"--operators" json:"operators" help:"IP number and port for the operators' calls"`
-	List      string   `arg:"--list" json:"list" help:"IP number and port where a list of workers is kept; may change while running"`
-	ListRate  float64  `arg:"--list_rate" json:"list_rate" help:"calls a second that the list takes from all; may change while running"`
-	ListLag   Duration `arg:"--list_lag" json:"list_lag" help:"how far the list may run behind; may change while running"`
-	Resend    Duration `arg:"--resend" json:"resend" help:"so long an operator's order that has no number may be sent again; 0: twice the bound"`
-	Keep      Duration `arg:"--keep" json:"keep" help:"how long the end of a message must be answered for"`
+	File             string   `arg:"--settings" json:"-" help:"settings file (JSON); flags override it"`
+	Name             string   `arg:"--name" json:"name" help:"name of this daemon, one of its kind in the deployment"`
+	Zone             string   `arg:"--cell" json:"cell" help:"zone that this machine stands in"`
+	Listen           string   `arg:"--listen" json:"listen" help:"IP number and port for other daemons"`
+	Advertise        string   `arg:"--advertise" json:"advertise" help:"address told to other daemons, if not the one listened on"`
+	Http             string   `arg:"--http" json:"http" help:"IP number and port for HTTP"`
+	Seeds            []string `arg:"--seeds" json:"seeds" help:"addresses of managers (an adapter: of its agent)"`
+	Data             string   `arg:"--data" json:"data" help:"data folder (stores)"`
+	Founders         int      `arg:"--founders" json:"founders" help:"stores that found a new deployment together"`
+	Places           int      `arg:"--places" json:"places" help:"durable places; fixed when the deployment is founded"`
+	Parts            int      `arg:"--parts" json:"parts" help:"parts of the control state beside the configuration's; fixed"`
+	ConfigBound      Duration `arg:"--bound" json:"bound" help:"time within which a configuration holds everywhere"`
+	Batch            int      `arg:"--batch" json:"batch" help:"messages per transport buffer"`
+	TransportWorkers int      `arg:"--pool" json:"pool" help:"transport pool workers"`
+	Flush            Duration `arg:"--flush" json:"flush" help:"longest wait of a partial transport buffer"`
+	Window           int      `arg:"--window" json:"window" help:"unconsumed messages per session and direction"`
+	MaxInFlight      int      `arg:"--most" json:"most" help:"messages in hand at once on an adapter"`
+	DiskReserve      int64    `arg:"--reserve" json:"reserve" help:"bytes of disk kept free; intake stops below (stores)"`
+	Verbosity        int      `arg:"--verbosity" json:"verbosity" help:"log verbosity, 0 to 4; may change while running"`
+
+	MayBootstrap    bool     `arg:"--founds" json:"founds" help:"whether a blank store may found a new deployment, or only joins one (stores)"`
+	IsFirstStart    bool     `arg:"--first" json:"first" help:"whether this is the very first start of the whole deployment (managers)"`
+	Copies          int      `arg:"--copies" json:"copies" help:"replicas that a group should have; 0: as many as founders (stores)"`
+	MemoryLimit     int64    `arg:"--memory" json:"memory" help:"bytes of memory that the process may take; 0: no bound is known"`
+	Grace           Duration `arg:"--grace" json:"grace" help:"time between being asked to stop and being killed; 0: twice the bound"`
+	Linger          Duration `arg:"--linger" json:"linger" help:"how long a daemon that was asked to stop still serves as before"`
+	Front           string   `arg:"--front" json:"front" help:"IP number and port for callers who send messages as they come"`
+	Probe           string   `arg:"--probe" json:"probe" help:"IP number and port that only tells readiness"`
+	Operators       string   `arg:"--operators" json:"operators" help:"IP number and port for the operators' calls"`
+	List            string   `arg:"--list" json:"list" help:"IP number and port where a list of workers is kept; may change while running"`
+	ListRate        float64  `arg:"--list_rate" json:"list_rate" help:"calls a second that the list takes from all; may change while running"`
+	ListLag         Duration `arg:"--list_lag" json:"list_lag" help:"how far the list may run behind; may change while running"`
+	ResendWindow    Duration `arg:"--resend" json:"resend" help:"so long an operator's order that has no number may be sent again; 0: twice the bound"`
+	ResultRetention Duration `arg:"--keep" json:"keep" help:"how long the end of a message must be answered for"`
 
 	CrashFile   string `arg:"--crash_file" json:"crash_file" help:"file for what is printed as the process crashes; empty: crash.txt in the data folder, if there is one"`
 	CrashListen string `arg:"--crash_listen" json:"crash_listen" help:"IP number and port where the crashes of others on this machine are heard"`
@@ -81,17 +81,17 @@
 	Read func(raw []byte) ([]byte, error) // turns the file's text into that of a settings file
 }
 
-// crashName is the name of the file for crashes in a data folder.
-const crashName = "crash.txt"
+// crashFileName is the name of the file for crashes in a data folder.
+const crashFileName = "crash.txt"
 
 // Default returns the settings that hold where nothing is given.
 func Default() Settings {
-	return Settings{Founders: 3, Places: 48, Parts: 4, Bound: Duration{timing.Default.Config}, Batch: 40, Pool: 40,
-		Flush: Duration{500 * time.Microsecond}, Window: 4096, Most: 2048, Reserve: 256 << 20, Founds: true}
+	return Settings{Founders: 3, Places: 48, Parts: 4, ConfigBound: Duration{timing.Default.ConfigApply}, Batch: 40, TransportWorkers: 40,
+		Flush: Duration{500 * time.Microsecond}, Window: 4096, MaxInFlight: 2048, DiskReserve: 256 << 20, MayBootstrap: true}
 }
 
 // Bounds returns the bounds that all time constants are ratios of.
-func (s Settings) Bounds() timing.Bounds { return timing.Bounds{Config: s.Bound.Duration} }
+func (s Settings) Bounds() timing.Bounds { return timing.Bounds{ConfigApply: s.ConfigBound.Duration} }
 
 // Replicas returns how many replicas a group should have.
 func (s Settings) Replicas() int {
@@ -101,10 +101,10 @@
 	return s.Founders
 }
 
-// Crashes returns the file for what is printed as the process crashes; empty for none.
-func (s Settings) Crashes() string {
+// CrashFilePath returns the file for what is printed as the process crashes; empty for none.
+func (s Settings) CrashFilePath() string {
 	if s.CrashFile == "" && s.Data != "" {
-		return filepath.Join(s.Data, crashName)
+		return filepath.Join(s.Data, crashFileName)
 	}
 	return s.CrashFile
 }
@@ -112,12 +112,12 @@
 // Shape returns what must be the same on all daemons of a deployment.
 func (s Settings) Shape() string { return fmt.Sprintf("places=%d parts=%d", s.Places, s.Parts) }
 
-// Stay returns the time between being asked to stop and being killed.
-func (s Settings) Stay() time.Duration {
+// GracePeriod returns the time between being asked to stop and being killed.
+func (s Settings) GracePeriod() time.Duration {
 	if s.Grace.Duration > 0 {
 		return s.Grace.Duration
 	}
-	return 2 * s.Bound.Duration
+	return 2 * s.ConfigBound.Duration
 }
 
 // Load reads file and flags for a kind of daemon. All faults are told at once.
@@ -175,7 +175,7 @@
 	if !gjson.ValidBytes(raw) || !gjson.ParseBytes(raw).IsObject() {
 		return errs.New(errs.Invalid, "settings file %s: not a JSON object", s.File)
 	}
-	known := gjson.Parse(string(s.text()))
+	known := gjson.Parse(string(s.encode()))
 	wrong := []string{}
 	gjson.ParseBytes(raw).ForEach(func(key, value gjson.Result) bool {
 		is := known.Get(key.Str)
@@ -192,11 +192,11 @@
 	return errs.Wrap(json.Unmarshal(raw, s), errs.Invalid, "settings file %s", s.File)
 }
 
-// Sparse is the text of a settings file with what differs from the defaults, so
+// NonDefaultJson is the text of a settings file with what differs from the defaults, so
 // that a daemon of another version can read it.
-func (s Settings) Sparse() []byte {
-	standard, out := gjson.ParseBytes(Default().text()), map[string]json.RawMessage{}
-	gjson.ParseBytes(s.text()).ForEach(func(key, value gjson.Result) bool {
+func (s Settings) NonDefaultJson() []byte {
+	standard, out := gjson.ParseBytes(Default().encode()), map[string]json.RawMessage{}
+	gjson.ParseBytes(s.encode()).ForEach(func(key, value gjson.Result) bool {
 		if value.Raw != standard.Get(key.Str).Raw {
 			out[key.Str] = json.RawMessage(value.Raw)
 		}
@@ -209,7 +209,7 @@
 	return raw
 }
 
-func (s Settings) text() []byte {
+func (s Settings) encode() []byte {
 	if s.Seeds == nil {
 		s.Seeds = []string{}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,9 +11,9 @@
 	"caperwheel/internal/errs"
 )
 
-const good = `{"name":"s","cell":"a","listen":"127.0.0.1:1000","http":"127.0.0.1:1001","seeds":["127.0.0.1:1002"],"data":"/d"}`
+const validFile = `{"name":"s","cell":"a","listen":"127.0.0.1:1000","http":"127.0.0.1:1001","seeds":["127.0.0.1:1002"],"data":"/d"}`
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	file := filepath.Join(t.TempDir(), "settings.json")
 	So(os.WriteFile(file, []byte(text), 0o600), ShouldBeNil)
 	return file
@@ -26,45 +26,45 @@
 		flags      []string
 		says       string
 	}{
-		{"a good file", good, nil, ""},
-		{"a flag over the file", good, []string{"--name=other"}, ""},
+		{"a good file", validFile, nil, ""},
+		{"a flag over the file", validFile, []string{"--name=other"}, ""},
 		{"no file at all", "", nil, "name: must be given"},
-		{"half a file", good[:40], nil, "not a JSON object"},
+		{"half a file", validFile[:40], nil, "not a JSON object"},
 		{"an unknown key", `{"nmae":"s"}`, nil, "nmae: is not known"},
 		{"a wrong kind", `{"places":"many"}`, nil, "places: is of the wrong kind"},
-		{"a host name", good, []string{"--listen=localhost:1"}, "listen: must be an IP number and a port"},
-		{"a port out of range", good, []string{"--http=127.0.0.1:99999"}, "http: must have a port"},
-		{"a store without a folder", strings.Replace(good, `,"data":"/d"`, "", 1), nil, "data: must be given"},
-		{"two founders", good, []string{"--founders=2"}, "founders: must be 1, 3 or 5"},
-		{"a name that rosters could not hold", good, []string{"--name=a/b"}, "name: must be given, without"},
-		{"an address that nobody can reach", good, []string{"--advertise=0.0.0.0:1000"}, "advertise: must be an address"},
-		{"a window below the batch", good, []string{"--window=3"}, "window: must be at least batch"},
-		{"a bool", good[:len(good)-1] + `,"founds":false}`, nil, ""},
-		{"a bool as a flag", good, []string{"--founds=false"}, ""},
+		{"a host name", validFile, []string{"--listen=localhost:1"}, "listen: must be an IP number and a port"},
+		{"a port out of range", validFile, []string{"--http=127.0.0.1:99999"}, "http: must have a port"},
+		{"a store without a folder", strings.Replace(validFile, `,"data":"/d"`, "", 1), nil, "data: must be given"},
+		{"two founders", validFile, []string{"--founders=2"}, "founders: must be 1, 3 or 5"},
+		{"a name that rosters could not hold", validFile, []string{"--name=a/b"}, "name: must be given, without"},
+		{"an address that nobody can reach", validFile, []string{"--advertise=0.0.0.0:1000"}, "advertise: must be an address"},
+		{"a window below the batch", validFile, []string{"--window=3"}, "window: must be at least batch"},
+		{"a bool", validFile[:len(validFile)-1] + `,"founds":false}`, nil, ""},
+		{"a bool as a flag", validFile, []string{"--founds=false"}, ""},
 		{"a bool in quotes", `{"founds":"false"}`, nil, "founds: is of the wrong kind"},
-		{"six copies", good, []string{"--copies=6"}, "copies: must be from 0 to 5"},
-		{"a host name to probe", good, []string{"--probe=here:1"}, "probe: must be an IP number and a port"},
-		{"no port for callers", good, []string{"--front=127.0.0.1"}, "front: must be"},
-		{"operators out of range", good, []string{"--operators=127.0.0.1:99999"}, "operators: must have a port"},
-		{"a list of no address", good, []string{"--list=/file"}, "list: must be"},
-		{"a rate below nothing", good, []string{"--list_rate=-1"}, "list_rate: must not be below 0"},
-		{"sent again for less than nothing", good, []string{"--resend=-1s"}, "resend: must not be below 0"},
-		{"a lag below nothing", good, []string{"--list_lag=-1s"}, "list_lag: must not be below 0"},
-		{"a memory below nothing", good, []string{"--memory=-1"}, "memory: must not be below 0"},
-		{"an end answered for less than nothing", good, []string{"--keep=-1s"}, "keep: must not be below 0"},
-		{"lingering until killed", good, []string{"--grace=2s", "--linger=2s"}, "linger: must be below grace"},
-		{"lingering past twice the bound", good, []string{"--linger=7s"}, "linger: must be below grace"},
-		{"a crash heard by a name", good, []string{"--crash_peer=agent"}, "crash_peer: must be an IP number and a port"},
-		{"crashes heard at no port", good, []string{"--crash_listen=127.0.0.1"}, "crash_listen: must be"},
-		{"a process that hears itself", good, []string{"--crash_listen=127.0.0.1:7", "--crash_peer=127.0.0.1:7"}, "crash_peer: must be another's"},
-		{"an unknown flag", good, []string{"--nmae=x"}, "nmae"},
+		{"six copies", validFile, []string{"--copies=6"}, "copies: must be from 0 to 5"},
+		{"a host name to probe", validFile, []string{"--probe=here:1"}, "probe: must be an IP number and a port"},
+		{"no port for callers", validFile, []string{"--front=127.0.0.1"}, "front: must be"},
+		{"operators out of range", validFile, []string{"--operators=127.0.0.1:99999"}, "operators: must have a port"},
+		{"a list of no address", validFile, []string{"--list=/file"}, "list: must be"},
+		{"a rate below nothing", validFile, []string{"--list_rate=-1"}, "list_rate: must not be below 0"},
+		{"sent again for less than nothing", validFile, []string{"--resend=-1s"}, "resend: must not be below 0"},
+		{"a lag below nothing", validFile, []string{"--list_lag=-1s"}, "list_lag: must not be below 0"},
+		{"a memory below nothing", validFile, []string{"--memory=-1"}, "memory: must not be below 0"},
+		{"an end answered for less than nothing", validFile, []string{"--keep=-1s"}, "keep: must not be below 0"},
+		{"lingering until killed", validFile, []string{"--grace=2s", "--linger=2s"}, "linger: must be below grace"},
+		{"lingering past twice the bound", validFile, []string{"--linger=7s"}, "linger: must be below grace"},
+		{"a crash heard by a name", validFile, []string{"--crash_peer=agent"}, "crash_peer: must be an IP number and a port"},
+		{"crashes heard at no port", validFile, []string{"--crash_listen=127.0.0.1"}, "crash_listen: must be"},
+		{"a process that hears itself", validFile, []string{"--crash_listen=127.0.0.1:7", "--crash_peer=127.0.0.1:7"}, "crash_peer: must be another's"},
+		{"an unknown flag", validFile, []string{"--nmae=x"}, "nmae"},
 	}
 	Convey("Settings from", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				args := c.flags
 				if c.file != "" {
-					args = append([]string{"--settings", write(t, c.file)}, args...)
+					args = append([]string{"--settings", writeFile(t, c.file)}, args...)
 				}
 				s, err := Load("store", args, nil)
 				if c.says == "" {
@@ -85,7 +85,7 @@
 			So(err.Error(), ShouldContainSubstring, "seeds")
 		})
 		Convey("several faults are told at once", func() {
-			_, err := Load("store", []string{"--settings", write(t, `{"places":0,"parts":0}`)}, nil)
+			_, err := Load("store", []string{"--settings", writeFile(t, `{"places":0,"parts":0}`)}, nil)
 			So(err.Error(), ShouldContainSubstring, "places")
 			So(err.Error(), ShouldContainSubstring, "parts")
 		})
@@ -97,28 +97,28 @@
 		name, text string
 		isUsed     bool
 	}{
-		{"another verbosity is used", good[:len(good)-1] + `,"verbosity":3}`, true},
-		{"another cell is refused", good[:len(good)-1] + `,"cell":"z"}`, false},
-		{"other seeds and another list are used", strings.Replace(good, ":1002", ":1003", 1)[:len(good)-1] + `,"verbosity":3,"list":"127.0.0.1:7"}`, true},
-		{"founding is of no use any more", good[:len(good)-1] + `,"verbosity":3,"founds":false}`, true},
-		{"a first start is over", good[:len(good)-1] + `,"verbosity":3,"first":true}`, true},
-		{"another seed with another cell is refused", strings.Replace(good, ":1002", ":1003", 1)[:len(good)-1] + `,"verbosity":3,"cell":"z"}`, false},
-		{"half a file is refused", good[:30], false},
-		{"a value out of range is refused", good[:len(good)-1] + `,"verbosity":9}`, false},
+		{"another verbosity is used", validFile[:len(validFile)-1] + `,"verbosity":3}`, true},
+		{"another cell is refused", validFile[:len(validFile)-1] + `,"cell":"z"}`, false},
+		{"other seeds and another list are used", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"list":"127.0.0.1:7"}`, true},
+		{"founding is of no use any more", validFile[:len(validFile)-1] + `,"verbosity":3,"founds":false}`, true},
+		{"a first start is over", validFile[:len(validFile)-1] + `,"verbosity":3,"first":true}`, true},
+		{"another seed with another cell is refused", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"cell":"z"}`, false},
+		{"half a file is refused", validFile[:30], false},
+		{"a value out of range is refused", validFile[:len(validFile)-1] + `,"verbosity":9}`, false},
 	}
 	Convey("When the file changes under a daemon,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				file := write(t, good)
+				file := writeFile(t, validFile)
 				old, err := Load("store", []string{"--settings", file, "--most", "77"}, nil) // a flag that overrides the file
 				So(err, ShouldBeNil)
 				So(os.WriteFile(file, []byte(c.text), 0o600), ShouldBeNil)
-				next, err := Reread("store", old)
+				next, err := Reload("store", old)
 				So(err == nil, ShouldEqual, c.isUsed)
 				So(next.Verbosity == 3, ShouldEqual, c.isUsed)
 				So(next.Zone, ShouldEqual, "a")
-				So(next.Founds, ShouldBeTrue)
-				So(next.IsFirst, ShouldBeFalse)
+				So(next.MayBootstrap, ShouldBeTrue)
+				So(next.IsFirstStart, ShouldBeFalse)
 				isOther := strings.Contains(c.text, ":1003")
 				So(next.Seeds[0] == "127.0.0.1:1003", ShouldEqual, c.isUsed && isOther)
 			})
@@ -130,13 +130,13 @@
 // and again, unless a flag names a settings file.
 func TestSource(t *testing.T) {
 	Convey("Given a file of another make", t, func() {
-		file := write(t, "cell=a")
+		file := writeFile(t, "cell=a")
 		source := &Source{File: file, Read: func(raw []byte) ([]byte, error) {
 			zone, isOne := strings.CutPrefix(string(raw), "cell=")
 			if !isOne {
 				return nil, errs.New(errs.Invalid, "no cell")
 			}
-			return []byte(strings.Replace(good, `"cell":"a"`, `"cell":"`+zone+`"`, 1)), nil
+			return []byte(strings.Replace(validFile, `"cell":"a"`, `"cell":"`+zone+`"`, 1)), nil
 		}}
 		s, err := Load("store", []string{"--verbosity=2"}, source)
 		So(err, ShouldBeNil)
@@ -144,14 +144,14 @@
 		So(s.Verbosity, ShouldEqual, 2)
 		Convey("it is read again in the same way", func() {
 			So(os.WriteFile(file, []byte("cell=b"), 0o600), ShouldBeNil)
-			_, err := Reread("store", s)
+			_, err := Reload("store", s)
 			So(errs.Is(err, errs.Rejected), ShouldBeTrue)
 			So(os.WriteFile(file, []byte("nothing"), 0o600), ShouldBeNil)
-			_, err = Reread("store", s)
+			_, err = Reload("store", s)
 			So(err.Error(), ShouldContainSubstring, "no cell")
 		})
 		Convey("a flag that names a file goes before it", func() {
-			s, err := Load("store", []string{"--settings", write(t, strings.Replace(good, `"a"`, `"c"`, 1))}, source)
+			s, err := Load("store", []string{"--settings", writeFile(t, strings.Replace(validFile, `"a"`, `"c"`, 1))}, source)
 			So(err, ShouldBeNil)
 			So(s.Zone, ShouldEqual, "c")
 		})
@@ -160,11 +160,11 @@
 
 func TestSparse(t *testing.T) {
 	Convey("A sparse text has what differs from the defaults, and reads the same", t, func() {
-		s, err := Load("store", []string{"--settings", write(t, good)}, nil)
+		s, err := Load("store", []string{"--settings", writeFile(t, validFile)}, nil)
 		So(err, ShouldBeNil)
-		So(string(s.Sparse()), ShouldNotContainSubstring, "founds")
-		again, err := Load("store", []string{"--settings", write(t, string(s.Sparse()))}, nil)
+		So(string(s.NonDefaultJson()), ShouldNotContainSubstring, "founds")
+		again, err := Load("store", []string{"--settings", writeFile(t, string(s.NonDefaultJson()))}, nil)
 		So(err, ShouldBeNil)
-		So(string(again.text()), ShouldEqual, string(s.text()))
+		So(string(again.encode()), ShouldEqual, string(s.encode()))
 	})
 }
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -12,20 +12,22 @@
 // TestWatch breaks the file under a daemon in every way and mends it again:
 // only the mended one is ever used. Each mending has a verbosity of its own.
 func TestWatch(t *testing.T) {
-	with := func(verbosity string) []byte { return []byte(good[:len(good)-1] + `,"verbosity":` + verbosity + `}`) }
+	with := func(verbosity string) []byte {
+		return []byte(validFile[:len(validFile)-1] + `,"verbosity":` + verbosity + `}`)
+	}
 	breaks := map[string]func(file string) error{
 		"half written":   func(file string) error { return os.WriteFile(file, with("4")[:40], 0o600) },
 		"emptied":        func(file string) error { return os.WriteFile(file, nil, 0o600) },
 		"removed":        os.Remove,
 		"not to be read": func(file string) error { _ = os.Remove(file); return os.Mkdir(file, 0o700) },
 		"of another daemon": func(file string) error {
-			return os.WriteFile(file, []byte(good[:len(good)-1]+`,"cell":"z","verbosity":4}`), 0o600)
+			return os.WriteFile(file, []byte(validFile[:len(validFile)-1]+`,"cell":"z","verbosity":4}`), 0o600)
 		},
 	}
 	Convey("Given a daemon that watches its settings file", t, func() {
 		for name, hurt := range breaks {
 			Convey("one that is "+name+" is not used, the mended one is", func() {
-				file := write(t, good)
+				file := writeFile(t, validFile)
 				s, err := Load("store", []string{"--settings", file, "--bound=500ms"}, nil)
 				So(err, ShouldBeNil)
 				ctx, cancel := context.WithCancel(context.Background())
@@ -46,24 +48,26 @@
 // TestLook is the table of what the polls of a file find: a change is seen
 // once, and one that keeps the size and even the time is seen when asked for.
 func TestLook(t *testing.T) {
-	with := func(verbosity string) []byte { return []byte(good[:len(good)-1] + `,"verbosity":` + verbosity + `}`) }
+	with := func(verbosity string) []byte {
+		return []byte(validFile[:len(validFile)-1] + `,"verbosity":` + verbosity + `}`)
+	}
 	Convey("Given a file that was looked at", t, func() {
-		file := write(t, string(with("1")))
+		file := writeFile(t, string(with("1")))
 		s, err := Load("store", []string{"--settings", file}, nil)
 		So(err, ShouldBeNil)
 		used := []int{}
-		w := &watcher{kind: "store", now: s, use: func(s Settings) { used = append(used, s.Verbosity) }}
-		w.look(false)
+		w := &watcher{kind: "store", current: s, apply: func(s Settings) { used = append(used, s.Verbosity) }}
+		w.poll(false)
 		So(used, ShouldBeEmpty)
 		info, err := os.Stat(file)
 		So(err, ShouldBeNil)
 		Convey("what is the same is not read", func() {
 			So(os.WriteFile(file, with("2"), 0o600), ShouldBeNil)
 			So(os.Chtimes(file, info.ModTime(), info.ModTime()), ShouldBeNil)
-			w.look(false)
+			w.poll(false)
 			So(used, ShouldBeEmpty)
 			Convey("but when asked to", func() {
-				w.look(true)
+				w.poll(true)
 				So(used, ShouldResemble, []int{2})
 			})
 		})
@@ -71,18 +75,18 @@
 			So(os.WriteFile(file+".new", with("3"), 0o600), ShouldBeNil)
 			So(os.Chtimes(file+".new", info.ModTime(), info.ModTime()), ShouldBeNil)
 			So(os.Rename(file+".new", file), ShouldBeNil)
-			w.look(false)
-			w.look(false)
+			w.poll(false)
+			w.poll(false)
 			So(used, ShouldResemble, []int{3})
 		})
 		Convey("a broken one is looked at until it is whole", func() {
 			whole := with("4")
 			So(os.WriteFile(file, whole[:40], 0o600), ShouldBeNil)
-			w.look(false)
-			w.look(false)
+			w.poll(false)
+			w.poll(false)
 			So(used, ShouldBeEmpty)
 			So(os.WriteFile(file, whole, 0o600), ShouldBeNil)
-			w.look(false)
+			w.poll(false)
 			So(used, ShouldResemble, []int{4})
 		})
 	})
@@ -91,7 +95,7 @@
 // TestHangup: a SIGHUP ends no daemon; it has the file read at once.
 func TestHangup(t *testing.T) {
 	Convey("Given daemons that watch, one of them without a file", t, func() {
-		file := write(t, good)
+		file := writeFile(t, validFile)
 		s, err := Load("store", []string{"--settings", file, "--bound=1m"}, nil)
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -101,7 +105,7 @@
 		go Watch(ctx, "store", Settings{}, func(Settings) {}, func() { began <- struct{}{} })
 		<-began
 		<-began
-		So(os.WriteFile(file, []byte(good[:len(good)-1]+`,"verbosity":2}`), 0o600), ShouldBeNil)
+		So(os.WriteFile(file, []byte(validFile[:len(validFile)-1]+`,"verbosity":2}`), 0o600), ShouldBeNil)
 		So(syscall.Kill(os.Getpid(), syscall.SIGHUP), ShouldBeNil)
 		So(<-used, ShouldEqual, 2)
 	})
--- a/internal/sim/adapter.go
+++ b/internal/sim/adapter.go
@@ -18,13 +18,13 @@
 	lifecycle
 	w      *Places
 	name   string
-	book   *deliver.Book
-	times  *groupclock.Keeper
+	book   *deliver.RunRegistry
+	times  *groupclock.Cache
 	born   time.Duration // when its own clock began
 	fresh  time.Duration
 	permit int64
 	grants map[int64]time.Duration // permits not used yet, and until when they may be
-	agent  *repair.Keeper          // the agent beside it, which lives on when it is killed
+	agent  *repair.ResultBuffer    // the agent beside it, which lives on when it is killed
 	isGone bool                    // it was lost for good
 	breaks []func()                // what its death means to runs under way
 }
@@ -35,8 +35,8 @@
 	if a.isUp || a.isGone {
 		return
 	}
-	a.isUp, a.life, a.book, a.fresh = true, a.life+1, deliver.NewBook(1000), a.w.now
-	a.times, a.born = &groupclock.Keeper{}, a.w.now
+	a.isUp, a.life, a.book, a.fresh = true, a.life+1, deliver.NewRunRegistry(1000), a.w.now
+	a.times, a.born = &groupclock.Cache{}, a.w.now
 	a.grants = map[int64]time.Duration{}
 	a.w.Note("start %s", a.boot())
 	life := a.life
@@ -77,7 +77,7 @@
 	}
 }
 
-func (a *simAdapter) isFresh() bool { return a.w.now-a.fresh < timing.Default.Of(timing.Fresh) }
+func (a *simAdapter) isFresh() bool { return a.w.now-a.fresh < timing.Default.Of(timing.ViewAgeLimit) }
 
 // grant and use do as the real adapter's slots: a permit is used once, soon, and
 // in the life that gave it.
@@ -115,12 +115,12 @@
 func (a *simAdapter) serve(ask any) any {
 	switch m := ask.(type) {
 	case *wire.TellTime:
-		return deliver.KeepTime(a.times, m, a.w.now-a.born)
+		return deliver.StoreGroupTime(a.times, m, a.w.now-a.born)
 	case *wire.AskTime:
 		if a.w.mutant == OwnCount { // else no replica's count would be ahead of its group's time
 			return &wire.TimeKept{}
 		}
-		return deliver.RecallTime(a.times, m, a.w.now-a.born)
+		return deliver.ReportGroupTime(a.times, m, a.w.now-a.born)
 	case *wire.Open:
 		if m.Boot != a.boot() {
 			if a.agent.Has(m.Id, m.Attempt) {
@@ -128,7 +128,7 @@
 			}
 			return &wire.OpenAck{State: "gone"}
 		}
-		ack := a.book.Open(m, a.w.now)
+		ack := a.book.ResolveOpen(m, a.w.now)
 		a.w.Note("open %s/%d at %s, term %d: %s%s", m.Id, m.Attempt, a.boot(), m.Term, ack.State, ack.Kind)
 		return ack
 	case *wire.Run:
@@ -136,7 +136,7 @@
 			return &wire.RunAck{Kind: string(errs.KindOf(err))}
 		}
 		if !a.use(m.Permit) {
-			a.book.Forget(m)
+			a.book.Remove(m)
 			return &wire.RunAck{Kind: string(errs.DeadlineExceeded)}
 		}
 		a.carry(m)
--- a/internal/sim/book.go
+++ b/internal/sim/book.go
@@ -58,7 +58,7 @@
 		b.breach("group %d has two histories: %s applied %q at %d, another %q", id, s.name, edit, revision, was)
 	}
 	b.history[id][revision] = edit
-	if id == feed.ConfigPart && e.Key == config.Key {
+	if id == feed.ConfigPart && e.Key == config.DocumentKey {
 		digest := digestOf(e.Value)
 		if was, isKnown := b.taken[digest]; isKnown && was != revision {
 			b.breach("order %s was taken twice, at %d and at %d", digest, was, revision)
@@ -108,7 +108,7 @@
 		b.breach("the view of %s goes back from %d to %d", p.name, p.newest, revision)
 	}
 	p.newest = revision
-	c, isKnown := p.view.Get(feed.ConfigPart, config.Key)
+	c, isKnown := p.view.Get(feed.ConfigPart, config.DocumentKey)
 	if edit := b.history[feed.ConfigPart][c.Revision]; isKnown && edit != c.Key+" by "+c.By {
 		b.breach("the view of %s has %q at %d, the history %q", p.name, c.By, c.Revision, edit)
 	}
@@ -118,8 +118,8 @@
 // the bound must be known to it.
 func (b *book) acts(p *process) {
 	revision := p.view.Revision(feed.ConfigPart)
-	for i := len(b.acks) - 1; i >= 0 && b.w.now-b.acks[i].at < 3*timing.Default.Config; i-- {
-		if e := b.acks[i]; b.w.now-e.at > timing.Default.Config && revision < e.revision {
+	for i := len(b.acks) - 1; i >= 0 && b.w.now-b.acks[i].at < 3*timing.Default.ConfigApply; i-- {
+		if e := b.acks[i]; b.w.now-e.at > timing.Default.ConfigApply && revision < e.revision {
 			b.breach("%s acts on stamp %d, though %d was acknowledged %v ago", p.name, revision, e.revision, b.w.now-e.at)
 			return
 		}
--- a/internal/sim/callers.go
+++ b/internal/sim/callers.go
@@ -79,7 +79,7 @@
 		delay = p.Rand.Int64N(8000)
 	}
 	s.Delay, s.Patience = time.Duration(delay)*time.Millisecond, time.Duration(patience)*time.Millisecond
-	return s, &wire.Take{Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Sum: s.Sum, Deadline: patience, Delay: delay}
+	return s, &wire.Take{Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Checksum: s.Sum, Deadline: patience, Delay: delay}
 }
 
 func (p *Places) finish(s check.Sent, t check.Told, told func()) {
@@ -103,7 +103,7 @@
 	id, at := p.taken[first+p.Rand.IntN(len(p.taken)-first)].Id, p.now
 	p.askStore("caller", p.store(), func(o placeOwner, answer func(any)) { o.Look(&wire.Look{Id: id, Body: true}, answer) }, func(reply any) {
 		if got, isSight := reply.(*wire.Sight); isSight && got.Kind != string(errs.NotOwner) {
-			sight := check.Sight{Id: id, At: at, ToldAt: p.now, State: got.State, Attempts: got.Attempts, BodySum: got.Sum}
+			sight := check.Sight{Id: id, At: at, ToldAt: p.now, State: got.State, Attempts: got.Attempts, BodySum: got.Checksum}
 			if got.Kind != "" {
 				sight.State = "unknown"
 			}
@@ -167,7 +167,7 @@
 	p.Run(p.now + 130*time.Second)
 	for _, s := range p.H.Sent {
 		if s.Told == check.Undecided { // ask for a definite fate, as a caller would
-			p.reach(timing.Default.Config, func(o placeOwner, answer func(any)) { o.Settle(&wire.Settle{Id: s.Id, Lane: s.Lane}, answer) },
+			p.reach(timing.Default.ConfigApply, func(o placeOwner, answer func(any)) { o.Settle(&wire.Settle{Id: s.Id, Lane: s.Lane}, answer) },
 				func(*wire.Taken, bool) {})
 			p.Run(p.now + time.Second)
 		}
@@ -175,7 +175,7 @@
 			for _, st := range p.stores {
 				p.askStore("caller", st, func(o placeOwner, answer func(any)) { o.Look(&wire.Look{Id: s.Id, Body: true}, answer) }, func(reply any) {
 					if got, isSight := reply.(*wire.Sight); isSight && got.Kind != string(errs.NotOwner) {
-						end := check.End{State: got.State, Attempt: got.Proof.Attempt, Worker: got.Proof.Worker, Sum: got.Proof.Sum, BodySum: got.Sum}
+						end := check.End{State: got.State, Attempt: got.Proof.Attempt, Worker: got.Proof.Worker, Sum: got.Proof.Checksum, BodySum: got.Checksum}
 						if got.Kind != "" {
 							end.State = "unknown"
 						}
--- a/internal/sim/control.go
+++ b/internal/sim/control.go
@@ -51,9 +51,9 @@
 	targets    []*node
 	at         int
 	heard      time.Duration
-	worker     *deliver.Worker
+	worker     *deliver.WorkerState
 	term       int64
-	steady     duty.Steady
+	steady     duty.HoldDown
 	proposed   *duty.Proposals
 	since      time.Duration // its view has been fresh since then
 }
@@ -103,19 +103,19 @@
 	s.part = store.NewPartHost(s, feed.ConfigPart)
 	h, err := host.New(host.Options{Id: 0, Self: s.name + "/0", Roster: []string{"s1/0", "s2/0", "s3/0"}, Bounds: timing.Default,
 		Seed: s.c.Seed + uint64(s.life), Disk: &pumped{s.disk, &s.simStore}, Held: s.disk.Held(), Machine: s.part,
-		Now: s.c.Now, Send: s.post, Failed: s.Fail, Compact: 60, Whole: 500, Later: s.later})
+		Now: s.c.Now, Send: s.post, OnFailure: s.Fail, CompactEntries: 60, MaxMessageBytes: 500, Schedule: s.later})
 	if err != nil {
 		panic(err)
 	}
 	s.host = h
-	s.part.Use(h)
+	s.part.Attach(h)
 	s.c.Note("start %s", s.name)
 	s.tick(func() {})
 }
 
 // act is what a manager or adapter does on its own.
 func (n *node) act() {
-	if !n.view.IsFresh(n.c.now, timing.Default.Of(timing.Fresh)) {
+	if !n.view.IsFresh(n.c.now, timing.Default.Of(timing.ViewAgeLimit)) {
 		n.since = n.c.now
 		return
 	}
@@ -126,22 +126,22 @@
 		return
 	}
 	n.c.checkAct(n)
-	held, _ := compiled.Duties["p"].Get(config.Endpoint)
-	if held.Holder != n.name || held.Boot != n.boot() || !compiled.MayWork(n.zone()) {
+	held, _ := compiled.Duties["p"].Get(config.EndpointWorker)
+	if held.Holder != n.name || held.Boot != n.boot() || !compiled.MayStartWork(n.zone()) {
 		n.worker = nil
 		return
 	}
 	if n.worker == nil || n.term != held.Term {
 		fence := time.Duration(0)
-		if held.Before != "" {
+		if held.PreviousBoot != "" {
 			fence = timing.Default.Of(timing.Fence)
 		}
-		n.worker, n.term = deliver.NewWorker(compiled.Rules.Pools["p"], fence, n.c.now), held.Term
+		n.worker, n.term = deliver.NewWorkerState(compiled.Rules.Pools["p"], fence, n.c.now), held.Term
 	}
 	if isGranted, _ := n.worker.Grant(n.c.now); isGranted {
 		n.c.checkEmptied(n)
-		n.c.Acts = append(n.c.Acts, n.c.now+n.worker.Pace(n.c.now))
-		n.worker.Done(true, 0, n.c.now)
+		n.c.Acts = append(n.c.Acts, n.c.now+n.worker.PacingDelay(n.c.now))
+		n.worker.RunEnded(true, 0, n.c.now)
 	}
 }
 
@@ -156,18 +156,18 @@
 			managers = append(managers, m.Who.Name)
 		}
 	}
-	n.steady.Note(adapters, n.c.now)
-	if duty.First("pool/p", managers) != n.name || n.c.now-n.since < timing.Default.Of(timing.SessionTimeout) {
+	n.steady.ObserveMembers(adapters, n.c.now)
+	if duty.HighestRanked("pool/p", managers) != n.name || n.c.now-n.since < timing.Default.Of(timing.SessionTimeout) {
 		return
 	}
 	revision := func(key string) (int64, bool) {
 		c, isStanding := n.view.Get(feed.ConfigPart, key)
 		return map[bool]int64{true: c.Revision}[isStanding], c.Revision > 0
 	}
-	n.proposed.Forget(n.c.now)
-	for _, change := range n.steady.Filter(duty.Plan("p", compiled, duty.Adapters{Here: adapters, Proposed: n.proposed}, revision), n.c.now) {
-		n.steady.Move(change, n.c.now)
-		n.proposed.Propose(change, n.c.now)
+	n.proposed.Expire(n.c.now)
+	for _, change := range n.steady.Filter(duty.Plan("p", compiled, duty.Adapters{Members: adapters, Proposals: n.proposed}, revision), n.c.now) {
+		n.steady.RecordMove(change, n.c.now)
+		n.proposed.Add(change, n.c.now)
 		e := wire.Edit{Key: config.DutyKey + change.Pool + "/" + change.Worker, Value: change.Next.Encode(), IfRevision: change.IfRevision}
 		n.c.Note("%s gives the endpoint to %s", n.name, change.Next.Boot)
 		n.edit(e, func(int64) {})
--- a/internal/sim/controlfaults.go
+++ b/internal/sim/controlfaults.go
@@ -17,7 +17,7 @@
 func (c *Control) checkAct(n *node) {
 	revision := n.view.Revision(feed.ConfigPart)
 	for _, e := range c.acked {
-		if c.now-e.at > timing.Default.Config && revision < e.revision {
+		if c.now-e.at > timing.Default.ConfigApply && revision < e.revision {
 			text := fmt.Sprintf("%s acts on stamp %d, though %d was acknowledged %v ago", n.boot(), revision, e.revision, c.now-e.at)
 			c.Note("BROKEN %s", text)
 			c.Broken = append(c.Broken, text)
@@ -33,13 +33,13 @@
 		if !m.isUp || c.now < m.frozen {
 			continue
 		}
-		was, isKnown := m.view.Get(feed.ConfigPart, config.Key)
+		was, isKnown := m.view.Get(feed.ConfigPart, config.DocumentKey)
 		base := int64(0)
 		if isKnown {
 			base = was.Revision
 		}
 		c.edits++
-		e := wire.Edit{Key: config.Key, IfRevision: base, Value: fmt.Appendf(nil, controlConfig, c.edits)}
+		e := wire.Edit{Key: config.DocumentKey, IfRevision: base, Value: fmt.Appendf(nil, controlConfig, c.edits)}
 		m.edit(e, func(revision int64) {
 			for _, other := range c.acked {
 				if other.base == base && other.revision != revision {
@@ -204,7 +204,7 @@
 		newest = max(newest, e.revision)
 	}
 	for _, n := range c.adapters {
-		if was, _ := n.view.Get(feed.ConfigPart, config.Key); was.Revision < newest {
+		if was, _ := n.view.Get(feed.ConfigPart, config.DocumentKey); was.Revision < newest {
 			c.Broken = append(c.Broken, fmt.Sprintf("%s ends with configuration %d, acknowledged was %d", n.name, was.Revision, newest))
 		}
 	}
--- a/internal/sim/delivery.go
+++ b/internal/sim/delivery.go
@@ -144,7 +144,7 @@
 		}
 	}
 	l.open = append(l.open, call)
-	refuse := func() { call.finish(nil, transport.NewUnsent(errs.New(errs.Lost, "nobody listens at %s", addr))) }
+	refuse := func() { call.finish(nil, transport.NewUnsentError(errs.New(errs.Lost, "nobody listens at %s", addr))) }
 	if !isKnown {
 		d.After(time.Millisecond, refuse)
 		return
--- a/internal/sim/deliveryadapter.go
+++ b/internal/sim/deliveryadapter.go
@@ -6,7 +6,7 @@
 
 	"caperwheel/internal/deliver"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/session"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
@@ -43,7 +43,7 @@
 	if a.isUp {
 		return
 	}
-	a.begin(func() string { return a.agent.addr }, func(poll *wire.Poll) { a.out.Say(poll.Fact.Counts) })
+	a.begin(func() string { return a.agent.addr }, func(poll *wire.Poll) { a.out.AddCounts(poll.Fact.Counts) })
 }
 
 // begin readies the delivering half before the first poll tells of it.
@@ -53,34 +53,34 @@
 			say(poll)
 		}
 	})
-	a.out = deliver.NewOn(a.daemon, a.configs, deliver.Own, a.ports())
+	a.out = deliver.NewWithEnvironment(a.daemon, a.configs, deliver.DefaultCodec, a.ports())
 	life := a.life
-	a.out.Reach(&reach.Reach{Membership: a.daemon.Membership, Bounds: timing.Default, Call: func(ctx context.Context, addr string, ask any) (any, error) {
+	a.out.SetOwnerClient(&ownerclient.Client{Membership: a.daemon.Membership, Bounds: timing.Default, SendFunc: func(ctx context.Context, addr string, ask any) (any, error) {
 		return a.d.callIn(ctx, a.addr, &a.lifecycle, addr, ask)
 	}})
 	a.d.every(&a.lifecycle, a.d.bound(timing.AnswerTimeout), func() {
 		if a.life == life {
-			a.out.Tidy()
+			a.out.ExpireRefusals()
 		}
 	})
 }
 
 // ports are the adapter's ways to the simulated world.
-func (a *deliveryAdapter) ports() deliver.Ports {
+func (a *deliveryAdapter) ports() deliver.Environment {
 	life := a.life
 	task := func(work func(context.Context)) {
 		a.d.Go(&a.lifecycle, func(ctx context.Context, _ *task) { work(ctx) })
 	}
-	return deliver.Ports{
+	return deliver.Environment{
 		After: func(span time.Duration, work func()) {
 			a.d.After(span, func() { a.d.resume(&a.lifecycle, life, work) })
 		},
-		Run: task, Tell: task, Send: a.send,
+		Run: task, RunNotification: task, Send: a.send,
 		Post: func(_ *wire.Link, addr string, ask any, done func(any, error)) error {
 			a.d.post(a.addr, &a.lifecycle, addr, ask, done)
 			return nil
 		},
-		Permit: func() int64 { return a.d.Rand.Int64N(1 << 40) },
+		FirstPermitId: func() int64 { return a.d.Rand.Int64N(1 << 40) },
 	}
 }
 
@@ -104,12 +104,12 @@
 	}
 	a.d.Note("stop %s", a.name)
 	a.out.Leave()
-	life, until := a.life, a.d.now+2*timing.Default.Config
+	life, until := a.life, a.d.now+2*timing.Default.ConfigApply
 	var look func()
 	look = func() {
 		switch {
 		case !a.isUp || a.life != life:
-		case a.d.now >= until || a.out.InHand() == 0 && a.d.now >= a.frozen:
+		case a.d.now >= until || a.out.OpenRunCount() == 0 && a.d.now >= a.frozen:
 			a.kill()
 		default:
 			a.d.After(50*time.Millisecond, look)
@@ -135,15 +135,15 @@
 func (g *deliveryAgent) onAsk(ask any, answer func(any)) {
 	switch m := ask.(type) {
 	case *wire.Poll:
-		beside := g.daemon.Poll()
+		beside := g.daemon.NewPoll()
 		beside.Who, beside.Fact = m.Who, m.Fact
 		beside.Revisions, beside.MembershipHash = g.daemon.View.Revisions(), g.daemon.Membership.Hash()
 		asked := g.now()
 		g.d.post(g.addr, &g.lifecycle, ctlName, &beside, func(reply any, err error) {
 			if news, isNews := reply.(*wire.News); err == nil && isNews {
-				g.daemon.View.Take(news.Parts, asked)
+				g.daemon.View.Update(news.Parts, asked)
 				if news.MembershipHash != beside.MembershipHash {
-					g.daemon.Membership.Take(news.MembershipHash, news.Members)
+					g.daemon.Membership.Update(news.MembershipHash, news.Members)
 				}
 				answer(session.NewsFor(m, g.daemon.View, g.now(), g.daemon.Membership))
 			}
--- a/internal/sim/deliverycallers.go
+++ b/internal/sim/deliverycallers.go
@@ -7,8 +7,8 @@
 
 	"caperwheel/internal/check"
 	"caperwheel/internal/errs"
-	"caperwheel/internal/head"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
+	"caperwheel/internal/requesthead"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
@@ -24,8 +24,8 @@
 	if key != "" {
 		number = int64(key[len(key)-1]) % deliveryPlaces
 	}
-	s := check.Sent{Token: token, Lane: lane, Key: key, Sum: wire.SumOf([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token)}
-	take := &wire.Take{Place: number, Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Sum: s.Sum, Deadline: 90_000}
+	s := check.Sent{Token: token, Lane: lane, Key: key, Sum: wire.Checksum([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token)}
+	take := &wire.Take{Place: number, Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Checksum: s.Sum, Deadline: 90_000}
 	if d.Rand.IntN(6) == 0 {
 		s.Delay = time.Duration(d.Rand.IntN(5000)) * time.Millisecond
 		take.Delay = s.Delay.Milliseconds()
@@ -38,18 +38,18 @@
 	d.serial++
 	token := fmt.Sprintf("%s-%d", lane, d.serial)
 	number := int64(d.serial % deliveryPlaces)
-	s := check.Sent{Token: token, Lane: lane, Sum: wire.SumOf([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token), Delay: delay}
-	d.send(s, &wire.Take{Place: number, Id: s.Id, Lane: lane, Body: []byte(token), Sum: s.Sum, Deadline: 900_000, Delay: delay.Milliseconds()})
+	s := check.Sent{Token: token, Lane: lane, Sum: wire.Checksum([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token), Delay: delay}
+	d.send(s, &wire.Take{Place: number, Id: s.Id, Lane: lane, Body: []byte(token), Checksum: s.Sum, Deadline: 900_000, Delay: delay.Milliseconds()})
 	return s.Id
 }
 
 // send has a caller send a message, as it is or as a request that came, and notes what it is told.
 func (d *Deliveries) send(s check.Sent, take *wire.Take) {
 	if d.Rand.IntN(2) == 0 { // a request as it came
-		take.Head = head.Head{Method: "POST", Target: "/" + s.Lane, Host: "sim.example"}.Encode()
+		take.RequestHead = requesthead.Head{Method: "POST", Target: "/" + s.Lane, Host: "sim.example"}.Encode()
 	}
 	if d.Rand.IntN(3) == 0 {
-		take.Notify = "http://" + receiverAddr + "/ended"
+		take.NotifyUrl = "http://" + receiverAddr + "/ended"
 	}
 	d.Go(nil, func(ctx context.Context, _ *task) {
 		s.Told = d.decide(ctx, take, s.Lane)
@@ -81,10 +81,10 @@
 func (d *Deliveries) ask(ctx context.Context, number int64, ask any) (got *wire.Taken, isOpen bool) {
 	bounded, cancel := timing.Within(ctx, d.bound(timing.SettleTimeout))
 	defer cancel()
-	r := &reach.Reach{Membership: d.control.membership, Bounds: timing.Default, Call: func(ctx context.Context, addr string, ask any) (any, error) {
+	r := &ownerclient.Client{Membership: d.control.membership, Bounds: timing.Default, SendFunc: func(ctx context.Context, addr string, ask any) (any, error) {
 		return d.callIn(ctx, callerName, nil, addr, ask)
 	}}
-	reply, isOpen, err := r.Ask(bounded, wire.PlaceGroup+number, ask, func(reply any) (bool, string) {
+	reply, isOpen, err := r.CallOwnerTracked(bounded, wire.FirstPlaceGroup+number, ask, func(reply any) (bool, string) {
 		taken, isTaken := reply.(*wire.Taken)
 		if !isTaken {
 			return false, ""
--- a/internal/sim/deliverycontrol.go
+++ b/internal/sim/deliverycontrol.go
@@ -23,7 +23,7 @@
 	configs    *config.Cache
 	registry   *session.Registry
 	membership *session.Membership
-	steady     *duty.Steady
+	steady     *duty.HoldDown
 	proposed   *duty.Proposals
 	freshSince time.Duration
 	asking     bool // for news of the parts
@@ -35,8 +35,8 @@
 func newDeliveryControl(d *Deliveries) *deliveryControl {
 	c := &deliveryControl{d: d, view: feed.NewView(controlParts),
 		registry: session.NewRegistry(d.bound(timing.SessionTimeout)), membership: session.NewMembership(),
-		steady:   &duty.Steady{Least: 2 * timing.Default.Config},
-		proposed: &duty.Proposals{Kept: d.bound(timing.Fresh)}, doc: usualDoc()}
+		steady:   &duty.HoldDown{Period: 2 * timing.Default.ConfigApply},
+		proposed: &duty.Proposals{Timeout: d.bound(timing.ViewAgeLimit)}, doc: usualDoc()}
 	c.configs = &config.Cache{View: c.view}
 	return c
 }
@@ -48,7 +48,7 @@
 	c.isUp = true
 	c.configure()
 	c.list()
-	c.view.Take(c.d.parts.news(c.view.Revisions()), c.d.now)
+	c.view.Update(c.d.parts.news(c.view.Revisions()), c.d.now)
 	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.follow)
 	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.plan)
 	c.d.every(&c.lifecycle, c.d.bound(timing.ListInterval), c.list)
@@ -64,14 +64,14 @@
 	c.d.post(ctlName, &c.lifecycle, partsName, &wire.Follow{Revisions: c.view.Revisions()}, func(reply any, err error) {
 		c.asking = false
 		if got, isNews := reply.(*wire.Followed); err == nil && isNews {
-			c.view.Take(got.Parts, asked)
+			c.view.Update(got.Parts, asked)
 		}
 	})
 }
 
 // configure writes the configuration as it is to be now.
 func (c *deliveryControl) configure() {
-	c.d.parts.write(feed.ConfigPart, wire.Edit{Key: config.Key, Value: c.doc.encode(), IfRevision: -1})
+	c.d.parts.write(feed.ConfigPart, wire.Edit{Key: config.DocumentKey, Value: c.doc.encode(), IfRevision: -1})
 }
 
 // list writes the lists of workers as the platform has them now.
@@ -90,20 +90,20 @@
 
 // plan gives out duties, as a manager does.
 func (c *deliveryControl) plan() {
-	c.membership.Take(c.registry.Members(c.d.now))
-	if !c.view.IsFresh(c.d.now, c.d.bound(timing.Fresh)) {
+	c.membership.Update(c.registry.Members(c.d.now))
+	if !c.view.IsFresh(c.d.now, c.d.bound(timing.ViewAgeLimit)) {
 		c.freshSince = c.d.now
 		return
 	}
 	isNew := c.freshSince > 0 && c.d.now-c.freshSince < c.d.bound(timing.SessionTimeout)
-	c.proposed.Forget(c.d.now)
-	adapters := duty.Adapters{Here: c.membership.Kind("adapter"), Leaving: map[string]bool{}, Silent: map[string]bool{}, Proposed: c.proposed}
+	c.proposed.Expire(c.d.now)
+	adapters := duty.Adapters{Members: c.membership.OfKind("adapter"), Leaving: map[string]bool{}, Unresponsive: map[string]bool{}, Proposals: c.proposed}
 	_, members := c.registry.Members(c.d.now)
 	for _, m := range members {
-		adapters.Leaving[m.Who.Name] = m.Fact.Counts[deliver.Leaving] > 0
-		adapters.Silent[m.Who.Name] = time.Duration(m.Age)*time.Millisecond > c.d.bound(timing.SessionTimeout)/2
+		adapters.Leaving[m.Who.Name] = m.Fact.Counts[deliver.DrainingCount] > 0
+		adapters.Unresponsive[m.Who.Name] = time.Duration(m.Age)*time.Millisecond > c.d.bound(timing.SessionTimeout)/2
 	}
-	c.steady.Note(adapters.Here, c.d.now)
+	c.steady.ObserveMembers(adapters.Members, c.d.now)
 	compiled := c.configs.Current()
 	revision := func(key string) (int64, bool) {
 		standing, isStanding := c.view.Get(1, key)
@@ -115,11 +115,11 @@
 	for _, pool := range namesIn(compiled.Rules.Pools) {
 		changes := duty.Plan(pool, compiled, adapters, revision)
 		for _, change := range c.steady.Filter(changes, c.d.now) {
-			if isNew && !change.IsReborn {
+			if isNew && !change.IsHolderRestarted {
 				continue
 			}
-			e := wire.Edit{Part: 1, Key: config.DutyKey + pool + "/" + change.Worker, IfRevision: change.IfRevision, Gone: change.IsGone}
-			if !change.IsGone {
+			e := wire.Edit{Part: 1, Key: config.DutyKey + pool + "/" + change.Worker, IfRevision: change.IfRevision, Gone: change.IsRemoval}
+			if !change.IsRemoval {
 				e.Value = change.Next.Encode()
 			}
 			c.propose(change, e)
@@ -129,8 +129,8 @@
 
 // propose has the parts take a change of a duty.
 func (c *deliveryControl) propose(change duty.Change, e wire.Edit) {
-	c.steady.Move(change, c.d.now)
-	c.proposed.Propose(change, c.d.now)
+	c.steady.RecordMove(change, c.d.now)
+	c.proposed.Add(change, c.d.now)
 	c.d.post(ctlName, &c.lifecycle, partsName, &e, func(reply any, err error) {
 		if got, isEdited := reply.(*wire.Edited); err == nil && isEdited && got.Kind != "" {
 			c.proposed.Fail(change)
@@ -144,8 +144,8 @@
 	if !isPoll {
 		return
 	}
-	c.registry.Hear(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, c.d.now, true)
-	c.membership.Take(c.registry.Members(c.d.now))
+	c.registry.Renew(wire.Member{Who: poll.Who, Owns: poll.Owns, Fact: poll.Fact}, c.d.now, true)
+	c.membership.Update(c.registry.Members(c.d.now))
 	answer(session.NewsFor(poll, c.view, c.d.now, c.membership))
 }
 
--- a/internal/sim/deliverydaemon.go
+++ b/internal/sim/deliverydaemon.go
@@ -42,7 +42,7 @@
 	p.isUp, p.life, p.frozen, p.born, p.asking = true, p.life+1, 0, p.d.now, false
 	p.daemon = &daemon.Daemon{Kind: p.kind, Bounds: timing.Default, Clock: p.now, View: feed.NewView(controlParts),
 		Membership: session.NewMembership(), Who: whoIs(p.kind, p.name, p.zone, fmt.Sprintf("%s.%d", p.name, p.life), p.addr),
-		Settings: settings.Settings{Most: 500, Seeds: []string{through()}}}
+		Settings: settings.Settings{MaxInFlight: 500, Seeds: []string{through()}}}
 	p.configs = &config.Cache{View: p.daemon.View}
 	p.d.Note("start %s", p.daemon.Who.Boot)
 	p.poll(through, say)
@@ -59,7 +59,7 @@
 		if p.d.now >= p.frozen {
 			p.pollOnce(through(), say)
 		}
-		p.d.After(session.Pause(p.daemon.View, p.now(), timing.Default), turn)
+		p.d.After(session.PollInterval(p.daemon.View, p.now(), timing.Default), turn)
 	}
 	turn()
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	p.asking, p.askedAt = true, p.now()
-	poll := p.daemon.Poll()
+	poll := p.daemon.NewPoll()
 	poll.Revisions, poll.MembershipHash = p.daemon.View.Revisions(), p.daemon.Membership.Hash()
 	say(&poll)
 	asked := p.askedAt
@@ -77,9 +77,9 @@
 		p.asking = false
 		if news, isNews := reply.(*wire.News); err == nil && isNews {
 			if news.MembershipHash != poll.MembershipHash {
-				p.daemon.Membership.Take(news.MembershipHash, news.Members)
+				p.daemon.Membership.Update(news.MembershipHash, news.Members)
 			}
-			p.daemon.View.Take(news.Parts, asked)
+			p.daemon.View.Update(news.Parts, asked)
 		}
 	})
 }
--- a/internal/sim/deliverydelays_test.go
+++ b/internal/sim/deliverydelays_test.go
@@ -118,7 +118,7 @@
 		}
 		d.Run(sent + delay + 40*time.Second)
 		const marking = 100 * time.Millisecond // for a mark to be synced by a majority
-		most := time.Duration(len(losses))*(outage+timing.Default.Of(timing.TimeMark)+marking) + mostLate
+		most := time.Duration(len(losses))*(outage+timing.Default.Of(timing.TimeCommitInterval)+marking) + mostLate
 		for _, id := range ids {
 			at, isBegun := d.begun(id)
 			Printf("%s: %v of %v ", id, at-sent-delay, most)
--- a/internal/sim/deliveryfaults.go
+++ b/internal/sim/deliveryfaults.go
@@ -18,7 +18,7 @@
 	"handed over": func(d *Deliveries) {
 		if s := d.store(); s.isUp && d.now >= s.frozen {
 			for _, h := range s.hosts {
-				h.HandOver(func(string) bool { return false })
+				h.TransferOwnership(func(string) bool { return false })
 			}
 			s.pump()
 		}
@@ -110,7 +110,7 @@
 	},
 	"emptied zones": func(d *Deliveries) {
 		key := config.ZoneKey + zoneOf(d.Rand.IntN(3))
-		d.parts.write(feed.ConfigPart, wire.Edit{Key: key, Value: config.Order{Only: config.OnlyWorkers}.Encode(), IfRevision: -1})
+		d.parts.write(feed.ConfigPart, wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers}.Encode(), IfRevision: -1})
 		d.After(d.seconds(6), func() { d.restore(key) })
 	},
 	"stuck messages": func(d *Deliveries) { d.Stuck = 40; d.After(2*time.Second, func() { d.Stuck = 0 }) },
@@ -142,7 +142,7 @@
 
 // holderOf returns the adapter that holds the endpoint's duty and is up, as the manager sees it; nil for none.
 func (d *Deliveries) holderOf() *deliveryAdapter {
-	held, _ := d.control.configs.Current().Duties["far"].Get(config.Endpoint)
+	held, _ := d.control.configs.Current().Duties["far"].Get(config.EndpointWorker)
 	for _, a := range d.adapters {
 		if a.isUp && a.name == held.Holder && a.daemon.Who.Boot == held.Boot {
 			return a
--- a/internal/sim/deliveryjudge.go
+++ b/internal/sim/deliveryjudge.go
@@ -138,11 +138,11 @@
 		}
 	}
 	for _, s := range d.stores {
-		if asks := s.dispatch.Asks(); asks > 0 {
+		if asks := s.dispatch.CountRequests(); asks > 0 {
 			d.lying("%s has %d asks for slots under way", s.name, asks)
 		}
 		for number, p := range s.places {
-			if held := p.Holdings(); s.hosts[number].IsOwner() && held != (store.Holdings{}) {
+			if held := p.Outstanding(); s.hosts[number].IsOwner() && held != (store.Outstanding{}) {
 				d.lying("place %d at %s holds %+v", number, s.name, held)
 			}
 		}
@@ -160,7 +160,7 @@
 					reply, err := d.callIn(bounded, callerName, nil, st.addr, look)
 					cancel()
 					if got, isSight := reply.(*wire.Sight); err == nil && isSight && got.Kind != "not_owner" {
-						end := check.End{State: got.State, Attempt: got.Proof.Attempt, Worker: got.Proof.Worker, Sum: got.Proof.Sum, BodySum: got.Sum}
+						end := check.End{State: got.State, Attempt: got.Proof.Attempt, Worker: got.Proof.Worker, Sum: got.Proof.Checksum, BodySum: got.Checksum}
 						if got.Kind != "" {
 							end.State = "unknown"
 						}
--- a/internal/sim/deliveryparts.go
+++ b/internal/sim/deliveryparts.go
@@ -33,7 +33,7 @@
 // apply takes an edit in as one call.
 func (p *deliveryParts) apply(e wire.Edit) wire.Edited {
 	p.serial++
-	e.Order, e.Base = fmt.Sprint("order-", p.serial), wire.OneCall
+	e.OperationId, e.BaseVersion = fmt.Sprint("order-", p.serial), wire.SingleCallBase
 	return p.parts[e.Part].Apply(e)
 }
 
--- a/internal/sim/deliverysend.go
+++ b/internal/sim/deliverysend.go
@@ -15,12 +15,12 @@
 )
 
 // send puts a request to a worker or to the receiver, as web.Client does.
-func (a *deliveryAdapter) send(req *http.Request, terms web.Terms) (*web.Reply, error) {
+func (a *deliveryAdapter) send(req *http.Request, terms web.SendOptions) (*web.Reply, error) {
 	c, d := simulated(req.Context()), a.d
 	c.t.pause(time.Duration(200+d.Rand.IntN(2000)) * time.Microsecond)
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
-		return nil, web.NewUnsent(err)
+		return nil, web.NewUnsentError(err)
 	}
 	if req.URL.Host == receiverAddr {
 		return d.receiver.told(c, body)
@@ -30,16 +30,16 @@
 		if w != nil { // a machine that is away says nothing; one whose process has ended refuses
 			c.t.pause(min(d.bound(timing.DialTimeout), max(0, c.until-d.now)))
 		}
-		return nil, web.NewUnsent(errs.New(errs.Lost, "no connection to %s", req.URL.Host))
+		return nil, web.NewUnsentError(errs.New(errs.Lost, "no connection to %s", req.URL.Host))
 	}
-	if terms.Before != nil {
-		if err := terms.Before(); err != nil {
-			return nil, web.NewUnsent(err)
+	if terms.BeforeSend != nil {
+		if err := terms.BeforeSend(); err != nil {
+			return nil, web.NewUnsentError(err)
 		}
 	}
 	until := time.Duration(0)
 	if req.URL.Path != "/" && req.Header.Get("X-Lane") == "" { // it came as it is: such requests carry their time
-		until = d.now + a.configs.Current().Rules.Pools[w.pool].Bound
+		until = d.now + a.configs.Current().Rules.Pools[w.pool].RunTimeout
 	}
 	attempt, _ := strconv.ParseInt(req.Header.Get("X-Attempt"), 10, 64)
 	return a.await(c, w, &deliveryRun{by: a, life: a.life, id: req.Header.Get("X-Message-Id"), attempt: attempt, until: until}, body)
@@ -56,7 +56,7 @@
 			} else {
 				header.Set("X-Message-Id", r.id)
 				header.Set("X-Attempt", strconv.FormatInt(r.attempt, 10))
-				reply = &web.Reply{Response: &http.Response{StatusCode: status, Header: header}, Bytes: text, Size: int64(len(text)), Sum: wire.SumOf(text), IsFirst: true}
+				reply = &web.Reply{Response: &http.Response{StatusCode: status, Header: header}, Bytes: text, Size: int64(len(text)), Checksum: wire.Checksum(text), IsFirstOnConnection: true}
 			}
 			resume()
 		}
@@ -80,5 +80,5 @@
 	}
 	c.t.pause(2 * time.Millisecond)
 	x.heard[gjson.GetBytes(body, "id").Str]++
-	return &web.Reply{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}, IsFirst: true}, nil
+	return &web.Reply{Response: &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}, IsFirstOnConnection: true}, nil
 }
--- a/internal/sim/deliverystops.go
+++ b/internal/sim/deliverystops.go
@@ -94,7 +94,7 @@
 	}
 	s.d.Note("stop %s", s.name)
 	life, until := s.life, s.d.now+storeStay
-	departure := store.NewDeparture(store.DepartureOptions{Daemon: s.daemon,
+	departure := store.NewDrain(store.DrainOptions{Daemon: s.daemon,
 		Hosts: func() []*host.Host { return s.hosts }, Places: func() []*store.PlaceHost { return s.places }})
 	var look func()
 	look = func() {
@@ -116,7 +116,7 @@
 	for i := range roster {
 		m := roster[(number+i)%len(roster)]
 		name := group.Name(m)
-		if !s.daemon.Membership.IsLeaving(name) && (name != s.name || !s.daemon.IsLeaving()) {
+		if !s.daemon.Membership.IsDraining(name) && (name != s.name || !s.daemon.IsDraining()) {
 			return m
 		}
 	}
--- a/internal/sim/deliverystore.go
+++ b/internal/sim/deliverystore.go
@@ -51,7 +51,7 @@
 			return err
 		}})
 	s.d.every(&s.lifecycle, s.d.bound(timing.Tick), s.tick)
-	s.d.every(&s.lifecycle, s.d.bound(timing.Draw), func() { s.dispatch.Turn() })
+	s.d.every(&s.lifecycle, s.d.bound(timing.DispatchInterval), func() { s.dispatch.Dispatch() })
 }
 
 // open starts the replica of a place.
@@ -61,24 +61,24 @@
 	for i := range deliveryStores {
 		roster = append(roster, []string{"s1/0", "s2/0", "s3/0"}[i])
 	}
-	h, err := host.New(host.Options{Id: wire.PlaceGroup + int64(number), Self: s.name + "/0", Roster: roster, Bounds: timing.Default,
+	h, err := host.New(host.Options{Id: wire.FirstPlaceGroup + int64(number), Self: s.name + "/0", Roster: roster, Bounds: timing.Default,
 		Seed: s.d.Seed + uint64(s.life)*31 + uint64(number), Disk: &deliveryDisk{disk, s}, Held: disk.Held(), Now: s.now,
-		Machine: p, Send: s.sendGroup, Failed: func(err error) { panic(err) }, Compact: 300, Whole: 1 << 20, Later: s.later,
-		Level: place.NewestLevel, Prefer: func(roster []string) string { return s.prefer(number, roster) }})
+		Machine: p, Send: s.sendGroup, OnFailure: func(err error) { panic(err) }, CompactEntries: 300, MaxMessageBytes: 1 << 20, Schedule: s.later,
+		Level: place.NewestLevel, PreferredOwner: func(roster []string) string { return s.prefer(number, roster) }})
 	if err != nil {
 		panic(err)
 	}
-	p.Use(h)
+	p.Attach(h)
 	s.hosts, s.places = append(s.hosts, h), append(s.places, p)
 }
 
 func (s *deliveryStore) say(poll *wire.Poll) {
-	if s.daemon.IsLeaving() {
-		poll.Fact.Counts[session.LeavingCount] = 1
+	if s.daemon.IsDraining() {
+		poll.Fact.Counts[session.DrainingCount] = 1
 	}
 	for number, h := range s.hosts {
 		if v := h.View(); v.Role == group.Owner {
-			poll.Owns = append(poll.Owns, wire.Owned{Group: wire.PlaceGroup + int64(number), Term: v.Term, Size: 3})
+			poll.Owns = append(poll.Owns, wire.Owned{Group: wire.FirstPlaceGroup + int64(number), Term: v.Term, Size: 3})
 		}
 	}
 }
@@ -94,7 +94,7 @@
 func (s *deliveryStore) pump() {
 	if s.isUp && s.d.now >= s.frozen {
 		for _, h := range s.hosts {
-			h.Pump()
+			h.RunPending()
 		}
 	}
 }
@@ -108,8 +108,8 @@
 	for _, to := range s.d.stores {
 		if to.name == group.Name(m.To) {
 			s.d.Send(s.addr, to.addr, func() {
-				if to.isUp && int(m.Group-wire.PlaceGroup) < len(to.hosts) {
-					to.hosts[m.Group-wire.PlaceGroup].Receive(m)
+				if to.isUp && int(m.Group-wire.FirstPlaceGroup) < len(to.hosts) {
+					to.hosts[m.Group-wire.FirstPlaceGroup].Receive(m)
 					to.pump()
 				}
 			})
@@ -169,11 +169,11 @@
 func (d *deliveryDisk) wrap(then func(error)) func(error) {
 	return func(err error) { then(err); d.s.pump() }
 }
-func (d *deliveryDisk) Persist(id int64, p *group.Persist, then func(error)) {
+func (d *deliveryDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
 }
-func (d *deliveryDisk) After(then func(error)) { d.Disk.After(d.wrap(then)) }
-func (d *deliveryDisk) SaveSlot(id int64, hard group.HardState, image *group.Image, e *group.Persist, then func(error)) {
+func (d *deliveryDisk) AfterWrites(then func(error)) { d.Disk.AfterWrites(d.wrap(then)) }
+func (d *deliveryDisk) SaveSlot(id int64, hard group.HardState, image *group.Snapshot, e *group.DurableUpdate, then func(error)) {
 	d.Disk.SaveSlot(id, hard, image, e, d.wrap(then))
 }
 
@@ -187,28 +187,28 @@
 func (a *deliveryAround) After(span time.Duration, work func()) { a.s.later(span, work) }
 func (a *deliveryAround) Bounds() timing.Bounds                 { return timing.Default }
 func (a *deliveryAround) IsFresh() bool                         { return a.s.daemon.IsFresh() }
-func (a *deliveryAround) IsFull() bool                          { return a.s.d.now < a.s.full }
-func (a *deliveryAround) IsBusy() bool                          { return false }
-func (a *deliveryAround) IsTight() bool                         { return false }
+func (a *deliveryAround) IsDiskFull() bool                      { return a.s.d.now < a.s.full }
+func (a *deliveryAround) IsDiskBusy() bool                      { return false }
+func (a *deliveryAround) IsMemoryLow() bool                     { return false }
 func (a *deliveryAround) Compiled() *config.Compiled            { return a.s.configs.Current() }
 func (a *deliveryAround) Find(name string) (wire.Who, bool)     { return a.s.daemon.Membership.Find(name) }
-func (a *deliveryAround) Adapters() []wire.Who                  { return a.s.daemon.Membership.Kind("adapter") }
+func (a *deliveryAround) Adapters() []wire.Who                  { return a.s.daemon.Membership.OfKind("adapter") }
 func (a *deliveryAround) Post(who wire.Who, ask any, answer func(any, error)) error {
 	return a.s.postTo(who, ask, answer)
 }
-func (a *deliveryAround) TakeElsewhere(_ *wire.Take, tell func(bool)) { tell(false) }
+func (a *deliveryAround) SubmitToPlace(_ *wire.Take, tell func(bool)) { tell(false) }
 func (a *deliveryAround) Release(g store.SlotGrant) {
 	_ = a.s.postTo(g.Holder, &wire.Release{Permit: g.Permit}, nil)
 }
-func (a *deliveryAround) Teller(address string) (wire.Who, bool) {
-	return store.Teller(a.s.daemon.Membership, a.s.configs.Current(), address)
+func (a *deliveryAround) Notifier(address string) (wire.Who, bool) {
+	return store.NotifierFor(a.s.daemon.Membership, a.s.configs.Current(), address)
 }
 func (a *deliveryAround) PlaceOf(string) int64         { return int64(a.number) }
-func (a *deliveryAround) ChildOf(parent string) string { return parent + "c" }
+func (a *deliveryAround) ChildId(parent string) string { return parent + "c" }
 func (a *deliveryAround) Fail(err error)               { panic(errs.Wrap(err, errs.Internal, "place")) }
 
 // Nudge has the dispatcher turn soon.
-func (a *deliveryAround) Nudge() {
+func (a *deliveryAround) Wake() {
 	s := a.s
 	if s.isNudged || s.dispatch == nil {
 		return
@@ -218,7 +218,7 @@
 	s.d.After(0, func() {
 		s.d.resume(&s.lifecycle, life, func() {
 			s.isNudged = false
-			s.dispatch.Turn()
+			s.dispatch.Dispatch()
 		})
 	})
 }
--- a/internal/sim/deliveryworker.go
+++ b/internal/sim/deliveryworker.go
@@ -67,7 +67,7 @@
 }
 
 func (d *Deliveries) addEndpoint() {
-	d.workers = append(d.workers, &deliveryWorker{d: d, pool: "far", name: config.Endpoint, address: "10.9.9.9:80", isUp: true, isListed: true})
+	d.workers = append(d.workers, &deliveryWorker{d: d, pool: "far", name: config.EndpointWorker, address: "10.9.9.9:80", isUp: true, isListed: true})
 }
 
 // workerAt finds the worker that listens at an address now.
@@ -107,7 +107,7 @@
 		}
 		r.tell(http.StatusServiceUnavailable, header, nil)
 	default:
-		r.run = &check.Run{Token: string(body), Id: r.id, Attempt: r.attempt, Pool: w.pool, Worker: w.name, Sum: wire.SumOf(body), Adapter: r.by.name}
+		r.run = &check.Run{Token: string(body), Id: r.id, Attempt: r.attempt, Pool: w.pool, Worker: w.name, Sum: wire.Checksum(body), Adapter: r.by.name}
 		w.waiting = append(w.waiting, r)
 		w.next()
 	}
@@ -165,7 +165,7 @@
 	case bytes.Contains([]byte(r.run.Token), []byte("poison")):
 		status = http.StatusUnprocessableEntity
 	}
-	r.run.Status, r.run.Answer = status, wire.SumOf(body)
+	r.run.Status, r.run.Answer = status, wire.Checksum(body)
 	r.over()
 	if r.w.isMute {
 		r.lose()
