--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"caperwheel/internal/group"
-	"caperwheel/internal/slot"
+	"caperwheel/internal/storage"
 	"caperwheel/internal/wire"
 )
 
@@ -15,7 +15,7 @@
 	w        *World
 	life     int
 	hard     group.HardState
-	image    *group.Image
+	image    *group.Snapshot
 	log      []wire.Entry
 	unsynced []pending
 	isHasty  bool // a mutant: tells of syncs that were never done
@@ -28,21 +28,21 @@
 }
 
 // Persist queues one step's writes.
-func (d *Disk) Persist(_ int64, p *group.Persist, then func(error)) {
+func (d *Disk) Persist(_ int64, p *group.DurableUpdate, then func(error)) {
 	d.put(pending{func() { d.apply(p) }, then, false})
 }
 
 // After calls then behind all that is queued.
-func (d *Disk) After(then func(error)) { d.put(pending{func() {}, then, false}) }
+func (d *Disk) AfterWrites(then func(error)) { d.put(pending{func() {}, then, false}) }
 
 // SaveSlot writes the whole state.
-func (d *Disk) SaveSlot(_ int64, hard group.HardState, image *group.Image, entries *group.Persist, then func(error)) {
+func (d *Disk) SaveSlot(_ int64, hard group.HardState, image *group.Snapshot, entries *group.DurableUpdate, then func(error)) {
 	d.put(pending{func() { d.hard, d.image, d.log = hard, image, slices.Clone(entries.Entries) }, then, true})
 }
 
-func (d *Disk) apply(p *group.Persist) {
-	if p.Image != nil {
-		d.image, d.log = p.Image, nil
+func (d *Disk) apply(p *group.DurableUpdate) {
+	if p.Snapshot != nil {
+		d.image, d.log = p.Snapshot, nil
 	}
 	if p.Hard != nil {
 		d.hard = *p.Hard
@@ -99,6 +99,6 @@
 }
 
 // Held is what a restart finds.
-func (d *Disk) Held() *slot.Held {
-	return &slot.Held{Hard: d.hard, Image: d.image, Log: slices.Clone(d.log)}
+func (d *Disk) Held() *storage.StoredGroup {
+	return &storage.StoredGroup{Hard: d.hard, Snapshot: d.image, Log: slices.Clone(d.log)}
 }
--- a/internal/sim/environment.go
+++ b/internal/sim/environment.go
@@ -30,13 +30,13 @@
 func (s *simStore) Bounds() timing.Bounds { return timing.Default }
 
 // IsFresh follows the simulated control plane.
-func (s *simStore) IsFresh() bool { return s.w.now-s.fresh < timing.Default.Of(timing.Fresh) }
+func (s *simStore) IsFresh() bool { return s.w.now-s.fresh < timing.Default.Of(timing.ViewAgeLimit) }
 
 // IsFull tells of a simulated full disk.
-func (s *simStore) IsFull() bool { return s.w.now < s.full }
+func (s *simStore) IsDiskFull() bool { return s.w.now < s.full }
 
 // IsBusy tells of a disk with too much to write, which the simulation has none of.
-func (s *simStore) IsBusy() bool { return false }
+func (s *simStore) IsDiskBusy() bool { return false }
 
 // Compiled has the rules.
 func (s *simStore) Compiled() *config.Compiled { return &config.Compiled{Rules: s.w.rules} }
@@ -75,24 +75,24 @@
 	return errs.New(errs.Lost, "no adapter %s", who.Name)
 }
 
-// TakeElsewhere is not used: no lane here has a call-back.
-func (s *simStore) Teller(string) (wire.Who, bool)              { return wire.Who{}, false }
-func (s *simStore) TakeElsewhere(_ *wire.Take, tell func(bool)) { tell(false) }
+// SubmitToPlace is not used: no lane here has a call-back.
+func (s *simStore) Notifier(string) (wire.Who, bool)            { return wire.Who{}, false }
+func (s *simStore) SubmitToPlace(_ *wire.Take, tell func(bool)) { tell(false) }
 
 // Release needs nothing: permits lapse.
 func (s *simStore) Release(store.SlotGrant) {}
 
 // Nudge needs nothing: dispatch goes at intervals.
-func (s *simStore) Nudge() {}
+func (s *simStore) Wake() {}
 
 // PlaceOf is the one place.
 func (s *simStore) PlaceOf(string) int64 { return 0 }
 
 // ChildOf is not used.
-func (s *simStore) ChildOf(parent string) string { return parent + "c" }
+func (s *simStore) ChildId(parent string) string { return parent + "c" }
 
 // IsTight tells of too little memory, which the simulation never has.
-func (s *simStore) IsTight() bool { return false }
+func (s *simStore) IsMemoryLow() bool { return false }
 
 // Fail must not happen.
 func (s *simStore) Fail(err error) { panic(err) }
--- a/internal/sim/evacuations.go
+++ b/internal/sim/evacuations.go
@@ -26,7 +26,7 @@
 	d.Go(nil, func(ctx context.Context, t *task) {
 		for d.now < end {
 			t.pause(time.Duration(1000+d.Rand.IntN(9000)) * time.Millisecond)
-			if !d.orderZone(ctx, t, zone, (*manager.Operators).Empty) {
+			if !d.orderZone(ctx, t, zone, (*manager.Operators).DrainZone) {
 				t.pause(2 * resendTime) // it may be taken yet
 				continue
 			}
@@ -38,7 +38,7 @@
 			}
 			delete(d.evacuated, zone)
 			isDone := d.orderZone(ctx, t, zone, func(o *manager.Operators, ctx context.Context, by, zone string, _ bool) (int64, error) {
-				return o.Restore(ctx, by, zone)
+				return o.RestoreZone(ctx, by, zone)
 			})
 			d.Note("zone %s is taken back: %t", zone, isDone)
 			if !isDone {
@@ -78,7 +78,7 @@
 // was acknowledged longer ago than the bound.
 func (d *Deployment) checkEvacuated(p *process) {
 	for zone, at := range d.evacuated {
-		if c, isThere := p.view.Get(feed.ConfigPart, config.ZoneKey+zone); d.now-at > timing.Default.Config && !(isThere && isEvacuated(c.Value)) {
+		if c, isThere := p.view.Get(feed.ConfigPart, config.ZoneKey+zone); d.now-at > timing.Default.ConfigApply && !(isThere && isEvacuated(c.Value)) {
 			d.breach("%s acts without the evacuation of %s, which was acknowledged %v ago", p.name, zone, d.now-at)
 			delete(d.evacuated, zone) // said once
 		}
@@ -105,7 +105,7 @@
 	}
 }
 
-func isEvacuated(raw []byte) bool { return config.ReadOrder(raw).Only == config.OnlyWorkers }
+func isEvacuated(raw []byte) bool { return config.ParseDrainOrder(raw).Only == config.OnlyWorkers }
 
 // evacuatedZones are the zones that are evacuated: one with machines and one without.
 func evacuatedZones() []string { return []string{"c2", fmt.Sprint("c", copies+1)} }
--- a/internal/sim/groupcheck.go
+++ b/internal/sim/groupcheck.go
@@ -61,12 +61,12 @@
 			continue
 		}
 		v := r.machine.View()
-		if !v.IsSure {
+		if !v.IsConfirmed {
 			continue
 		}
 		for command, at := range g.ackedAt {
-			if at < v.Confirmed && !slices.Contains(r.Applied, command) {
-				g.breach("%s is sure as of %v but misses %s, acknowledged at %v", id, v.Confirmed, command, at)
+			if at < v.ConfirmedAt && !slices.Contains(r.Applied, command) {
+				g.breach("%s is sure as of %v but misses %s, acknowledged at %v", id, v.ConfirmedAt, command, at)
 			}
 		}
 	}
--- a/internal/sim/groups.go
+++ b/internal/sim/groups.go
@@ -14,7 +14,7 @@
 // power cut, from a random point on.
 type disk struct {
 	hard     group.HardState
-	image    *group.Image
+	image    *group.Snapshot
 	log      []wire.Entry
 	unsynced []pending
 }
@@ -28,7 +28,7 @@
 	isUp    bool
 	life    int
 	Applied []string
-	image   *group.Image
+	image   *group.Snapshot
 }
 
 // Groups is one replicated group under simulation.
@@ -150,15 +150,15 @@
 }
 
 // do carries out what one step wants.
-func (g *Groups) do(r *Replica, out group.Out) {
-	for _, m := range out.Now {
+func (g *Groups) do(r *Replica, out group.Output) {
+	for _, m := range out.SendNow {
 		g.post(r, m)
 	}
 	if p := out.Persist; p != nil {
-		g.persist(r, p, out.After)
+		g.persist(r, p, out.SendAfterSync)
 	} else {
-		for _, m := range out.After { // behind whatever is still unsynced
-			g.persist(r, &group.Persist{}, []wire.GroupMsg{m})
+		for _, m := range out.SendAfterSync { // behind whatever is still unsynced
+			g.persist(r, &group.DurableUpdate{}, []wire.GroupMsg{m})
 		}
 	}
 	if out.Install != nil {
@@ -175,16 +175,16 @@
 	if len(r.Applied) > 0 && len(r.Applied)%40 == 0 {
 		if image := r.machine.Compact(r.machine.View().Commit, pack(r.Applied)); image != nil {
 			r.image = image
-			hard, log := r.machine.Whole()
+			hard, log := r.machine.DurableState()
 			g.write(r, func() { r.disk.hard, r.disk.image, r.disk.log = hard, image, log }, nil)
 		}
 	}
 }
 
-func (g *Groups) persist(r *Replica, p *group.Persist, after []wire.GroupMsg) {
+func (g *Groups) persist(r *Replica, p *group.DurableUpdate, after []wire.GroupMsg) {
 	g.write(r, func() {
-		if p.Image != nil {
-			r.disk.image, r.disk.log = p.Image, nil
+		if p.Snapshot != nil {
+			r.disk.image, r.disk.log = p.Snapshot, nil
 		}
 		if p.Hard != nil {
 			r.disk.hard = *p.Hard
@@ -226,7 +226,7 @@
 }
 
 func (g *Groups) post(r *Replica, m wire.GroupMsg) {
-	if m.Kind == group.MsgImage {
+	if m.Kind == group.MsgSnapshot {
 		m.State = r.image.State
 	}
 	g.Send(group.Name(m.From), group.Name(m.To), func() {
--- a/internal/sim/grouptime.go
+++ b/internal/sim/grouptime.go
@@ -33,16 +33,16 @@
 
 // stamped is a group that notes what is proposed to it.
 type stamped struct {
-	store.Hosting
+	store.Group
 	stamps          *stamps
 	isBlindToLevels bool
 }
 
 // View is the group's. The mutant has an owner believe that every replica can apply all.
 func (p *stamped) View() group.View {
-	v := p.Hosting.View()
+	v := p.Group.View()
 	if p.isBlindToLevels {
-		v.Level = place.NewestLevel
+		v.CommonLevel = place.NewestLevel
 	}
 	return v
 }
@@ -50,7 +50,7 @@
 // Propose notes the command and passes it on.
 func (p *stamped) Propose(data []byte, tell func(verdict any, err error)) {
 	p.stamps.note(data)
-	p.Hosting.Propose(data, tell)
+	p.Group.Propose(data, tell)
 }
 
 // lead is how far group time is ahead of real time at one replica.
--- a/internal/sim/herds.go
+++ b/internal/sim/herds.go
@@ -113,7 +113,7 @@
 			return false
 		}
 		err, isTold := d.ask(ctx, func(ctx context.Context, o *manager.Operators) any {
-			_, err := o.Retire(ctx, "operator", m.name, time.Minute)
+			_, err := o.RetireStore(ctx, "operator", m.name, time.Minute)
 			return &told{err}
 		}).(*told)
 		if isTold && errs.Is(err.err, errs.Rejected) || isTold && errs.Is(err.err, errs.Unknown) {
@@ -131,7 +131,7 @@
 			return false
 		}
 		got, isTold := d.ask(ctx, func(ctx context.Context, o *manager.Operators) any {
-			state, err := o.Retirement(ctx, m.name)
+			state, err := o.RetirementProgress(ctx, m.name)
 			return &progress{state, err}
 		}).(*progress)
 		if d.mutant == EarlyLeave || isTold && got.err == nil && got.state.IsDone && got.state.IsRetired {
@@ -147,7 +147,7 @@
 type told struct{ err error }
 
 type progress struct {
-	state manager.Retirement
+	state manager.RetirementProgress
 	err   error
 }
 
--- a/internal/sim/keys.go
+++ b/internal/sim/keys.go
@@ -51,7 +51,7 @@
 // RunKeysMutant does the same with a guard taken out.
 func RunKeysMutant(mutant Mutant, seed uint64, chosen ...func(*Places)) *Keys {
 	k := &Keys{Places: NewPlaces(NewWorld(seed), 3, mutant), byToken: map[string]*keyed{}}
-	k.retention = timing.KeepKeys(keyWindow)
+	k.retention = timing.KeyRetention(keyWindow)
 	if mutant == ForgottenEnds {
 		k.retention = keyWindow
 	}
@@ -111,7 +111,7 @@
 	token := fmt.Sprintf("%s/%s.%d", o.tenant, o.key, len(o.sends))
 	o.sends = append(o.sends, keyedSend{token, k.now})
 	k.byToken[token] = o
-	take := &wire.Take{Id: k.idOf(o), Lane: o.lane, Key: o.order, Body: []byte(token), Sum: "sum of " + o.key,
+	take := &wire.Take{Id: k.idOf(o), Lane: o.lane, Key: o.order, Body: []byte(token), Checksum: "sum of " + o.key,
 		Deadline: (2 * time.Minute).Milliseconds()}
 	patience := timing.Default.Of(timing.SettleTimeout)
 	if k.Rand.IntN(3) == 0 { // the caller hangs up, and nobody knows what becomes of this try
--- a/internal/sim/manager.go
+++ b/internal/sim/manager.go
@@ -8,7 +8,7 @@
 
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/manager"
-	"caperwheel/internal/reach"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/session"
 	"caperwheel/internal/settings"
 	"caperwheel/internal/timing"
@@ -20,7 +20,7 @@
 	process
 	registry  *session.Registry
 	operators *manager.Operators
-	reach     *reach.Reach
+	reach     *ownerclient.Client
 }
 
 func newManager(d *Deployment, m *machine) *managerProcess {
@@ -38,12 +38,12 @@
 	p.begin(fmt.Sprint(p.name, ".", p.life+1))
 	p.registry = session.NewRegistry(p.d.bound(timing.SessionTimeout))
 	about := &daemon.Daemon{Kind: "manager", Bounds: timing.Default, Who: p.who(), View: p.view, Membership: p.membership,
-		Settings: settings.Settings{Parts: parts, Places: places, Founders: copies, Copies: copies, IsFirst: p.d.now == 0},
+		Settings: settings.Settings{Parts: parts, Places: places, Founders: copies, Copies: copies, IsFirstStart: p.d.now == 0},
 		Clock:    p.now}
-	p.reach = &reach.Reach{Membership: p.membership, Bounds: timing.Default, Call: p.callIn}
+	p.reach = &ownerclient.Client{Membership: p.membership, Bounds: timing.Default, SendFunc: p.callIn}
 	p.operators = manager.NewOperators(about, p.reach, p.registry, &manager.Source{})
 	p.every(p.pause, func() { p.followParts(); p.share() })
-	p.every(func() time.Duration { return p.d.bound(timing.Poll) }, p.operators.Look)
+	p.every(func() time.Duration { return p.d.bound(timing.Poll) }, p.operators.ObserveStores)
 }
 
 // onCall serves sessions and peers.
@@ -51,7 +51,7 @@
 	now := p.now()
 	switch m := ask.(type) {
 	case *wire.Poll:
-		p.registry.Hear(wire.Member{Who: m.Who, Owns: m.Owns}, now, true)
+		p.registry.Renew(wire.Member{Who: m.Who, Owns: m.Owns}, now, true)
 		answer(session.NewsFor(m, p.view, now, p.membership))
 	case *wire.Share:
 		p.takeShare(m)
@@ -60,22 +60,22 @@
 }
 
 func (p *managerProcess) ownShare() *wire.Share {
-	return &wire.Share{Who: p.who(), Members: p.registry.Own(p.now())}
+	return &wire.Share{Who: p.who(), Members: p.registry.SessionsForPeers(p.now())}
 }
 
 func (p *managerProcess) takeShare(share *wire.Share) {
 	for _, member := range share.Members {
 		if member.Who.Kind == "manager" && member.Who.Name != share.Who.Name {
-			p.registry.Meet(member, p.now())
+			p.registry.AddIfUnknown(member, p.now())
 		} else {
-			p.registry.Hear(member, p.now(), false)
+			p.registry.Renew(member, p.now(), false)
 		}
 	}
 }
 
 // share exchanges sessions with the other managers, and renews our own membership.
 func (p *managerProcess) share() {
-	p.registry.Hear(wire.Member{Who: p.who()}, p.now(), true)
+	p.registry.Renew(wire.Member{Who: p.who()}, p.now(), true)
 	for _, addr := range p.managers() {
 		to, isKnown := p.d.at(addr)
 		if !isKnown || addr == p.addr {
@@ -88,13 +88,13 @@
 			}
 		})
 	}
-	p.membership.Take(p.registry.Members(p.now()))
+	p.membership.Update(p.registry.Members(p.now()))
 }
 
 // followParts asks every store for news of the parts that it owns.
 func (p *managerProcess) followParts() {
 	asked, life := p.now(), p.life
-	for _, who := range p.membership.Kind("store") {
+	for _, who := range p.membership.OfKind("store") {
 		to, isKnown := p.d.at(who.Addr)
 		if !isKnown {
 			continue
@@ -102,7 +102,7 @@
 		ask := &wire.Follow{Revisions: p.view.Revisions()}
 		p.d.net.call(p.machineOf(), to, func(answer func(any)) { to.serve(ask, answer) }, func(reply any, err error) {
 			if got, isNews := reply.(*wire.Followed); err == nil && isNews && p.life == life {
-				p.d.whenThawed(&p.lifecycle, func() { p.view.Take(got.Parts, asked); p.d.book.seen(&p.process) })
+				p.d.whenThawed(&p.lifecycle, func() { p.view.Update(got.Parts, asked); p.d.book.seen(&p.process) })
 			}
 		})
 	}
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -43,7 +43,7 @@
 	n.open = slices.DeleteFunc(n.open, func(c *call) bool { return now-c.at > staleCall })
 	c := &call{from: from, to: to.machineOf(), at: now, done: done}
 	n.open = append(n.open, c)
-	refuse := func() { n.finish(c, nil, &transport.Unsent{}) }
+	refuse := func() { n.finish(c, nil, &transport.UnsentError{}) }
 	if n.refusing[c.to] || n.refusing[from] {
 		n.d.After(time.Millisecond, refuse)
 		return
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -17,8 +17,8 @@
 	if n.isUp {
 		return
 	}
-	n.isUp, n.life, n.worker, n.term, n.steady = true, n.life+1, nil, 0, duty.Steady{Least: 2 * timing.Default.Config}
-	n.proposed = &duty.Proposals{Kept: timing.Default.Of(timing.Fresh)}
+	n.isUp, n.life, n.worker, n.term, n.steady = true, n.life+1, nil, 0, duty.HoldDown{Period: 2 * timing.Default.ConfigApply}
+	n.proposed = &duty.Proposals{Timeout: timing.Default.Of(timing.ViewAgeLimit)}
 	n.view, n.membership, n.registry = feed.NewView(0), session.NewMembership(), session.NewRegistry(timing.Default.Of(timing.SessionTimeout))
 	n.c.Note("start %s", n.boot())
 	life := n.life
@@ -75,19 +75,19 @@
 	to := n.targets[n.at%len(n.targets)]
 	ask := &wire.Poll{Who: n.who(), Revisions: n.view.Revisions()}
 	if n.kind == "agent" {
-		_, ask.Beside = n.registry.Members(asked)
+		_, ask.Colocated = n.registry.Members(asked)
 	}
 	life := n.life
 	n.c.Send(n.name, to.name, func() {
 		to.c.whenThawed(&to.lifecycle, func() {
-			to.registry.Hear(wire.Member{Who: ask.Who}, n.c.now, true)
-			for _, m := range ask.Beside {
-				to.registry.Hear(m, n.c.now, true)
+			to.registry.Renew(wire.Member{Who: ask.Who}, n.c.now, true)
+			for _, m := range ask.Colocated {
+				to.registry.Renew(m, n.c.now, true)
 			}
 			news := session.NewsFor(ask, to.view, n.c.now, to.membership)
 			n.c.Send(to.name, n.name, func() {
 				if n.life == life {
-					n.c.whenThawed(&n.lifecycle, func() { n.heard = n.c.now; n.view.Take(news.Parts, asked) })
+					n.c.whenThawed(&n.lifecycle, func() { n.heard = n.c.now; n.view.Update(news.Parts, asked) })
 				}
 			})
 		})
@@ -96,14 +96,14 @@
 
 // share tells the other managers of our sessions, as managers do.
 func (n *node) share() {
-	n.registry.Hear(wire.Member{Who: n.who()}, n.c.now, true)
-	own := n.registry.Own(n.c.now)
+	n.registry.Renew(wire.Member{Who: n.who()}, n.c.now, true)
+	own := n.registry.SessionsForPeers(n.c.now)
 	for _, to := range n.c.managers {
 		if to != n {
 			n.c.Send(n.name, to.name, func() {
 				to.c.whenThawed(&to.lifecycle, func() {
 					for _, m := range own {
-						to.registry.Hear(m, n.c.now, false)
+						to.registry.Renew(m, n.c.now, false)
 					}
 				})
 			})
@@ -122,7 +122,7 @@
 			if isOurs {
 				n.c.Send(s.name, n.name, func() {
 					if n.life == life {
-						n.c.whenThawed(&n.lifecycle, func() { n.view.Take([]wire.PartNews{news}, asked) })
+						n.c.whenThawed(&n.lifecycle, func() { n.view.Update([]wire.PartNews{news}, asked) })
 					}
 				})
 			}
--- a/internal/sim/orders.go
+++ b/internal/sim/orders.go
@@ -149,7 +149,7 @@
 // propose is what a manager does with an order, and says as the platform's door
 // does: a conflict is a clear no, anything else that failed is not.
 func (d *Deployment) propose(ctx context.Context, ops *manager.Operators, o, sent *order) *verdict {
-	_, err := ops.Propose(ctx, manager.Proposal{By: "operator", Digest: sent.digest, OnVersion: o.base, IsOnVersion: true, Make: o.doc})
+	_, err := ops.Propose(ctx, manager.Proposal{By: "operator", Digest: sent.digest, BaseVersion: o.base, IsVersionBased: true, Build: o.doc})
 	switch {
 	case err == nil:
 		d.book.confirm(o)
@@ -178,7 +178,7 @@
 			via.handle(func(ctx context.Context, _ *manager.Operators) {
 				within, cancel := (&taskClock{simulated(ctx).t}).Within(ctx, 3*time.Second)
 				defer cancel()
-				reply, err := via.reach.Group(within, e.Part, &e, func(reply any) (bool, string) {
+				reply, err := via.reach.CallOwner(within, e.Part, &e, func(reply any) (bool, string) {
 					got, isEdited := reply.(*wire.Edited)
 					return isEdited && got.Kind != string(errs.NotOwner), ""
 				})
@@ -209,6 +209,6 @@
 
 // configAtOwner is the revision of the configuration that its owner holds.
 func (d *Deployment) configAtOwner() int64 {
-	revision, _ := d.standing(feed.ConfigPart, config.Key)
+	revision, _ := d.standing(feed.ConfigPart, config.DocumentKey)
 	return revision
 }
--- a/internal/sim/place.go
+++ b/internal/sim/place.go
@@ -53,11 +53,11 @@
 	place      *store.PlaceHost
 	membership map[string]presence
 	peers      []*simStore
-	keeper     *repair.Keeper // of adapters' results; gone when the store is killed
-	fresh      time.Duration  // newest confirmation; before it is too old, the store may act
-	full       time.Duration  // its disk is full until then
-	frozen     time.Duration  // nothing is done before this; what comes meanwhile waits
-	level      int64          // the newest feature level that its build can apply
+	keeper     *repair.ResultBuffer // of adapters' results; gone when the store is killed
+	fresh      time.Duration        // newest confirmation; before it is too old, the store may act
+	full       time.Duration        // its disk is full until then
+	frozen     time.Duration        // nothing is done before this; what comes meanwhile waits
+	level      int64                // the newest feature level that its build can apply
 }
 
 type presence struct {
@@ -86,13 +86,13 @@
 		a := &simAdapter{w: p, name: fmt.Sprintf("a%d", i+1)}
 		p.adapters = append(p.adapters, a)
 		a.newAgent()
-		p.handOver(a.name, func() *repair.Keeper { return a.agent })
+		p.handOver(a.name, func() *repair.ResultBuffer { return a.agent })
 		a.start()
 	}
 	for _, s := range p.stores {
 		s.peers = p.stores
 		s.start()
-		p.handOver(s.name, func() *repair.Keeper {
+		p.handOver(s.name, func() *repair.ResultBuffer {
 			if !s.isUp || p.now < s.frozen {
 				return nil
 			}
@@ -126,17 +126,17 @@
 		return
 	}
 	s.frozen = 0
-	s.keeper = repair.NewKeeper(1000, timing.Default.Of(timing.Resend), retryPause)
+	s.keeper = repair.NewResultBuffer(1000, timing.Default.Of(timing.Resend), retryPause)
 	s.isUp, s.life, s.membership, s.fresh = true, s.life+1, map[string]presence{}, s.w.now
 	s.place = store.NewPlaceHost(s, 0)
 	h, err := host.New(host.Options{Id: 1, Self: s.name + "/0", Roster: s.w.roster(), Bounds: timing.Default,
 		Seed: s.w.Seed + uint64(s.life), Disk: &pumped{s.disk, s}, Held: s.disk.Held(), Now: s.w.Now,
-		Machine: &timedPlace{s.place, s, s.w.stamps.newLead()}, Send: s.post, Failed: s.Fail, Compact: 300, Whole: 500, Later: s.later, Level: s.level})
+		Machine: &timedPlace{s.place, s, s.w.stamps.newLead()}, Send: s.post, OnFailure: s.Fail, CompactEntries: 300, MaxMessageBytes: 500, Schedule: s.later, Level: s.level})
 	if err != nil {
 		panic(err)
 	}
 	s.host = h
-	s.place.Use(&stamped{h, s.w.stamps, s.w.mutant == BlindToLevels})
+	s.place.Attach(&stamped{h, s.w.stamps, s.w.mutant == BlindToLevels})
 	s.w.Note("start %s", s.name)
 	s.tick(s.dispatch)
 }
@@ -176,7 +176,7 @@
 // pump does all that waits at the store, unless it is frozen.
 func (s *simStore) pump() {
 	if s.w.now >= s.frozen {
-		s.host.Pump()
+		s.host.RunPending()
 	}
 }
 
--- a/internal/sim/placefaults.go
+++ b/internal/sim/placefaults.go
@@ -22,7 +22,7 @@
 	"handed over": func(p *Places) {
 		s := p.store()
 		if s.isUp && p.now >= s.frozen {
-			s.host.HandOver(func(string) bool { return false })
+			s.host.TransferOwnership(func(string) bool { return false })
 			s.pump()
 		}
 	},
@@ -32,7 +32,7 @@
 				for _, other := range p.stores {
 					p.Cut(other.name, s.name)
 				}
-				s.host.HandOver(func(string) bool { return false })
+				s.host.TransferOwnership(func(string) bool { return false })
 				s.pump()
 				p.After(time.Duration(500+p.Rand.IntN(1000))*time.Millisecond, p.Heal)
 				return
@@ -48,7 +48,7 @@
 			if s != gone && s.isUp {
 				p.Cut(gone.name, s.name)
 				p.Cut(s.name, gone.name)
-				s.host.Missing(gone.name)
+				s.host.ReportStoreDown(gone.name)
 				s.pump()
 			}
 		}
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -69,20 +69,20 @@
 	p.d.After(time.Duration(p.d.Rand.IntN(30))*time.Millisecond, tick)
 }
 
-func (p *process) pause() time.Duration { return session.Pause(p.view, p.now(), timing.Default) }
+func (p *process) pause() time.Duration { return session.PollInterval(p.view, p.now(), timing.Default) }
 
 func (p *process) who() wire.Who {
 	return wire.Who{Name: p.name, Kind: p.kind, Boot: p.boot, Zone: p.zone, Addr: p.addr}
 }
 
 func (p *process) isFresh() bool {
-	return p.view.IsFresh(p.now(), timing.Default.Of(timing.Fresh))
+	return p.view.IsFresh(p.now(), timing.Default.Of(timing.ViewAgeLimit))
 }
 
 // managers are the seeds, and those that the membership names besides.
 func (p *process) managers() []string {
 	out := append([]string{}, p.seeds...)
-	for _, who := range p.membership.Kind("manager") {
+	for _, who := range p.membership.OfKind("manager") {
 		isKnown := false
 		for _, addr := range out {
 			isKnown = isKnown || addr == who.Addr
@@ -119,9 +119,9 @@
 			p.d.whenThawed(&p.lifecycle, func() {
 				p.heard = p.d.now
 				if news.MembershipHash != ask.MembershipHash {
-					p.membership.Take(news.MembershipHash, news.Members)
+					p.membership.Update(news.MembershipHash, news.Members)
 				}
-				p.view.Take(news.Parts, asked)
+				p.view.Update(news.Parts, asked)
 				p.d.book.seen(p)
 			})
 		}
--- a/internal/sim/results.go
+++ b/internal/sim/results.go
@@ -14,14 +14,14 @@
 
 // handOver delivers kept results to their owners, from whoever keeps them as long as it is
 // there.
-func (p *Places) handOver(from string, keeper func() *repair.Keeper) {
+func (p *Places) handOver(from string, keeper func() *repair.ResultBuffer) {
 	var tick func()
 	tick = func() {
 		if k := keeper(); k != nil {
 			for _, o := range k.Due(p.now) {
 				for _, s := range p.stores {
 					p.askStore(from, s, func(p placeOwner, answer func(any)) { p.Outcome(o, answer) }, func(reply any) {
-						if isAcknowledged, _ := repair.Acknowledged(reply); isAcknowledged {
+						if isAcknowledged, _ := repair.ParseAck(reply); isAcknowledged {
 							k.Forget(o.Id, o.Proof.Attempt)
 						}
 					})
@@ -35,7 +35,7 @@
 
 // newAgent has a blank agent beside the adapter.
 func (a *simAdapter) newAgent() {
-	a.agent = repair.NewKeeper(1000, timing.Default.Of(timing.AnswerTimeout), retryPause)
+	a.agent = repair.NewResultBuffer(1000, timing.Default.Of(timing.AnswerTimeout), retryPause)
 }
 
 // loseMachine takes the adapter and its agent at once.
@@ -51,22 +51,22 @@
 // has made it durable.
 func (a *simAdapter) deliverToOwner(m *wire.Run, o *wire.Outcome) {
 	life, turn, isDone := a.life, a.w.Rand.IntN(3), false
-	if o.Begun {
-		a.w.After(200*time.Microsecond, func() { a.agent.Keep(o, a.w.now) })
+	if o.MayHaveStarted {
+		a.w.After(200*time.Microsecond, func() { a.agent.Add(o, a.w.now) })
 	}
 	afar := a.w.store()
 	for afar.name[1:] == a.name[1:] { // of another zone
 		afar = a.w.store()
 	}
-	tell := func(work func(k *repair.Keeper)) {
+	tell := func(work func(k *repair.ResultBuffer)) {
 		a.w.Send(a.name, afar.name, func() {
 			if afar.isUp {
 				work(afar.keeper)
 			}
 		})
 	}
-	if o.Begun {
-		tell(func(k *repair.Keeper) { k.Keep(o, a.w.now) })
+	if o.MayHaveStarted {
+		tell(func(k *repair.ResultBuffer) { k.Add(o, a.w.now) })
 	}
 	var try func()
 	try = func() {
@@ -80,9 +80,9 @@
 				if ack, isAck := reply.(*wire.OutcomeAck); isAck && ack.Kind == "" && !isDone && a.life == life {
 					isDone = true
 					a.w.Note("home %s/%d from %s at %s", m.Id, m.Attempt, a.boot(), s.name)
-					a.book.Forget(m)
+					a.book.Remove(m)
 					a.agent.Forget(m.Id, m.Attempt)
-					tell(func(k *repair.Keeper) { k.Forget(m.Id, m.Attempt) })
+					tell(func(k *repair.ResultBuffer) { k.Forget(m.Id, m.Attempt) })
 				}
 			})
 		}
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -38,20 +38,20 @@
 
 // hangUp: the connection has broken; the worker goes on, but not for ever.
 func (x *work) hangUp() {
-	x.a.w.After(max(0, x.run.Start+place.Busy(x.bound)-x.a.w.now), x.end)
+	x.a.w.After(max(0, x.run.Start+place.OrphanedRunLimit(x.bound)-x.a.w.now), x.end)
 }
 
 // carry runs the message on the adapter's worker and delivers the result to its owner.
 func (a *simAdapter) carry(m *wire.Run) {
 	w := a.w
-	bound := time.Duration(w.rules.BoundOf(m.Lane, m.Pool)) * time.Millisecond
+	bound := time.Duration(w.rules.RunTimeoutMs(m.Lane, m.Pool)) * time.Millisecond
 	if !a.isFresh() || m.Key != "" && bound.Milliseconds() > m.Bound {
 		a.deliverToOwner(m, &wire.Outcome{Id: m.Id, Boot: a.boot(), Kind: string(errs.Stale),
 			Proof: wire.Proof{Attempt: m.Attempt, Worker: m.Worker, Answer: []byte{}}})
 		return
 	}
 	token := string(m.Body)
-	run := &check.Run{Token: token, Id: m.Id, Attempt: m.Attempt, Pool: m.Pool, Worker: m.Worker, Sum: m.Sum, Adapter: a.name,
+	run := &check.Run{Token: token, Id: m.Id, Attempt: m.Attempt, Pool: m.Pool, Worker: m.Worker, Sum: m.Checksum, Adapter: a.name,
 		Start: w.now, Status: 200, Answer: fmt.Sprint(token, "/", m.Attempt)}
 	x := &work{a: a, life: a.life, m: m, run: run, bound: bound}
 	took := time.Duration(10+w.Rand.IntN(200)) * time.Millisecond
@@ -66,7 +66,7 @@
 	w.Note("run %s/%d at %s, term %d, takes %v", m.Id, m.Attempt, a.boot(), m.Term, took)
 	w.runs = append(w.runs, run)
 	w.After(took, func() { x.end(); x.answer("") }) // whatever becomes of the adapter
-	w.After(place.Wait(m.Key != "", bound), func() { x.answer(errs.DeadlineExceeded) })
+	w.After(place.AnswerTimeout(m.Key != "", bound), func() { x.answer(errs.DeadlineExceeded) })
 	if w.Rand.IntN(1000) < w.Break {
 		w.After(time.Duration(w.Rand.Int64N(int64(took))), func() { x.answer(errs.Lost) })
 	}
@@ -88,7 +88,7 @@
 		if kind == errs.DeadlineExceeded && x.isOver {
 			kind = "" // it came while the adapter stood still
 		}
-		o := &wire.Outcome{Id: x.m.Id, Boot: a.boot(), Begun: true,
+		o := &wire.Outcome{Id: x.m.Id, Boot: a.boot(), MayHaveStarted: true,
 			Proof: wire.Proof{Attempt: x.m.Attempt, Worker: x.m.Worker, Answer: []byte{}}}
 		switch {
 		case kind == errs.DeadlineExceeded: // whoever is merely waited for no longer does not notice
@@ -100,10 +100,10 @@
 			kind = errs.Truncated
 		default:
 			x.run.IsWhole = true // only now has it been read
-			o.Proof.Status, o.Proof.Sum = 200, x.run.Answer
+			o.Proof.Status, o.Proof.Checksum = 200, x.run.Answer
 		}
 		o.Kind = string(kind)
-		o.Wait = int64(place.StillBusy(kind, x.m.Key != "", x.bound, a.w.now-x.run.Start) / time.Millisecond)
+		o.Wait = int64(place.RemainingRunTime(kind, x.m.Key != "", x.bound, a.w.now-x.run.Start) / time.Millisecond)
 		a.w.Note("read %s/%d at %s: %q", x.m.Id, x.m.Attempt, a.boot(), o.Kind)
 		a.deliverToOwner(x.m, o)
 	})
--- a/internal/sim/rundeployment.go
+++ b/internal/sim/rundeployment.go
@@ -113,7 +113,7 @@
 	if p.view == nil {
 		return 0
 	}
-	c, _ := p.view.Get(feed.ConfigPart, config.Key)
+	c, _ := p.view.Get(feed.ConfigPart, config.DocumentKey)
 	return c.Revision
 }
 
--- a/internal/sim/storedisk.go
+++ b/internal/sim/storedisk.go
@@ -25,17 +25,17 @@
 		}
 		then(err)
 		if h = d.s.hosts[d.id]; h != nil && d.s.d.now >= d.s.frozen {
-			h.Pump()
+			h.RunPending()
 		}
 	}
 }
 
 // Persist, After and SaveSlot are host.Disk.
-func (d *waking) Persist(id int64, p *group.Persist, then func(error)) {
+func (d *waking) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
 }
-func (d *waking) After(then func(error)) { d.Disk.After(d.wrap(then)) }
-func (d *waking) SaveSlot(id int64, hard group.HardState, image *group.Image, e *group.Persist, then func(error)) {
+func (d *waking) AfterWrites(then func(error)) { d.Disk.AfterWrites(d.wrap(then)) }
+func (d *waking) SaveSlot(id int64, hard group.HardState, image *group.Snapshot, e *group.DurableUpdate, then func(error)) {
 	d.Disk.SaveSlot(id, hard, image, e, d.wrap(then))
 }
 
@@ -57,7 +57,7 @@
 			if a.s.d.now >= a.s.frozen {
 				for _, id := range groupIds() {
 					if h := a.s.hosts[id]; h != nil {
-						h.Pump()
+						h.RunPending()
 					}
 				}
 			}
@@ -83,16 +83,16 @@
 	}
 	verdict := x.PartHost.Apply(data, isOwn || x.s.d.mutant == OwnCount)
 	e, err := feed.DecodeEdit(data)
-	if got, isEdited := verdict.(wire.Edited); err == nil && isEdited && got.Kind == "" && !got.IsAgain {
+	if got, isEdited := verdict.(wire.Edited); err == nil && isEdited && got.Kind == "" && !got.IsRepeat {
 		x.s.d.book.applied(x.s, x.id, got.Revision, e)
 	}
 	return verdict
 }
 
 // Image gives the state; the mutant's is the one before.
-func (x *witness) Image() []byte {
+func (x *witness) Snapshot() []byte {
 	was := x.image
-	x.image = x.PartHost.Image()
+	x.image = x.PartHost.Snapshot()
 	if x.s.d.mutant == OldSnapshot {
 		return was
 	}
@@ -101,27 +101,27 @@
 
 // hosting is the group below a part; the mutant takes an owner's word for its
 // ownership without a majority.
-func hosting(m Mutant, h store.Hosting) store.Hosting {
+func hosting(m Mutant, h store.Group) store.Group {
 	if m == UnconfirmedReads {
-		return &unconfirmed{Hosting: h}
+		return &unconfirmed{Group: h}
 	}
 	return h
 }
 
 type unconfirmed struct {
-	store.Hosting
+	store.Group
 	wasOwner bool
 }
 
 // IsOwner never becomes false again.
 func (u *unconfirmed) IsOwner() bool {
-	u.wasOwner = u.wasOwner || u.Hosting.IsOwner()
+	u.wasOwner = u.wasOwner || u.Group.IsOwner()
 	return u.wasOwner
 }
 
 // View is sure of itself, always.
 func (u *unconfirmed) View() group.View {
-	v := u.Hosting.View()
-	v.IsSure, v.Confirmed = true, forever
+	v := u.Group.View()
+	v.IsConfirmed, v.ConfirmedAt = true, forever
 	return v
 }
--- a/internal/sim/storerepair.go
+++ b/internal/sim/storerepair.go
@@ -14,7 +14,7 @@
 // join takes a blank store into the deployment once it sees another store.
 func (s *storeProcess) join() {
 	isOther := func(who wire.Who) bool { return who.Name != s.name }
-	if !s.isOpen && slices.ContainsFunc(s.membership.Kind("store"), isOther) {
+	if !s.isOpen && slices.ContainsFunc(s.membership.OfKind("store"), isOther) {
 		s.isOpen = true
 	}
 }
@@ -22,7 +22,7 @@
 // noteMembers tells the planner of rosters which stores are members, as Store does.
 func (s *storeProcess) noteMembers() {
 	if s.isFresh() {
-		s.rosters.Note(s.membership.Kind("store"), s.configs.Current().Retired, s.now())
+		s.rosters.NoteMembers(s.membership.OfKind("store"), s.configs.Current().RetiredStores, s.now())
 	}
 }
 
@@ -55,17 +55,17 @@
 		if !s.isUp || s.life != life {
 			return
 		}
-		out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.isFresh() && s.configs.Current().Retired[without]}
+		out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.isFresh() && s.configs.Current().RetiredStores[without]}
 		isWaiting := false
 		for _, id := range groupIds() {
 			h := s.hosts[id]
 			if h == nil || h.View().Role != group.Owner {
 				continue
 			}
-			if v := h.View(); !v.IsSure || v.Confirmed < askedAt {
+			if v := h.View(); !v.IsConfirmed || v.ConfirmedAt < askedAt {
 				isWaiting = true
 			} else {
-				out.Groups = append(out.Groups, store.Standing(id, v, without))
+				out.Groups = append(out.Groups, store.NewStanding(id, v, without))
 			}
 		}
 		if isWaiting && s.now() <= until {
--- a/internal/sim/stores.go
+++ b/internal/sim/stores.go
@@ -23,7 +23,7 @@
 	disks       map[int64]*Disk
 	hosts       map[int64]*host.Host
 	parts       map[int64]*store.PartHost
-	rosters     *store.Rosters
+	rosters     *store.RosterPlanner
 	isOpen      bool // it belongs to the deployment, as it knows
 }
 
@@ -45,7 +45,7 @@
 	}
 	s.seeds = s.d.seeds()
 	s.begin(fmt.Sprintf("%d.%d", s.incarnation, s.life+1))
-	s.rosters, s.isOpen = store.NewRosters(timing.Default, copies), s.founders != nil || len(s.disks) > 0
+	s.rosters, s.isOpen = store.NewRosterPlanner(timing.Default, copies), s.founders != nil || len(s.disks) > 0
 	s.hosts, s.parts = map[int64]*host.Host{}, map[int64]*store.PartHost{}
 	for _, id := range groupIds() {
 		if s.founders != nil || s.disks[id] != nil {
@@ -53,7 +53,7 @@
 		}
 	}
 	s.every(func() time.Duration { return s.d.bound(timing.Tick) }, s.tick)
-	s.every(func() time.Duration { return s.d.bound(timing.Join) }, s.join)
+	s.every(func() time.Duration { return s.d.bound(timing.JoinInterval) }, s.join)
 	s.every(s.pause, func() { s.noteMembers(); s.poll(s.managers(), s.owned()) })
 }
 
@@ -89,16 +89,16 @@
 	part := store.NewPartHost(&storeAround{s: s}, id)
 	h, err := host.New(host.Options{Id: id, Self: s.member(), Roster: s.founders, Bounds: timing.Default,
 		Seed: s.d.Seed + uint64(s.life)*31 + uint64(s.incarnation)*1009, Disk: &waking{disk, s, id}, Held: disk.Held(),
-		Machine: &witness{PartHost: part, s: s, id: id, image: part.Image(), lead: s.d.stamps.newLead()}, Now: s.now, Send: s.send, Failed: func(err error) { panic(err) },
-		Prefer: func(roster []string) string { return s.prefer(id, roster) },
-		Repair: func(silence repair.Silence) (map[string]string, []string) {
+		Machine: &witness{PartHost: part, s: s, id: id, image: part.Snapshot(), lead: s.d.stamps.newLead()}, Now: s.now, Send: s.send, OnFailure: func(err error) { panic(err) },
+		PreferredOwner: func(roster []string) string { return s.prefer(id, roster) },
+		PlanRoster: func(silence repair.Silence) (map[string]string, []string) {
 			return s.rosterPlan(id, silence)
-		}, Compact: 20, Whole: 2000, Later: func(span time.Duration, work func()) { s.later(id, span, work) }})
+		}, CompactEntries: 20, MaxMessageBytes: 2000, Schedule: func(span time.Duration, work func()) { s.later(id, span, work) }})
 	if err != nil {
 		panic(err)
 	}
 	s.hosts[id], s.parts[id] = h, part
-	part.Use(&stamped{Hosting: hosting(s.d.mutant, h), stamps: s.d.stamps})
+	part.Attach(&stamped{Group: hosting(s.d.mutant, h), stamps: s.d.stamps})
 	return h
 }
 
@@ -106,7 +106,7 @@
 	for _, id := range groupIds() {
 		if h := s.hosts[id]; h != nil {
 			h.Tick()
-			h.Pump()
+			h.RunPending()
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	life := s.life
 	s.d.After(span, func() {
 		if s.isUp && s.life == life {
-			s.d.whenThawed(&s.lifecycle, func() { work(); s.hosts[id].Pump() })
+			s.d.whenThawed(&s.lifecycle, func() { work(); s.hosts[id].RunPending() })
 		}
 	})
 }
@@ -131,7 +131,7 @@
 		return false
 	}
 	if s.d.now >= s.frozen {
-		h.Pump()
+		h.RunPending()
 	}
 	return true
 }
@@ -141,11 +141,11 @@
 	compiled, names, members := s.configs.Current(), []string{}, map[string]string{}
 	for _, m := range group.Voters(roster) {
 		name := group.Name(m)
-		if _, isHere := s.membership.Find(name); isHere && !compiled.Retired[name] {
+		if _, isHere := s.membership.Find(name); isHere && !compiled.RetiredStores[name] {
 			names, members[name] = append(names, name), m
 		}
 	}
-	return members[duty.First(fmt.Sprint(id), names)]
+	return members[duty.HighestRanked(fmt.Sprint(id), names)]
 }
 
 // send brings a group's message to whatever store lives under the name.
@@ -173,8 +173,8 @@
 		if s.isUp && s.life == life && s.d.now >= s.frozen {
 			for _, id := range groupIds() {
 				if h := s.hosts[id]; h != nil {
-					h.Missing(name)
-					h.Pump()
+					h.ReportStoreDown(name)
+					h.RunPending()
 				}
 			}
 		}
@@ -187,14 +187,14 @@
 		return
 	}
 	if h == nil {
-		if m.Kind != group.MsgAppend && m.Kind != group.MsgImage && m.Kind != group.MsgPart {
+		if m.Kind != group.MsgAppend && m.Kind != group.MsgSnapshot && m.Kind != group.MsgSnapshotChunk {
 			return
 		}
 		h = s.open(m.Group)
 	}
 	h.Receive(m)
 	if s.d.now >= s.frozen {
-		h.Pump()
+		h.RunPending()
 	}
 }
 
--- a/internal/slot/death_test.go
+++ b/internal/storage/crash_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"os"
@@ -14,12 +14,12 @@
 func TestDeathThenPower(t *testing.T) {
 	Convey("Given a record that was written and not synced when its process died", t, func() {
 		dir := t.TempDir()
-		l, _, err := Open(newFrail(dir), Options{})
+		l, _, err := Open(newLossyFolder(dir), Options{})
 		So(err, ShouldBeNil)
-		put(l, 1, 1, 3, 1)
-		save(l, 1, 2, 3)
+		persistEntries(l, 1, 1, 3, 1)
+		saveSlot(l, 1, 2, 3)
 		l.Close()
-		l.files.(*frail).Close()
+		l.files.(*lossyFolder).Close()
 		at := filepath.Join(dir, segmentName(1))
 		raw, err := os.ReadFile(at)
 		So(err, ShouldBeNil)
@@ -27,7 +27,7 @@
 		last := recordCodec.Encode(&record{Group: 1, HasHard: true, Term: 1, Roster: []string{}})
 		So(os.WriteFile(at, appendRecord(raw, last, synced), 0o644), ShouldBeNil)
 		Convey("its next life syncs what it read before it acts on it", func() {
-			files := newFrail(dir)
+			files := newLossyFolder(dir)
 			l, _, err := Open(files, Options{})
 			So(err, ShouldBeNil)
 			So(files.synced[segmentName(1)], ShouldBeGreaterThan, synced)
--- a/internal/slot/files.go
+++ b/internal/storage/files.go
@@ -1,6 +1,6 @@
-// Package slot keeps a store's state on its one disk: a short shared log that
+// Package storage keeps a store's state on its one disk: a short shared log that
 // one goroutine syncs, and for each group two slots that are written in turn.
-package slot
+package storage
 
 import (
 	"io"
@@ -12,13 +12,13 @@
 	"caperwheel/internal/errs"
 )
 
-// Files is the file system below a data folder. Tests put faults in it.
-type Files interface {
+// FileSystem is the file system below a data folder. Tests put faults in it.
+type FileSystem interface {
 	Open(name string) (File, error) // made if absent, opened for append and read
 	Read(name string) ([]byte, error)
 	Write(name string, raw []byte) error // whole, synced before it returns
 	Remove(name string) error
-	Cut(name string, size int64) error
+	Truncate(name string, size int64) error
 	Sync(name string) error // what was read of it lasts from now on
 	List() ([]string, error)
 	Free() (free, whole uint64, err error)
@@ -107,8 +107,8 @@
 	return errs.Wrap(os.Remove(filepath.Join(f.dir, name)), errs.Disk, "remove %s", name)
 }
 
-// Cut shortens a file.
-func (f *Folder) Cut(name string, size int64) error {
+// Truncate shortens a file.
+func (f *Folder) Truncate(name string, size int64) error {
 	return errs.Wrap(os.Truncate(filepath.Join(f.dir, name), size), errs.Disk, "cut %s", name)
 }
 
--- a/internal/slot/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"bytes"
@@ -19,9 +19,9 @@
 			t.Fatalf("%d of %d bytes are read as %q", size, len(raw), body)
 		}
 		if size == 0 && len(raw) > 0 { // a broken record, with what comes behind it
-			wasPromised(raw, 0)
+			wasSynced(raw, 0)
 		}
-		if sequence, body, isWhole := readSlot(raw); isWhole && len(body)+pairHead != len(raw) {
+		if sequence, body, isWhole := readSlot(raw); isWhole && len(body)+slotHeaderBytes != len(raw) {
 			t.Fatalf("slot %d has %d bytes of %d", sequence, len(body), len(raw))
 		}
 	})
@@ -30,7 +30,7 @@
 // FuzzSegment: a store opens on whatever its disk has, or says what is wrong with it; and a whole record before that is kept or
 // its group is known to be damaged.
 func FuzzSegment(f *testing.F) {
-	one := toRecord(1, &group.Persist{Hard: &group.HardState{Term: 1, Vote: "a"}, Entries: []wire.Entry{{Index: 1, Term: 1, Data: []byte("d")}}})
+	one := toRecord(1, &group.DurableUpdate{Hard: &group.HardState{Term: 1, Vote: "a"}, Entries: []wire.Entry{{Index: 1, Term: 1, Data: []byte("d")}}})
 	first := appendRecord(nil, recordCodec.Encode(&one), 0)
 	f.Add([]byte{})
 	f.Add(first)
--- a/internal/slot/log.go
+++ b/internal/storage/log.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"fmt"
@@ -14,17 +14,17 @@
 // Options of the disk. Zero values mean defaults.
 type Options struct {
 	SegmentBytes int64  // a log segment is closed beyond this
-	Ring         int    // writes that may wait for the syncing goroutine
+	QueueLength  int    // writes that may wait for the syncing goroutine
 	FreePermille uint64 // intake stops when less of the disk is free
 	FreeBytes    uint64 // … or less than this
 }
 
-// write is one thing for the syncing goroutine to do.
-type write struct {
+// writeRequest is one thing for the syncing goroutine to do.
+type writeRequest struct {
 	group int64
 	body  []byte
 	slot  *record // when set, save the group's slot instead
-	then  func(error)
+	done  func(error)
 }
 
 // Log is the store's disk.
@@ -33,33 +33,33 @@
 // is called only once all that came before it is synced; a segment goes only
 // when each group's newest slot stands behind it.
 type Log struct {
-	opts  Options
-	files Files
-	ring  chan write
-	slots chan slotWrite
-	done  chan struct{}
-	quit  sync.Once
-
-	mu       sync.Mutex
-	pairs    map[int64]*Pair
-	passed   map[int64]int64 // group -> segment of its newest slot
-	segments []int64
-	lost     bool // replay found that something promised is gone
-	broken   error
-
-	file     File
-	segment  int64
-	offset   int64
-	syncedAt int64
-	slotDone sync.WaitGroup
-	waiting  atomic.Int64 // bytes given to the log and not synced yet
+	opts     Options
+	files    FileSystem
+	queue    chan writeRequest
+	slots    chan slotRequest
+	done     chan struct{}
+	stopOnce sync.Once
+
+	mu          sync.Mutex
+	pairs       map[int64]*Pair
+	firstNeeded map[int64]int64 // group -> segment of its newest slot
+	segments    []int64
+	hasLostData bool // replay found that something promised is gone
+	err         error
+
+	file          File
+	segment       int64
+	offset        int64
+	syncedAt      int64
+	slotDone      sync.WaitGroup
+	unsyncedBytes atomic.Int64 // bytes given to the log and not synced yet
 }
 
-type slotWrite struct {
-	group int64
-	all   whole
-	at    int64
-	then  func(error)
+type slotRequest struct {
+	group   int64
+	state   slotState
+	segment int64
+	done    func(error)
 }
 
 var counters = struct{ syncs, records, bytes, slots prometheus.Counter }{
@@ -78,30 +78,30 @@
 func segmentName(n int64) string { return fmt.Sprintf("log-%012d", n) }
 
 // Persist queues what one step of a group must have on disk.
-func (l *Log) Persist(id int64, p *group.Persist, then func(error)) {
+func (l *Log) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	r := toRecord(id, p)
-	l.put(write{group: id, body: recordCodec.Encode(&r), then: then})
+	l.put(writeRequest{group: id, body: recordCodec.Encode(&r), done: then})
 }
 
 // After calls then once all that was queued before is synced.
-func (l *Log) After(then func(error)) { l.put(write{then: then}) }
+func (l *Log) AfterWrites(then func(error)) { l.put(writeRequest{done: then}) }
 
 // SaveSlot writes the group's whole state into its next slot, in the
 // background; what is persisted later stays in the log behind it.
-func (l *Log) SaveSlot(id int64, hard group.HardState, image *group.Image, entries *group.Persist, then func(error)) {
-	r := toRecord(id, &group.Persist{Hard: &hard, Image: image, Entries: entries.Entries})
-	l.put(write{group: id, slot: &r, then: then})
+func (l *Log) SaveSlot(id int64, hard group.HardState, snapshot *group.Snapshot, entries *group.DurableUpdate, then func(error)) {
+	r := toRecord(id, &group.DurableUpdate{Hard: &hard, Snapshot: snapshot, Entries: entries.Entries})
+	l.put(writeRequest{group: id, slot: &r, done: then})
 }
 
-func (l *Log) put(w write) {
-	l.waiting.Add(int64(len(w.body)))
-	l.ring <- w // the syncing goroutine takes writes even when it has stopped
+func (l *Log) put(w writeRequest) {
+	l.unsyncedBytes.Add(int64(len(w.body)))
+	l.queue <- w // the syncing goroutine takes writes even when it has stopped
 }
 
-// refuse answers all writes once the disk has stopped.
-func (l *Log) refuse() {
-	for w := range l.ring {
-		w.then(errs.New(errs.Disk, "the disk is closed"))
+// rejectWrites answers all writes once the disk has stopped.
+func (l *Log) rejectWrites() {
+	for w := range l.queue {
+		w.done(errs.New(errs.Disk, "the disk is closed"))
 	}
 }
 
@@ -110,17 +110,17 @@
 func (l *Log) sync() {
 	buffer := []byte{}
 	for {
-		var batch []write
+		var batch []writeRequest
 		select {
-		case w := <-l.ring:
+		case w := <-l.queue:
 			batch = append(batch, w)
 		case <-l.done:
-			l.refuse()
+			l.rejectWrites()
 			return
 		}
-		for isMore := true; isMore && len(batch) < cap(l.ring); {
+		for isMore := true; isMore && len(batch) < cap(l.queue); {
 			select {
-			case w := <-l.ring:
+			case w := <-l.queue:
 				batch = append(batch, w)
 			default:
 				isMore = false
@@ -130,7 +130,7 @@
 		l.mu.Lock()
 		for _, w := range batch {
 			if w.body != nil {
-				l.note(w.group, l.segment)
+				l.noteNeeded(w.group, l.segment)
 			}
 		}
 		l.mu.Unlock()
@@ -140,21 +140,21 @@
 				counters.records.Inc()
 			}
 			if w.slot != nil {
-				all := whole{Segment: l.segment, Offset: l.offset + int64(len(buffer)), All: *w.slot}
+				all := slotState{Segment: l.segment, Offset: l.offset + int64(len(buffer)), State: *w.slot}
 				l.slotDone.Add(1)
-				l.slots <- slotWrite{w.group, all, l.segment, w.then}
+				l.slots <- slotRequest{w.group, all, l.segment, w.done}
 			}
 		}
 		err := l.flush(buffer)
 		for _, w := range batch {
-			l.waiting.Add(-int64(len(w.body)))
+			l.unsyncedBytes.Add(-int64(len(w.body)))
 			if w.slot == nil {
-				w.then(err)
+				w.done(err)
 			}
 		}
 		if err != nil {
 			l.fail(err)
-			l.refuse()
+			l.rejectWrites()
 			return
 		}
 	}
@@ -201,9 +201,9 @@
 // fail stops the disk for good: what was promised stays, nothing new is taken.
 func (l *Log) fail(err error) {
 	l.mu.Lock()
-	if l.broken == nil {
-		l.broken = err
+	if l.err == nil {
+		l.err = err
 	}
 	l.mu.Unlock()
-	l.quit.Do(func() { close(l.done) })
+	l.stopOnce.Do(func() { close(l.done) })
 }
--- a/internal/slot/open.go
+++ b/internal/storage/open.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"fmt"
@@ -9,18 +9,18 @@
 )
 
 // Open reads all that the disk holds and readies it for writing.
-func Open(files Files, opts Options) (*Log, map[int64]*Held, error) {
+func Open(files FileSystem, opts Options) (*Log, map[int64]*StoredGroup, error) {
 	if opts.SegmentBytes == 0 {
 		opts.SegmentBytes = 16 << 20
 	}
-	if opts.Ring == 0 {
-		opts.Ring = 8192
+	if opts.QueueLength == 0 {
+		opts.QueueLength = 8192
 	}
 	if opts.FreePermille == 0 && opts.FreeBytes == 0 {
 		opts.FreePermille, opts.FreeBytes = 20, 256<<20
 	}
-	l := &Log{opts: opts, files: files, ring: make(chan write, opts.Ring), slots: make(chan slotWrite, 256),
-		done: make(chan struct{}), pairs: map[int64]*Pair{}, passed: map[int64]int64{}}
+	l := &Log{opts: opts, files: files, queue: make(chan writeRequest, opts.QueueLength), slots: make(chan slotRequest, 256),
+		done: make(chan struct{}), pairs: map[int64]*Pair{}, firstNeeded: map[int64]int64{}}
 	held, from, err := l.readSlots()
 	if err != nil {
 		return nil, nil, err
@@ -28,21 +28,21 @@
 	if err := l.replay(held, from); err != nil {
 		return nil, nil, err
 	}
-	if err := l.settle(); err != nil {
+	if err := l.syncLastSegment(); err != nil {
 		return nil, nil, err
 	}
 	if err := l.rotate(); err != nil {
 		return nil, nil, err
 	}
 	go l.sync()
-	go l.writeSlots()
+	go l.slotLoop()
 	return l, held, nil
 }
 
-// settle syncs the last segment, cut or not: a process that died may have left
+// syncLastSegment syncs the last segment, cut or not: a process that died may have left
 // records in it that it never synced. What is acted on from here on must not go
 // with the next loss of power. Pairs do the same for their newest slots.
-func (l *Log) settle() error {
+func (l *Log) syncLastSegment() error {
 	if len(l.segments) == 0 {
 		return nil
 	}
@@ -55,8 +55,8 @@
 	return p.segment < q.segment || p.segment == q.segment && p.offset < q.offset
 }
 
-func (l *Log) readSlots() (map[int64]*Held, map[int64]position, error) {
-	held, from := map[int64]*Held{}, map[int64]position{}
+func (l *Log) readSlots() (map[int64]*StoredGroup, map[int64]position, error) {
+	held, from := map[int64]*StoredGroup{}, map[int64]position{}
 	names, err := l.files.List()
 	if err != nil {
 		return nil, nil, err
@@ -80,34 +80,34 @@
 	return held, from, nil
 }
 
-func (l *Log) readGroup(id int64) (*Held, position, error) {
+func (l *Log) readGroup(id int64) (*StoredGroup, position, error) {
 	pair, raw, isTorn, err := OpenPair(l.files, groupFile(id))
 	if err != nil {
 		return nil, position{}, err
 	}
 	l.pairs[id] = pair
-	h := &Held{}
+	h := &StoredGroup{}
 	if raw == nil {
 		h.IsDamaged = isTorn && pair.sequence > 1
 		return h, position{}, nil
 	}
-	var all whole
-	if err := wholeCodec.Decode(raw, &all); err != nil {
+	var all slotState
+	if err := slotCodec.Decode(raw, &all); err != nil {
 		h.IsDamaged = true
 		return h, position{}, nil
 	}
-	h.apply(&all.All)
-	l.passed[id] = all.Segment
+	h.apply(&all.State)
+	l.firstNeeded[id] = all.Segment
 	return h, position{all.Segment, all.Offset}, nil
 }
 
 func groupFile(id int64) string { return fmt.Sprintf("group-%d", id) }
 
 // replay applies the log behind each group's slot.
-func (l *Log) replay(held map[int64]*Held, from map[int64]position) error {
+func (l *Log) replay(held map[int64]*StoredGroup, from map[int64]position) error {
 	for _, p := range from { // a slot that fell back needs segments that may be gone
 		if len(l.segments) > 0 && p.segment < l.segments[0] && p.segment > 0 {
-			l.damage(held, from, position{l.segments[0], 0})
+			l.markDamaged(held, from, position{l.segments[0], 0})
 		}
 	}
 	for i, n := range l.segments {
@@ -119,15 +119,15 @@
 		for at := 0; at < len(raw); {
 			body, _, size := readRecord(raw[at:])
 			if size == 0 {
-				if isLast && !wasPromised(raw, at) {
-					if err := l.files.Cut(segmentName(n), int64(at)); err != nil {
+				if isLast && !wasSynced(raw, at) {
+					if err := l.files.Truncate(segmentName(n), int64(at)); err != nil {
 						return err
 					}
 					break
 				}
 				// A restart cuts the torn tail and opens a new segment, so an older
 				// segment has none: this was promised and is lost.
-				l.damage(held, from, position{n, int64(len(raw))})
+				l.markDamaged(held, from, position{n, int64(len(raw))})
 				break
 			}
 			if err := l.replayRecord(held, from, body, position{n, int64(at)}); err != nil {
@@ -140,15 +140,15 @@
 }
 
 // replayRecord takes one record in, unless the group's slot stands behind it.
-func (l *Log) replayRecord(held map[int64]*Held, from map[int64]position, body []byte, at position) error {
+func (l *Log) replayRecord(held map[int64]*StoredGroup, from map[int64]position, body []byte, at position) error {
 	id, isWhole := groupOf(body)
 	if !isWhole {
 		return errs.New(errs.Corrupt, "record in %s at %d", segmentName(at.segment), at.offset)
 	}
 	if held[id] == nil {
-		held[id] = &Held{}
+		held[id] = &StoredGroup{}
 	}
-	l.note(id, at.segment)
+	l.noteNeeded(id, at.segment)
 	if at.before(from[id]) {
 		return nil
 	}
@@ -160,16 +160,16 @@
 	return nil
 }
 
-// note remembers the first segment that a group without a slot needs.
-func (l *Log) note(id, segment int64) {
-	if _, isKnown := l.passed[id]; !isKnown {
-		l.passed[id] = segment
+// noteNeeded remembers the first segment that a group without a slot needs.
+func (l *Log) noteNeeded(id, segment int64) {
+	if _, isKnown := l.firstNeeded[id]; !isKnown {
+		l.firstNeeded[id] = segment
 	}
 }
 
-// damage marks all groups whose slot does not stand behind the lost part.
-func (l *Log) damage(held map[int64]*Held, from map[int64]position, lost position) {
-	l.lost = true
+// markDamaged marks all groups whose slot does not stand behind the lost part.
+func (l *Log) markDamaged(held map[int64]*StoredGroup, from map[int64]position, lost position) {
+	l.hasLostData = true
 	for id, h := range held {
 		if from[id].before(lost) {
 			h.IsDamaged = true
@@ -177,12 +177,12 @@
 	}
 }
 
-// writeSlots is the one goroutine that writes slots and drops old segments.
-func (l *Log) writeSlots() {
+// slotLoop is the one goroutine that writes slots and drops old segments.
+func (l *Log) slotLoop() {
 	for {
 		select {
 		case s := <-l.slots:
-			s.then(l.writeSlot(s))
+			s.done(l.writeSlot(s))
 			l.slotDone.Done()
 		case <-l.done:
 			return
@@ -190,7 +190,7 @@
 	}
 }
 
-func (l *Log) writeSlot(s slotWrite) error {
+func (l *Log) writeSlot(s slotRequest) error {
 	l.mu.Lock()
 	pair := l.pairs[s.group]
 	if pair == nil {
@@ -198,21 +198,21 @@
 		l.pairs[s.group] = pair
 	}
 	l.mu.Unlock()
-	if err := pair.Save(wholeCodec.Encode(&s.all)); err != nil {
+	if err := pair.Save(slotCodec.Encode(&s.state)); err != nil {
 		l.fail(err)
 		return err
 	}
 	counters.slots.Inc()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.passed[s.group] = max(l.passed[s.group], s.at)
-	return l.dropPassed()
+	l.firstNeeded[s.group] = max(l.firstNeeded[s.group], s.segment)
+	return l.removeUnneeded()
 }
 
-// dropPassed removes segments that every group's newest slot stands behind.
-func (l *Log) dropPassed() error {
+// removeUnneeded removes segments that every group's newest slot stands behind.
+func (l *Log) removeUnneeded() error {
 	least := l.segment
-	for _, at := range l.passed {
+	for _, at := range l.firstNeeded {
 		least = min(least, at)
 	}
 	for len(l.segments) > 0 && l.segments[0] < least {
--- a/internal/slot/pair.go
+++ b/internal/storage/pair.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"encoding/binary"
@@ -13,16 +13,16 @@
 // Pair is two slots written in turn. Invariant: the newest whole slot counts;
 // a write never touches the slot that holds the newest.
 type Pair struct {
-	files    Files
+	files    FileSystem
 	name     string
 	sequence uint64
 }
 
-const pairHead = 8 + 4 + 4
+const slotHeaderBytes = 8 + 4 + 4
 
 // OpenPair reads the newest whole slot; nil when neither was ever written.
 // isTorn tells that a slot was found broken.
-func OpenPair(files Files, name string) (p *Pair, raw []byte, isTorn bool, err error) {
+func OpenPair(files FileSystem, name string) (p *Pair, raw []byte, isTorn bool, err error) {
 	p = &Pair{files: files, name: name}
 	for turn := range uint64(2) {
 		got, err := files.Read(p.file(turn))
@@ -50,12 +50,12 @@
 func (p *Pair) file(turn uint64) string { return fmt.Sprintf("%s.%d", p.name, turn%2) }
 
 func readSlot(got []byte) (sequence uint64, body []byte, isWhole bool) {
-	if len(got) < pairHead {
+	if len(got) < slotHeaderBytes {
 		return 0, nil, false
 	}
 	sequence = binary.BigEndian.Uint64(got)
 	size, sum := binary.BigEndian.Uint32(got[8:]), binary.BigEndian.Uint32(got[12:])
-	body = got[pairHead:]
+	body = got[slotHeaderBytes:]
 	if uint32(len(body)) != size || crc32.Update(crc32.Checksum(got[:12], castagnoli), castagnoli, body) != sum {
 		return 0, nil, false
 	}
--- a/internal/slot/record.go
+++ b/internal/storage/record.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"bytes"
@@ -11,32 +11,32 @@
 
 // record is what the log holds of one step of one group.
 type record struct {
-	Group    int64        `avro:"group"`
-	HasHard  bool         `avro:"has_hard"`
-	Term     int64        `avro:"term"`
-	Vote     string       `avro:"vote"`
-	Commit   int64        `avro:"commit"`
-	Entries  []wire.Entry `avro:"entries"`
-	HasImage bool         `avro:"has_image"`
-	Index    int64        `avro:"index"`
-	LogTerm  int64        `avro:"log_term"`
-	Roster   []string     `avro:"roster"`
-	State    []byte       `avro:"state"`
+	Group       int64        `avro:"group"`
+	HasHard     bool         `avro:"has_hard"`
+	Term        int64        `avro:"term"`
+	Vote        string       `avro:"vote"`
+	Commit      int64        `avro:"commit"`
+	Entries     []wire.Entry `avro:"entries"`
+	HasSnapshot bool         `avro:"has_image"`
+	Index       int64        `avro:"index"`
+	LogTerm     int64        `avro:"log_term"`
+	Roster      []string     `avro:"roster"`
+	State       []byte       `avro:"state"`
 }
 
 // whole is a group's slot: all of its state at a position of the log.
-type whole struct {
+type slotState struct {
 	Segment int64  `avro:"segment"`
 	Offset  int64  `avro:"offset"`
-	All     record `avro:"all"`
+	State   record `avro:"all"`
 }
 
 var (
-	recordCodec = wire.NewPlain(&record{})
-	wholeCodec  = wire.NewPlain(&whole{})
+	recordCodec = wire.NewRecordCodec(&record{})
+	slotCodec   = wire.NewRecordCodec(&slotState{})
 )
 
-func toRecord(id int64, p *group.Persist) record {
+func toRecord(id int64, p *group.DurableUpdate) record {
 	r := record{Group: id, Entries: p.Entries, Roster: []string{}}
 	if r.Entries == nil {
 		r.Entries = []wire.Entry{}
@@ -44,9 +44,9 @@
 	if p.Hard != nil {
 		r.HasHard, r.Term, r.Vote, r.Commit = true, p.Hard.Term, p.Hard.Vote, p.Hard.Commit
 	}
-	if p.Image != nil {
-		r.HasImage, r.Index, r.LogTerm = true, p.Image.Index, p.Image.Term
-		r.Roster, r.State = p.Image.Roster, p.Image.State
+	if p.Snapshot != nil {
+		r.HasSnapshot, r.Index, r.LogTerm = true, p.Snapshot.Index, p.Snapshot.Term
+		r.Roster, r.State = p.Snapshot.Roster, p.Snapshot.State
 	}
 	return r
 }
@@ -58,25 +58,25 @@
 	return id, size > 0
 }
 
-// Held is a group as the disk has it.
-type Held struct {
+// StoredGroup is a group as the disk has it.
+type StoredGroup struct {
 	Hard      group.HardState
-	Image     *group.Image
+	Snapshot  *group.Snapshot
 	Log       []wire.Entry
 	IsDamaged bool // something synced was lost: rebuild from peers
 }
 
-func (h *Held) base() int64 {
-	if h.Image != nil {
-		return h.Image.Index
+func (h *StoredGroup) base() int64 {
+	if h.Snapshot != nil {
+		return h.Snapshot.Index
 	}
 	return 0
 }
 
 // apply takes one record in, as the replica's log did.
-func (h *Held) apply(r *record) {
-	if r.HasImage {
-		h.Image = &group.Image{Index: r.Index, Term: r.LogTerm, Roster: r.Roster, State: r.State}
+func (h *StoredGroup) apply(r *record) {
+	if r.HasSnapshot {
+		h.Snapshot = &group.Snapshot{Index: r.Index, Term: r.LogTerm, Roster: r.Roster, State: r.State}
 		h.Log = nil
 	}
 	if r.HasHard {
@@ -96,7 +96,7 @@
 // A log record is a head and an Avro body. synced is how much of the segment
 // was known to be on disk when the record was written: it tells a torn tail,
 // which was never promised, from damage to something that was.
-const recordHead = 4 + 4 + 4 + 8
+const recordHeaderBytes = 4 + 4 + 4 + 8
 
 var recordMagic = []byte{0xca, 0x9e, 0x10, 0x91}
 
@@ -111,23 +111,23 @@
 
 // readRecord reads the record at the start of raw. size 0 means none is whole.
 func readRecord(raw []byte) (body []byte, synced int64, size int) {
-	if len(raw) < recordHead || !bytes.Equal(raw[:4], recordMagic) {
+	if len(raw) < recordHeaderBytes || !bytes.Equal(raw[:4], recordMagic) {
 		return nil, 0, 0
 	}
 	length := int(binary.BigEndian.Uint32(raw[4:]))
-	if length > len(raw)-recordHead {
+	if length > len(raw)-recordHeaderBytes {
 		return nil, 0, 0
 	}
-	body = raw[recordHead : recordHead+length]
-	if crc32.Update(crc32.Checksum(raw[12:recordHead], castagnoli), castagnoli, body) != binary.BigEndian.Uint32(raw[8:]) {
+	body = raw[recordHeaderBytes : recordHeaderBytes+length]
+	if crc32.Update(crc32.Checksum(raw[12:recordHeaderBytes], castagnoli), castagnoli, body) != binary.BigEndian.Uint32(raw[8:]) {
 		return nil, 0, 0
 	}
-	return body, int64(binary.BigEndian.Uint64(raw[12:])), recordHead + length
+	return body, int64(binary.BigEndian.Uint64(raw[12:])), recordHeaderBytes + length
 }
 
-// wasPromised looks behind a broken record at offset for a whole one that was
+// wasSynced looks behind a broken record at offset for a whole one that was
 // written after the broken one had been synced.
-func wasPromised(raw []byte, offset int) bool {
+func wasSynced(raw []byte, offset int) bool {
 	for at := offset + 1; ; {
 		next := bytes.Index(raw[at:], recordMagic)
 		if next < 0 {
--- a/internal/slot/names_test.go
+++ b/internal/storage/removed_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// removing is a folder that remembers what was removed from it: a name that goes
+// recordingFolder is a folder that remembers what was removed from it: a name that goes
 // without a sync of its folder may be back after a loss of power, each by itself.
-type removing struct {
-	*frail
+type recordingFolder struct {
+	*lossyFolder
 	removed map[string][]byte
 }
 
-func (f *removing) Remove(name string) error {
+func (f *recordingFolder) Remove(name string) error {
 	raw, err := f.Folder.Read(name)
 	if err != nil {
 		return err
@@ -32,22 +32,22 @@
 func TestRemovedNamesComeBack(t *testing.T) {
 	Convey("Given a disk whose groups passed some segments", t, func() {
 		dir := t.TempDir()
-		files := &removing{newFrail(dir), map[string][]byte{}}
+		files := &recordingFolder{newLossyFolder(dir), map[string][]byte{}}
 		l, _, err := Open(files, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
 		for i := int64(1); i < 40; i++ {
-			put(l, 1, i, i, 1)
-			put(l, 2, i, i, 1)
+			persistEntries(l, 1, i, i, 1)
+			persistEntries(l, 2, i, i, 1)
 		}
-		save(l, 1, 30, 39)
-		save(l, 2, 20, 39)
-		put(l, 1, 40, 40, 1)
-		put(l, 2, 35, 35, 2) // replaces a tail
+		saveSlot(l, 1, 30, 39)
+		saveSlot(l, 2, 20, 39)
+		persistEntries(l, 1, 40, 40, 1)
+		persistEntries(l, 2, 35, 35, 2) // replaces a tail
 		l.Close()
 		files.Close()
 		names := slices.Sorted(maps.Keys(files.removed))
 		So(len(names), ShouldBeGreaterThan, 4)
-		whole := newFrail(dir)
+		whole := newLossyFolder(dir)
 		l, want, err := Open(whole, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
 		l.Close()
@@ -60,16 +60,16 @@
 					}
 				}
 				l, got := reopen(dir, Options{SegmentBytes: 400})
-				So(l.HasLost(), ShouldBeFalse)
+				So(l.HasLostData(), ShouldBeFalse)
 				for id, held := range want {
 					So(got[id].Hard, ShouldResemble, held.Hard)
-					So(got[id].Image, ShouldResemble, held.Image)
+					So(got[id].Snapshot, ShouldResemble, held.Snapshot)
 					So(got[id].Log, ShouldResemble, held.Log)
 					So(got[id].IsDamaged, ShouldBeFalse)
 				}
-				put(l, 1, 41, 41, 1)
-				save(l, 1, 41, 41)
-				save(l, 2, 35, 35)
+				persistEntries(l, 1, 41, 41, 1)
+				saveSlot(l, 1, 41, 41)
+				saveSlot(l, 2, 35, 35)
 				So(l.Segments(), ShouldEqual, 1) // those that came back are removed again
 				l.Close()
 			})
--- a/internal/slot/replay_test.go
+++ b/internal/storage/replay_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"runtime"
@@ -12,7 +12,7 @@
 // replayed returns how many bytes are allocated as a log of so many records, each with one
 // entry, is taken in.
 func replayed(records int) uint64 {
-	h := &Held{}
+	h := &StoredGroup{}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range records {
@@ -35,13 +35,13 @@
 		So(many, ShouldBeLessThan, 8*few)
 	})
 	Convey("Entries that differ from some on replace those", t, func() {
-		h := &Held{}
+		h := &StoredGroup{}
 		h.apply(&record{Entries: []wire.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}}})
 		h.apply(&record{Entries: []wire.Entry{{Index: 2, Term: 2}}})
 		So(h.Log, ShouldResemble, []wire.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}})
 	})
 	Convey("A record tells its group before it is decoded", t, func() {
-		for _, id := range []int64{0, 4, wire.PlaceGroup + 47, -3} {
+		for _, id := range []int64{0, 4, wire.FirstPlaceGroup + 47, -3} {
 			got, isWhole := groupOf(recordCodec.Encode(&record{Group: id, Entries: []wire.Entry{}, Roster: []string{}}))
 			So(isWhole, ShouldBeTrue)
 			So(got, ShouldEqual, id)
--- a/internal/slot/slot_test.go
+++ b/internal/storage/slot_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"fmt"
@@ -12,74 +12,74 @@
 	"caperwheel/internal/wire"
 )
 
-// frail is a folder whose machine can lose power: what was not synced goes,
+// lossyFolder is a folder whose machine can lose power: what was not synced goes,
 // from a random point on. failAt makes the nth write fail.
-type frail struct {
+type lossyFolder struct {
 	*Folder
-	whole  map[string]int64
-	synced map[string]int64
-	failAt int
+	written map[string]int64
+	synced  map[string]int64
+	failAt  int
 }
 
-type frailFile struct {
+type lossyFile struct {
 	File
-	f    *frail
+	f    *lossyFolder
 	name string
 }
 
-func (f *frail) Open(name string) (File, error) {
+func (f *lossyFolder) Open(name string) (File, error) {
 	file, err := f.Folder.Open(name)
-	return &frailFile{file, f, name}, err
+	return &lossyFile{file, f, name}, err
 }
 
-func (w *frailFile) Write(raw []byte) (int, error) {
+func (w *lossyFile) Write(raw []byte) (int, error) {
 	if w.f.failAt--; w.f.failAt == 0 {
 		return 0, errs.New(errs.Disk, "caused by the test")
 	}
-	w.f.whole[w.name] += int64(len(raw))
+	w.f.written[w.name] += int64(len(raw))
 	return w.File.Write(raw)
 }
 
-func (w *frailFile) Sync() error {
-	w.f.synced[w.name] = w.f.whole[w.name]
+func (w *lossyFile) Sync() error {
+	w.f.synced[w.name] = w.f.written[w.name]
 	return nil
 }
 
-func (f *frail) Sync(name string) error {
+func (f *lossyFolder) Sync(name string) error {
 	raw, err := f.Folder.Read(name)
-	f.whole[name], f.synced[name] = int64(len(raw)), int64(len(raw))
+	f.written[name], f.synced[name] = int64(len(raw)), int64(len(raw))
 	return err
 }
 
-func newFrail(dir string) *frail {
+func newLossyFolder(dir string) *lossyFolder {
 	folder, err := OpenFolder(dir)
 	So(err, ShouldBeNil)
-	return &frail{Folder: folder, whole: map[string]int64{}, synced: map[string]int64{}}
+	return &lossyFolder{Folder: folder, written: map[string]int64{}, synced: map[string]int64{}}
 }
 
-func put(l *Log, id, from, to, term int64) {
+func persistEntries(l *Log, id, from, to, term int64) {
 	got := make(chan error, 1)
 	entries := []wire.Entry{}
 	for i := from; i <= to; i++ {
 		entries = append(entries, wire.Entry{Index: i, Term: term, Data: []byte(fmt.Sprint(i))})
 	}
-	l.Persist(id, &group.Persist{Hard: &group.HardState{Term: term, Vote: "a"}, Entries: entries}, func(err error) { got <- err })
+	l.Persist(id, &group.DurableUpdate{Hard: &group.HardState{Term: term, Vote: "a"}, Entries: entries}, func(err error) { got <- err })
 	So(<-got, ShouldBeNil)
 }
 
-func save(l *Log, id, index, last int64) {
+func saveSlot(l *Log, id, index, last int64) {
 	got := make(chan error, 1)
 	entries := []wire.Entry{}
 	for i := index + 1; i <= last; i++ {
 		entries = append(entries, wire.Entry{Index: i, Term: 1})
 	}
-	l.SaveSlot(id, group.HardState{Term: 1}, &group.Image{Index: index, Term: 1, Roster: []string{"a"}, State: []byte("state")},
-		&group.Persist{Entries: entries}, func(err error) { got <- err })
+	l.SaveSlot(id, group.HardState{Term: 1}, &group.Snapshot{Index: index, Term: 1, Roster: []string{"a"}, State: []byte("state")},
+		&group.DurableUpdate{Entries: entries}, func(err error) { got <- err })
 	So(<-got, ShouldBeNil)
 }
 
-func reopen(dir string, opts Options) (*Log, map[int64]*Held) {
-	l, held, err := Open(newFrail(dir), opts)
+func reopen(dir string, opts Options) (*Log, map[int64]*StoredGroup) {
+	l, held, err := Open(newLossyFolder(dir), opts)
 	So(err, ShouldBeNil)
 	return l, held
 }
@@ -87,11 +87,11 @@
 func TestLogAndSlots(t *testing.T) {
 	Convey("Given a disk with two groups", t, func() {
 		dir := t.TempDir()
-		files := newFrail(dir)
+		files := newLossyFolder(dir)
 		l, _, err := Open(files, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
-		put(l, 1, 1, 3, 1)
-		put(l, 2, 1, 2, 1)
+		persistEntries(l, 1, 1, 3, 1)
+		persistEntries(l, 2, 1, 2, 1)
 		Convey("all that was synced is there again", func() {
 			l.Close()
 			files.Close()
@@ -100,7 +100,7 @@
 			So(held[2].Hard, ShouldResemble, group.HardState{Term: 1, Vote: "a"})
 		})
 		Convey("a replaced tail stays replaced", func() {
-			put(l, 1, 2, 2, 2)
+			persistEntries(l, 1, 2, 2, 2)
 			l.Close()
 			files.Close()
 			_, held := reopen(dir, Options{})
@@ -109,18 +109,18 @@
 		})
 		Convey("segments go once every slot stands behind them", func() {
 			for i := int64(4); i < 60; i++ {
-				put(l, 1, i, i, 1)
+				persistEntries(l, 1, i, i, 1)
 			}
 			So(l.Segments(), ShouldBeGreaterThan, 5)
-			save(l, 1, 50, 59)
+			saveSlot(l, 1, 50, 59)
 			So(l.Segments(), ShouldBeGreaterThan, 5) // group 2 still needs the first
-			So(l.Behind([]int64{1, 2}), ShouldResemble, []int64{2})
-			save(l, 2, 2, 2)
+			So(l.GroupsHoldingSegments([]int64{1, 2}), ShouldResemble, []int64{2})
+			saveSlot(l, 2, 2, 2)
 			So(l.Segments(), ShouldEqual, 1)
 			l.Close()
 			files.Close()
 			_, held := reopen(dir, Options{})
-			So(held[1].Image.Index, ShouldEqual, 50)
+			So(held[1].Snapshot.Index, ShouldEqual, 50)
 			So(len(held[1].Log), ShouldEqual, 9)
 			So(held[1].IsDamaged, ShouldBeFalse)
 		})
@@ -131,10 +131,10 @@
 		Convey("a failed write is told and stops the disk", func() {
 			files.failAt = 1
 			got := make(chan error, 2)
-			l.Persist(1, &group.Persist{}, func(err error) { got <- err })
+			l.Persist(1, &group.DurableUpdate{}, func(err error) { got <- err })
 			So(errs.Is(<-got, errs.Disk), ShouldBeTrue)
 			<-l.done
-			l.Persist(1, &group.Persist{}, func(err error) { got <- err })
+			l.Persist(1, &group.DurableUpdate{}, func(err error) { got <- err })
 			So(errs.Is(<-got, errs.Disk), ShouldBeTrue)
 		})
 	})
@@ -158,16 +158,16 @@
 		for _, c := range cases {
 			Convey("with "+c.name, func() {
 				dir := t.TempDir()
-				l, _, err := Open(newFrail(dir), Options{})
+				l, _, err := Open(newLossyFolder(dir), Options{})
 				So(err, ShouldBeNil)
 				for i := int64(1); i <= 5; i++ {
-					put(l, 1, i, i, 1)
+					persistEntries(l, 1, i, i, 1)
 				}
-				put(l, 2, 1, 1, 1)
-				save(l, 2, 1, 1)
+				persistEntries(l, 2, 1, 1, 1)
+				saveSlot(l, 2, 1, 1)
 				l.Close()
-				l.files.(*frail).Close()
-				folder := newFrail(dir)
+				l.files.(*lossyFolder).Close()
+				folder := newLossyFolder(dir)
 				raw, err := folder.Read(segmentName(1))
 				So(err, ShouldBeNil)
 				// The record of group 2 is the last: cut it off first.
@@ -179,7 +179,7 @@
 				So(folder.Write(segmentName(1), c.hurt(raw[:at])), ShouldBeNil)
 				folder.Close()
 				l, held := reopen(dir, Options{})
-				So(l.HasLost(), ShouldEqual, c.isDamaged)
+				So(l.HasLostData(), ShouldEqual, c.isDamaged)
 				if c.isDamaged {
 					So(held[1], ShouldBeNil)
 				} else {
@@ -194,7 +194,7 @@
 
 func TestPairFallsBack(t *testing.T) {
 	Convey("Given a pair written three times", t, func() {
-		files := newFrail(t.TempDir())
+		files := newLossyFolder(t.TempDir())
 		pair, raw, _, err := OpenPair(files, "x")
 		So(err, ShouldBeNil)
 		So(raw, ShouldBeNil)
--- a/internal/slot/stall_test.go
+++ b/internal/storage/stall_test.go
@@ -1,4 +1,4 @@
-package slot
+package storage
 
 import (
 	"testing"
@@ -9,24 +9,24 @@
 	"caperwheel/internal/wire"
 )
 
-// slow is a folder whose log segments sync only when they are let.
-type slow struct {
+// stallingFolder is a folder whose log segments sync only when they are let.
+type stallingFolder struct {
 	*Folder
-	let chan bool
+	release chan bool
 }
 
-type slowFile struct {
+type stallingFile struct {
 	File
-	let chan bool
+	release chan bool
 }
 
-func (f *slow) Open(name string) (File, error) {
+func (f *stallingFolder) Open(name string) (File, error) {
 	file, err := f.Folder.Open(name)
-	return &slowFile{file, f.let}, err
+	return &stallingFile{file, f.release}, err
 }
 
-func (f *slowFile) Sync() error {
-	<-f.let
+func (f *stallingFile) Sync() error {
+	<-f.release
 	return f.File.Sync()
 }
 
@@ -37,20 +37,20 @@
 		folder, err := OpenFolder(t.TempDir())
 		So(err, ShouldBeNil)
 		let := make(chan bool)
-		l, _, err := Open(&slow{folder, let}, Options{})
+		l, _, err := Open(&stallingFolder{folder, let}, Options{})
 		So(err, ShouldBeNil)
 		done := make(chan error, 100)
 		for i := range int64(100) {
 			entries := []wire.Entry{{Index: i + 1, Data: make([]byte, 10<<10)}}
-			l.Persist(1, &group.Persist{Entries: entries}, func(err error) { done <- err })
+			l.Persist(1, &group.DurableUpdate{Entries: entries}, func(err error) { done <- err })
 		}
-		So(l.Waiting(), ShouldBeGreaterThanOrEqualTo, 100*10<<10)
+		So(l.UnsyncedBytes(), ShouldBeGreaterThanOrEqualTo, 100*10<<10)
 		Convey("nothing waits once it goes on", func() {
 			close(let)
 			for range 100 {
 				So(<-done, ShouldBeNil)
 			}
-			So(l.Waiting(), ShouldEqual, 0)
+			So(l.UnsyncedBytes(), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/store/away_test.go
+++ b/internal/store/absentadapters_test.go
@@ -23,23 +23,23 @@
 		backAt      time.Duration // when it is back for a moment; 0 for never
 		least, most time.Duration // when the message may run again, after the adapter has gone; 0 for never
 	}{
-		{name: "one that it never heard of", lane: config.Lane{Rerun: true}, least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one that it has in hand", lane: config.Lane{Rerun: true}, isInHand: true, least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one while it comes and goes", lane: config.Lane{Rerun: true}, backAt: 2 * time.Second, least: 5 * time.Second, most: 6 * time.Second},
-		{name: "an ordered one that may still stand at its worker", lane: config.Lane{Rerun: true, IsOrdered: true},
+		{name: "one that it never heard of", lane: config.Lane{AllowsRerun: true}, least: 3 * time.Second, most: 4 * time.Second},
+		{name: "one that it has in hand", lane: config.Lane{AllowsRerun: true}, isInHand: true, least: 3 * time.Second, most: 4 * time.Second},
+		{name: "one while it comes and goes", lane: config.Lane{AllowsRerun: true}, backAt: 2 * time.Second, least: 5 * time.Second, most: 6 * time.Second},
+		{name: "an ordered one that may still stand at its worker", lane: config.Lane{AllowsRerun: true, IsOrdered: true},
 			least: 13 * time.Second, most: 14 * time.Second},
-		{name: "an ordered one of a pool that knows a run again", lane: config.Lane{Rerun: true, IsOrdered: true}, repeats: true,
+		{name: "an ordered one of a pool that knows a run again", lane: config.Lane{AllowsRerun: true, IsOrdered: true}, repeats: true,
 			least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one whose result others keep", lane: config.Lane{Rerun: true, Witness: true}},
+		{name: "one whose result others keep", lane: config.Lane{AllowsRerun: true, UsesWitness: true}},
 		{name: "one that must not run twice", lane: config.Lane{}},
-		{name: "the last one that may be spent", lane: config.Lane{Rerun: true, SpendsAll: true, Attempts: 1}},
+		{name: "the last one that may be spent", lane: config.Lane{AllowsRerun: true, CountsEveryRun: true, MaxAttempts: 1}},
 	}
 	Convey("Given a run whose adapter has gone,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b := newBench()
-				c.lane.Name, c.lane.Pools, c.lane.BackoffMost = "v", []string{"p"}, time.Second
-				b.rules.Pools["p"], b.rules.Lanes["v"] = config.Pool{Bound: bound, Repeats: c.repeats}, c.lane
+				b := newHarness()
+				c.lane.Name, c.lane.Pools, c.lane.MaxBackoff = "v", []string{"p"}, time.Second
+				b.rules.Pools["p"], b.rules.Lanes["v"] = config.Pool{RunTimeout: bound, AllowsDuplicateRuns: c.repeats}, c.lane
 				b.place.Take(&wire.Take{Id: "0-x", Lane: "v", Key: "k", Deadline: 600_000}, func(any) {})
 				b.commit(true)
 				b.members["a"] = wire.Who{Name: "a", Boot: "1"}
--- a/internal/store/ballot.go
+++ b/internal/store/ballot.go
@@ -15,30 +15,30 @@
 )
 
 // onBallot answers one step of another store's ballot.
-func (f *founder) onBallot(b *wire.Ballot) *wire.BallotAck {
+func (f *bootstrapper) onBallot(b *wire.Ballot) *wire.BallotAck {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id := &f.id
-	ack := &wire.BallotAck{Founded: id.Founded, Number: id.Accepted, Cluster: id.Cluster, Roster: id.Roster}
+	ack := &wire.BallotAck{Founded: id.IsBootstrapped, Number: id.Accepted, Cluster: id.Cluster, Roster: id.Roster}
 	was := *id
 	switch {
 	case b.Step == "look":
 		ack.Ok = true
-		if !id.Founded {
-			if id.Promised == joinsOnly {
-				ack.Number = joinsOnly
+		if !id.IsBootstrapped {
+			if id.Promised == promisedJoinOnly {
+				ack.Number = promisedJoinOnly
 			}
-			ack.Roster = []string{id.Name + "/" + id.Inc}
+			ack.Roster = []string{id.Name + "/" + id.Incarnation}
 		}
 		return ack
-	case id.Founded:
+	case id.IsBootstrapped:
 		return ack
 	case b.Step == "promise" && b.Number > id.Promised:
 		id.Promised = b.Number
 	case b.Step == "accept" && b.Number >= id.Promised:
 		id.Promised, id.Accepted, id.Cluster, id.Roster = b.Number, b.Number, b.Cluster, b.Roster
 	case b.Step == "found" && b.Cluster == id.Cluster:
-		id.Founded = true
+		id.IsBootstrapped = true
 	default:
 		return ack
 	}
@@ -48,14 +48,14 @@
 		return ack
 	}
 	ack.Ok = true
-	if id.Founded {
+	if id.IsBootstrapped {
 		klog.Infof("found: Deployment %s is founded by %v.", id.Cluster, id.Roster)
-		go f.begin()
+		go f.onBootstrapped()
 	}
 	return ack
 }
 
-func (f *founder) ask(addr string, b *wire.Ballot) (*wire.BallotAck, bool) {
+func (f *bootstrapper) sendBallot(addr string, b *wire.Ballot) (*wire.BallotAck, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.d.Bounds.Of(timing.AnswerTimeout))
 	defer cancel()
 	reply, err := f.d.Node.Peer(wire.GroupLink, addr).Call(ctx, b)
@@ -63,24 +63,24 @@
 	return ack, err == nil && isAck
 }
 
-// try joins a deployment that exists, or stands up a ballot for a new one when
+// joinOrBootstrap joins a deployment that exists, or stands up a ballot for a new one when
 // this is the first store by name, enough blank ones are here, and no store has
 // come or gone since the last time: machines that start together do not see each
 // other all at once, and two of them that see different ones could both found.
-func (f *founder) try(now time.Duration) {
+func (f *bootstrapper) joinOrBootstrap(now time.Duration) {
 	me := f.snapshot()
-	if me.Founded {
+	if me.IsBootstrapped {
 		return
 	}
-	stores := f.d.Membership.Kind("store")
+	stores := f.d.Membership.OfKind("store")
 	slices.SortFunc(stores, func(a, b wire.Who) int { return cmp.Compare(a.Name, b.Name) })
-	mayFound := f.isSettled(stores, now)
-	ids, addrs := map[string]string{me.Name: me.Name + "/" + me.Inc}, map[string]string{me.Name: f.d.Who.Addr}
+	mayFound := f.isMembershipStable(stores, now)
+	ids, addrs := map[string]string{me.Name: me.Name + "/" + me.Incarnation}, map[string]string{me.Name: f.d.Who.Addr}
 	for _, who := range stores {
 		if who.Name == me.Name {
 			continue
 		}
-		ack, isHeard := f.ask(who.Addr, &wire.Ballot{Step: "look", Roster: []string{}})
+		ack, isHeard := f.sendBallot(who.Addr, &wire.Ballot{Step: "look", Roster: []string{}})
 		if !isHeard {
 			continue
 		}
@@ -88,28 +88,28 @@
 			f.join(ack)
 			return
 		}
-		if ack.Number == joinsOnly {
+		if ack.Number == promisedJoinOnly {
 			continue
 		}
 		ids[who.Name], addrs[who.Name] = ack.Roster[0], who.Addr
 	}
-	if me.Promised == joinsOnly || !mayFound {
+	if me.Promised == promisedJoinOnly || !mayFound {
 		return
 	}
 	roster := chooseRoster(stores, ids, f.d.Settings.Founders)
 	if len(roster) < f.d.Settings.Founders || group.Name(roster[0]) != me.Name {
 		return
 	}
-	f.ballot(roster, addrs, me.Promised+1)
+	f.runBallot(roster, addrs, me.Promised+1)
 }
 
 // isSettled reports whether the same stores have been seen for a while.
-func (f *founder) isSettled(stores []wire.Who, now time.Duration) bool {
-	isSame := slices.EqualFunc(stores, f.seen, func(a, b wire.Who) bool { return a.Name == b.Name && a.Boot == b.Boot })
+func (f *bootstrapper) isMembershipStable(stores []wire.Who, now time.Duration) bool {
+	isSame := slices.EqualFunc(stores, f.lastStores, func(a, b wire.Who) bool { return a.Name == b.Name && a.Boot == b.Boot })
 	if !isSame {
-		f.seen, f.seenAt = stores, now
+		f.lastStores, f.lastStoresSince = stores, now
 	}
-	return now-f.seenAt >= f.d.Bounds.Of(timing.AnswerTimeout)
+	return now-f.lastStoresSince >= f.d.Bounds.Of(timing.AnswerTimeout)
 }
 
 // chooseRoster takes so many stores, from as many zones as there are.
@@ -129,8 +129,8 @@
 	return out
 }
 
-func (f *founder) ballot(roster []string, addrs map[string]string, number int64) {
-	b := wire.Ballot{Number: number, Cluster: daemon.Random(6), Roster: roster}
+func (f *bootstrapper) runBallot(roster []string, addrs map[string]string, number int64) {
+	b := wire.Ballot{Number: number, Cluster: daemon.RandomId(6), Roster: roster}
 	best := int64(0)
 	for _, step := range []string{"promise", "accept", "found"} {
 		b.Step = step
@@ -139,7 +139,7 @@
 			if name == f.d.Settings.Name {
 				ack = f.onBallot(&b)
 			} else {
-				ack, isHeard = f.ask(addrs[name], &b)
+				ack, isHeard = f.sendBallot(addrs[name], &b)
 			}
 			if !isHeard || !ack.Ok {
 				klog.Infof("found: The ballot waits for %s.", name)
@@ -154,15 +154,15 @@
 
 // join takes this blank store into a deployment that exists already. It holds
 // nothing and votes nowhere until the owners of groups bring it up to date.
-func (f *founder) join(ack *wire.BallotAck) {
+func (f *bootstrapper) join(ack *wire.BallotAck) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.id.Founded, f.id.Cluster, f.id.Roster = true, ack.Cluster, ack.Roster
+	f.id.IsBootstrapped, f.id.Cluster, f.id.Roster = true, ack.Cluster, ack.Roster
 	if err := f.save(); err != nil {
-		f.id.Founded = false
+		f.id.IsBootstrapped = false
 		klog.Errorf("found: The deployment cannot be noted: %v.", err)
 		return
 	}
 	klog.Infof("found: Joined deployment %s.", ack.Cluster)
-	go f.begin()
+	go f.onBootstrapped()
 }
--- a/internal/store/found_test.go
+++ b/internal/store/bootstrap_test.go
@@ -7,7 +7,7 @@
 
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/settings"
-	"caperwheel/internal/slot"
+	"caperwheel/internal/storage"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/wire"
 )
@@ -28,22 +28,22 @@
 	Convey("Of blank stores,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				folder, err := slot.OpenFolder(t.TempDir())
+				folder, err := storage.OpenFolder(t.TempDir())
 				So(err, ShouldBeNil)
-				var f *founder
+				var f *bootstrapper
 				for _, mayFound := range []bool{c.first, c.second} {
-					d := &daemon.Daemon{Settings: settings.Settings{Name: "s", Founds: mayFound}}
-					f, err = newFounder(d, folder, func() {})
+					d := &daemon.Daemon{Settings: settings.Settings{Name: "s", MayBootstrap: mayFound}}
+					f, err = newBootstrapper(d, folder, func() {})
 					So(err, ShouldBeNil)
 				}
 				look := f.onBallot(&wire.Ballot{Step: "look"})
 				So(look.Ok, ShouldBeTrue)
-				So(look.Number == joinsOnly, ShouldEqual, c.isJoiner)
+				So(look.Number == promisedJoinOnly, ShouldEqual, c.isJoiner)
 				for _, step := range []string{"promise", "accept", "found"} {
 					ack := f.onBallot(&wire.Ballot{Step: step, Number: 1, Cluster: "c", Roster: []string{"s/1"}})
 					So(ack.Ok, ShouldEqual, c.isOk)
 				}
-				So(f.snapshot().Founded, ShouldEqual, c.isOk)
+				So(f.snapshot().IsBootstrapped, ShouldEqual, c.isOk)
 			})
 		}
 	})
@@ -61,16 +61,16 @@
 		return
 	}
 	Convey("Given a store that sees two others", t, func() {
-		f := &founder{d: &daemon.Daemon{Bounds: timing.Default}}
-		So(f.isSettled(who("a", "b"), 0), ShouldBeFalse)
+		f := &bootstrapper{d: &daemon.Daemon{Bounds: timing.Default}}
+		So(f.isMembershipStable(who("a", "b"), 0), ShouldBeFalse)
 		Convey("it may found once that has lasted", func() {
-			So(f.isSettled(who("a", "b"), wait-1), ShouldBeFalse)
-			So(f.isSettled(who("a", "b"), wait), ShouldBeTrue)
+			So(f.isMembershipStable(who("a", "b"), wait-1), ShouldBeFalse)
+			So(f.isMembershipStable(who("a", "b"), wait), ShouldBeTrue)
 		})
 		Convey("a third one that comes has it wait anew", func() {
-			So(f.isSettled(who("a", "b", "c"), wait), ShouldBeFalse)
-			So(f.isSettled(who("a", "b", "c"), 2*wait-1), ShouldBeFalse)
-			So(f.isSettled(who("a", "b", "c"), 2*wait), ShouldBeTrue)
+			So(f.isMembershipStable(who("a", "b", "c"), wait), ShouldBeFalse)
+			So(f.isMembershipStable(who("a", "b", "c"), 2*wait-1), ShouldBeFalse)
+			So(f.isMembershipStable(who("a", "b", "c"), 2*wait), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -29,57 +29,57 @@
 // when a slot is granted, so urgency counts at the last moment and a busy or
 // downed pool holds no message. It is driven by Turn.
 //
-// Invariants: wants of a pool never pass what is ready for it, nor mostWants;
+// Invariants: wants of a pool never pass what is ready for it, nor maxSlotRequests;
 // a granted slot is used or released; a pause lasts no longer than the holder that told it
 // holds the worker.
 type Dispatcher struct {
 	o    DispatcherOptions
 	wake chan struct{}
 
-	mu     sync.Mutex
-	wants  map[string]asks // asks under way, by pool
-	serial int64
-	pauses map[seat]time.Duration // not to be asked before
-	turns  laneTurns
-	tables map[string]*drawTable // by pool
-	next   int
+	mu            sync.Mutex
+	requests      map[string]openRequests // asks under way, by pool
+	lastRequestId int64
+	blockedUntil  map[workerInstance]time.Duration // not to be asked before
+	laneScheduler laneScheduler
+	candidates    map[string]*candidateTable // by pool
+	nextPlace     int
 }
 
-// seat is a worker as one life of its holder serves it.
-type seat struct{ pool, worker, boot string }
+// workerInstance is a worker as one life of its holder serves it.
+type workerInstance struct{ pool, worker, boot string }
 
-const mostWants = 128
+const maxSlotRequests = 128
 
-// asks are those under way, each with its deadline. One that is not answered by
+// openRequests are those under way, each with its deadline. One that is not answered by
 // then no longer counts: an adapter may have lost it.
-type asks map[int64]time.Duration
+type openRequests map[int64]time.Duration
 
 // NewDispatcher returns a dispatcher that has asked for nothing yet.
 func NewDispatcher(o DispatcherOptions) *Dispatcher {
-	return &Dispatcher{o: o, wake: make(chan struct{}, 1), wants: map[string]asks{}, pauses: map[seat]time.Duration{},
-		turns: newLaneTurns(), tables: map[string]*drawTable{}}
+	return &Dispatcher{o: o, wake: make(chan struct{}, 1), requests: map[string]openRequests{}, blockedUntil: map[workerInstance]time.Duration{},
+		laneScheduler: newLaneScheduler(), candidates: map[string]*candidateTable{}}
 }
 
-// closeLate closes the asks that nobody answered, and forgets pauses that are over.
-func (d *Dispatcher) closeLate(now time.Duration) {
+// expireRequests closes the asks that nobody answered, and forgets pauses that are over.
+func (d *Dispatcher) expireRequests(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for pool, open := range d.wants {
+	for pool, open := range d.requests {
 		maps.DeleteFunc(open, func(_ int64, deadline time.Duration) bool {
 			if now > deadline {
-				slotAsks.WithLabelValues(pool, askUnanswered).Inc()
+				slotRequestResults.WithLabelValues(pool, slotUnanswered).Inc()
 			}
 			return now > deadline
 		})
 		if len(open) == 0 {
-			delete(d.wants, pool)
+			delete(d.requests, pool)
 		}
 	}
-	maps.DeleteFunc(d.pauses, func(_ seat, until time.Duration) bool { return now >= until })
+	maps.DeleteFunc(d.blockedUntil, func(_ workerInstance, until time.Duration) bool { return now >= until })
 }
 
-// Nudge has a turn come soon.
-func (d *Dispatcher) Nudge() {
+// Wake has a turn come soon.
+func (d *Dispatcher) Wake() {
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -88,7 +88,7 @@
 
 // run turns until ctx ends.
 func (d *Dispatcher) run(ctx context.Context) {
-	ticker := time.NewTicker(d.o.Daemon.Bounds.Of(timing.Draw))
+	ticker := time.NewTicker(d.o.Daemon.Bounds.Of(timing.DispatchInterval))
 	defer ticker.Stop()
 	for {
 		select {
@@ -97,14 +97,14 @@
 		case <-ticker.C:
 		case <-d.wake:
 		}
-		d.Turn()
+		d.Dispatch()
 	}
 }
 
-// ready sums up what may run, by lane.
-func (d *Dispatcher) ready() map[string]int {
+// readyByLane sums up what may run, by lane.
+func (d *Dispatcher) readyByLane() map[string]int {
 	out := map[string]int{}
-	for _, p := range d.places() {
+	for _, p := range d.dispatchablePlaces() {
 		for lane, n := range p.Ready() {
 			out[lane] += n
 		}
@@ -112,52 +112,52 @@
 	return out
 }
 
-// Turn asks for as many slots as there are messages ready.
-func (d *Dispatcher) Turn() {
-	d.closeLate(d.o.Daemon.Now())
+// Dispatch asks for as many slots as there are messages ready.
+func (d *Dispatcher) Dispatch() {
+	d.expireRequests(d.o.Daemon.Now())
 	if !d.o.Daemon.IsFresh() {
 		return
 	}
-	ready, compiled := d.ready(), d.o.Configs.Current()
+	ready, compiled := d.readyByLane(), d.o.Configs.Current()
 	need := map[string]int{}
 	for lane, n := range ready {
 		for _, pool := range compiled.Rules.Lanes[lane].Pools {
-			need[pool] += int(math.Ceil(float64(n) * compiled.Share(lane, pool)))
+			need[pool] += int(math.Ceil(float64(n) * compiled.RelativeShare(lane, pool)))
 		}
 	}
 	d.mu.Lock()
-	d.turns.begin(compiled.Rules)
+	d.laneScheduler.startRound(compiled.Rules)
 	d.mu.Unlock()
 	for _, pool := range sortedNames(need) {
 		d.mu.Lock()
-		n := min(need[pool], mostWants) - len(d.wants[pool])
+		n := min(need[pool], maxSlotRequests) - len(d.requests[pool])
 		d.mu.Unlock()
 		for range n {
-			if !d.want(compiled, pool) {
+			if !d.requestSlot(compiled, pool) {
 				break
 			}
 		}
 	}
 }
 
-// want asks for one slot of the pool, at a worker drawn by weight.
-func (d *Dispatcher) want(compiled *config.Compiled, pool string) bool {
-	chosen, isFound := d.draw(compiled, pool)
+// requestSlot asks for one slot of the pool, at a worker drawn by weight.
+func (d *Dispatcher) requestSlot(compiled *config.Compiled, pool string) bool {
+	chosen, isFound := d.pickWorker(compiled, pool)
 	if !isFound {
-		slotAsks.WithLabelValues(pool, askNobody).Inc()
+		slotRequestResults.WithLabelValues(pool, slotNoWorker).Inc()
 		return false
 	}
 	bounds := d.o.Daemon.Bounds
-	hold, asked := bounds.Of(timing.AskHold), d.o.Daemon.Now()
-	serial := d.open(pool, asked+hold+bounds.Of(timing.Permit))
+	hold, asked := bounds.Of(timing.SlotRequestHold), d.o.Daemon.Now()
+	serial := d.addRequest(pool, asked+hold+bounds.Of(timing.Permit))
 	done := func(reply any, err error) {
 		grant, isGrant := reply.(*wire.Grant)
 		if err != nil || !isGrant {
-			grant = &wire.Grant{Kind: askUnanswered, Retry: bounds.Of(timing.Redial).Milliseconds()}
+			grant = &wire.Grant{Kind: slotUnanswered, Retry: bounds.Of(timing.RedialDelay).Milliseconds()}
 		}
-		d.close(chosen.seat, serial, grant)
+		d.close(chosen.workerInstance, serial, grant)
 		if grant.Kind == "" {
-			d.use(SlotGrant{Pool: pool, Worker: chosen.worker, Holder: chosen.holder, Permit: grant.Permit,
+			d.assignSlot(SlotGrant{Pool: pool, Worker: chosen.worker, Holder: chosen.holder, Permit: grant.Permit,
 				Until: asked + bounds.Of(timing.Permit)/2})
 		}
 	}
@@ -169,26 +169,26 @@
 }
 
 // open notes an ask that is to be answered by a deadline.
-func (d *Dispatcher) open(pool string, deadline time.Duration) (serial int64) {
+func (d *Dispatcher) addRequest(pool string, deadline time.Duration) (serial int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.serial++
-	if d.wants[pool] == nil {
-		d.wants[pool] = asks{}
+	d.lastRequestId++
+	if d.requests[pool] == nil {
+		d.requests[pool] = openRequests{}
 	}
-	d.wants[pool][d.serial] = deadline
-	return d.serial
+	d.requests[pool][d.lastRequestId] = deadline
+	return d.lastRequestId
 }
 
 // close notes what came of an ask.
-func (d *Dispatcher) close(s seat, serial int64, grant *wire.Grant) {
+func (d *Dispatcher) close(s workerInstance, serial int64, grant *wire.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.wants[s.pool], serial)
+	delete(d.requests[s.pool], serial)
 	if grant.Kind == "" {
-		slotAsks.WithLabelValues(s.pool, askGranted).Inc()
+		slotRequestResults.WithLabelValues(s.pool, slotGranted).Inc()
 		return
 	}
-	slotAsks.WithLabelValues(s.pool, grant.Kind).Inc()
-	d.pauses[s] = d.o.Daemon.Now() + time.Duration(grant.Retry)*time.Millisecond
+	slotRequestResults.WithLabelValues(s.pool, grant.Kind).Inc()
+	d.blockedUntil[s] = d.o.Daemon.Now() + time.Duration(grant.Retry)*time.Millisecond
 }
--- a/internal/store/dispatch_test.go
+++ b/internal/store/dispatch_test.go
@@ -12,15 +12,15 @@
 func TestAsksAreNotMissedForEver(t *testing.T) {
 	Convey("Given two asks under way", t, func() {
 		d := NewDispatcher(DispatcherOptions{})
-		d.wants["p"] = asks{1: time.Second, 2: 3 * time.Second}
+		d.requests["p"] = openRequests{1: time.Second, 2: 3 * time.Second}
 		Convey("one that was not answered by its cutoff no longer counts", func() {
-			d.closeLate(2 * time.Second)
-			So(len(d.wants["p"]), ShouldEqual, 1)
+			d.expireRequests(2 * time.Second)
+			So(len(d.requests["p"]), ShouldEqual, 1)
 			Convey("nor twice, should its answer come after all", func() {
-				delete(d.wants["p"], 1)
-				So(len(d.wants["p"]), ShouldEqual, 1)
-				delete(d.wants["p"], 2)
-				So(len(d.wants["p"]), ShouldEqual, 0)
+				delete(d.requests["p"], 1)
+				So(len(d.requests["p"]), ShouldEqual, 1)
+				delete(d.requests["p"], 2)
+				So(len(d.requests["p"]), ShouldEqual, 0)
 			})
 		})
 	})
--- /dev/null
+++ b/internal/store/harness_test.go
@@ -0,0 +1,125 @@
+package store
+
+import (
+	"time"
+
+	"caperwheel/internal/config"
+	"caperwheel/internal/errs"
+	"caperwheel/internal/group"
+	"caperwheel/internal/place"
+	"caperwheel/internal/timing"
+	"caperwheel/internal/wire"
+)
+
+// harness is a place's surroundings and group in a test's hands: proposals wait
+// until the test decides them.
+type harness struct {
+	rules        *config.Rules
+	members      map[string]wire.Who
+	isFull       bool
+	isBusy       bool
+	oldest       time.Duration
+	proposed     []func(commits bool)
+	posted       []any
+	answers      []func(any, error)
+	place        *PlaceHost
+	now          time.Duration
+	isTight      bool
+	freshAnswers []bool // what it says of its view, one ask after the other; then that it is fresh
+	// For how long nobody has confirmed the ownership.
+	unconfirmed         time.Duration
+	deferred            []func() // work for later
+	released            int      // slots given back
+	offered             []string // call-backs, by their ids, and how each offer is answered
+	offerReplies        []func(isTaken bool)
+	adapters            []wire.Who
+	dataTerm            int64
+	appendedAgo         time.Duration // for how long the log has had the command that is applied
+	term                int64
+	isFollower          bool
+	rejectsTimeMessages bool // adapters are of a build that knows no group time
+}
+
+func newHarness() *harness {
+	b := &harness{members: map[string]wire.Who{}, now: time.Minute, rules: &config.Rules{Pools: map[string]config.Pool{"p": {RunTimeout: time.Second}},
+		Lanes: map[string]config.Lane{"l": {Name: "l", MaxAttempts: 2, AllowsRerun: true, Pools: []string{"p"}, Backoff: time.Second, MaxBackoff: time.Second},
+			"kept": {Name: "kept", MaxAttempts: 2, AllowsRerun: true, UsesWitness: true, Pools: []string{"p"}, Backoff: time.Second, MaxBackoff: time.Second},
+			"once": {Name: "once", MaxAttempts: 2, Pools: []string{"p"}}}}}
+	b.place = NewPlaceHost(b, 0)
+	b.place.Attach(b)
+	takeOwnership(b.place)
+	return b
+}
+
+func (b *harness) Now() time.Duration                 { return b.now }
+func (b *harness) After(_ time.Duration, work func()) { b.deferred = append(b.deferred, work) }
+func (b *harness) Bounds() timing.Bounds              { return timing.Default }
+func (b *harness) IsFresh() bool {
+	if len(b.freshAnswers) == 0 {
+		return true
+	}
+	is := b.freshAnswers[0]
+	b.freshAnswers = b.freshAnswers[1:]
+	return is
+}
+func (b *harness) IsDiskFull() bool                  { return b.isFull }
+func (b *harness) IsDiskBusy() bool                  { return b.isBusy }
+func (b *harness) OldestProposalAge() time.Duration  { return b.oldest }
+func (b *harness) Compiled() *config.Compiled        { return &config.Compiled{Rules: b.rules} }
+func (b *harness) Find(name string) (wire.Who, bool) { w, isHere := b.members[name]; return w, isHere }
+func (b *harness) Adapters() []wire.Who              { return b.adapters }
+func (b *harness) DataTerm() int64                   { return b.dataTerm }
+func (b *harness) LoggedAt() time.Duration           { return b.now - b.appendedAgo }
+func (b *harness) SubmitToPlace(t *wire.Take, tell func(bool)) {
+	b.offered, b.offerReplies = append(b.offered, t.Id), append(b.offerReplies, tell)
+}
+func (b *harness) Notifier(string) (wire.Who, bool) { w, isHere := b.members["t"]; return w, isHere }
+func (b *harness) Release(SlotGrant)                { b.released++ }
+func (b *harness) Wake()                            {}
+func (b *harness) PlaceOf(string) int64             { return 0 }
+func (b *harness) ChildId(parent string) string     { return parent }
+func (b *harness) Fail(err error)                   { panic(err) }
+func (b *harness) IsMemoryLow() bool                { return b.isTight }
+func (b *harness) IsOwner() bool                    { return !b.isFollower }
+func (b *harness) Term() int64                      { return max(1, b.term) }
+func (b *harness) PendingProposals() int            { return 0 }
+func (b *harness) View() group.View {
+	return group.View{ConfirmedAt: b.now - b.unconfirmed, IsConfirmed: true}
+}
+func (b *harness) Do(work func()) error { work(); return nil }
+func (b *harness) Post(_ wire.Who, ask any, answer func(any, error)) error {
+	if b.rejectsTimeMessages {
+		return errs.New(errs.Rejected, "the link has no %T", ask)
+	}
+	b.posted, b.answers = append(b.posted, ask), append(b.answers, answer)
+	return nil
+}
+func (b *harness) Propose(data []byte, tell func(any, error)) {
+	b.proposed = append(b.proposed, func(commits bool) {
+		if commits {
+			tell(b.place.Apply(data, true), nil)
+		} else {
+			tell(nil, errs.New(errs.Undecided, "the owner has been replaced"))
+		}
+	})
+}
+
+// commit decides all proposals that wait.
+func (b *harness) commit(commits bool) {
+	for len(b.proposed) > 0 {
+		next := b.proposed[0]
+		b.proposed = b.proposed[1:]
+		next(commits)
+	}
+}
+
+// startedHarness returns a bench with one message whose first run is open.
+func startedHarness(lane string) (*harness, *place.Message) {
+	b := newHarness()
+	b.place.Take(&wire.Take{Id: "0-x", Lane: lane, Deadline: 600_000}, func(any) {})
+	b.commit(true)
+	b.place.Start(lane, SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: 2 * time.Minute})
+	b.commit(true)
+	b.answers[0](&wire.RunAck{}, nil)
+	return b, b.place.machine.Find("0-x")
+}
--- a/internal/store/lanechanges_test.go
+++ b/internal/store/lanechanges_test.go
@@ -11,41 +11,41 @@
 	"caperwheel/internal/wire"
 )
 
-// keyed returns a bench with a lane o, ordered or not.
-func keyed(isOrdered bool) *bench {
-	b := newBench()
-	b.setLane(config.Lane{Name: "o", IsOrdered: isOrdered, Attempts: 3, Rerun: true, Pools: []string{"p"}, BackoffMost: time.Second})
+// orderedHarness returns a bench with a lane o, ordered or not.
+func orderedHarness(isOrdered bool) *harness {
+	b := newHarness()
+	b.setLane(config.Lane{Name: "o", IsOrdered: isOrdered, MaxAttempts: 3, AllowsRerun: true, Pools: []string{"p"}, MaxBackoff: time.Second})
 	return b
 }
 
-func (b *bench) setLane(lane config.Lane) { b.rules.Lanes[lane.Name] = lane }
+func (b *harness) setLane(lane config.Lane) { b.rules.Lanes[lane.Name] = lane }
 
 // takeKeyed has a message of lane o and key k taken.
-func (b *bench) takeKeyed(id string) {
+func (b *harness) takeKeyed(id string) {
 	b.place.Take(&wire.Take{Id: id, Lane: "o", Key: "k", Deadline: 600_000}, func(any) {})
 	b.commit(true)
 }
 
 // runNext has the next message of lane o run, and tells what came of it.
-func (b *bench) runNext(kind string) {
+func (b *harness) runNext(kind string) {
 	b.place.Start("o", SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: time.Hour})
 	b.commit(true)
-	for _, e := range b.place.machine.Open() {
-		b.place.Outcome(&wire.Outcome{Id: e.Id, Kind: kind, Begun: true, Proof: wire.Proof{Attempt: e.Attempt, Answer: []byte{}}}, func(any) {})
+	for _, e := range b.place.machine.Running() {
+		b.place.Outcome(&wire.Outcome{Id: e.Id, Kind: kind, MayHaveStarted: true, Proof: wire.Proof{Attempt: e.Attempt, Answer: []byte{}}}, func(any) {})
 	}
 	b.commit(true)
 	b.now += 5 * time.Second // behind any pause
 }
 
-func (b *bench) state(id string) place.State { return b.place.machine.Find(id).State }
+func (b *harness) state(id string) place.State { return b.place.machine.Find(id).State }
 
-func (b *bench) ready() int { return b.place.machine.Ready(b.place.now())["o"] }
+func (b *harness) ready() int { return b.place.machine.Ready(b.place.now())["o"] }
 
 // TestLaneChanges: what a newer configuration means for messages that were taken under
 // an older one.
 func TestLaneChanges(t *testing.T) {
 	Convey("A lane that gains its ordering orders what comes from then on", t, func() {
-		b := keyed(false)
+		b := orderedHarness(false)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
 		lane := b.rules.Lanes["o"]
@@ -62,7 +62,7 @@
 		So(b.ready(), ShouldEqual, 1)
 	})
 	Convey("A lane that loses its ordering keeps the order of what it had", t, func() {
-		b := keyed(true)
+		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
 		lane := b.rules.Lanes["o"]
@@ -75,7 +75,7 @@
 		So(b.state("0-2"), ShouldEqual, place.Held)
 	})
 	Convey("A lane that was dropped and is back goes on in order, before what comes later", t, func() {
-		b := keyed(true)
+		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
 		lane := b.rules.Lanes["o"]
@@ -94,14 +94,14 @@
 		}
 	})
 	Convey("A message that has spent more attempts than it now may is closed, and the next of its key goes on", t, func() {
-		b := keyed(true)
+		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
 		b.runNext("unsound")
 		b.runNext("unsound")
-		So(b.place.machine.Find("0-1").Spent, ShouldEqual, 2)
+		So(b.place.machine.Find("0-1").CountedAttempts, ShouldEqual, 2)
 		lane := b.rules.Lanes["o"]
-		lane.Attempts = 1
+		lane.MaxAttempts = 1
 		b.setLane(lane)
 		b.runNext("")
 		So(b.state("0-1"), ShouldEqual, place.Failed)
--- a/internal/store/turns_test.go
+++ b/internal/store/lanescheduler_test.go
@@ -24,13 +24,13 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	share := func(turns *laneTurns, count int, lanes ...string) map[string]int {
+	share := func(turns *laneScheduler, count int, lanes ...string) map[string]int {
 		ready, got := map[string]int{}, map[string]int{}
 		for _, lane := range lanes {
 			ready[lane] = 10
 		}
 		for range count {
-			turns.begin(rules)
+			turns.startRound(rules)
 			got[turns.pick("p", ready, rules)]++
 			for range 50 { // the lanes of another pool have many more turns
 				turns.pick("q", map[string]int{"z": 100}, rules)
@@ -39,25 +39,25 @@
 		return got
 	}
 	Convey("Slots of a pool are shared by urgency", t, func() {
-		turns := newLaneTurns()
+		turns := newLaneScheduler()
 		So(share(&turns, 300, "a", "b", "c"), ShouldResemble, map[string]int{"a": 150, "b": 75, "c": 75})
 		Convey("also with a lane that is new, or was idle", func() {
-			turns := newLaneTurns()
+			turns := newLaneScheduler()
 			share(&turns, 3000, "a", "b")
 			got := share(&turns, 300, "a", "b", "c")
 			So(got["a"], ShouldBeBetween, 145, 155)
 			So(got["b"], ShouldBeBetween, 70, 80)
 		})
 		Convey("and none goes to a lane that has none left", func() {
-			turns := newLaneTurns()
+			turns := newLaneScheduler()
 			So(turns.pick("p", map[string]int{"b": 1}, rules), ShouldEqual, "b")
 			So(turns.pick("p", map[string]int{"b": 1}, rules), ShouldBeEmpty)
 		})
 	})
 }
 
-// drawing is a dispatcher of a store in zone a, with workers of two zones.
-func drawing(pool string, workers int) (d *Dispatcher, asked map[string]int, answer func(*wire.Grant)) {
+// newDrawDispatcher is a dispatcher of a store in zone a, with workers of two zones.
+func newDrawDispatcher(pool string, workers int) (d *Dispatcher, asked map[string]int, answer func(*wire.Grant)) {
 	now, view, list := time.Second, feed.NewView(1), config.Workers{}
 	changes := []wire.Change{{Key: config.DutyKey + "p/none", Revision: 1, Value: config.Duty{Holder: "gone", Boot: "1"}.Encode()}}
 	for i := range workers {
@@ -68,9 +68,9 @@
 	last := int64(2 + workers)
 	changes = append(changes, wire.Change{Key: config.WorkersKey + "p", Revision: last, Value: list.Encode()})
 	doc := fmt.Sprintf(`{"pools":{"p":%s},"lanes":{"l":{"pools":["p"]}}}`, pool)
-	view.Take([]wire.PartNews{{Part: 0, To: 1, Changes: []wire.Change{{Key: config.Key, Revision: 1, Value: []byte(doc)}}}, {Part: 1, To: last, Changes: changes}}, now)
+	view.Update([]wire.PartNews{{Part: 0, To: 1, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 1, Value: []byte(doc)}}}, {Part: 1, To: last, Changes: changes}}, now)
 	members := session.NewMembership()
-	members.Take("m", []wire.Member{{Who: wire.Who{Name: "x", Kind: "adapter", Boot: "1", Addr: "x"}}})
+	members.Update("m", []wire.Member{{Who: wire.Who{Name: "x", Kind: "adapter", Boot: "1", Addr: "x"}}})
 	asked = map[string]int{}
 	var done func(any, error)
 	d = NewDispatcher(DispatcherOptions{
@@ -92,13 +92,13 @@
 	full := &wire.Grant{Kind: string(errs.Full), Retry: 200}
 	ask := func(d *Dispatcher, times int) (isFound bool) {
 		for range times {
-			isFound = d.want(d.o.Configs.Current(), "p")
+			isFound = d.requestSlot(d.o.Configs.Current(), "p")
 		}
 		return isFound
 	}
 	Convey("Workers are asked for slots", t, func() {
 		Convey("of the own zone alone, while one may be asked, each as often", func() {
-			d, asked, _ := drawing(`{"spill":false}`, 8)
+			d, asked, _ := newDrawDispatcher(`{"spill":false}`, 8)
 			ask(d, 400)
 			So(asked, ShouldHaveLength, 4)
 			for worker, n := range asked {
@@ -107,13 +107,13 @@
 			}
 		})
 		Convey("of all zones where the pool spills, others less", func() {
-			d, asked, _ := drawing(`{"spill":true}`, 8)
+			d, asked, _ := newDrawDispatcher(`{"spill":true}`, 8)
 			ask(d, 2000)
 			So(asked, ShouldHaveLength, 8)
 			So(asked["w0001"], ShouldBeLessThan, asked["w0000"]/8)
 		})
 		Convey("not while they are to be left alone: then of the others, then of other zones, then nobody", func() {
-			d, asked, answer := drawing(`{"spill":false}`, 4)
+			d, asked, answer := newDrawDispatcher(`{"spill":false}`, 4)
 			for i := range 4 {
 				So(ask(d, 1), ShouldBeTrue)
 				answer(full)
@@ -122,21 +122,21 @@
 			So(asked["w0001"]+asked["w0003"], ShouldEqual, 2)
 			So(ask(d, 1), ShouldBeFalse)
 			Convey("until the pause is over", func() {
-				d.closeLate(d.o.Daemon.Now() + 200*time.Millisecond)
-				So(d.pauses, ShouldBeEmpty)
+				d.expireRequests(d.o.Daemon.Now() + 200*time.Millisecond)
+				So(d.blockedUntil, ShouldBeEmpty)
 				So(ask(d, 1), ShouldBeTrue)
 			})
 			Convey("or another life of the holder serves them", func() {
 				boot := config.Duty{Holder: "x", Boot: "2"}.Encode()
-				d.o.Daemon.View.Take([]wire.PartNews{{Part: 1, From: 6, To: 7, Changes: []wire.Change{{Key: config.DutyKey + "p/w0000", Revision: 7, Value: boot}}}}, time.Second)
+				d.o.Daemon.View.Update([]wire.PartNews{{Part: 1, From: 6, To: 7, Changes: []wire.Change{{Key: config.DutyKey + "p/w0000", Revision: 7, Value: boot}}}}, time.Second)
 				So(ask(d, 1), ShouldBeFalse)
-				d.o.Daemon.Membership.Take("n", []wire.Member{{Who: wire.Who{Name: "x", Kind: "adapter", Boot: "2", Addr: "x"}}})
+				d.o.Daemon.Membership.Update("n", []wire.Member{{Who: wire.Who{Name: "x", Kind: "adapter", Boot: "2", Addr: "x"}}})
 				So(ask(d, 1), ShouldBeTrue)
 				So(asked["w0000"], ShouldEqual, 2)
 			})
 		})
 		Convey("among very many alike, whatever most of them told", func() {
-			d, asked, answer := drawing(`{"spill":false}`, 5000)
+			d, asked, answer := newDrawDispatcher(`{"spill":false}`, 5000)
 			for range 2400 {
 				ask(d, 1)
 				answer(full)
--- a/internal/store/latesuccess_test.go
+++ b/internal/store/latesuccess_test.go
@@ -18,27 +18,27 @@
 // guard taken out, found it.
 func TestSuccessBesideARunThatNeverBegan(t *testing.T) {
 	const retention = time.Hour
-	newRunIs := map[string]func(b *bench, answer func(any, error)){
-		"refused by its adapter": func(_ *bench, answer func(any, error)) { answer(&wire.RunAck{Kind: string(errs.Stale)}, nil) },
-		"told as never begun by its adapter": func(b *bench, answer func(any, error)) {
+	newRunIs := map[string]func(b *harness, answer func(any, error)){
+		"refused by its adapter": func(_ *harness, answer func(any, error)) { answer(&wire.RunAck{Kind: string(errs.Stale)}, nil) },
+		"told as never begun by its adapter": func(b *harness, answer func(any, error)) {
 			answer(&wire.RunAck{}, nil)
 			b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: string(errs.NotOwner), Proof: wire.Proof{Attempt: 2}}, func(any) {})
 		},
-		"taken for lost": func(b *bench, answer func(any, error)) {
+		"taken for lost": func(b *harness, answer func(any, error)) {
 			answer(&wire.RunAck{}, nil)
-			b.place.bringBack(b.place.machine.Find("0-x"), b.rules.Lanes["l"])
+			b.place.proposeRequeue(b.place.machine.Find("0-x"), b.rules.Lanes["l"])
 		},
-		"failed at its worker": func(b *bench, answer func(any, error)) {
+		"failed at its worker": func(b *harness, answer func(any, error)) {
 			answer(&wire.RunAck{}, nil)
-			b.place.Outcome(&wire.Outcome{Id: "0-x", Begun: true, Kind: string(errs.Unhealthy), Proof: wire.Proof{Attempt: 2}}, func(any) {})
+			b.place.Outcome(&wire.Outcome{Id: "0-x", MayHaveStarted: true, Kind: string(errs.Unhealthy), Proof: wire.Proof{Attempt: 2}}, func(any) {})
 		},
 	}
 	Convey("A message whose first run has succeeded while a second one is open ends, and its end is kept, where the second is", t, func() {
 		for name, end := range newRunIs {
 			Convey(name, func() {
-				b, e := started("l")
-				b.rules.Lanes["l"] = config.Lane{Name: "l", Attempts: 9, Rerun: true, Pools: []string{"p"}, Retention: retention}
-				b.place.bringBack(e, b.rules.Lanes["l"])
+				b, e := startedHarness("l")
+				b.rules.Lanes["l"] = config.Lane{Name: "l", MaxAttempts: 9, AllowsRerun: true, Pools: []string{"p"}, Retention: retention}
+				b.place.proposeRequeue(e, b.rules.Lanes["l"])
 				b.commit(true)
 				b.place.Start("l", SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: 2 * time.Minute})
 				b.commit(true)
@@ -49,7 +49,7 @@
 				b.commit(true)
 				So(e.State, ShouldEqual, place.Ended)
 				So(e.Proof.Attempt, ShouldEqual, 1)
-				So(e.Over-b.place.machine.Clock(), ShouldEqual, retention.Milliseconds())
+				So(e.ForgetAt-b.place.machine.Clock(), ShouldEqual, retention.Milliseconds())
 			})
 		}
 	})
--- a/internal/store/level.go
+++ b/internal/store/level.go
@@ -9,14 +9,14 @@
 
 // Level returns the feature level that the place's group has agreed on, or that this owner has
 // proposed.
-func (p *PlaceHost) Level() int64 { return max(p.machine.Level(), p.raising) }
+func (p *PlaceHost) Level() int64 { return max(p.machine.Level(), p.proposedLevel) }
 
 // raiseLevel proposes the newest feature level that all replicas can apply, once they can.
 func (p *PlaceHost) raiseLevel(now time.Duration) {
-	next := min(place.NewestLevel, p.host.View().Level)
-	if next <= p.machine.Level() || p.raising >= next && now-p.raisedAt < p.environment.Bounds().Of(timing.AnswerTimeout) {
+	next := min(place.NewestLevel, p.host.View().CommonLevel)
+	if next <= p.machine.Level() || p.proposedLevel >= next && now-p.levelProposedAt < p.environment.Bounds().Of(timing.AnswerTimeout) {
 		return
 	}
-	p.raising, p.raisedAt = next, now
-	p.propose(place.Raise(next), nil)
+	p.proposedLevel, p.levelProposedAt = next, now
+	p.propose(place.RaiseLevel(next), nil)
 }
--- a/internal/store/links.go
+++ b/internal/store/links.go
@@ -10,24 +10,24 @@
 	return s.d.Node.Peer(wire.RunLink, who.Addr).Post(ask, answer)
 }
 
-func (s *Store) sendGroup(m wire.GroupMsg) {
+func (s *Store) sendGroupMessage(m wire.GroupMsg) {
 	if who, isMember := s.d.Membership.Find(group.Name(m.To)); isMember {
-		fill(&m)
+		replaceNils(&m)
 		_ = s.d.Node.Peer(wire.GroupLink, who.Addr).Post(&m, nil) // lost messages are sent again at intervals
 	}
 }
 
-// linkBytes is what may wait for the link to another store before its groups
+// queuedLinkBytesLimit is what may wait for the link to another store before its groups
 // send it no more entries: their pulses share the link, and must not come late.
-const linkBytes = 256 << 10
+const queuedLinkBytesLimit = 256 << 10
 
 // hasRoom reports whether the link to a member's store takes more entries.
 func (s *Store) hasRoom(member string) bool {
 	who, isMember := s.d.Membership.Find(group.Name(member))
-	return isMember && s.d.Node.Peer(wire.GroupLink, who.Addr).HasRoom(linkBytes)
+	return isMember && s.d.Node.Peer(wire.GroupLink, who.Addr).HasSendCapacity(queuedLinkBytesLimit)
 }
 
-func fill(m *wire.GroupMsg) {
+func replaceNils(m *wire.GroupMsg) {
 	if m.Entries == nil {
 		m.Entries = []wire.Entry{}
 	}
@@ -42,17 +42,17 @@
 func (s *Store) onGroup(from wire.Who, body any, answer func(any)) {
 	switch m := body.(type) {
 	case *wire.Ballot:
-		go func() { answer(s.founder.onBallot(m)) }() // it writes to disk
+		go func() { answer(s.bootstrapper.onBallot(m)) }() // it writes to disk
 	case *wire.GroupMsg:
 		if !s.isOpen.Load() {
 			return
 		}
 		h := s.hostOf(m.Group)
 		if h == nil {
-			if m.Kind != group.MsgAppend && m.Kind != group.MsgImage && m.Kind != group.MsgPart {
+			if m.Kind != group.MsgAppend && m.Kind != group.MsgSnapshot && m.Kind != group.MsgSnapshotChunk {
 				return
 			}
-			h = s.open(m.Group)
+			h = s.openGroup(m.Group)
 		}
 		h.Receive(*m)
 	}
--- a/internal/store/look.go
+++ b/internal/store/look.go
@@ -10,45 +10,45 @@
 	"caperwheel/internal/wire"
 )
 
-// onlooker waits for a message's end.
-type onlooker struct {
+// waiter waits for a message's end.
+type waiter struct {
 	look   *wire.Look
 	until  time.Duration
 	answer func(any)
 }
 
-// mostOnlookers bounds who may wait at a place; others are answered at once.
-const mostOnlookers = 2048
+// maxWaiters bounds who may wait at a place; others are answered at once.
+const maxWaiters = 2048
 
 // Look answers from the owner's state, at once or, if it is asked to, when the
 // message is over.
 func (p *PlaceHost) Look(l *wire.Look, answer func(any)) {
 	e := p.machine.Find(l.Id)
-	if l.Wait > 0 && e != nil && !e.State.IsOver() && p.host.IsOwner() && p.waiting < mostOnlookers {
-		wait := min(time.Duration(l.Wait)*time.Millisecond, p.environment.Bounds().Of(timing.Look))
-		p.onlookers[l.Id] = append(p.onlookers[l.Id], onlooker{l, p.environment.Now() + wait, answer})
-		p.waiting++
+	if l.Wait > 0 && e != nil && !e.State.IsOver() && p.host.IsOwner() && p.waiterCount < maxWaiters {
+		wait := min(time.Duration(l.Wait)*time.Millisecond, p.environment.Bounds().Of(timing.LongPollTimeout))
+		p.waiters[l.Id] = append(p.waiters[l.Id], waiter{l, p.environment.Now() + wait, answer})
+		p.waiterCount++
 		return
 	}
-	p.see(l, p.environment.Now(), answer)
+	p.answerLook(l, p.environment.Now(), answer)
 }
 
-// see answers from the owner's state. An end is final, so whoever has it may tell it. All
+// answerLook answers from the owner's state. An end is final, so whoever has it may tell it. All
 // else is told only once a majority has confirmed the ownership since the question
 // came: a successor that was called, or that takes this store for gone, waits for no
 // silence, and may have taken and ended messages that this store has not heard of.
-func (p *PlaceHost) see(l *wire.Look, askedAt time.Duration, answer func(any)) {
+func (p *PlaceHost) answerLook(l *wire.Look, askedAt time.Duration, answer func(any)) {
 	v, e := p.host.View(), p.machine.Find(l.Id)
 	switch {
 	case !p.host.IsOwner():
-		answer(p.sight(nil, errs.NotOwner))
-	case e != nil && e.State.IsOver(), v.IsSure && v.Confirmed >= askedAt:
-		answer(p.seen(l, e))
+		answer(p.newSight(nil, errs.NotOwner))
+	case e != nil && e.State.IsOver(), v.IsConfirmed && v.ConfirmedAt >= askedAt:
+		answer(p.lookReply(l, e))
 	case p.environment.Now()-askedAt > p.environment.Bounds().Of(timing.AnswerTimeout):
-		answer(p.sight(nil, errs.NotOwner))
+		answer(p.newSight(nil, errs.NotOwner))
 	default:
 		p.environment.After(p.environment.Bounds().Of(timing.Heartbeat)/4, func() {
-			if err := p.host.Do(func() { p.see(l, askedAt, answer) }); err != nil {
+			if err := p.host.Do(func() { p.answerLook(l, askedAt, answer) }); err != nil {
 				answer(&wire.Sight{Kind: string(errs.Full), Body: []byte{}, Proof: wire.Proof{Answer: []byte{}}})
 			}
 		})
@@ -56,40 +56,40 @@
 }
 
 // seen is what is told of a message, nil for one that is not known.
-func (p *PlaceHost) seen(l *wire.Look, e *place.Message) *wire.Sight {
+func (p *PlaceHost) lookReply(l *wire.Look, e *place.Message) *wire.Sight {
 	if e == nil {
-		return p.sight(nil, errs.Unknown)
+		return p.newSight(nil, errs.Unknown)
 	}
-	out := p.sight(e, "")
+	out := p.newSight(e, "")
 	if !l.Body {
 		out.Body = []byte{}
 	}
 	return out
 }
 
-// tellOnlookers answers those whose message is over, or whose wait is.
-func (p *PlaceHost) tellOnlookers(isDue func(id string, o onlooker) bool) {
-	for id, list := range p.onlookers {
-		p.onlookers[id] = slices.DeleteFunc(list, func(o onlooker) bool {
+// answerWaiters answers those whose message is over, or whose wait is.
+func (p *PlaceHost) answerWaiters(isDue func(id string, o waiter) bool) {
+	for id, list := range p.waiters {
+		p.waiters[id] = slices.DeleteFunc(list, func(o waiter) bool {
 			if !isDue(id, o) {
 				return false
 			}
-			p.waiting--
-			p.see(o.look, p.environment.Now(), o.answer)
+			p.waiterCount--
+			p.answerLook(o.look, p.environment.Now(), o.answer)
 			return true
 		})
-		if len(p.onlookers[id]) == 0 {
-			delete(p.onlookers, id)
+		if len(p.waiters[id]) == 0 {
+			delete(p.waiters, id)
 		}
 	}
 }
 
-func (p *PlaceHost) sight(e *place.Message, kind errs.Kind) *wire.Sight {
+func (p *PlaceHost) newSight(e *place.Message, kind errs.Kind) *wire.Sight {
 	if e == nil {
 		return &wire.Sight{Kind: string(kind), Owner: p.ownerName(), Body: []byte{}, Proof: wire.Proof{Answer: []byte{}}}
 	}
 	out := &wire.Sight{Id: e.Id, Lane: e.Lane, Key: e.Key, State: string(e.State), Attempts: e.Attempt, Cause: e.Cause,
-		Ctype: e.Ctype, Body: e.Body, Sum: e.Sum, Parent: e.Parent, Child: e.Child, Proof: e.Proof}
+		ContentType: e.ContentType, Body: e.Body, Checksum: e.Checksum, Parent: e.Parent, Child: e.Child, Proof: e.Proof}
 	if out.Body == nil {
 		out.Body = []byte{}
 	}
--- a/internal/store/look_test.go
+++ b/internal/store/look_test.go
@@ -32,7 +32,7 @@
 	Convey("Asked for", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, _ := started("l")
+				b, _ := startedHarness("l")
 				b.place.Settle(&wire.Settle{Id: "0-y", Lane: "l"}, func(any) {})
 				b.commit(true)
 				var got *wire.Sight
@@ -46,8 +46,8 @@
 					if c.confirmedBy > 0 && b.now >= began+c.confirmedBy {
 						b.unconfirmed = 0
 					}
-					later := b.later
-					b.later = nil
+					later := b.deferred
+					b.deferred = nil
 					for _, work := range later {
 						work()
 					}
--- a/internal/store/memory_test.go
+++ b/internal/store/memory_test.go
@@ -14,7 +14,7 @@
 // that none of them minded had their store killed over its memory.
 func TestTightMemoryRejectsIntakeOnly(t *testing.T) {
 	Convey("Given a store whose memory is nearly used up", t, func() {
-		b, e := started("l")
+		b, e := startedHarness("l")
 		b.isTight = true
 		take := func(id string) *wire.Taken {
 			var answer *wire.Taken
@@ -49,15 +49,15 @@
 	}
 	Convey("Memory is tight or not with", t, func() {
 		for _, c := range cases {
-			Convey(c.name, func() { So(isTight(c.live, c.memory), ShouldEqual, c.isTight) })
+			Convey(c.name, func() { So(isMemoryLow(c.live, c.memory), ShouldEqual, c.isTight) })
 		}
 	})
 	Convey("The live heap grows with what is held", t, func() {
 		runtime.GC()
-		before := liveBytes()
+		before := liveHeapBytes()
 		held := make([]byte, 32<<20)
 		runtime.GC()
-		So(liveBytes()-before, ShouldBeGreaterThan, 16<<20)
+		So(liveHeapBytes()-before, ShouldBeGreaterThan, 16<<20)
 		runtime.KeepAlive(held)
 	})
 }
--- /dev/null
+++ b/internal/store/messagestatus.go
@@ -0,0 +1,139 @@
+package store
+
+import (
+	"net/http"
+	"time"
+
+	"caperwheel/internal/errs"
+	"caperwheel/internal/place"
+	"caperwheel/internal/timing"
+	"caperwheel/internal/web"
+	"caperwheel/internal/wire"
+)
+
+// Story is where a message stands at the owner of its place, and what it waits for.
+type MessageStatus struct {
+	Store         string           `json:"store"`
+	Place         int64            `json:"place"`
+	Term          int64            `json:"term"`
+	Id            string           `json:"id"`
+	Lane          string           `json:"lane"`
+	Key           string           `json:"key,omitempty"`
+	State         place.State      `json:"state"`
+	Attempt       int64            `json:"attempt"` // runs begun
+	Spent         int64            `json:"spent"`   // attempts that count
+	Cause         string           `json:"cause,omitempty"`
+	Waits         place.WaitReason `json:"waits_for"`
+	Behind        string           `json:"behind,omitempty"` // of its key
+	SinceMs       int64            `json:"since_ms"`         // -1 where that is not known
+	LeftMs        int64            `json:"left_ms"`          // -1 where that is not known
+	TimeMs        int64            `json:"time_ms"`          // the place's time; delays and patience pass by it
+	IsTimeUnknown bool             `json:"untimed"`          // nobody knew the place's time as this ownership began
+	Run           *RunStatus       `json:"run,omitempty"`
+	Pools         []PoolStatus     `json:"pools,omitempty"`
+	Ready         map[string]int   `json:"ready,omitempty"` // messages of the place that may run, by lane
+}
+
+// RunStatus is what the owner knows of a run that has begun.
+type RunStatus struct {
+	Adapter  string `json:"adapter"`
+	Boot     string `json:"boot"`
+	IsMember bool   `json:"is_member"`  // that life of the adapter has a session
+	AwayMs   int64  `json:"away_ms"`    // for how long it has had none
+	InHandMs int64  `json:"in_hand_ms"` // so much longer its last word that it has the run holds; below 0: none holds
+	Pool     string `json:"pool"`
+	Worker   string `json:"worker"`
+}
+
+// PoolStatus is how a store's dispatcher stands to a pool.
+type PoolStatus struct {
+	Pool    string `json:"pool"`
+	Workers int    `json:"workers"` // that may be asked at all
+	Resting int    `json:"resting"` // of these, not to be asked now
+	NextMs  int64  `json:"next_ms"` // until the next of those may be
+	Asks    int    `json:"asks"`    // under way
+}
+
+// Story tells of a message; false where this store does not own its place, or does not know it. To
+// be called on the place's goroutine.
+func (p *PlaceHost) MessageStatus(id string) (MessageStatus, bool) {
+	where, isKnown := p.machine.WaitStatus(id, p.now())
+	e := p.machine.Find(id)
+	if !p.host.IsOwner() || !isKnown || e == nil {
+		return MessageStatus{}, false
+	}
+	out := MessageStatus{Place: p.number, Term: p.host.Term(), Id: id, Lane: e.Lane, Key: wire.CallerKey(e.Key), State: e.State, Attempt: e.Attempt, Spent: e.CountedAttempts,
+		Cause: e.Cause, Waits: where.Reason, Behind: where.BlockedBy, SinceMs: where.Since, LeftMs: where.Remaining, TimeMs: p.now(), IsTimeUnknown: p.isTimeUnknown.Load(), Ready: p.Ready()}
+	if e.State == place.Started {
+		out.Run = p.runStatus(e)
+	}
+	return out, true
+}
+
+func (p *PlaceHost) runStatus(e *place.Message) *RunStatus {
+	now := p.environment.Now()
+	out := &RunStatus{Adapter: e.Adapter, Boot: e.Boot, Pool: e.Pool, Worker: e.Worker, InHandMs: -1}
+	if h, isKnown := p.confirmed[e.Id]; isKnown && h.attempt == e.Attempt {
+		out.InHandMs = (h.until - now).Milliseconds()
+	}
+	who, isMember := p.environment.Find(e.Adapter)
+	out.IsMember = isMember && who.Boot == e.Boot
+	if since, isAway := p.absentSince[e.Adapter]; isAway {
+		out.AwayMs = (now - since).Milliseconds()
+	}
+	return out
+}
+
+// Story tells how the dispatcher stands to a pool.
+func (d *Dispatcher) PoolStatus(pool string) PoolStatus {
+	compiled, members := d.o.Configs.Current(), d.o.Daemon.Membership.Hash()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	t, now := d.newCandidateTable(compiled, pool, members), d.o.Daemon.Now()
+	out := PoolStatus{Pool: pool, Asks: len(d.requests[pool]), NextMs: -1}
+	for _, list := range [][]candidate{t.local, t.remote} {
+		for _, c := range list {
+			out.Workers++
+			left := (d.blockedUntil[c.workerInstance] - now).Milliseconds()
+			if left <= 0 {
+				continue
+			}
+			if out.Resting++; out.NextMs < 0 || left < out.NextMs {
+				out.NextMs = left
+			}
+		}
+	}
+	return out
+}
+
+// serveMessageStatus serves the story of a message whose place this store owns.
+func (s *Store) serveMessageStatus(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("id")
+	s.mu.RLock()
+	p, isHeld := s.places[s.placeOfId(id)]
+	s.mu.RUnlock()
+	type answer struct {
+		story   MessageStatus
+		isKnown bool
+	}
+	got := make(chan answer, 1)
+	unknown := errs.New(errs.Unknown, "the place of %s is not owned here, or does not know it", id)
+	if !isHeld || p.Do(func() { story, isKnown := p.MessageStatus(id); got <- answer{story, isKnown} }) != nil {
+		web.WriteError(w, unknown)
+		return
+	}
+	select {
+	case a := <-got:
+		if !a.isKnown {
+			web.WriteError(w, unknown)
+			return
+		}
+		a.story.Store = s.d.Who.Name
+		for _, pool := range s.configs.Current().Rules.Lanes[a.story.Lane].Pools {
+			a.story.Pools = append(a.story.Pools, s.dispatcher.PoolStatus(pool))
+		}
+		web.WriteJson(w, http.StatusOK, a.story)
+	case <-time.After(s.d.Bounds.Of(timing.SettleTimeout)):
+		web.WriteError(w, errs.New(errs.DeadlineExceeded, "the place of %s does not answer", id))
+	}
+}
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -16,33 +16,33 @@
 var ownerships = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place",
 	Name: "ownerships_total", Help: "Times that this store became the owner of a place."})
 
-// starts counts runs by whether they began when they were wanted.
-var starts = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "starts_total",
+// runStarts counts runs by whether they began when they were wanted.
+var runStarts = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "starts_total",
 	Help: "Runs given to adapters, by lane, whether the message had run before, and whether it was wanted earlier."},
 	[]string{"lane", "repeated", "late"})
 
-// slotAsks counts what came of asks for slots: why a message waits that may run.
-var slotAsks = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "slot_asks_total",
+// slotRequestResults counts what came of asks for slots: why a message waits that may run.
+var slotRequestResults = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "slot_asks_total",
 	Help: "Asks for slots on workers, by pool and by what came of them: granted, nobody to ask, unanswered, or the kind of refusal."},
 	[]string{"pool", "told"})
 
 // What comes of an ask for a slot, besides the kinds of refusals.
 const (
-	askGranted    = "granted"
-	askNobody     = "nobody_to_ask"
-	askUnanswered = "unanswered"
+	slotGranted    = "granted"
+	slotNoWorker   = "nobody_to_ask"
+	slotUnanswered = "unanswered"
 )
 
-func init() { prometheus.MustRegister(ownerships, starts, slotAsks) }
+func init() { prometheus.MustRegister(ownerships, runStarts, slotRequestResults) }
 
 // countStart notes a run of a message that is about to begin at a place time.
 func countStart(e *place.Message, now int64) {
-	isLate := e.Wanted > 0 && e.Wanted < now
-	starts.WithLabelValues(e.Lane, strconv.FormatBool(e.Attempt > 0), strconv.FormatBool(isLate)).Inc()
+	isLate := e.StartBy > 0 && e.StartBy < now
+	runStarts.WithLabelValues(e.Lane, strconv.FormatBool(e.Attempt > 0), strconv.FormatBool(isLate)).Inc()
 }
 
-// measure tells of the places that this store owns, and of its disk.
-func (s *Store) measure(emit daemon.Emit) {
+// emitMetrics tells of the places that this store owns, and of its disk.
+func (s *Store) emitMetrics(emit daemon.Emit) {
 	owned, lag := 0, int64(0)
 	for _, id := range s.groupIds() {
 		if v := s.hostOf(id).View(); v.Role == group.Owner {
@@ -53,18 +53,18 @@
 	emit("groups_owned", "Places and parts that this store owns.", float64(owned))
 	emit("groups_lag", "Entries by which the farthest replica of an owned group is behind.", float64(lag))
 	emit("disk_full", "1 while intake is rejected for want of disk.", map[bool]float64{true: 1}[s.diskFull.Load()])
-	emit("disk_waiting_bytes", "Bytes given to the disk that are not synced yet.", float64(s.disk.Waiting()))
+	emit("disk_waiting_bytes", "Bytes given to the disk that are not synced yet.", float64(s.disk.UnsyncedBytes()))
 	emit("disk_segments", "Segments of the log.", float64(s.disk.Segments()))
-	emit("repair_kept", "Results kept for adapters.", float64(s.keeper.Count()))
-	emit("memory_tight", "1 while intake is rejected for want of memory.", map[bool]float64{true: 1}[s.isTight.Load()])
-	counts, nearest, waits, away := map[string]map[place.State]int{}, map[string]time.Duration{}, map[string]time.Duration{}, 0
-	for _, t := range s.tallies() {
-		away += t.away
+	emit("repair_kept", "Results kept for adapters.", float64(s.results.Count()))
+	emit("memory_tight", "1 while intake is rejected for want of memory.", map[bool]float64{true: 1}[s.isMemoryLow.Load()])
+	counts, leastPatience, waits, orphanedRuns := map[string]map[place.State]int{}, map[string]time.Duration{}, map[string]time.Duration{}, 0
+	for _, t := range s.collectStats() {
+		orphanedRuns += t.orphanedRuns
 		if t.number >= 0 {
 			emit("place_time_seconds", "The time that a place owned here counts; it grows by a second a second, unless time was lost.", t.time.Seconds(),
 				"place", strconv.FormatInt(t.number, 10))
 		}
-		for lane, wait := range t.waits {
+		for lane, wait := range t.longestWaits {
 			waits[lane] = max(waits[lane], wait)
 		}
 		for lane, states := range t.counts {
@@ -75,9 +75,9 @@
 				counts[lane][state] += n
 			}
 		}
-		for lane, left := range t.left {
-			if was, isKnown := nearest[lane]; !isKnown || left < was {
-				nearest[lane] = left
+		for lane, left := range t.patienceLeft {
+			if was, isKnown := leastPatience[lane]; !isKnown || left < was {
+				leastPatience[lane] = left
 			}
 		}
 	}
@@ -86,11 +86,11 @@
 			emit("place_messages", "Messages in the places owned here.", float64(n), "lane", lane, "state", string(state))
 		}
 	}
-	emit("place_runs_away", "Open runs whose adapter has no session.", float64(away))
+	emit("place_runs_away", "Open runs whose adapter has no session.", float64(orphanedRuns))
 	for lane, wait := range waits {
 		emit("place_longest_wait_seconds", "How long the message has waited that has waited longest of those that may run.", wait.Seconds(), "lane", lane)
 	}
-	for lane, left := range nearest {
+	for lane, left := range leastPatience {
 		emit("place_patience_left_seconds", "Patience left of the message that expires next.", left.Seconds(), "lane", lane)
 	}
 }
@@ -103,60 +103,60 @@
 		p.number, p.host.Term(), p.now(), count, first)
 }
 
-type tally struct {
-	counts map[string]map[place.State]int
-	left   map[string]time.Duration
-	waits  map[string]time.Duration
-	away   int // open runs whose adapter has no session
-	number int64
-	time   time.Duration // of the place
+type placeStats struct {
+	counts       map[string]map[place.State]int
+	patienceLeft map[string]time.Duration
+	longestWaits map[string]time.Duration
+	orphanedRuns int // open runs whose adapter has no session
+	number       int64
+	time         time.Duration // of the place
 }
 
 // tally must be called on the place's goroutine.
-func (p *PlaceHost) tally() tally {
-	t := tally{number: -1, left: map[string]time.Duration{}, waits: map[string]time.Duration{}}
+func (p *PlaceHost) stats() placeStats {
+	t := placeStats{number: -1, patienceLeft: map[string]time.Duration{}, longestWaits: map[string]time.Duration{}}
 	if !p.host.IsOwner() {
 		return t
 	}
 	now := p.now()
 	t.number, t.time = p.number, time.Duration(now)*time.Millisecond
-	held := p.machine.Tally(now)
+	held := p.machine.LaneStats(now)
 	t.counts = held.Counts
 	for lane, at := range held.Deadlines {
-		t.left[lane] = time.Duration(at-now) * time.Millisecond
+		t.patienceLeft[lane] = time.Duration(at-now) * time.Millisecond
 	}
-	for lane, wait := range held.Waits {
-		t.waits[lane] = time.Duration(wait) * time.Millisecond
+	for lane, wait := range held.LongestWaits {
+		t.longestWaits[lane] = time.Duration(wait) * time.Millisecond
 	}
-	for _, e := range p.machine.Open() {
+	for _, e := range p.machine.Running() {
 		if _, isMember := p.environment.Find(e.Adapter); !isMember {
-			t.away++
+			t.orphanedRuns++
 		}
 	}
 	return t
 }
 
-// tallies asks each owned place on its own goroutine; one that does not answer
+// collectStats asks each owned place on its own goroutine; one that does not answer
 // in time is left out.
-func (s *Store) tallies() []tally {
-	places := s.ownPlaces()
-	got := make(chan tally, len(places))
+func (s *Store) collectStats() []placeStats {
+	places := s.listPlaces()
+	got := make(chan placeStats, len(places))
 	asked := 0
 	for _, p := range places {
 		err := p.Do(func() {
-			got <- p.tally()
+			got <- p.stats()
 		})
 		if err == nil {
 			asked++
 		}
 	}
-	out := []tally{}
-	late := time.After(s.d.Bounds.Of(timing.SettleTimeout))
+	out := []placeStats{}
+	timeout := time.After(s.d.Bounds.Of(timing.SettleTimeout))
 	for range asked {
 		select {
 		case t := <-got:
 			out = append(out, t)
-		case <-late:
+		case <-timeout:
 			return out
 		}
 	}
--- /dev/null
+++ b/internal/store/notify.go
@@ -0,0 +1,175 @@
+package store
+
+import (
+	"maps"
+	"time"
+
+	"caperwheel/internal/config"
+	"caperwheel/internal/duty"
+	"caperwheel/internal/errs"
+	"caperwheel/internal/place"
+	"caperwheel/internal/session"
+	"caperwheel/internal/timing"
+	"caperwheel/internal/wire"
+)
+
+// notifier is what an owner has under way to tell of ends.
+//
+// Invariants: at most maxNotifications are under way, and to one receiver no more than its share; told has
+// those whose word was accepted and is not committed yet. A new owner tells them again: at least once
+// is what was promised.
+type notifier struct {
+	inFlight            map[string]notification // by id
+	accepted            []string
+	acceptedCommittedAt time.Duration
+	backoffs            map[string]backoff        // by id
+	receivers           map[string]receiverHealth // by address
+	lastAddress         string                    // address of the newest word
+	nextScanAt          time.Duration
+}
+
+// notification is a word that its receiver has not answered yet, or whose acceptance is not committed yet.
+type notification struct {
+	address    string
+	until      time.Duration // so long an answer is waited for
+	isAccepted bool
+}
+
+// backoff is a pause after a word that was not accepted; it doubles.
+type backoff struct {
+	until, length time.Duration
+}
+
+func (r backoff) next(now time.Duration, bounds timing.Bounds) backoff {
+	least := bounds.Of(timing.RedialDelay)
+	length := min(max(least, 2*r.length), 8*least)
+	return backoff{now + length, length}
+}
+
+const (
+	maxReceiverNotifications = 64  // words under way to one receiver
+	maxNotifications         = 128 // to all, of which half at most to receivers that were silent
+	acceptedBatch            = 100
+)
+
+func newNotifier() notifier {
+	return notifier{inFlight: map[string]notification{}, backoffs: map[string]backoff{}, receivers: map[string]receiverHealth{}}
+}
+
+// notify tells those that asked for it of their messages' ends, and commits in
+// batches who has been told.
+func (p *PlaceHost) notify(now time.Duration) {
+	t := &p.notifier
+	if len(t.accepted) >= acceptedBatch || len(t.accepted) > 0 && now-t.acceptedCommittedAt > p.environment.Bounds().Of(timing.AnswerTimeout) {
+		ids := t.accepted
+		t.accepted, t.acceptedCommittedAt = nil, now
+		p.propose(place.Command{Kind: place.CmdNotified, Ids: ids}, func(_ place.Result, _ error) {
+			for _, id := range ids { // not committed: told again
+				delete(p.notifier.inFlight, id)
+			}
+		})
+	}
+	if p.machine.CountPendingNotifications() == 0 || now < t.nextScanAt {
+		return
+	}
+	t.nextScanAt = now + p.environment.Bounds().Of(timing.SlotRequestHold)
+	if len(t.backoffs) > p.machine.CountPendingNotifications() { // some were forgotten before they were told
+		maps.DeleteFunc(t.backoffs, func(id string, _ backoff) bool { return p.machine.Find(id) == nil })
+	}
+	p.notifyRoundRobin(t.queues(p.machine.PendingNotifications(), now), now)
+}
+
+// notifyRoundRobin gives each receiver one word after the other, as long as there is room.
+func (p *PlaceHost) notifyRoundRobin(queues []*receiverQueue, now time.Duration) {
+	t := &p.notifier
+	doubtful := t.countUnresponsive()
+	for isMore := true; isMore; {
+		isMore = false
+		for _, q := range queues {
+			if len(t.inFlight)-len(t.accepted) >= maxNotifications {
+				return
+			}
+			if len(q.messages) == 0 || q.capacity <= 0 || q.isUnresponsive && doubtful >= maxNotifications/2 {
+				continue
+			}
+			if q.isUnresponsive {
+				doubtful++
+			}
+			e := q.messages[0]
+			q.messages, q.capacity, isMore, t.lastAddress = q.messages[1:], q.capacity-1, true, q.address
+			p.sendNotification(e, q.address, now)
+		}
+	}
+}
+
+func (p *PlaceHost) sendNotification(e *place.Message, address string, now time.Duration) {
+	id := e.Id
+	who, isHere := p.environment.Notifier(address)
+	if !isHere {
+		return
+	}
+	ask := &wire.Tell{Id: id, Url: e.Notify, State: string(e.State), Head: e.Head, Answer: e.Proof.Answer}
+	fill := func(raw []byte) []byte {
+		if raw == nil {
+			return []byte{}
+		}
+		return raw
+	}
+	ask.Head, ask.Answer = fill(ask.Head), fill(ask.Answer)
+	p.notifier.inFlight[id] = notification{address: address, until: now + 2*p.environment.Bounds().ConfigApply}
+	done := func(reply any, err error) {
+		told, isTold := reply.(*wire.Told)
+		_ = p.host.Do(func() {
+			if err == nil && isTold {
+				p.onNotificationResult(id, errs.Kind(told.Kind))
+			} else {
+				p.retryNotification(id)
+			}
+		})
+	}
+	if err := p.environment.Post(who, ask, done); err != nil {
+		p.retryNotification(id)
+	}
+}
+
+// onNotificationResult takes in what came of a word; an empty kind is an acceptance.
+func (p *PlaceHost) onNotificationResult(id string, kind errs.Kind) {
+	t, now := &p.notifier, p.environment.Now()
+	word, isOurs := t.inFlight[id]
+	if !isOurs { // of an ownership before
+		return
+	}
+	if kind != errs.Full { // the receiver had it
+		t.recordResponse(word.address, isUnanswered(kind), now, p.environment.Bounds())
+	}
+	if kind != "" {
+		p.retryNotification(id)
+		return
+	}
+	word.until, word.isAccepted = now+2*p.environment.Bounds().ConfigApply, true // until it is committed
+	t.inFlight[id] = word
+	t.accepted = append(t.accepted, id)
+	delete(t.backoffs, id)
+}
+
+// retryNotification has a word that was not accepted told again after a rest.
+func (p *PlaceHost) retryNotification(id string) {
+	t := &p.notifier
+	if _, isOurs := t.inFlight[id]; !isOurs {
+		return
+	}
+	delete(t.inFlight, id)
+	t.backoffs[id] = t.backoffs[id].next(p.environment.Now(), p.environment.Bounds())
+}
+
+// Teller returns the adapter that speaks to an address: the same for all stores,
+// so that its connections are few.
+func NotifierFor(members *session.Membership, compiled *config.Compiled, address string) (wire.Who, bool) {
+	names := []string{}
+	for _, who := range members.OfKind("adapter") {
+		if compiled.MayStartWork(who.Zone) {
+			names = append(names, who.Name)
+		}
+	}
+	return members.Find(duty.HighestRanked("tell/"+address, names))
+}
--- a/internal/store/tell_test.go
+++ b/internal/store/notify_test.go
@@ -13,9 +13,9 @@
 	"caperwheel/internal/wire"
 )
 
-// owing gives a bench with messages that are over and whose ends are to be told.
-func owing(count int) *bench {
-	b := newBench()
+// owingHarness gives a bench with messages that are over and whose ends are to be told.
+func owingHarness(count int) *harness {
+	b := newHarness()
 	b.members["t"] = wire.Who{Name: "t", Boot: "1"}
 	for i := range count {
 		id := fmt.Sprintf("0-%03d", i)
@@ -25,10 +25,10 @@
 	return b
 }
 
-// turn lets the owner look for those to be told, after a while, and answers.
-func (b *bench) turn(after time.Duration, reply any, err error) (asked int) {
+// notifyOnce lets the owner look for those to be told, after a while, and answers.
+func (b *harness) notifyOnce(after time.Duration, reply any, err error) (asked int) {
 	b.now += after
-	b.place.tell(b.now)
+	b.place.notify(b.now)
 	answers := b.answers
 	b.answers = nil
 	for _, answer := range answers {
@@ -39,7 +39,7 @@
 
 // TestTelling is the table of what an owner does about ends that are to be told.
 func TestTelling(t *testing.T) {
-	look, redial := timing.Default.Of(timing.AskHold), timing.Default.Of(timing.Redial)
+	look, redial := timing.Default.Of(timing.SlotRequestHold), timing.Default.Of(timing.RedialDelay)
 	refusals := []struct {
 		name  string
 		reply any
@@ -53,9 +53,9 @@
 	Convey("An owner that must tell of an end and meets", t, func() {
 		for _, c := range refusals {
 			Convey(c.name+" tells again, after pauses that grow to a bound", func() {
-				b, pauses, last := owing(1), []time.Duration{}, time.Duration(0)
+				b, pauses, last := owingHarness(1), []time.Duration{}, time.Duration(0)
 				for range 4000 {
-					if b.turn(look, c.reply, c.err) > 0 {
+					if b.notifyOnce(look, c.reply, c.err) > 0 {
 						if last > 0 {
 							pauses = append(pauses, b.now-last)
 						}
@@ -68,71 +68,71 @@
 					So(pause, ShouldBeBetweenOrEqual, want, want+2*look)
 				}
 				So(b.proposed, ShouldBeEmpty)
-				So(b.place.machine.CountOwed(), ShouldEqual, 1)
+				So(b.place.machine.CountPendingNotifications(), ShouldEqual, 1)
 			})
 		}
 		Convey("one that accepts commits so, once, and tells no more", func() {
-			b := owing(1)
-			So(b.turn(look, &wire.Told{}, nil), ShouldEqual, 1)
-			So(b.turn(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil), ShouldEqual, 0)
+			b := owingHarness(1)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil), ShouldEqual, 0)
 			So(len(b.proposed), ShouldEqual, 1)
 			b.commit(true)
-			So(b.place.machine.CountOwed(), ShouldEqual, 0)
-			So(b.turn(time.Minute, nil, nil), ShouldEqual, 0)
+			So(b.place.machine.CountPendingNotifications(), ShouldEqual, 0)
+			So(b.notifyOnce(time.Minute, nil, nil), ShouldEqual, 0)
 			So(len(b.proposed), ShouldEqual, 0)
 		})
 		Convey("one that accepts, but cannot commit it, tells again: at least once", func() {
-			b := owing(1)
-			b.turn(look, &wire.Told{}, nil)
-			b.turn(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil)
+			b := owingHarness(1)
+			b.notifyOnce(look, &wire.Told{}, nil)
+			b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil)
 			b.commit(false)
-			So(b.turn(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 		Convey("nobody who could speak for it waits for one", func() {
-			b := owing(1)
+			b := owingHarness(1)
 			delete(b.members, "t")
-			So(b.turn(look, nil, nil), ShouldEqual, 0)
+			So(b.notifyOnce(look, nil, nil), ShouldEqual, 0)
 			b.members["t"] = wire.Who{Name: "t", Boot: "2"}
-			So(b.turn(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 		Convey("an adapter that never answers asks again after two bounds", func() {
-			b := owing(1)
+			b := owingHarness(1)
 			b.now += look
-			b.place.tell(b.now)
+			b.place.notify(b.now)
 			b.answers = nil
-			So(b.turn(timing.Default.Config, nil, nil), ShouldEqual, 0)
-			So(b.turn(timing.Default.Config, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(timing.Default.ConfigApply, nil, nil), ShouldEqual, 0)
+			So(b.notifyOnce(timing.Default.ConfigApply, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 		Convey("many ends tells a bounded number at a time, and commits them together", func() {
-			b := owing(150)
-			So(b.turn(look, &wire.Told{}, nil), ShouldEqual, mostTelling)
-			So(b.turn(look, &wire.Told{}, nil), ShouldBeLessThanOrEqualTo, mostTelling)
+			b := owingHarness(150)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, maxReceiverNotifications)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldBeLessThanOrEqualTo, maxReceiverNotifications)
 			for range 20 {
-				b.turn(timing.Default.Of(timing.AnswerTimeout), &wire.Told{}, nil)
+				b.notifyOnce(timing.Default.Of(timing.AnswerTimeout), &wire.Told{}, nil)
 				b.commit(true)
 			}
-			So(b.place.machine.CountOwed(), ShouldEqual, 0)
+			So(b.place.machine.CountPendingNotifications(), ShouldEqual, 0)
 		})
 		Convey("ends that are forgotten before they were told keeps nothing of them", func() {
-			b := owing(9)
-			So(b.turn(look, &wire.Told{Kind: string(errs.Rejected)}, nil), ShouldEqual, 9)
+			b := owingHarness(9)
+			So(b.notifyOnce(look, &wire.Told{Kind: string(errs.Rejected)}, nil), ShouldEqual, 9)
 			for i := range 8 {
 				b.place.Apply(place.Command{Kind: place.CmdTrim, Ids: []string{fmt.Sprintf("0-%03d", i)}}.Encode(), true)
 			}
-			b.turn(time.Minute, &wire.Told{Kind: string(errs.Rejected)}, nil)
-			So(len(b.place.telling.rests), ShouldEqual, 1)
-			So(b.place.telling.underWay, ShouldBeEmpty)
+			b.notifyOnce(time.Minute, &wire.Told{Kind: string(errs.Rejected)}, nil)
+			So(len(b.place.notifier.backoffs), ShouldEqual, 1)
+			So(b.place.notifier.inFlight, ShouldBeEmpty)
 		})
 		Convey("a new ownership begins afresh: answers to the one before count for nothing", func() {
-			b := owing(1)
+			b := owingHarness(1)
 			b.now += look
-			b.place.tell(b.now)
+			b.place.notify(b.now)
 			late := b.answers[0]
-			owned(b.place)
+			takeOwnership(b.place)
 			late(&wire.Told{}, nil)
-			So(b.place.telling.told, ShouldBeEmpty)
+			So(b.place.notifier.accepted, ShouldBeEmpty)
 			b.answers = nil
-			So(b.turn(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 	})
 }
--- /dev/null
+++ b/internal/store/outcome.go
@@ -0,0 +1,87 @@
+package store
+
+import (
+	"fmt"
+	"hash/fnv"
+	"time"
+
+	"caperwheel/internal/config"
+	"caperwheel/internal/errs"
+	"caperwheel/internal/place"
+	"caperwheel/internal/wire"
+)
+
+// Outcome makes a run's result durable and acknowledges it.
+func (p *PlaceHost) Outcome(o *wire.Outcome, answer func(any)) {
+	if !p.host.IsOwner() {
+		answer(&wire.OutcomeAck{Kind: string(errs.NotOwner), Owner: p.ownerName()})
+		return
+	}
+	key := outcomeKey(o)
+	if p.pending.join(key, answer) {
+		return
+	}
+	e := p.machine.Find(o.Id)
+	if e == nil {
+		// Ended and forgotten long ago, or else this owner has been replaced and
+		// never heard of it: only a commit can tell.
+		e = &place.Message{Id: o.Id}
+	}
+	lane, isKnown := p.lane(e.Lane)
+	if !isKnown {
+		answer(&wire.OutcomeAck{Kind: string(errs.Stale)}) // its adapter keeps it and comes again
+		return
+	}
+	answer = p.pending.begin(key, answer)
+	p.propose(p.outcomeCommand(e, o, lane), func(_ place.Result, err error) {
+		if err != nil {
+			answer(&wire.OutcomeAck{Kind: string(errs.KindOf(err)), Owner: p.ownerName()})
+			return
+		}
+		delete(p.confirmed, o.Id)
+		delete(p.lostSince, o.Id)
+		delete(p.missingSince, o.Id)
+		answer(&wire.OutcomeAck{})
+	})
+}
+
+// outcomeCommand decides what a result means for its message. A failure is the last attempt's
+// only while its run is open: a result may come again, and counts once.
+func (p *PlaceHost) outcomeCommand(e *place.Message, o *wire.Outcome, lane config.Lane) place.Command {
+	retain := int64(lane.Retention / time.Millisecond)
+	if o.Kind == "" {
+		c := place.Command{Kind: place.CmdRunSucceeded, Id: e.Id, Proof: o.Proof, Retain: retain, DropsBody: lane.DropsBodyOnSuccess}
+		if lane.CallbackLane != "" {
+			c.Child = place.Child{Id: p.environment.ChildId(e.Id), Lane: lane.CallbackLane, ContentType: o.Proof.ContentType, Body: o.Proof.Answer,
+				Checksum: wire.Checksum(o.Proof.Answer), Parent: e.Id}
+		}
+		return c
+	}
+	isSpent := o.MayHaveStarted && (lane.CountsEveryRun || o.Kind == string(errs.Unhealthy))
+	back := place.Command{Kind: place.CmdRunFailed, Id: e.Id, Attempt: o.Proof.Attempt, Cause: o.Kind, CountsAsAttempt: isSpent, Retain: retain}
+	back.HoldsKey = o.MayHaveStarted && e.Ordered && o.Wait > 0 && place.MayStillRun(errs.Kind(o.Kind))
+	// A failure told again, of a run that was already brought back, counts no more.
+	isOpen := e.State == place.Started && e.Attempt == o.Proof.Attempt
+	isLast := isSpent && isOpen && lane.MaxAttempts > 0 && e.CountedAttempts+1 >= lane.MaxAttempts
+	if o.MayHaveStarted && !back.HoldsKey && (o.Final || isLast) {
+		back.Kind, back.State, back.HoldsKey = place.CmdClose, string(place.Failed), lane.HoldsAfterFailure
+		return back
+	}
+	spent := e.CountedAttempts
+	if isSpent {
+		spent++
+	}
+	back.Deadline = max(retryDelay(lane, e.Id, spent), o.Wait)
+	return back
+}
+
+// retryDelay is the time before the next run: it doubles, with jitter drawn from
+// the message's id, so that a recovering pool does not meet all at once.
+func retryDelay(l config.Lane, id string, spent int64) int64 {
+	d := l.Backoff << min(max(spent-1, 0), 20)
+	d = min(max(d, l.Backoff), l.MaxBackoff)
+	h := fnv.New64a()
+	fmt.Fprint(h, id, spent)
+	half := int64(d/time.Millisecond) / 2
+	return half + int64(h.Sum64()%uint64(half+1))
+}
--- a/internal/store/owner_test.go
+++ b/internal/store/owner_test.go
@@ -29,7 +29,7 @@
 	Convey("An owner that cannot commit acknowledges no", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, _ := started("l")
+				b, _ := startedHarness("l")
 				answers := []any{}
 				c.ask(b.place, func(reply any) { answers = append(answers, reply) })
 				So(answers, ShouldBeEmpty)
@@ -74,15 +74,15 @@
 	Convey("Given a started message and a new owner,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, e := started(c.lane)
-				owned(b.place) // nothing is in hand any more
+				b, e := startedHarness(c.lane)
+				takeOwnership(b.place) // nothing is in hand any more
 				b.posted, b.answers = nil, nil
 				if c.boot != "" {
 					b.members["a"] = wire.Who{Name: "a", Boot: c.boot}
 				}
 				for _, at := range []time.Duration{0, c.wait} {
 					b.now = time.Minute + at
-					b.place.askOpen(b.now)
+					b.place.checkOpenRuns(b.now)
 					for _, answer := range b.answers {
 						answer(&wire.OpenAck{State: c.state}, nil)
 					}
@@ -105,16 +105,16 @@
 		state   place.State
 	}{
 		{"a success ends it", wire.Outcome{}, 0, place.Ended},
-		{"a mishap with attempts left holds it again", wire.Outcome{Kind: "unsound", Begun: true}, 0, place.Held},
-		{"the last attempt's mishap fails it", wire.Outcome{Kind: "unsound", Begun: true}, 1, place.Failed},
+		{"a mishap with attempts left holds it again", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 0, place.Held},
+		{"the last attempt's mishap fails it", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 1, place.Failed},
 		{"a run that never reached the worker costs nothing", wire.Outcome{Kind: "lost"}, 1, place.Held},
-		{"an answer that blames the message fails it at once", wire.Outcome{Kind: "rejected", Begun: true, Final: true}, 0, place.Failed},
+		{"an answer that blames the message fails it at once", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, 0, place.Failed},
 	}
 	Convey("Given a started message,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, e := started("l")
-				e.Spent = c.spent
+				b, e := startedHarness("l")
+				e.CountedAttempts = c.spent
 				c.outcome.Id, c.outcome.Proof.Attempt = "0-x", 1
 				b.place.Outcome(&c.outcome, func(any) {})
 				b.commit(true)
@@ -126,7 +126,7 @@
 
 func TestFullDiskRejectsIntakeOnly(t *testing.T) {
 	Convey("Given a disk that is nearly full", t, func() {
-		b, e := started("l")
+		b, e := startedHarness("l")
 		b.isFull = true
 		Convey("nothing more is taken, and what is held comes to its end", func() {
 			answers := []*wire.Taken{}
--- a/internal/store/ownership.go
+++ b/internal/store/ownership.go
@@ -4,39 +4,39 @@
 
 // Owned starts or ends an ownership. One of a place that holds messages starts once the place's
 // time is known.
-func (p *PlaceHost) Owned(isOwner bool) {
-	p.host.recall, p.time = nil, newTimekeeping()
-	p.isUntimed.Store(false)
+func (p *PlaceHost) OwnershipChanged(isOwner bool) {
+	p.host.recovery, p.time = nil, newTimeReplication()
+	p.isTimeUnknown.Store(false)
 	if isOwner && !p.machine.IsIdle() {
-		p.beginRecall()
+		p.beginTimeRecovery()
 		return
 	}
-	p.begin(isOwner)
+	p.beginOwnership(isOwner)
 }
 
 // begin starts or ends what an owner does. Runs that an earlier owner began are not
 // in hand: their adapters are asked before anything is run again.
-func (p *PlaceHost) begin(isOwner bool) {
-	p.inHand, p.asking = map[string]inHand{}, map[string]time.Duration{}
-	p.telling, p.away, p.raising = newTelling(), nil, 0
-	p.dropCounts()
-	p.lostAt, p.sending, p.missed = map[string]time.Duration{}, map[string]bool{}, map[string]time.Duration{}
+func (p *PlaceHost) beginOwnership(isOwner bool) {
+	p.confirmed, p.nextQueryAt = map[string]runConfirmation{}, map[string]time.Duration{}
+	p.notifier, p.absentSince, p.proposedLevel = newNotifier(), nil, 0
+	p.resetQuota()
+	p.lostSince, p.sendingChildren, p.missingSince = map[string]time.Duration{}, map[string]bool{}, map[string]time.Duration{}
 	if !isOwner {
-		p.tellOnlookers(func(string, onlooker) bool { return true })
+		p.answerWaiters(func(string, waiter) bool { return true })
 	}
 	if isOwner {
 		ownerships.Inc()
-		p.machine.Requeue()
+		p.machine.RebuildQueue()
 		p.logOwnership()
 	}
-	p.publish()
+	p.publishReady()
 }
 
 // Ready reports what may run now, by lane.
 func (p *PlaceHost) Ready() map[string]int { return *p.ready.Load() }
 
-// publish tells the dispatcher what may run.
-func (p *PlaceHost) publish() {
+// publishReady tells the dispatcher what may run.
+func (p *PlaceHost) publishReady() {
 	counts := map[string]int{}
 	if p.host != nil && p.host.IsOwner() {
 		counts = p.machine.Ready(p.now())
@@ -48,6 +48,6 @@
 	}
 	if !isSame {
 		p.ready.Store(&counts)
-		p.environment.Nudge()
+		p.environment.Wake()
 	}
 }
--- a/internal/store/part.go
+++ b/internal/store/part.go
@@ -12,12 +12,12 @@
 
 // PartHost is a part of the control state on this store.
 type PartHost struct {
-	environment Environment
-	number      int64
-	host        Hosting
-	part        *feed.Part
-	clock       groupclock.Clock
-	markedAt    time.Duration // when the part's time was last proposed by itself
+	environment     Environment
+	number          int64
+	host            Group
+	part            *feed.Part
+	clock           groupclock.Clock
+	timeCommittedAt time.Duration // when the part's time was last proposed by itself
 }
 
 // NewPartHost gives an empty part.
@@ -35,7 +35,7 @@
 	out := p.part.Apply(e)
 	heldAt := p.environment.Now()
 	if p.host != nil { // else the replica is only beginning
-		heldAt = p.host.HeldAt()
+		heldAt = p.host.LoggedAt()
 	}
 	p.clock.Apply(p.part.Clock(), isOwn, heldAt)
 	return out
@@ -45,45 +45,45 @@
 func (p *PartHost) now() int64 { return p.clock.At(p.environment.Now()) }
 
 // Image gives the state for a slot.
-func (p *PartHost) Image() []byte { return p.part.Image() }
+func (p *PartHost) Snapshot() []byte { return p.part.Snapshot() }
 
 // Restore replaces the state.
 func (p *PartHost) Restore(image []byte) error {
 	part, err := feed.RestorePart(image)
 	if err == nil {
 		p.part = part
-		p.clock.Follow(part.Clock(), p.environment.Now())
+		p.clock.Reset(part.Clock(), p.environment.Now())
 	}
 	return err
 }
 
 // Owned has nothing to do: a part has no work of its own.
-func (p *PartHost) Owned(bool) {}
+func (p *PartHost) OwnershipChanged(bool) {}
 
 // Tick commits the part time while the age of an order still matters and no edit has
 // told it for a while: an owner that has only its log would begin there again.
 func (p *PartHost) Tick(now time.Duration) {
 	bounds := p.environment.Bounds()
-	if !p.host.IsOwner() || !p.part.IsTiming(p.now(), bounds.Of(timing.OrderAge)) {
+	if !p.host.IsOwner() || !p.part.HasRecentOrder(p.now(), bounds.Of(timing.OrderMaxAge)) {
 		return
 	}
-	span := bounds.Of(timing.TimeMark)
-	if p.clock.Lag(p.part.Clock(), now) < span || now-p.markedAt < span {
+	span := bounds.Of(timing.TimeCommitInterval)
+	if p.clock.Lag(p.part.Clock(), now) < span || now-p.timeCommittedAt < span {
 		return
 	}
-	p.markedAt = now
+	p.timeCommittedAt = now
 	p.host.Propose(feed.EncodeEdit(feed.TimeMark(p.now())), func(any, error) {})
 }
 
-// Use joins a part to its group; called once, before anything else.
-func (p *PartHost) Use(h Hosting) { p.host = h }
+// Attach joins a part to its group; called once, before anything else.
+func (p *PartHost) Attach(h Group) { p.host = h }
 
 // Do has work done on the part's goroutine.
 func (p *PartHost) Do(work func()) error { return p.host.Do(work) }
 
 // Edit changes a key.
 func (p *PartHost) Edit(e wire.Edit, answer func(any)) {
-	if e.Order != "" {
+	if e.OperationId != "" {
 		e.At = p.now()
 	}
 	p.host.Propose(feed.EncodeEdit(e), func(verdict any, err error) {
@@ -103,7 +103,7 @@
 	switch {
 	case !p.host.IsOwner():
 		answer(&wire.Pulled{Kind: string(errs.NotOwner), Change: wire.Change{Value: []byte{}}})
-	case !v.IsSure || v.Confirmed < askedAt:
+	case !v.IsConfirmed || v.ConfirmedAt < askedAt:
 		if p.environment.Now()-askedAt > p.environment.Bounds().Of(timing.AnswerTimeout) {
 			answer(&wire.Pulled{Kind: string(errs.DeadlineExceeded), Change: wire.Change{Value: []byte{}}})
 			return
@@ -123,12 +123,12 @@
 // confirmed that this owner's state is the newest acknowledged.
 func (p *PartHost) News(from int64) (wire.PartNews, bool) {
 	v := p.host.View()
-	if !p.host.IsOwner() || !v.IsSure {
+	if !p.host.IsOwner() || !v.IsConfirmed {
 		return wire.PartNews{}, false
 	}
 	n, isNewest := p.part.News(p.number, from)
 	if isNewest {
-		n.Age = int64((p.environment.Now() - v.Confirmed) / time.Microsecond)
+		n.Age = int64((p.environment.Now() - v.ConfirmedAt) / time.Microsecond)
 	}
 	return n, true
 }
@@ -146,7 +146,7 @@
 		s.withPart(m.Part, func(p *PartHost) { p.Pull(m.Key, now, answer) },
 			func(kind errs.Kind) { answer(&wire.Pulled{Kind: string(kind), Change: wire.Change{Value: []byte{}}}) })
 	case *wire.Retire:
-		go func() { answer(s.standings(m.Store, now)) }() // it waits for a majority
+		go func() { answer(s.standingsWithout(m.Store, now)) }() // it waits for a majority
 	}
 }
 
--- a/internal/store/part_test.go
+++ b/internal/store/part_test.go
@@ -16,10 +16,10 @@
 // here. It neither goes back nor leaps where this store was idle before.
 func TestPartTime(t *testing.T) {
 	Convey("On a store that has run for a minute before it held a part,", t, func() {
-		b := newBench()
+		b := newHarness()
 		p := NewPartHost(b, 0)
 		taken := func(order string, at int64) {
-			p.Apply(feed.EncodeEdit(wire.Edit{Key: config.ZoneKey + order, Value: []byte{}, Order: order, Base: wire.OneCall, At: at}), false)
+			p.Apply(feed.EncodeEdit(wire.Edit{Key: config.ZoneKey + order, Value: []byte{}, OperationId: order, BaseVersion: wire.SingleCallBase, At: at}), false)
 		}
 		taken("1", 5000)
 		Convey("part time is the newest edit's", func() { So(p.now(), ShouldEqual, 5000) })
@@ -34,13 +34,13 @@
 		})
 		Convey("part time does not go back with an edit of this ownership", func() {
 			b.now += 2 * time.Second
-			p.Apply(feed.EncodeEdit(wire.Edit{Order: "2", Base: wire.OneCall, At: 6000}), true)
+			p.Apply(feed.EncodeEdit(wire.Edit{OperationId: "2", BaseVersion: wire.SingleCallBase, At: 6000}), true)
 			So(p.now(), ShouldEqual, 7000)
 		})
 		Convey("an owner commits the time while the age of an order matters, and then no more", func() {
-			h := &proposals{bench: b}
-			p.Use(h)
-			age := timing.Default.Of(timing.OrderAge)
+			h := &proposals{harness: b}
+			p.Attach(h)
+			age := timing.Default.Of(timing.OrderMaxAge)
 			for end := b.now + 2*age; b.now < end; b.now += timing.Default.Of(timing.Tick) {
 				n := len(h.edits)
 				p.Tick(b.now)
@@ -57,15 +57,15 @@
 			So(p.now(), ShouldEqual, 9000)
 		})
 		Convey("part time comes with an image", func() {
-			other := NewPartHost(newBench(), 0)
-			So(other.Restore(p.Image()), ShouldBeNil)
+			other := NewPartHost(newHarness(), 0)
+			So(other.Restore(p.Snapshot()), ShouldBeNil)
 			So(other.now(), ShouldEqual, 5000)
 		})
 		Convey("an edit that is remembered tells when the owner took it in, and another is as it always was", func() {
-			h := &proposals{bench: b}
-			p.Use(h)
+			h := &proposals{harness: b}
+			p.Attach(h)
 			b.now += time.Second
-			p.Edit(wire.Edit{Order: "3"}, func(any) {})
+			p.Edit(wire.Edit{OperationId: "3"}, func(any) {})
 			p.Edit(wire.Edit{}, func(any) {})
 			So([]int64{h.edits[0].At, h.edits[1].At}, ShouldResemble, []int64{6000, 0})
 		})
@@ -74,7 +74,7 @@
 
 // proposals keeps the edits that were proposed.
 type proposals struct {
-	*bench
+	*harness
 	edits []wire.Edit
 }
 
--- a/internal/store/again.go
+++ b/internal/store/pending.go
@@ -13,10 +13,10 @@
 //
 // Invariant: whoever joined is answered when the proposal is decided, which each
 // is once; the links' windows bound how many wait.
-type underWay map[string][]func(any)
+type pendingRequests map[string][]func(any)
 
 // join has answer wait for the ask under way, if there is one.
-func (u underWay) join(key string, answer func(any)) bool {
+func (u pendingRequests) join(key string, answer func(any)) bool {
 	_, isUnderWay := u[key]
 	if isUnderWay {
 		u[key] = append(u[key], answer)
@@ -26,7 +26,7 @@
 
 // begin notes an ask that is about to be proposed, and gives what answers
 // everybody who waits for it.
-func (u underWay) begin(key string, answer func(any)) (answerAll func(any)) {
+func (u pendingRequests) begin(key string, answer func(any)) (answerAll func(any)) {
 	u[key] = []func(any){answer}
 	return func(reply any) {
 		waiting := u[key]
@@ -37,23 +37,23 @@
 	}
 }
 
-// asRepeat tells whoever joined an ask that it was asked before.
-func asRepeat(answer func(any)) func(any) {
+// markRepeat tells whoever joined an ask that it was asked before.
+func markRepeat(answer func(any)) func(any) {
 	return func(reply any) {
 		if taken, isTaken := reply.(*wire.Taken); isTaken {
-			again := *taken
-			again.IsRepeat = taken.Kind == "" || taken.IsRepeat
-			reply = &again
+			copied := *taken
+			copied.IsRepeat = taken.Kind == "" || taken.IsRepeat
+			reply = &copied
 		}
 		answer(reply)
 	}
 }
 
-func takeKey(t *wire.Take) string { return t.Id + "\x00" + t.Lane + "\x00" + t.Sum }
+func takeKey(t *wire.Take) string { return t.Id + "\x00" + t.Lane + "\x00" + t.Checksum }
 
 // outcomeKey tells results of a run apart: only the same one again is the same.
 func outcomeKey(o *wire.Outcome) string {
 	f := &o.Proof
-	return fmt.Sprintf("%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%d %d %d %t %t", o.Id, o.Boot, o.Kind, f.Worker, f.Adapter, f.Ctype, f.Sum,
-		f.Attempt, f.Status, o.Wait, o.Begun, o.Final)
+	return fmt.Sprintf("%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%d %d %d %t %t", o.Id, o.Boot, o.Kind, f.Worker, f.Adapter, f.ContentType, f.Checksum,
+		f.Attempt, f.Status, o.Wait, o.MayHaveStarted, o.Final)
 }
--- a/internal/store/again_test.go
+++ b/internal/store/pending_test.go
@@ -15,9 +15,9 @@
 // the more they had to write.
 func TestSentAgain(t *testing.T) {
 	Convey("Given a place with a message whose taking is under way", t, func() {
-		b, answers := newBench(), []*wire.Taken{}
+		b, answers := newHarness(), []*wire.Taken{}
 		take := func(sum string) {
-			b.place.Take(&wire.Take{Id: "0-y", Lane: "l", Sum: sum, Deadline: 600_000},
+			b.place.Take(&wire.Take{Id: "0-y", Lane: "l", Checksum: sum, Deadline: 600_000},
 				func(reply any) { answers = append(answers, reply.(*wire.Taken)) })
 		}
 		take("s")
@@ -54,10 +54,10 @@
 		})
 	})
 	Convey("Given a run whose result is under way", t, func() {
-		b, e := started("l")
+		b, e := startedHarness("l")
 		acks := []*wire.OutcomeAck{}
 		outcome := func(kind errs.Kind) {
-			b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: string(kind), Begun: true, Proof: wire.Proof{Attempt: 1}},
+			b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: string(kind), MayHaveStarted: true, Proof: wire.Proof{Attempt: 1}},
 				func(reply any) { acks = append(acks, reply.(*wire.OutcomeAck)) })
 		}
 		outcome("")
--- a/internal/store/placetime_test.go
+++ b/internal/store/placetime_test.go
@@ -16,7 +16,7 @@
 // still meanwhile, and delays ran late by a quarter on a busy place.
 func TestPlaceTime(t *testing.T) {
 	Convey("Place time goes on while commands are committed", t, func() {
-		b := newBench()
+		b := newHarness()
 		began := b.place.now()
 		for i := range 100 {
 			b.place.Take(&wire.Take{Id: fmt.Sprintf("0-%d", i), Lane: "l", Deadline: 600_000}, func(any) {})
@@ -26,26 +26,26 @@
 		So(b.place.now()-began, ShouldEqual, 1000)
 	})
 	Convey("It does not leap on a store that ran for long before it held the place", t, func() {
-		b := newBench()
+		b := newHarness()
 		b.now = time.Minute
 		p := NewPlaceHost(b, 0)
 		p.Apply(place.Command{Kind: place.CmdTrim, At: 100}.Encode(), false)
 		So(p.now(), ShouldEqual, 100)
 	})
 	Convey("It never goes back with a command of this ownership", t, func() {
-		b := newBench()
+		b := newHarness()
 		b.now += time.Second
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 5}.Encode(), true)
 		So(b.place.now(), ShouldEqual, 1000)
 	})
 	Convey("It goes on from when the log had a command, where that is applied only later", t, func() {
-		b := newBench()
-		b.heldFor = 2 * time.Second
+		b := newHarness()
+		b.appendedAgo = 2 * time.Second
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 5000}.Encode(), false)
 		So(b.place.now(), ShouldEqual, 7000)
 	})
 	Convey("A replica follows the command of another owner, whether that is ahead of its own count or behind", t, func() {
-		b := newBench()
+		b := newHarness()
 		b.now += time.Second
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 90_000}.Encode(), false)
 		So(b.place.now(), ShouldEqual, 90_000)
@@ -55,20 +55,20 @@
 	})
 }
 
-// commands lists what was proposed to a group, which commits none of it by itself.
-type commands struct {
-	*bench
+// proposalLog lists what was proposed to a group, which commits none of it by itself.
+type proposalLog struct {
+	*harness
 	list [][]byte
 }
 
-func (c *commands) Propose(data []byte, _ func(any, error)) { c.list = append(c.list, data) }
+func (c *proposalLog) Propose(data []byte, _ func(any, error)) { c.list = append(c.list, data) }
 
 // newReplica returns a place of its own on a store of its own.
-func newReplica() (*PlaceHost, *commands) {
-	b := newBench()
-	group := &commands{bench: b}
+func newReplica() (*PlaceHost, *proposalLog) {
+	b := newHarness()
+	group := &proposalLog{harness: b}
 	replica := NewPlaceHost(b, 0)
-	replica.Use(group)
+	replica.Attach(group)
 	return replica, group
 }
 
@@ -84,26 +84,26 @@
 		ahead.Apply(mark, false)
 		aheadGroup.now += 10 * time.Second
 		Convey("a delay that begins under the other one ends no earlier under it", func() {
-			owned(behind)
+			takeOwnership(behind)
 			behind.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 600_000, Delay: 5000}, func(any) {})
 			behind.Apply(behindGroup.list[0], true)
 			ahead.Apply(behindGroup.list[0], false)
-			owned(ahead)
+			takeOwnership(ahead)
 			So(ahead.Ready(), ShouldBeEmpty)
 			aheadGroup.now += 4990 * time.Millisecond
-			ahead.publish()
+			ahead.publishReady()
 			So(ahead.Ready(), ShouldBeEmpty)
 			aheadGroup.now += 10 * time.Millisecond
-			ahead.publish()
+			ahead.publishReady()
 			So(ahead.Ready(), ShouldResemble, map[string]int{"l": 1})
 		})
 		Convey("a patience that begins under the other one ends no earlier under it", func() {
-			owned(behind)
+			takeOwnership(behind)
 			behind.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 5000}, func(any) {})
 			behind.Apply(behindGroup.list[0], true)
 			ahead.Apply(behindGroup.list[0], false)
-			owned(ahead)
-			So(ahead.machine.Late(ahead.now()), ShouldBeEmpty)
+			takeOwnership(ahead)
+			So(ahead.machine.TakeExpired(ahead.now()), ShouldBeEmpty)
 		})
 	})
 }
@@ -113,8 +113,8 @@
 func TestTimeMarks(t *testing.T) {
 	Convey("Given an owner", t, func() {
 		owner, group := newReplica()
-		owned(owner)
-		span := timing.Default.Of(timing.TimeMark)
+		takeOwnership(owner)
+		span := timing.Default.Of(timing.TimeCommitInterval)
 		quiet := func() []place.Command {
 			group.list = nil
 			out := []place.Command{}
@@ -146,8 +146,8 @@
 	})
 }
 
-// owned begins an ownership of a place whose time no adapter knows.
-func owned(p *PlaceHost) {
-	p.Owned(true)
-	p.stepRecall(p.environment.Now() + timing.Default.Of(timing.RecallAlone))
+// takeOwnership begins an ownership of a place whose time no adapter knows.
+func takeOwnership(p *PlaceHost) {
+	p.OwnershipChanged(true)
+	p.stepTimeRecovery(p.environment.Now() + timing.Default.Of(timing.TimeRecoveryMaxWait))
 }
--- a/internal/store/counts_test.go
+++ b/internal/store/quotabatch_test.go
@@ -12,38 +12,38 @@
 	"caperwheel/internal/wire"
 )
 
-// countingBench is a place whose group has agreed to count, with a tenant of 10 messages a second and 10 at once.
-func countingBench() *bench {
-	b := newBench()
+// quotaHarness is a place whose group has agreed to count, with a tenant of 10 messages a second and 10 at once.
+func quotaHarness() *harness {
+	b := newHarness()
 	b.rules.Tenants = map[string]config.Tenant{"halls": {Name: "halls", Rate: 10, Burst: 10}, "free": {Name: "free"}}
-	b.place.machine.Apply(place.Raise(place.LevelQuotas))
+	b.place.machine.Apply(place.RaiseLevel(place.LevelQuotas))
 	return b
 }
 
 // count asks for tokens; the reply stands in what it returns once it has come.
-func count(b *bench, holder string, counts ...wire.QuotaCount) *wire.QuotaGrants {
+func askQuota(b *harness, holder string, counts ...wire.QuotaCount) *wire.QuotaGrants {
 	got := &wire.QuotaGrants{}
-	b.place.Count(&wire.QuotaAsk{Holder: holder, Lease: 1500, Counts: counts}, func(reply any) { *got = *reply.(*wire.QuotaGrants) })
+	b.place.RequestQuota(&wire.QuotaAsk{Holder: holder, Lease: 1500, Counts: counts}, func(reply any) { *got = *reply.(*wire.QuotaGrants) })
 	return got
 }
 
-func needing(tenant string, need int64) wire.QuotaCount {
-	return wire.QuotaCount{Tenant: tenant, Life: 1, Need: need}
+func quotaNeed(tenant string, need int64) wire.QuotaCount {
+	return wire.QuotaCount{Tenant: tenant, Epoch: 1, Need: need}
 }
 
 func TestCountsOfTenants(t *testing.T) {
 	Convey("Given a place that counts", t, func() {
-		b := countingBench()
+		b := quotaHarness()
 		Convey("an ask is answered once its batch is committed, and not before", func() {
-			got := count(b, "a", needing("halls", 4))
+			got := askQuota(b, "a", quotaNeed("halls", 4))
 			So(got.Grants, ShouldBeNil)
 			b.commit(true)
 			So(got.Kind, ShouldBeBlank)
 			So(got.Grants[0].Granted, ShouldEqual, 4)
 		})
 		Convey("asks that come while a batch is under way are one batch", func() {
-			first := count(b, "a", needing("halls", 1))
-			second, third := count(b, "b", needing("halls", 2), needing("free", 9)), count(b, "c", needing("unknown", 1), needing("halls", 3))
+			first := askQuota(b, "a", quotaNeed("halls", 1))
+			second, third := askQuota(b, "b", quotaNeed("halls", 2), quotaNeed("free", 9)), askQuota(b, "c", quotaNeed("unknown", 1), quotaNeed("halls", 3))
 			So(len(b.proposed), ShouldEqual, 1)
 			b.proposed[0](true)
 			b.proposed = b.proposed[1:]
@@ -53,38 +53,38 @@
 			So(len(second.Grants), ShouldEqual, 1) // a tenant without a limit, or unknown, has no grant
 			So(len(third.Grants), ShouldEqual, 1)
 			So([]int64{second.Grants[0].Granted, third.Grants[0].Granted}, ShouldResemble, []int64{2, 3})
-			So(b.place.machine.Held(), ShouldEqual, 6)
+			So(b.place.machine.HeldTokens(), ShouldEqual, 6)
 		})
 		Convey("a batch that is not committed grants nothing", func() {
-			got := count(b, "a", needing("halls", 4))
+			got := askQuota(b, "a", quotaNeed("halls", 4))
 			b.commit(false)
 			So(got.Kind, ShouldEqual, string(errs.Undecided))
 			So(got.Grants, ShouldBeEmpty)
-			So(b.place.machine.Held(), ShouldEqual, 0)
+			So(b.place.machine.HeldTokens(), ShouldEqual, 0)
 		})
 		Convey("the next owner goes on with what was granted", func() {
-			count(b, "a", needing("halls", 8))
+			askQuota(b, "a", quotaNeed("halls", 8))
 			b.commit(true)
 			next := NewPlaceHost(b, 0)
-			So(next.Restore(b.place.Image()), ShouldBeNil)
+			So(next.Restore(b.place.Snapshot()), ShouldBeNil)
 			b.place = next
-			next.Use(b)
-			owned(next)
-			got := count(b, "b", needing("halls", 8))
+			next.Attach(b)
+			takeOwnership(next)
+			got := askQuota(b, "b", quotaNeed("halls", 8))
 			b.commit(true)
 			So(got.Grants[0].Granted, ShouldEqual, 2)
 		})
 		Convey("an ownership that ends answers what it has gathered", func() {
-			count(b, "a", needing("halls", 1))
-			got := count(b, "b", needing("halls", 1))
-			b.place.Owned(false)
+			askQuota(b, "a", quotaNeed("halls", 1))
+			got := askQuota(b, "b", quotaNeed("halls", 1))
+			b.place.OwnershipChanged(false)
 			So(got.Kind, ShouldEqual, string(errs.NotOwner))
 			b.commit(false)
 			So(b.proposed, ShouldBeEmpty)
 		})
 		Convey("a lower limit in the owner's view counts with its next batch", func() {
 			b.rules.Tenants["halls"] = config.Tenant{Name: "halls", Rate: 1, Burst: 2}
-			got := count(b, "a", needing("halls", 8))
+			got := askQuota(b, "a", quotaNeed("halls", 8))
 			b.commit(true)
 			So(got.Grants[0].Granted, ShouldEqual, 2)
 		})
@@ -96,27 +96,27 @@
 				kind  errs.Kind
 			}{
 				{"by a store that does not own the place", func() { b.isFollower = true }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.NotOwner},
-				{"by limits that may have changed", func() { b.fresh = []bool{false} }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
+				{"by limits that may have changed", func() { b.freshAnswers = []bool{false} }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
 				{"for no lease", func() {}, wire.QuotaAsk{Holder: "a"}, errs.Invalid},
-				{"for a lease beyond reason", func() {}, wire.QuotaAsk{Holder: "a", Lease: longestLease + 1}, errs.Invalid},
+				{"for a lease beyond reason", func() {}, wire.QuotaAsk{Holder: "a", Lease: leaseLimitMs + 1}, errs.Invalid},
 				{"to nobody", func() {}, wire.QuotaAsk{Lease: 1}, errs.Invalid},
 				{"before the group has agreed to count", func() { b.place.machine = place.New() }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
 			} {
 				Convey(c.name, func() {
 					c.given()
-					c.ask.Counts = []wire.QuotaCount{needing("halls", 1)}
+					c.ask.Counts = []wire.QuotaCount{quotaNeed("halls", 1)}
 					var got *wire.QuotaGrants
-					b.place.Count(&c.ask, func(reply any) { got = reply.(*wire.QuotaGrants) })
+					b.place.RequestQuota(&c.ask, func(reply any) { got = reply.(*wire.QuotaGrants) })
 					So(got.Kind, ShouldEqual, string(c.kind))
 					So(b.proposed, ShouldBeEmpty)
 				})
 			}
 		})
 		Convey("asks beyond what may wait are refused", func() {
-			for range mostGathered + 1 {
-				count(b, "a", needing("halls", 1))
+			for range maxQueuedQuotaRequests + 1 {
+				askQuota(b, "a", quotaNeed("halls", 1))
 			}
-			So(count(b, "a", needing("halls", 1)).Kind, ShouldEqual, string(errs.Full))
+			So(askQuota(b, "a", quotaNeed("halls", 1)).Kind, ShouldEqual, string(errs.Full))
 		})
 	})
 }
@@ -124,7 +124,7 @@
 // TestRepeatsAreTold: whoever sends a message that is held is told so, since it counts against a limit once.
 func TestRepeatsAreTold(t *testing.T) {
 	Convey("A message that is sent", t, func() {
-		b := newBench()
+		b := newHarness()
 		send := func() *wire.Taken {
 			got := &wire.Taken{}
 			b.place.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 600_000}, func(reply any) { *got = *reply.(*wire.Taken) })
@@ -137,7 +137,7 @@
 		So(send().IsRepeat, ShouldBeTrue)
 	})
 	Convey("A message that is not held the first time is no repeat for those who waited with it", t, func() {
-		b := newBench()
+		b := newHarness()
 		answers := []*wire.Taken{}
 		for range 2 {
 			b.place.Take(&wire.Take{Id: "0-x", Lane: "l"}, func(reply any) { answers = append(answers, reply.(*wire.Taken)) })
--- a/internal/store/repeated_test.go
+++ b/internal/store/repeated_test.go
@@ -19,15 +19,15 @@
 		state   place.State
 		spent   int64
 	}{
-		{"a failed attempt counts once", wire.Outcome{Kind: "unsound", Begun: true}, place.Held, 1},
+		{"a failed attempt counts once", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, place.Held, 1},
 		{"a run that never began costs nothing", wire.Outcome{Kind: "lost"}, place.Held, 0},
-		{"a refusal for good ends it", wire.Outcome{Kind: "rejected", Begun: true, Final: true}, place.Failed, 0},
+		{"a refusal for good ends it", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, place.Failed, 0},
 		{"a success ends it", wire.Outcome{}, place.Ended, 0},
 	}
 	Convey("Given a message of two attempts whose first run's result comes three times,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, e := started("l")
+				b, e := startedHarness("l")
 				c.outcome.Id, c.outcome.Proof.Attempt = "0-x", 1
 				for range 3 {
 					answers := 0
@@ -36,14 +36,14 @@
 					So(answers, ShouldEqual, 1)
 				}
 				So(e.State, ShouldEqual, c.state)
-				So(e.Spent, ShouldEqual, c.spent)
+				So(e.CountedAttempts, ShouldEqual, c.spent)
 			})
 		}
 		Convey("the second run's failure is the last", func() {
-			b, e := started("l")
+			b, e := startedHarness("l")
 			for attempt := int64(1); attempt <= 2; attempt++ {
 				e.Attempt, e.State = attempt, place.Started
-				b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: "unsound", Begun: true, Proof: wire.Proof{Attempt: attempt}}, func(any) {})
+				b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: "unsound", MayHaveStarted: true, Proof: wire.Proof{Attempt: attempt}}, func(any) {})
 				b.commit(true)
 			}
 			So(e.State, ShouldEqual, place.Failed)
@@ -56,17 +56,17 @@
 // failed the message with an attempt left, and the next of its key began.
 func TestToldAgain(t *testing.T) {
 	Convey("Given a message whose last but one attempt was told to have failed", t, func() {
-		b, e := started("l") // its lane has two attempts
-		told := wire.Outcome{Id: "0-x", Kind: "unsound", Begun: true, Proof: wire.Proof{Attempt: 1}}
+		b, e := startedHarness("l") // its lane has two attempts
+		told := wire.Outcome{Id: "0-x", Kind: "unsound", MayHaveStarted: true, Proof: wire.Proof{Attempt: 1}}
 		b.place.Outcome(&told, func(any) {})
 		b.commit(true)
-		So(e.Spent, ShouldEqual, 1)
+		So(e.CountedAttempts, ShouldEqual, 1)
 		Convey("the same word again changes nothing, and is acknowledged", func() {
 			var ack any
 			b.place.Outcome(&told, func(reply any) { ack = reply })
 			b.commit(true)
 			So(e.State, ShouldEqual, place.Held)
-			So(e.Spent, ShouldEqual, 1)
+			So(e.CountedAttempts, ShouldEqual, 1)
 			So(ack, ShouldResemble, &wire.OutcomeAck{})
 		})
 	})
--- a/internal/store/spread.go
+++ b/internal/store/rosterplan.go
@@ -9,7 +9,7 @@
 // is known well enough.
 func (s *Store) noteMembers() {
 	if s.d.IsFresh() {
-		s.rosters.Note(s.d.Membership.Kind("store"), s.configs.Current().Retired, s.d.Now())
+		s.rosters.NoteMembers(s.d.Membership.OfKind("store"), s.configs.Current().RetiredStores, s.d.Now())
 	}
 }
 
@@ -20,14 +20,14 @@
 		return map[string]string{}, nil
 	}
 	s.noteMembers()
-	return s.rosters.Plan(groupId, s.hostOf(groupId).View().Roster, s.changing(), silence, s.d.Now())
+	return s.rosters.Plan(groupId, s.hostOf(groupId).View().Roster, s.countChanging(), silence, s.d.Now())
 }
 
-// changing counts the groups owned here whose roster is being changed.
-func (s *Store) changing() int {
+// countChanging counts the groups owned here whose roster is being changed.
+func (s *Store) countChanging() int {
 	out := 0
 	for _, id := range s.groupIds() {
-		if v := s.hostOf(id).View(); v.Role == group.Owner && IsChanging(v.Roster, s.copies()) {
+		if v := s.hostOf(id).View(); v.Role == group.Owner && IsChanging(v.Roster, s.replicas()) {
 			out++
 		}
 	}
--- a/internal/store/rosters.go
+++ b/internal/store/rosters.go
@@ -11,25 +11,25 @@
 	"caperwheel/internal/wire"
 )
 
-// Rosters plans which stores should hold the groups that one store owns. It does
+// RosterPlanner plans which stores should hold the groups that one store owns. It does
 // no I/O; the simulation uses it as it is. Safe for use by several goroutines.
-type Rosters struct {
-	copies int
+type RosterPlanner struct {
+	replicas int
 
-	mu      sync.Mutex
-	planner *repair.Planner
-	known   map[string]string // member ids of the stores that are here, by name
-	retired map[string]bool
+	mu        sync.Mutex
+	planner   *repair.Planner
+	memberIds map[string]string // member ids of the stores that are here, by name
+	retired   map[string]bool
 }
 
-// NewRosters makes one for groups of so many copies.
-func NewRosters(bounds timing.Bounds, copies int) *Rosters {
-	return &Rosters{copies: copies, planner: repair.NewPlanner(bounds, copies), known: map[string]string{}, retired: map[string]bool{}}
+// NewRosterPlanner makes one for groups of so many copies.
+func NewRosterPlanner(bounds timing.Bounds, copies int) *RosterPlanner {
+	return &RosterPlanner{replicas: copies, planner: repair.NewPlanner(bounds, copies), memberIds: map[string]string{}, retired: map[string]bool{}}
 }
 
-// Note takes in which stores are members now, and which are retired; only while
+// NoteMembers takes in which stores are members now, and which are retired; only while
 // both are known well enough.
-func (r *Rosters) Note(here []wire.Who, retired map[string]bool, now time.Duration) {
+func (r *RosterPlanner) NoteMembers(here []wire.Who, retired map[string]bool, now time.Duration) {
 	known, members := map[string]string{}, []repair.Store{}
 	for _, who := range here {
 		known[who.Name] = who.Name + "/" + repair.Incarnation(who.Boot)
@@ -37,18 +37,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.known, r.retired = known, retired
-	r.planner.Note(members, now)
+	r.memberIds, r.retired = known, retired
+	r.planner.UpdateMembers(members, now)
 }
 
 // Plan returns the member ids of the stores that are here and the names of those
 // that should hold a group of these members. changing is how many of the owner's
 // groups are being changed; silence is the group owner's, of each holder.
-func (r *Rosters) Plan(groupId int64, members []string, changing int, silence repair.Silence, now time.Duration) (known map[string]string, wanted []string) {
-	g := repair.Group{Id: groupId, Holders: names(members), IsChanging: IsChanging(members, r.copies), Silence: silence}
+func (r *RosterPlanner) Plan(groupId int64, members []string, changing int, silence repair.Silence, now time.Duration) (known map[string]string, wanted []string) {
+	g := repair.Group{Id: groupId, Holders: storeNames(members), IsChanging: IsChanging(members, r.replicas), Silence: silence}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known, r.planner.Seats(g, r.retired, changing, now)
+	return r.memberIds, r.planner.HoldersFor(g, r.retired, changing, now)
 }
 
 // IsChanging tells a roster whose change is not finished.
@@ -56,8 +56,8 @@
 	return len(members) > copies || slices.ContainsFunc(members, group.IsLearner)
 }
 
-// names gives the stores of a roster, each once.
-func names(members []string) []string {
+// storeNames gives the stores of a roster, each once.
+func storeNames(members []string) []string {
 	out := []string{}
 	for _, m := range members {
 		if name := group.Name(m); !slices.Contains(out, name) {
--- a/internal/store/runs.go
+++ b/internal/store/runs.go
@@ -27,47 +27,47 @@
 	}
 	e := p.machine.Pick(lane, p.now())
 	if e == nil {
-		p.publish()
+		p.publishReady()
 		p.environment.Release(g)
 		return
 	}
-	if rules, isKnown := p.lane(lane); isKnown && rules.Attempts > 0 && e.Spent >= rules.Attempts {
+	if rules, isKnown := p.lane(lane); isKnown && rules.MaxAttempts > 0 && e.CountedAttempts >= rules.MaxAttempts {
 		p.environment.Release(g) // its last run might have gone on; now it cannot
 		p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Failed), Cause: e.Cause,
-			Hold: rules.HoldFailed, Retain: int64(rules.Retention / time.Millisecond)}, nil)
+			HoldsKey: rules.HoldsAfterFailure, Retain: int64(rules.Retention / time.Millisecond)}, nil)
 		return
 	}
 	countStart(e, p.now())
-	attempt, bound := e.Attempt+1, p.environment.Compiled().Rules.BoundOf(lane, g.Pool)
+	attempt, bound := e.Attempt+1, p.environment.Compiled().Rules.RunTimeoutMs(lane, g.Pool)
 	p.propose(place.Command{Kind: place.CmdStart, Id: e.Id, Attempt: attempt, Adapter: g.Holder.Name, Boot: g.Holder.Boot,
-		Pool: g.Pool, Worker: g.Worker, Deadline: p.longest(e, bound)}, func(v place.Verdict, err error) {
+		Pool: g.Pool, Worker: g.Worker, Deadline: p.maxOrderedRunMs(e, bound)}, func(v place.Result, err error) {
 		if err != nil || v.Kind != "" {
 			p.environment.Release(g)
 			p.machine.Unpick(e)
 			return
 		}
-		p.send(e, attempt, bound, g)
+		p.sendRun(e, attempt, bound, g)
 	})
 }
 
-// longest returns for how many milliseconds an ordered run may go on at its worker
+// maxOrderedRunMs returns for how many milliseconds an ordered run may go on at its worker
 // though its adapter or its connection is lost: it begins within the bound on configurations,
 // since its permit lapses and its adapter grows stale, and its adapter allows it no more
 // than the bound (in milliseconds) that it is sent with.
-func (p *PlaceHost) longest(e *place.Message, bound int64) int64 {
+func (p *PlaceHost) maxOrderedRunMs(e *place.Message, bound int64) int64 {
 	if !e.Ordered {
 		return 0
 	}
-	busy := place.Busy(time.Duration(bound) * time.Millisecond)
-	return (p.environment.Bounds().Config + busy).Milliseconds()
+	busy := place.OrphanedRunLimit(time.Duration(bound) * time.Millisecond)
+	return (p.environment.Bounds().ConfigApply + busy).Milliseconds()
 }
 
-// send hands a started run to the adapter that granted the slot, with the bound that its
+// sendRun hands a started run to the adapter that granted the slot, with the bound that its
 // start was committed with.
-func (p *PlaceHost) send(e *place.Message, attempt, bound int64, g SlotGrant) {
+func (p *PlaceHost) sendRun(e *place.Message, attempt, bound int64, g SlotGrant) {
 	run := &wire.Run{Place: p.number, Term: p.host.Term(), Id: e.Id, Attempt: attempt, Lane: e.Lane, Key: e.Key,
-		Pool: g.Pool, Worker: g.Worker, Ctype: e.Ctype, Body: e.Body, Sum: e.Sum, Permit: g.Permit,
-		Bound: bound, Head: e.Head}
+		Pool: g.Pool, Worker: g.Worker, ContentType: e.ContentType, Body: e.Body, Checksum: e.Checksum, Permit: g.Permit,
+		Bound: bound, RequestHead: e.Head}
 	err := p.environment.Post(g.Holder, run, func(reply any, err error) {
 		ack, isAck := reply.(*wire.RunAck)
 		if err != nil || !isAck {
@@ -75,29 +75,29 @@
 		}
 		_ = p.host.Do(func() {
 			if ack.Kind == "" {
-				p.noteInHand(e.Id, attempt)
+				p.confirmRun(e.Id, attempt)
 			} else {
-				p.undo(e.Id, attempt, ack.Kind)
+				p.undoStart(e.Id, attempt, ack.Kind)
 			}
 		})
 	})
 	if err != nil { // definitely not sent
-		p.undo(e.Id, attempt, string(errs.KindOf(err)))
+		p.undoStart(e.Id, attempt, string(errs.KindOf(err)))
 	}
 }
 
-func (p *PlaceHost) noteInHand(id string, attempt int64) {
-	if p.inHand != nil {
-		p.inHand[id] = inHand{attempt, p.environment.Now() + p.environment.Bounds().Config}
-		delete(p.missed, id)
+func (p *PlaceHost) confirmRun(id string, attempt int64) {
+	if p.confirmed != nil {
+		p.confirmed[id] = runConfirmation{attempt, p.environment.Now() + p.environment.Bounds().ConfigApply}
+		delete(p.missingSince, id)
 	}
 }
 
-// undo brings a run back that never started. It costs no attempt. Where an older run has succeeded
+// undoStart brings a run back that never started. It costs no attempt. Where an older run has succeeded
 // meanwhile it ends the message, so it tells how long the end is kept, as each Back does.
-func (p *PlaceHost) undo(id string, attempt int64, cause string) {
-	back := place.Command{Kind: place.CmdBack, Id: id, Attempt: attempt, Cause: cause,
-		Deadline: int64(p.environment.Bounds().Of(timing.AskHold) / time.Millisecond)}
+func (p *PlaceHost) undoStart(id string, attempt int64, cause string) {
+	back := place.Command{Kind: place.CmdRunFailed, Id: id, Attempt: attempt, Cause: cause,
+		Deadline: int64(p.environment.Bounds().Of(timing.SlotRequestHold) / time.Millisecond)}
 	if e := p.machine.Find(id); e != nil {
 		lane, _ := laneOf(p.environment.Compiled().Rules, e.Lane, true)
 		back.Retain = int64(lane.Retention / time.Millisecond)
@@ -107,55 +107,55 @@
 
 // Tick does the periodic work, most of it the owner's.
 func (p *PlaceHost) Tick(now time.Duration) {
-	p.open.Store(int64(p.machine.CountOpen()))
-	p.stepRecall(now)
+	p.open.Store(int64(p.machine.CountRunning()))
+	p.stepTimeRecovery(now)
 	if !p.host.IsOwner() {
 		return
 	}
-	p.tellTime(now)
-	p.tellOnlookers(func(_ string, o onlooker) bool { return now >= o.until })
+	p.replicateTime(now)
+	p.answerWaiters(func(_ string, o waiter) bool { return now >= o.until })
 	if !p.environment.IsFresh() {
-		p.publish()
+		p.publishReady()
 		return
 	}
-	p.markTime(now)
+	p.commitTime(now)
 	p.raiseLevel(now)
 	at := p.now()
-	for _, e := range p.machine.Late(at) { // each is told once, so its lane must be known now: the view was fresh above
+	for _, e := range p.machine.TakeExpired(at) { // each is told once, so its lane must be known now: the view was fresh above
 		lane, _ := laneOf(p.environment.Compiled().Rules, e.Lane, true)
 		p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Expired), Cause: "patience",
 			Retain: int64(lane.Retention / time.Millisecond)}, nil)
 	}
-	if now-p.trimmed > p.environment.Bounds().Of(timing.AnswerTimeout) {
-		p.trimmed = now
-		if ids := p.machine.Stale(at, trimBatch); len(ids) > 0 {
+	if now-p.trimmedAt > p.environment.Bounds().Of(timing.AnswerTimeout) {
+		p.trimmedAt = now
+		if ids := p.machine.TakeForgettable(at, trimBatchLimit); len(ids) > 0 {
 			p.propose(place.Command{Kind: place.CmdTrim, Ids: ids}, nil)
 		}
 	}
-	p.askOpen(now)
+	p.checkOpenRuns(now)
 	p.sendChildren()
-	p.tell(now)
-	p.publish()
+	p.notify(now)
+	p.publishReady()
 }
 
 // sendChildren gives call-backs to the places that they belong to.
 func (p *PlaceHost) sendChildren() {
 	for id, child := range p.machine.Outbox() {
-		if p.sending[id] {
+		if p.sendingChildren[id] {
 			continue
 		}
 		lane, isKnown := p.lane(child.Lane)
 		if !isKnown {
 			return
 		}
-		p.sending[id] = true
-		take := &wire.Take{Place: p.environment.PlaceOf(id), Id: id, Lane: child.Lane, Ctype: child.Ctype, Body: child.Body,
-			Sum: child.Sum, Deadline: int64(lane.Patience / time.Millisecond), Parent: child.Parent}
-		p.environment.TakeElsewhere(take, func(isTaken bool) {
+		p.sendingChildren[id] = true
+		take := &wire.Take{Place: p.environment.PlaceOf(id), Id: id, Lane: child.Lane, ContentType: child.ContentType, Body: child.Body,
+			Checksum: child.Checksum, Deadline: int64(lane.Patience / time.Millisecond), Parent: child.Parent}
+		p.environment.SubmitToPlace(take, func(isTaken bool) {
 			_ = p.host.Do(func() {
-				delete(p.sending, id)
+				delete(p.sendingChildren, id)
 				if isTaken && p.host.IsOwner() {
-					p.propose(place.Command{Kind: place.CmdSent, Id: id}, nil)
+					p.propose(place.Command{Kind: place.CmdOutboxDelivered, Id: id}, nil)
 				}
 			})
 		})
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -7,7 +7,7 @@
 	"caperwheel/internal/wire"
 )
 
-func ownerOf(h Hosting) string {
+func ownerOf(h Group) string {
 	if owner := h.View().Owner; owner != "" {
 		return group.Name(owner)
 	}
@@ -46,10 +46,10 @@
 			answer(&wire.Sight{Kind: string(kind), Body: []byte{}, Proof: wire.Proof{Answer: []byte{}}})
 		})
 	case *wire.QuotaAsk:
-		with(m.Place, func(p *PlaceHost) { p.Count(m, answer) },
+		with(m.Place, func(p *PlaceHost) { p.RequestQuota(m, answer) },
 			func(kind errs.Kind) { answer(&wire.QuotaGrants{Kind: string(kind), Grants: []wire.QuotaGrant{}}) })
 	case *wire.Outcome:
-		if ack := s.keeper.Serve(m, s.d.Now()); ack != nil {
+		if ack := s.results.Handle(m, s.d.Now()); ack != nil {
 			answer(ack)
 			return
 		}
@@ -58,9 +58,9 @@
 	}
 }
 
-// takeElsewhere gives a message to the owner of its place, which may be here.
-func (s *Store) takeElsewhere(t *wire.Take, tell func(isTaken bool)) {
-	who, isKnown := s.d.Membership.Owner(wire.PlaceGroup + t.Place)
+// submitToPlace gives a message to the owner of its place, which may be here.
+func (s *Store) submitToPlace(t *wire.Take, tell func(isTaken bool)) {
+	who, isKnown := s.d.Membership.Owner(wire.FirstPlaceGroup + t.Place)
 	if !isKnown {
 		tell(false)
 		return
@@ -81,32 +81,32 @@
 	}
 }
 
-// UntimedCount is the count by which a store tells how many of its places began their ownership with
+// UnknownTimeCount is the count by which a store tells how many of its places began their ownership with
 // nobody who knew their time.
-const UntimedCount = "untimed"
+const UnknownTimeCount = "untimed"
 
 // ClusterCount is the count by which a store tells which deployment it belongs to.
 const ClusterCount = "cluster"
 
-// say is what the store tells of itself in its session.
-func (s *Store) say() wire.Poll {
+// sessionPoll is what the store tells of itself in its session.
+func (s *Store) sessionPoll() wire.Poll {
 	s.noteMembers()
-	poll := s.d.Poll()
+	poll := s.d.NewPoll()
 	count, under, untimed := int64(0), int64(0), int64(0)
 	for _, id := range s.groupIds() {
 		v := s.hostOf(id).View()
 		if v.Role == group.Owner {
 			poll.Owns = append(poll.Owns, wire.Owned{Group: id, Term: v.Term, Lag: v.Lag, Size: int64(len(group.Voters(v.Roster)))})
-			if len(group.Voters(v.Roster)) < s.copies() || v.Lag > 1000 {
+			if len(group.Voters(v.Roster)) < s.replicas() || v.Lag > 1000 {
 				under++
 			}
 		}
 	}
-	for _, p := range s.ownPlaces() {
+	for _, p := range s.listPlaces() {
 		for _, n := range p.Ready() {
 			count += int64(n)
 		}
-		if p.isUntimed.Load() {
+		if p.isTimeUnknown.Load() {
 			untimed++
 		}
 	}
@@ -115,15 +115,15 @@
 		isFull = 1
 	}
 	poll.Fact.Counts = map[string]int64{"ready": count, "under": under, "full": isFull,
-		"segments": int64(s.disk.Segments()), ClusterCount: s.founder.clusterCount()}
-	if s.d.IsLeaving() {
-		poll.Fact.Counts[session.LeavingCount] = 1
+		"segments": int64(s.disk.Segments()), ClusterCount: s.bootstrapper.clusterNumber()}
+	if s.d.IsDraining() {
+		poll.Fact.Counts[session.DrainingCount] = 1
 	}
 	if untimed > 0 { // seldom: what is always told costs each poll its bytes
-		poll.Fact.Counts[UntimedCount] = untimed
+		poll.Fact.Counts[UnknownTimeCount] = untimed
 	}
 	return poll
 }
 
-// copies is how many replicas a group should have.
-func (s *Store) copies() int { return s.d.Settings.Replicas() }
+// replicas is how many replicas a group should have.
+func (s *Store) replicas() int { return s.d.Settings.Replicas() }
