--- a/internal/store/stall_test.go
+++ b/internal/store/stall_test.go
@@ -16,17 +16,17 @@
 func TestStalledIntake(t *testing.T) {
 	cases := []struct {
 		name   string
-		stall  func(b *bench)
+		stall  func(b *harness)
 		isHeld bool
 	}{
-		{"whose disk has too much to write", func(b *bench) { b.isBusy = true }, false},
-		{"whose proposals are not committed", func(b *bench) { b.oldest = time.Second }, false},
-		{"whose proposals take a moment", func(b *bench) { b.oldest = 100 * time.Millisecond }, true},
+		{"whose disk has too much to write", func(b *harness) { b.isBusy = true }, false},
+		{"whose proposals are not committed", func(b *harness) { b.oldest = time.Second }, false},
+		{"whose proposals take a moment", func(b *harness) { b.oldest = 100 * time.Millisecond }, true},
 	}
 	Convey("A place", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				b, e := started("l")
+				b, e := startedHarness("l")
 				c.stall(b)
 				var taken *wire.Taken
 				b.place.Take(&wire.Take{Id: "0-y", Lane: "l"}, func(reply any) { taken = reply.(*wire.Taken) })
--- a/internal/store/standings.go
+++ b/internal/store/standings.go
@@ -10,11 +10,11 @@
 	"caperwheel/internal/wire"
 )
 
-// standings reports how the groups owned here stand without a store. Only groups
+// standingsWithout reports how the groups owned here stand without a store. Only groups
 // whose ownership a majority has confirmed since the ask came are told of: an
 // owner that was replaced meanwhile knows an old roster.
-func (s *Store) standings(without string, askedAt time.Duration) *wire.Retired {
-	out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.d.IsFresh() && s.configs.Current().Retired[without]}
+func (s *Store) standingsWithout(without string, askedAt time.Duration) *wire.Retired {
+	out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.d.IsFresh() && s.configs.Current().RetiredStores[without]}
 	until := askedAt + s.d.Bounds.Of(timing.AnswerTimeout)
 	waiting := s.groupIds()
 	for {
@@ -23,10 +23,10 @@
 			v := s.hostOf(id).View()
 			switch {
 			case v.Role != group.Owner:
-			case !v.IsSure || v.Confirmed < askedAt:
+			case !v.IsConfirmed || v.ConfirmedAt < askedAt:
 				left = append(left, id)
 			default:
-				out.Groups = append(out.Groups, Standing(id, v, without))
+				out.Groups = append(out.Groups, NewStanding(id, v, without))
 			}
 		}
 		if waiting = left; len(waiting) == 0 || s.d.Now() > until {
@@ -36,18 +36,18 @@
 	}
 	for _, g := range out.Groups {
 		if slices.Contains(g.Stores, without) {
-			out.Left++
+			out.RemainingGroups++
 		}
 	}
 	return out
 }
 
-// Standing reports how a group stands without a store.
-func Standing(id int64, v group.View, without string) wire.Standing {
-	out := wire.Standing{Group: id, Term: v.Term, Stores: names(v.Roster)}
-	for _, member := range v.Whole {
+// NewStanding reports how a group stands without a store.
+func NewStanding(id int64, v group.View, without string) wire.Standing {
+	out := wire.Standing{Group: id, Term: v.Term, Stores: storeNames(v.Roster)}
+	for _, member := range v.CaughtUp {
 		if group.Name(member) != without {
-			out.Whole++
+			out.UpToDateStores++
 		}
 	}
 	return out
--- a/internal/store/guards_test.go
+++ b/internal/store/startguards_test.go
@@ -17,8 +17,8 @@
 // simulated world tells whether an owner looks at its own.
 func TestStartNeedsAFreshView(t *testing.T) {
 	grant := SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: 2 * time.Minute}
-	held := func() *bench {
-		b := newBench()
+	held := func() *harness {
+		b := newHarness()
 		b.place.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 600_000}, func(any) {})
 		b.commit(true)
 		return b
@@ -37,7 +37,7 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b := held()
-				b.fresh, grant.Until = []bool{c.isFresh}, c.until
+				b.freshAnswers, grant.Until = []bool{c.isFresh}, c.until
 				b.place.Start("l", grant)
 				So(b.proposed, ShouldHaveLength, c.starts)
 				So(b.released, ShouldEqual, 1-c.starts)
@@ -46,9 +46,9 @@
 	})
 }
 
-// calling gives a bench with messages that have ended and whose call-backs are to be taken elsewhere.
-func calling(lanes ...string) *bench {
-	b := newBench()
+// callbackHarness gives a bench with messages that have ended and whose call-backs are to be taken elsewhere.
+func callbackHarness(lanes ...string) *harness {
+	b := newHarness()
 	b.rules.Lanes["back"] = config.Lane{Name: "back", Pools: []string{"p"}}
 	for i, lane := range lanes {
 		id := fmt.Sprint("0-", i)
@@ -63,7 +63,7 @@
 // the simulated deliveries has such children.
 func TestChildIsAskedForAgain(t *testing.T) {
 	Convey("A call-back that is to be taken elsewhere", t, func() {
-		b := calling("back")
+		b := callbackHarness("back")
 		b.place.sendChildren()
 		So(b.offered, ShouldResemble, []string{"child of 0-0"})
 		Convey("is offered once at a time", func() {
@@ -71,24 +71,24 @@
 			So(b.offered, ShouldHaveLength, 1)
 		})
 		Convey("is offered again where it was not taken", func() {
-			b.tells[0](false)
+			b.offerReplies[0](false)
 			So(b.proposed, ShouldBeEmpty)
 			b.place.sendChildren()
 			So(b.offered, ShouldHaveLength, 2)
-			b.tells[1](true)
+			b.offerReplies[1](true)
 			b.commit(true)
 			b.place.sendChildren()
 			So(b.offered, ShouldHaveLength, 2)
 			So(b.place.machine.Outbox(), ShouldBeEmpty)
 		})
 		Convey("is offered again where that it was taken could not be committed", func() {
-			b.tells[0](true)
+			b.offerReplies[0](true)
 			b.commit(false)
 			b.place.sendChildren()
 			So(b.offered, ShouldHaveLength, 2)
 		})
 		Convey("is offered anew by the next ownership, whatever became of the offer before", func() {
-			owned(b.place)
+			takeOwnership(b.place)
 			b.place.sendChildren()
 			So(b.offered, ShouldHaveLength, 2)
 		})
@@ -98,18 +98,18 @@
 // TestChildOfARemovedLane is the table of call-backs whose lane the configuration does not have.
 func TestChildOfARemovedLane(t *testing.T) {
 	Convey("Of call-backs of which some have a lane that the view does not know,", t, func() {
-		b := calling("back", "gone", "back", "gone")
+		b := callbackHarness("back", "gone", "back", "gone")
 		Convey("all are offered where the view is fresh: the lane was removed", func() {
 			b.place.sendChildren()
 			slices.Sort(b.offered)
 			So(b.offered, ShouldResemble, []string{"child of 0-0", "child of 0-1", "child of 0-2", "child of 0-3"})
 		})
 		Convey("those are not offered where it is not: it may not have come yet", func() {
-			b.fresh = []bool{false, false, false, false}
+			b.freshAnswers = []bool{false, false, false, false}
 			b.place.sendChildren()
 			So(b.offered, ShouldNotContain, "child of 0-1")
 			So(b.offered, ShouldNotContain, "child of 0-3")
-			b.fresh = nil
+			b.freshAnswers = nil
 			b.place.sendChildren()
 			So(b.offered, ShouldHaveLength, 4)
 		})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,11 +17,11 @@
 	"caperwheel/internal/daemon"
 	"caperwheel/internal/group"
 	"caperwheel/internal/host"
+	"caperwheel/internal/ownerclient"
 	"caperwheel/internal/place"
-	"caperwheel/internal/reach"
 	"caperwheel/internal/repair"
 	"caperwheel/internal/settings"
-	"caperwheel/internal/slot"
+	"caperwheel/internal/storage"
 	"caperwheel/internal/timing"
 	"caperwheel/internal/transport"
 	"caperwheel/internal/wire"
@@ -29,86 +29,86 @@
 
 // Store is the daemon.
 type Store struct {
-	d        *daemon.Daemon
-	disk     *slot.Log
-	founder  *founder
-	configs  *config.Cache
-	dispatch *Dispatcher
-	keeper   *repair.Keeper // results that adapters could not deliver to their owner
-	diskFull atomic.Bool
-	rosters  *Rosters
-	ctx      context.Context
+	d            *daemon.Daemon
+	disk         *storage.Log
+	bootstrapper *bootstrapper
+	configs      *config.Cache
+	dispatcher   *Dispatcher
+	results      *repair.ResultBuffer // results that adapters could not deliver to their owner
+	diskFull     atomic.Bool
+	rosters      *RosterPlanner
+	ctx          context.Context
 
-	mu     sync.RWMutex
-	held   map[int64]*slot.Held
-	hosts  map[int64]*host.Host
-	places map[int64]*PlaceHost
-	parts  map[int64]*PartHost
-	own    atomic.Pointer[[]*PlaceHost]
-	begun  sync.Once
-	isOpen atomic.Bool
+	mu         sync.RWMutex
+	unopened   map[int64]*storage.StoredGroup
+	hosts      map[int64]*host.Host
+	places     map[int64]*PlaceHost
+	parts      map[int64]*PartHost
+	heldPlaces atomic.Pointer[[]*PlaceHost]
+	openOnce   sync.Once
+	isOpen     atomic.Bool
 	// Intake is rejected for want of memory.
-	isTight atomic.Bool
+	isMemoryLow atomic.Bool
 }
 
 // Run is the store's main; a source gives its settings another way.
 func Run(source *settings.Source) {
-	widen()
+	raiseMaxProcs()
 	d := daemon.New("store", source)
 	s := &Store{d: d, configs: &config.Cache{View: d.View}, hosts: map[int64]*host.Host{},
 		places: map[int64]*PlaceHost{}, parts: map[int64]*PartHost{}}
-	s.own.Store(&[]*PlaceHost{})
-	d.CanRead = s.configs.CanRead
+	s.heldPlaces.Store(&[]*PlaceHost{})
+	d.CanReadConfig = s.configs.CanRead
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.ctx = ctx
-	s.dispatch = NewDispatcher(DispatcherOptions{Daemon: d, Configs: s.configs, Places: s.ownPlaces, Post: s.post,
+	s.dispatcher = NewDispatcher(DispatcherOptions{Daemon: d, Configs: s.configs, Places: s.listPlaces, Post: s.post,
 		Start: func(p *PlaceHost, lane string, g SlotGrant) error { return p.Do(func() { p.Start(lane, g) }) },
 		Rand:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))})
-	s.keeper = repair.NewKeeper(4*d.Settings.Most, d.Bounds.Of(timing.Resend), d.Bounds.Of(timing.SettleTimeout))
-	folder, err := slot.OpenFolder(d.Settings.Data)
+	s.results = repair.NewResultBuffer(4*d.Settings.MaxInFlight, d.Bounds.Of(timing.Resend), d.Bounds.Of(timing.SettleTimeout))
+	folder, err := storage.OpenFolder(d.Settings.Data)
 	d.Must(err)
-	s.disk, s.held, err = slot.Open(folder, slot.Options{FreeBytes: uint64(d.Settings.Reserve)})
+	s.disk, s.unopened, err = storage.Open(folder, storage.Options{FreeBytes: uint64(d.Settings.DiskReserve)})
 	d.Must(err)
-	s.rosters = NewRosters(d.Bounds, s.copies())
-	s.founder, err = newFounder(d, folder, s.begin)
+	s.rosters = NewRosterPlanner(d.Bounds, s.replicas())
+	s.bootstrapper, err = newBootstrapper(d, folder, s.openGroups)
 	d.Must(err)
-	d.Who.Boot = s.founder.snapshot().Inc + "." + d.Who.Boot
-	d.Refused = s.missing
-	d.Link(map[string]transport.Handler{"group": s.onGroup, "part": s.onPart, "place": s.onPlace})
+	d.Who.Boot = s.bootstrapper.snapshot().Incarnation + "." + d.Who.Boot
+	d.OnRefused = s.reportMissingStore
+	d.OpenTransport(map[string]transport.Handler{"group": s.onGroup, "part": s.onPart, "place": s.onPlace})
 	d.Ready = s.ready
-	client := d.Client(s.say)
+	client := d.NewSessionClient(s.sessionPoll)
 	go client.Run(ctx)
-	if s.founder.snapshot().Founded {
-		s.begin()
+	if s.bootstrapper.snapshot().IsBootstrapped {
+		s.openGroups()
 	}
-	d.Outlasts = true
-	d.Measure(s.measure)
-	d.Mux.HandleFunc("GET /v1/messages/{id}/story", s.getStory)
-	go s.upkeep(ctx)
-	go s.dispatch.run(ctx)
-	owners := &reach.Reach{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink}
-	go s.keeper.HandOver(ctx, owners, func(place int64) int64 { return wire.PlaceGroup + place }, d.Now)
-	d.Serve(s.leave)
+	d.StopsLast = true
+	d.AddMetrics(s.emitMetrics)
+	d.Mux.HandleFunc("GET /v1/messages/{id}/story", s.serveMessageStatus)
+	go s.maintain(ctx)
+	go s.dispatcher.run(ctx)
+	owners := &ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink}
+	go s.results.DeliverResults(ctx, owners, func(place int64) int64 { return wire.FirstPlaceGroup + place }, d.Now)
+	d.Serve(s.drain)
 }
 
 // begin opens the groups once the store belongs to a deployment.
-func (s *Store) begin() {
-	s.begun.Do(func() {
-		id := s.founder.snapshot()
-		if !slices.Contains(id.Roster, id.Name+"/"+id.Inc) {
+func (s *Store) openGroups() {
+	s.openOnce.Do(func() {
+		id := s.bootstrapper.snapshot()
+		if !slices.Contains(id.Roster, id.Name+"/"+id.Incarnation) {
 			s.mu.Lock()
-			ids := slices.Collect(maps.Keys(s.held))
+			ids := slices.Collect(maps.Keys(s.unopened))
 			s.mu.Unlock()
 			for _, groupId := range ids { // a joiner opens what it holds; the rest comes by message
-				s.open(groupId)
+				s.openGroup(groupId)
 			}
 		} else {
 			for part := range int64(s.d.Settings.Parts) + 1 {
-				s.open(part)
+				s.openGroup(part)
 			}
 			for number := range int64(s.d.Settings.Places) {
-				s.open(wire.PlaceGroup + number)
+				s.openGroup(wire.FirstPlaceGroup + number)
 			}
 		}
 		s.isOpen.Store(true)
@@ -118,40 +118,40 @@
 
 // open starts the replica of a group on this store. A replica that lost what
 // it had promised starts blank, under a new member id that has no vote.
-func (s *Store) open(groupId int64) *host.Host {
+func (s *Store) openGroup(groupId int64) *host.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h := s.hosts[groupId]; h != nil {
 		return h
 	}
-	held := s.held[groupId]
-	if held == nil && s.disk.HasLost() || held != nil && held.IsDamaged {
+	held := s.unopened[groupId]
+	if held == nil && s.disk.HasLostData() || held != nil && held.IsDamaged {
 		klog.Errorf("store: Group %d has lost what was on disk; it is rebuilt from its peers.", groupId)
-		s.d.Must(s.founder.rebuild(groupId))
+		s.d.Must(s.bootstrapper.recordRebuild(groupId))
 		done := make(chan error, 1)
-		s.disk.SaveSlot(groupId, group.HardState{}, nil, &group.Persist{}, func(err error) { done <- err })
+		s.disk.SaveSlot(groupId, group.HardState{}, nil, &group.DurableUpdate{}, func(err error) { done <- err })
 		s.d.Must(<-done)
 		held = nil
 	}
-	member, roster := s.founder.member(groupId), []string(nil)
-	if founding := s.founder.snapshot().Roster; slices.Contains(founding, member) {
+	member, roster := s.bootstrapper.memberId(groupId), []string(nil)
+	if founding := s.bootstrapper.snapshot().Roster; slices.Contains(founding, member) {
 		roster = founding
 	}
 	seed := fnv.New64a()
 	seed.Write([]byte(s.d.Who.Boot))
 	opts := host.Options{Id: groupId, Self: member, Roster: roster, Bounds: s.d.Bounds, Seed: seed.Sum64(),
-		Disk: s.disk, Held: held, Now: s.d.Now, Send: s.sendGroup, Failed: s.fail, Room: s.hasRoom,
-		Later:  func(span time.Duration, work func()) { time.AfterFunc(span, work) },
-		Prefer: func(roster []string) string { return s.prefer(groupId, roster) },
-		Repair: func(silence repair.Silence) (map[string]string, []string) { return s.rosterPlan(groupId, silence) }}
+		Disk: s.disk, Held: held, Now: s.d.Now, Send: s.sendGroupMessage, OnFailure: s.fail, HasCapacity: s.hasRoom,
+		Schedule:       func(span time.Duration, work func()) { time.AfterFunc(span, work) },
+		PreferredOwner: func(roster []string) string { return s.preferredOwner(groupId, roster) },
+		PlanRoster:     func(silence repair.Silence) (map[string]string, []string) { return s.rosterPlan(groupId, silence) }}
 	var h *host.Host
 	var err error
-	if groupId >= wire.PlaceGroup {
-		p := NewPlaceHost(&environment{s}, groupId-wire.PlaceGroup)
+	if groupId >= wire.FirstPlaceGroup {
+		p := NewPlaceHost(&environment{s}, groupId-wire.FirstPlaceGroup)
 		opts.Machine, opts.Level = p, place.NewestLevel
 		h, err = host.New(opts)
-		p.Use(h)
-		s.places[groupId-wire.PlaceGroup] = p
+		p.Attach(h)
+		s.places[groupId-wire.FirstPlaceGroup] = p
 	} else {
 		p := NewPartHost(&environment{s}, groupId)
 		opts.Machine = p
@@ -161,10 +161,10 @@
 	}
 	s.d.Must(err)
 	s.hosts[groupId] = h
-	delete(s.held, groupId) // the host has it now
+	delete(s.unopened, groupId) // the host has it now
 	go h.Run(s.ctx)
 	all := slices.Collect(maps.Values(s.places))
-	s.own.Store(&all)
+	s.heldPlaces.Store(&all)
 	return h
 }
 
@@ -183,18 +183,18 @@
 	return s.hosts[groupId]
 }
 
-// ownPlaces lists the places held here; those not owned have nothing ready.
-func (s *Store) ownPlaces() []*PlaceHost { return *s.own.Load() }
+// listPlaces lists the places held here; those not owned have nothing ready.
+func (s *Store) listPlaces() []*PlaceHost { return *s.heldPlaces.Load() }
 
-// prefer spreads ownership evenly: by hash of group and member, over the
+// preferredOwner spreads ownership evenly: by hash of group and member, over the
 // members that are here, not asked to stop, not retired, and not in an emptied zone.
-func (s *Store) prefer(groupId int64, roster []string) string {
+func (s *Store) preferredOwner(groupId int64, roster []string) string {
 	compiled, best, top := s.configs.Current(), "", uint64(0)
 	for _, m := range group.Voters(roster) {
 		name := group.Name(m)
 		who, isMember := s.d.Membership.Find(name)
-		isLeaving := s.d.Membership.IsLeaving(name) || name == s.d.Who.Name && s.d.IsLeaving()
-		if !isMember && name != s.d.Who.Name || isLeaving || compiled.Retired[name] || compiled.Emptied[who.Zone] {
+		isLeaving := s.d.Membership.IsDraining(name) || name == s.d.Who.Name && s.d.IsDraining()
+		if !isMember && name != s.d.Who.Name || isLeaving || compiled.RetiredStores[name] || compiled.DrainedZones[who.Zone] {
 			continue
 		}
 		h := fnv.New64a()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -11,7 +11,7 @@
 // TestLaneOf: a store that took a lane it did not know yet for a removed one
 // once failed messages whose adapters had restarted with it.
 func TestLaneOf(t *testing.T) {
-	rules := &config.Rules{Lanes: map[string]config.Lane{"l": {Name: "l", Rerun: true}}}
+	rules := &config.Rules{Lanes: map[string]config.Lane{"l": {Name: "l", AllowsRerun: true}}}
 	cases := []struct {
 		name             string
 		rules            *config.Rules
@@ -28,7 +28,7 @@
 			Convey(c.name, func() {
 				lane, isKnown := laneOf(c.rules, "l", c.isFresh)
 				So(isKnown, ShouldEqual, c.isKnown)
-				So(lane.Rerun, ShouldEqual, c.isRerun)
+				So(lane.AllowsRerun, ShouldEqual, c.isRerun)
 			})
 		}
 	})
--- a/internal/store/recall_test.go
+++ b/internal/store/timerecovery_test.go
@@ -13,23 +13,23 @@
 	"caperwheel/internal/wire"
 )
 
-// recalling returns a place with a message whose newest command is at 1,000 in term 5, just owned in term 7, with
+// recoveringHarness returns a place with a message whose newest command is at 1,000 in term 5, just owned in term 7, with
 // so many adapters as members.
-func recalling(adapters int) *bench {
-	b := newBench()
+func recoveringHarness(adapters int) *harness {
+	b := newHarness()
 	b.dataTerm, b.term = 5, 7
 	for i := range adapters {
 		name := fmt.Sprint("a", i)
 		b.adapters = append(b.adapters, wire.Who{Name: name, Boot: name + ".1"})
 	}
-	b.place.Owned(false)
+	b.place.OwnershipChanged(false)
 	b.place.Apply(place.Command{Kind: place.CmdTake, Id: "0-x", Lane: "l", Deadline: 600_000, Delay: 9000, At: 1000}.Encode(), false)
-	b.place.Owned(true)
+	b.place.OwnershipChanged(true)
 	return b
 }
 
 // asked lists the answers to the asks for the time, or to words of it, and forgets them.
-func asked[T any](b *bench) (out []func(any, error)) {
+func takeReplies[T any](b *harness) (out []func(any, error)) {
 	for i, ask := range b.posted {
 		if _, is := ask.(T); is {
 			out = append(out, b.answers[i])
@@ -39,128 +39,128 @@
 	return out
 }
 
-// lose ends the ownership.
-func (b *bench) lose() {
+// loseOwnership ends the ownership.
+func (b *harness) loseOwnership() {
 	b.isFollower = true
-	b.place.Owned(false)
+	b.place.OwnershipChanged(false)
 }
 
-// keep has the first adapter that is told the time keep it.
-func (b *bench) keep() { asked[*wire.TellTime](b)[0](&wire.TimeTold{}, nil) }
+// storeTime has the first adapter that is told the time keep it.
+func (b *harness) storeTime() { takeReplies[*wire.TellTime](b)[0](&wire.TimeTold{}, nil) }
 
-func (b *bench) pass(span time.Duration) {
+func (b *harness) advance(span time.Duration) {
 	b.now += span
 	b.place.Tick(b.now)
 }
 
 // TestRecallBeforeOwnership: a new owner once began at the newest command in its log, however long ago that was.
 func TestRecallBeforeOwnership(t *testing.T) {
-	redial := timing.Default.Of(timing.Redial)
-	rest, listen := timing.Default.Of(timing.RecallRest), timing.Default.Of(timing.Recall)
-	limit, alone := timing.Default.Of(timing.RecallLimit), timing.Default.Of(timing.RecallAlone)
+	redial := timing.Default.Of(timing.RedialDelay)
+	rest, listen := timing.Default.Of(timing.TimeQueryGrace), timing.Default.Of(timing.TimeQueryTimeout)
+	limit, alone := timing.Default.Of(timing.TimeRecoveryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
 	known := &wire.TimeKept{Term: 5, Reading: 9000}
 	Convey("The owner of a place that holds nothing owns it at once", t, func() {
-		b := newBench()
+		b := newHarness()
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
 	Convey("The owner of one that holds a message", t, func() {
-		b := recalling(2)
-		asks := asked[*wire.AskTime](b)
+		b := recoveringHarness(2)
+		asks := takeReplies[*wire.AskTime](b)
 		So(asks, ShouldHaveLength, 2)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
 		Convey("goes on from what an adapter tells that knows, and waits for others only shortly", func() {
 			asks[1](known, nil)
-			b.pass(rest - time.Millisecond)
-			So(asked[*wire.TellTime](b), ShouldBeEmpty)
-			b.pass(time.Millisecond)
+			b.advance(rest - time.Millisecond)
+			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
+			b.advance(time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			b.keep()
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
-			So(b.place.isUntimed.Load(), ShouldBeFalse)
+			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 			Convey("and from none that comes later", func() {
 				asks[0](&wire.TimeKept{Term: 6, Reading: 20_000}, nil)
 				So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
 			})
 			Convey("so that a delay ends in time", func() {
 				So(b.place.Ready(), ShouldBeEmpty)
-				b.pass(time.Second)
+				b.advance(time.Second)
 				So(b.place.Ready(), ShouldResemble, map[string]int{"l": 1})
 			})
 		})
 		Convey("goes on from the farthest of several words, since an adapter that stood still as it was told is behind", func() {
 			asks[1](known, nil)
 			asks[0](&wire.TimeKept{Term: 5, Reading: 11_000}, nil)
-			b.keep()
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.now(), ShouldEqual, 11_000)
 		})
 		Convey("does not wait for one whose answer was lost, once it knows", func() {
 			asks[0](nil, errs.New(errs.Lost, "gone"))
 			asks[1](known, nil)
-			b.keep()
+			b.storeTime()
 			So(b.place.now(), ShouldEqual, 9000)
 		})
 		Convey("goes on by itself where all have answered that they know nothing, once it has listened for a while", func() {
 			asks[0](&wire.TimeKept{}, nil)
 			asks[1](&wire.TimeKept{}, nil)
-			b.pass(listen - time.Millisecond)
+			b.advance(listen - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			b.pass(time.Millisecond)
-			b.keep()
+			b.advance(time.Millisecond)
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.now(), ShouldEqual, 1000+listen.Milliseconds())
-			told, _ := b.place.Story("0-x")
-			So([]any{told.Untimed, told.TimeMs}, ShouldResemble, []any{true, 1000 + listen.Milliseconds()})
+			told, _ := b.place.MessageStatus("0-x")
+			So([]any{told.IsTimeUnknown, told.TimeMs}, ShouldResemble, []any{true, 1000 + listen.Milliseconds()})
 		})
 		Convey("waits for an adapter that is slow to answer", func() {
 			asks[0](&wire.TimeKept{}, nil)
-			b.pass(limit - time.Millisecond)
+			b.advance(limit - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			asks[1](known, nil) // it may be from long ago
-			b.pass(0)
-			again := asked[*wire.AskTime](b)
+			b.advance(0)
+			again := takeReplies[*wire.AskTime](b)
 			So(again, ShouldHaveLength, 1)
 			again[0](&wire.TimeKept{Term: 5, Reading: 9100}, nil)
 			So(b.place.now(), ShouldEqual, 9100)
-			b.keep()
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
-			So(b.place.isUntimed.Load(), ShouldBeFalse)
+			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 		})
 		Convey("goes on from an old word where no newer one comes", func() {
-			b.pass(listen + time.Millisecond)
+			b.advance(listen + time.Millisecond)
 			asks[1](known, nil)
-			b.pass(limit)
+			b.advance(limit)
 			So(b.place.now(), ShouldEqual, 9000+limit.Milliseconds())
-			b.keep()
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
-			So(b.place.isUntimed.Load(), ShouldBeFalse)
+			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 		})
 		Convey("waits for an answer no longer than a while where another has answered, nor for one that keeps the time", func() {
 			asks[0](&wire.TimeKept{}, nil)
-			b.pass(limit)
-			So(asked[*wire.TellTime](b), ShouldNotBeEmpty)
-			b.pass(listen - time.Millisecond)
+			b.advance(limit)
+			So(takeReplies[*wire.TellTime](b), ShouldNotBeEmpty)
+			b.advance(listen - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			b.pass(time.Millisecond)
+			b.advance(time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeTrue)
-			So(b.place.isUntimed.Load(), ShouldBeTrue)
+			So(b.place.isTimeUnknown.Load(), ShouldBeTrue)
 		})
 		Convey("waits for longer where none has answered, but not for ever", func() {
-			b.pass(alone - time.Millisecond)
-			So(asked[*wire.TellTime](b), ShouldBeEmpty)
-			b.pass(time.Millisecond)
-			b.keep()
+			b.advance(alone - time.Millisecond)
+			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
+			b.advance(time.Millisecond)
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
 		Convey("asks an adapter again whose answer was lost", func() {
 			asks[0](&wire.TimeKept{}, nil)
 			asks[1](nil, errs.New(errs.Lost, "reset"))
-			b.pass(redial - time.Millisecond)
-			So(asked[*wire.AskTime](b), ShouldBeEmpty)
-			b.pass(time.Millisecond)
+			b.advance(redial - time.Millisecond)
+			So(takeReplies[*wire.AskTime](b), ShouldBeEmpty)
+			b.advance(time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			again := asked[*wire.AskTime](b)
+			again := takeReplies[*wire.AskTime](b)
 			So(again, ShouldHaveLength, 1)
 			again[0](known, nil)
 			So(b.place.now(), ShouldEqual, 9000)
@@ -169,24 +169,24 @@
 			asks[0](&wire.TimeKept{}, nil)
 			asks[1](nil, errs.New(errs.Lost, "gone"))
 			b.adapters = b.adapters[:1]
-			b.pass(listen)
-			b.keep()
+			b.advance(listen)
+			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
 		Convey("has an adapter keep what it knows before it begins, and tells those again that are slow", func() {
 			asks[0](known, nil)
 			asks[1](&wire.TimeKept{}, nil)
-			So(asked[*wire.TellTime](b), ShouldHaveLength, 2)
-			b.pass(limit - time.Millisecond)
+			So(takeReplies[*wire.TellTime](b), ShouldHaveLength, 2)
+			b.advance(limit - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			So(b.proposed, ShouldBeEmpty)
-			asked[*wire.TellTime](b)[0](&wire.TimeTold{}, nil)
+			takeReplies[*wire.TellTime](b)[0](&wire.TimeTold{}, nil)
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
 		Convey("asks those that become members meanwhile", func() {
 			b.adapters = append(b.adapters, wire.Who{Name: "late", Boot: "late.1"})
-			b.pass(listen)
-			late := asked[*wire.AskTime](b)
+			b.advance(listen)
+			late := takeReplies[*wire.AskTime](b)
 			So(late, ShouldHaveLength, 1)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			late[0](known, nil)
@@ -196,7 +196,7 @@
 			b.now += listen + time.Millisecond
 			asks[0](known, nil)
 			b.place.Tick(b.now)
-			again := asked[*wire.AskTime](b)
+			again := takeReplies[*wire.AskTime](b)
 			So(again, ShouldHaveLength, 1)
 			again[0](&wire.TimeKept{Term: 5, Reading: 9300}, nil)
 			So(b.place.now(), ShouldEqual, 9300)
@@ -205,7 +205,7 @@
 			asks[0](&wire.TimeKept{Term: 4, Reading: 20_000}, nil)
 			asks[1](&wire.TimeKept{Term: 7, Reading: 20_000}, nil)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			b.pass(listen)
+			b.advance(listen)
 			So(b.place.now(), ShouldEqual, 1000+listen.Milliseconds())
 		})
 		Convey("proposes, takes and answers nothing before", func() {
@@ -214,16 +214,16 @@
 			b.place.Look(&wire.Look{Id: "0-x"}, func(reply any) { looked = reply.(*wire.Sight) })
 			settled := &wire.Taken{}
 			b.place.Settle(&wire.Settle{Id: "0-z", Lane: "l"}, func(reply any) { settled = reply.(*wire.Taken) })
-			b.pass(0)
+			b.advance(0)
 			So([]string{taken.Kind, looked.Kind, settled.Kind}, ShouldResemble, []string{"not_owner", "not_owner", "not_owner"})
 			So(b.proposed, ShouldBeEmpty)
 		})
 		Convey("that has lost its ownership meanwhile does not go on with it", func() {
-			b.lose()
+			b.loseOwnership()
 			asks[0](known, nil)
-			b.pass(limit)
+			b.advance(limit)
 			So(b.place.now(), ShouldEqual, 1000+limit.Milliseconds())
-			So(asked[*wire.TellTime](b), ShouldBeEmpty)
+			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/store/recallviews_test.go
+++ b/internal/store/timerecoveryviews_test.go
@@ -13,56 +13,56 @@
 
 // TestRecallByView: an owner asks the adapters that its view names, and knows of none before that is fresh.
 func TestRecallByView(t *testing.T) {
-	listen, alone := timing.Default.Of(timing.Recall), timing.Default.Of(timing.RecallAlone)
+	listen, alone := timing.Default.Of(timing.TimeQueryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
 	Convey("An owner that knows of no adapter waits for some, but not for ever", t, func() {
-		b := recalling(0)
-		b.pass(alone - time.Millisecond)
+		b := recoveringHarness(0)
+		b.advance(alone - time.Millisecond)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
-		b.pass(time.Millisecond)
+		b.advance(time.Millisecond)
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
 	Convey("Adapters of an older build are not waited for", t, func() {
-		b := recalling(0)
-		b.isRefusing, b.adapters = true, []wire.Who{{Name: "old", Boot: "old.1"}}
-		b.pass(0)
-		b.pass(listen)
+		b := recoveringHarness(0)
+		b.rejectsTimeMessages, b.adapters = true, []wire.Who{{Name: "old", Boot: "old.1"}}
+		b.advance(0)
+		b.advance(listen)
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
 	Convey("An owner whose view is stale waits for a fresh one, since it may name more adapters", t, func() {
-		b := recalling(1)
-		asked[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
-		b.fresh = []bool{false}
-		b.pass(listen)
-		So(asked[*wire.TellTime](b), ShouldBeEmpty)
-		b.pass(time.Millisecond)
-		b.keep()
+		b := recoveringHarness(1)
+		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
+		b.freshAnswers = []bool{false}
+		b.advance(listen)
+		So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
+		b.advance(time.Millisecond)
+		b.storeTime()
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
 	Convey("An owner that has no fresh view for long asks those that it names then", t, func() {
-		b := recalling(0)
-		b.place.Owned(false)
-		b.fresh = []bool{false, false, false}
-		b.place.Owned(true)
-		b.pass(alone)
-		b.pass(alone)
+		b := recoveringHarness(0)
+		b.place.OwnershipChanged(false)
+		b.freshAnswers = []bool{false, false, false}
+		b.place.OwnershipChanged(true)
+		b.advance(alone)
+		b.advance(alone)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
 		b.adapters = []wire.Who{{Name: "a", Boot: "a.1"}}
-		b.pass(time.Millisecond)
-		asked[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 90_000}, nil)
+		b.advance(time.Millisecond)
+		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 90_000}, nil)
 		So(b.place.now(), ShouldEqual, 90_000)
 	})
 	Convey("An owner whose view names ever more adapters goes on listening for others", t, func() {
-		b := recalling(0)
+		b := recoveringHarness(0)
 		for i := range 3 {
-			b.pass(listen - time.Millisecond)
+			b.advance(listen - time.Millisecond)
 			name := fmt.Sprint("new", i)
 			b.adapters = append(b.adapters, wire.Who{Name: name, Boot: name + ".1"})
-			b.pass(0)
-			asked[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
+			b.advance(0)
+			takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
 		}
-		b.pass(listen - time.Millisecond)
-		So(asked[*wire.TellTime](b), ShouldBeEmpty)
-		b.pass(time.Millisecond)
-		So(asked[*wire.TellTime](b), ShouldHaveLength, 3)
+		b.advance(listen - time.Millisecond)
+		So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
+		b.advance(time.Millisecond)
+		So(takeReplies[*wire.TellTime](b), ShouldHaveLength, 3)
 	})
 }
--- a/internal/store/lateanswers_test.go
+++ b/internal/store/timereplicationlate_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// lateAnswer is an adapter's answer that comes at a moment.
-type lateAnswer struct {
+// delayedAnswer is an adapter's answer that comes at a moment.
+type delayedAnswer struct {
 	at     time.Duration
 	answer func(any, error)
 }
@@ -20,12 +20,12 @@
 // to all that had not answered yet.
 func TestLateAnswersAreNotAnsweredByAll(t *testing.T) {
 	Convey("Of eight adapters that answer late, each is told again no sooner than it answers, or the time is marked", t, func() {
-		b, random := recalling(mostKeepers), rand.New(rand.NewPCG(1, 2))
-		asked[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 9000}, nil)
-		queue, posts := []lateAnswer{}, 0
-		for range 20 * time.Second / thawTick {
-			b.now += thawTick
-			waiting := []lateAnswer{}
+		b, random := recoveringHarness(maxTimeHolders), rand.New(rand.NewPCG(1, 2))
+		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 9000}, nil)
+		queue, posts := []delayedAnswer{}, 0
+		for range 20 * time.Second / recoveryTick {
+			b.now += recoveryTick
+			waiting := []delayedAnswer{}
 			for _, late := range queue {
 				if late.at > b.now {
 					waiting = append(waiting, late)
@@ -39,12 +39,12 @@
 				if _, isTell := ask.(*wire.TellTime); isTell {
 					posts++
 					late := time.Duration(320+random.IntN(580)) * time.Millisecond
-					queue = append(queue, lateAnswer{b.now + late, b.answers[i]})
+					queue = append(queue, delayedAnswer{b.now + late, b.answers[i]})
 				}
 			}
 			b.posted, b.answers, b.proposed = nil, nil, nil
 		}
-		So(posts, ShouldBeGreaterThan, mostKeepers)
-		So(posts, ShouldBeLessThanOrEqualTo, mostKeepers*20*1000/320)
+		So(posts, ShouldBeGreaterThan, maxTimeHolders)
+		So(posts, ShouldBeLessThanOrEqualTo, maxTimeHolders*20*1000/320)
 	})
 }
--- a/internal/store/upkeep.go
+++ b/internal/store/upkeep.go
@@ -14,47 +14,47 @@
 	"caperwheel/internal/wire"
 )
 
-// upkeep founds, watches the disk, and keeps the log short.
-func (s *Store) upkeep(ctx context.Context) {
-	go timing.Every(ctx, s.d.Bounds.Of(timing.Join), func() { s.founder.try(s.d.Now()) })
+// maintain founds, watches the disk, and keeps the log short.
+func (s *Store) maintain(ctx context.Context) {
+	go timing.Every(ctx, s.d.Bounds.Of(timing.JoinInterval), func() { s.bootstrapper.joinOrBootstrap(s.d.Now()) })
 	timing.Every(ctx, s.d.Bounds.Of(timing.AnswerTimeout), func() {
-		for _, who := range s.d.Membership.Kind("adapter") {
-			s.d.Node.Peer(wire.RunLink, who.Addr).Warm()
+		for _, who := range s.d.Membership.OfKind("adapter") {
+			s.d.Node.Peer(wire.RunLink, who.Addr).EnsureConnected()
 		}
-		isFull := s.disk.IsFull()
+		isFull := s.disk.IsDiskFull()
 		if s.diskFull.Swap(isFull) != isFull {
 			klog.Warningf("store: Disk nearly full is now %t; intake follows.", isFull)
 		}
-		tight := isTight(liveBytes(), s.d.Settings.Memory)
-		if s.isTight.Swap(tight) != tight {
-			klog.Warningf("store: Memory nearly used up is now %t; intake follows.", tight)
+		isLow := isMemoryLow(liveHeapBytes(), s.d.Settings.MemoryLimit)
+		if s.isMemoryLow.Swap(isLow) != isLow {
+			klog.Warningf("store: Memory nearly used up is now %t; intake follows.", isLow)
 		}
 		if s.disk.Segments() > 4 {
-			for _, id := range s.disk.Behind(s.groupIds()) {
+			for _, id := range s.disk.GroupsHoldingSegments(s.groupIds()) {
 				s.hostOf(id).Compact()
 			}
 		}
 	})
 }
 
-// missing tells all groups that a store's process has ended: nobody listens
+// reportMissingStore tells all groups that a store's process has ended: nobody listens
 // where it was.
-func (s *Store) missing(addr string) {
-	for _, who := range s.d.Membership.Kind("store") {
+func (s *Store) reportMissingStore(addr string) {
+	for _, who := range s.d.Membership.OfKind("store") {
 		if who.Addr != addr || who.Name == s.d.Who.Name {
 			continue
 		}
 		for _, id := range s.groupIds() {
-			s.hostOf(id).Missing(who.Name)
+			s.hostOf(id).ReportStoreDown(who.Name)
 		}
 	}
 }
 
-// leave goes in order. The store stays a follower, with its disk, until its process ends:
+// drain goes in order. The store stays a follower, with its disk, until its process ends:
 // others go on sending it entries.
-func (s *Store) leave(ctx context.Context) {
-	departure := NewDeparture(DepartureOptions{Daemon: s.d, Hosts: s.heldHosts, Places: s.ownPlaces})
-	for ctx.Err() == nil && !departure.Step() {
+func (s *Store) drain(ctx context.Context) {
+	drain := NewDrain(DrainOptions{Daemon: s.d, Hosts: s.heldHosts, Places: s.listPlaces})
+	for ctx.Err() == nil && !drain.Step() {
 		timing.Wait(ctx, s.d.Bounds.Of(timing.StalePoll))
 	}
 }
@@ -62,7 +62,7 @@
 func (s *Store) ready() (bool, string) {
 	switch {
 	case !s.isOpen.Load():
-		return false, string(errs.Unfounded)
+		return false, string(errs.NotBootstrapped)
 	case !s.d.IsFresh():
 		return false, string(errs.Stale)
 	}
--- a/internal/timing/timeout.go
+++ b/internal/timing/timeout.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// patienceTurns is into how many turns a bound is cut.
-const patienceTurns = 20
+// timeoutSlices is into how many turns a bound is cut.
+const timeoutSlices = 20
 
 // WithRunningTimeout returns a context that ends once the process has been running for so
 // long. Time for which the whole process stood still counts as one turn at
@@ -29,12 +29,12 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if turns.Add(1) >= patienceTurns {
+		if turns.Add(1) >= timeoutSlices {
 			cancel(context.DeadlineExceeded)
 			return
 		}
-		after(bound/patienceTurns, turn)
+		after(bound/timeoutSlices, turn)
 	}
-	after(bound/patienceTurns, turn)
+	after(bound/timeoutSlices, turn)
 	return ctx, func() { cancel(context.Canceled) }
 }
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -10,10 +10,10 @@
 
 func TestRatiosStopADaemonInTime(t *testing.T) {
 	Convey("A daemon that hears nothing more stops before the bound has passed", t, func() {
-		So(int(Fresh+3*Poll), ShouldBeLessThan, 1000)
+		So(int(ViewAgeLimit+3*Poll), ShouldBeLessThan, 1000)
 	})
 	Convey("A duty's fence is no shorter than a stale holder may go on", t, func() {
-		So(int(Fence), ShouldBeGreaterThanOrEqualTo, int(Fresh))
+		So(int(Fence), ShouldBeGreaterThanOrEqualTo, int(ViewAgeLimit))
 	})
 }
 
@@ -27,7 +27,7 @@
 		ctx, cancel := withRunningTimeout(context.Background(), time.Second, after)
 		defer cancel()
 		Convey("it ends when the process has run for that long", func() {
-			for range patienceTurns - 1 {
+			for range timeoutSlices - 1 {
 				next()
 				So(ctx.Err(), ShouldBeNil)
 			}
--- a/internal/transport/batch.go
+++ b/internal/transport/batch.go
@@ -9,16 +9,16 @@
 )
 
 type frame struct {
-	raw    []byte // head and array; reused
-	seq    uint32
-	weight int // of its messages
+	raw          []byte // head and array; reused
+	seq          uint32
+	payloadBytes int // of its messages
 }
 
 // batch is a full buffer on its way to become a frame.
 type batch struct {
-	items  []wire.Item
-	seq    uint32
-	weight int
+	items        []wire.Item
+	seq          uint32
+	payloadBytes int
 }
 
 var (
@@ -26,31 +26,31 @@
 	itemPool = sync.Pool{New: func() any { items := make([]wire.Item, 0, 8); return &items }}
 )
 
-// convert turns a batch into a frame for the writing goroutine.
-func (o *outbox) convert(b batch) {
+// encodeBatch turns a batch into a frame for the writing goroutine.
+func (o *outbox) encodeBatch(b batch) {
 	raw := rawPool.Get().(*[]byte)
-	w := o.codec.Take()
-	defer o.codec.Give(w)
+	w := o.codec.AcquireWriter()
+	defer o.codec.ReleaseWriter(w)
 	for _, item := range b.items {
 		before := w.Buffered()
 		if err := o.codec.Append(w, item); err != nil {
 			o.fail(err)
 			return
 		}
-		o.flow.count(item.Body, w.Buffered()-before)
+		o.metrics.countSent(item.Body, w.Buffered()-before)
 	}
 	count := len(b.items)
 	clear(b.items) // what was sent is not held on to
 	itemPool.Put(&b.items)
-	out := append((*raw)[:0], make([]byte, headSize+4)...)
-	binary.BigEndian.PutUint32(out[headSize:], uint32(count))
+	out := append((*raw)[:0], make([]byte, frameHeaderSize+4)...)
+	binary.BigEndian.PutUint32(out[frameHeaderSize:], uint32(count))
 	out = append(out, w.Buffer()...)
-	if len(out)-headSize > o.opts.FrameLimit {
+	if len(out)-frameHeaderSize > o.opts.FrameLimit {
 		o.fail(errs.New(errs.TooLarge, "batch of %d bytes", len(out)))
 		return
 	}
 	o.mu.Lock()
-	o.ready = append(o.ready, frame{raw: out, seq: b.seq, weight: b.weight})
+	o.ready = append(o.ready, frame{raw: out, seq: b.seq, payloadBytes: b.payloadBytes})
 	o.mu.Unlock()
 	o.wake()
 }
--- a/internal/transport/compress.go
+++ b/internal/transport/compress.go
@@ -12,44 +12,44 @@
 	"caperwheel/internal/wire"
 )
 
-// compressedSince is the wire version from which arrays may be compressed.
-const compressedSince = 5
+// compressionSinceVersion is the wire version from which arrays may be compressed.
+const compressionSinceVersion = 5
 
-// historySize is how many bytes of the arrays before it an array is compressed against;
+// historyBytesLimit is how many bytes of the arrays before it an array is compressed against;
 // the library takes no more.
-const historySize = 8 << 10
+const historyBytesLimit = 8 << 10
 
-// leastCompressed is the size of an array, in bytes, below which compression saves less than a
+// minCompressedBytes is the size of an array, in bytes, below which compression saves less than a
 // packet's head.
-const leastCompressed = 64
+const minCompressedBytes = 64
 
-// isCompressed reports whether the arrays of a session are compressed: those between zones,
+// shouldCompress reports whether the arrays of a session are compressed: those between zones,
 // whose bytes cost more than the time that compression takes.
-func isCompressed(self, peer wire.Who, version int64) bool {
-	return version >= compressedSince && self.Zone != peer.Zone
+func shouldCompress(self, peer wire.Who, version int64) bool {
+	return version >= compressionSinceVersion && self.Zone != peer.Zone
 }
 
-// history holds the newest arrays of one direction of a session, as they were before
+// compressionHistory holds the newest arrays of one direction of a session, as they were before
 // compression. Both ends keep it alike, so that an array is compressed against what the
 // other end has already received. A nil history compresses nothing.
 //
-// Invariant: after each array both ends hold the same bytes, at most historySize of them.
-type history struct{ bytes []byte }
+// Invariant: after each array both ends hold the same bytes, at most historyBytesLimit of them.
+type compressionHistory struct{ bytes []byte }
 
-func newHistory(isCompressed bool) *history {
+func newCompressionHistory(isCompressed bool) *compressionHistory {
 	if !isCompressed {
 		return nil
 	}
-	return &history{}
+	return &compressionHistory{}
 }
 
 // add notes an array that has been sent or received.
-func (h *history) add(array []byte) {
-	if len(array) >= historySize {
-		h.bytes = append(h.bytes[:0], array[len(array)-historySize:]...)
+func (h *compressionHistory) add(array []byte) {
+	if len(array) >= historyBytesLimit {
+		h.bytes = append(h.bytes[:0], array[len(array)-historyBytesLimit:]...)
 		return
 	}
-	if excess := len(h.bytes) + len(array) - historySize; excess > 0 {
+	if excess := len(h.bytes) + len(array) - historyBytesLimit; excess > 0 {
 		kept := copy(h.bytes, h.bytes[excess:])
 		h.bytes = h.bytes[:kept]
 	}
@@ -58,8 +58,8 @@
 
 // compress appends the compressed array to out. It reports false, with out as it was, where
 // that is no shorter.
-func (h *history) compress(out, array []byte) ([]byte, bool) {
-	if len(array) < leastCompressed {
+func (h *compressionHistory) compress(out, array []byte) ([]byte, bool) {
+	if len(array) < minCompressedBytes {
 		return out, false
 	}
 	buffer := bytes.NewBuffer(out)
@@ -70,10 +70,10 @@
 	return buffer.Bytes(), true
 }
 
-// expand appends the array that was compressed to out, at most limit bytes.
-func (h *history) expand(out, compressed []byte, limit int) ([]byte, error) {
-	reader := inflaters.Get().(io.ReadCloser)
-	defer inflaters.Put(reader)
+// decompress appends the array that was compressed to out, at most limit bytes.
+func (h *compressionHistory) decompress(out, compressed []byte, limit int) ([]byte, error) {
+	reader := inflaterPool.Get().(io.ReadCloser)
+	defer inflaterPool.Put(reader)
 	if err := reader.(flate.Resetter).Reset(bytes.NewReader(compressed), h.bytes); err != nil {
 		return out, errs.Wrap(err, errs.Corrupt, "compressed array")
 	}
@@ -88,4 +88,4 @@
 	return buffer.Bytes(), nil
 }
 
-var inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+var inflaterPool = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
--- a/internal/transport/compress_test.go
+++ b/internal/transport/compress_test.go
@@ -24,16 +24,16 @@
 	return out
 }
 
-// travel sends an array from one end's history to the other's, and returns what arrives and
+// transfer sends an array from one end's history to the other's, and returns what arrives and
 // how many bytes went between.
-func travel(from, to *history, array []byte, limit int) ([]byte, int, error) {
+func transfer(from, to *compressionHistory, array []byte, limit int) ([]byte, int, error) {
 	out, isCompressed := from.compress(nil, array)
 	from.add(array)
 	if !isCompressed {
 		to.add(array)
 		return array, len(array), nil
 	}
-	got, err := to.expand(nil, out, limit)
+	got, err := to.decompress(nil, out, limit)
 	if err == nil {
 		to.add(got)
 	}
@@ -46,47 +46,47 @@
 	const limit = 4 << 20
 	Convey("Given the two ends of a direction, in which arrays of all sizes travel,", t, func() {
 		random := rand.New(rand.NewPCG(1, 2))
-		from, to := &history{}, &history{}
-		for _, size := range []int{0, 4, 63, 64, 1000, historySize - 1, historySize, historySize + 1, 100_000, 2 << 20} {
+		from, to := &compressionHistory{}, &compressionHistory{}
+		for _, size := range []int{0, 4, 63, 64, 1000, historyBytesLimit - 1, historyBytesLimit, historyBytesLimit + 1, 100_000, 2 << 20} {
 			for _, array := range [][]byte{randomBytes(random, size), bytes.Repeat([]byte("record"), size/6)} {
-				got, sent, err := travel(from, to, array, limit)
+				got, sent, err := transfer(from, to, array, limit)
 				So(err, ShouldBeNil)
 				So(bytes.Equal(got, array), ShouldBeTrue)
 				So(sent, ShouldBeLessThanOrEqualTo, len(array))
 				So(bytes.Equal(from.bytes, to.bytes), ShouldBeTrue)
-				So(len(from.bytes), ShouldBeLessThanOrEqualTo, historySize)
+				So(len(from.bytes), ShouldBeLessThanOrEqualTo, historyBytesLimit)
 			}
 		}
 		Convey("a record like those before it takes a third of its bytes", func() {
 			record := strings.Repeat("lane=readings pool=workers adapter=front-7 boot=", 4)
-			_, _, err := travel(from, to, []byte(record+"one"), limit)
+			_, _, err := transfer(from, to, []byte(record+"one"), limit)
 			So(err, ShouldBeNil)
-			_, sent, err := travel(from, to, []byte(record+"two"), limit)
+			_, sent, err := transfer(from, to, []byte(record+"two"), limit)
 			So(err, ShouldBeNil)
 			So(sent, ShouldBeLessThan, len(record)/3)
 		})
 		Convey("one that is longer than the limit of frames is refused", func() {
-			_, _, err := travel(from, to, make([]byte, limit+1), limit)
+			_, _, err := transfer(from, to, make([]byte, limit+1), limit)
 			So(errs.Is(err, errs.TooLarge), ShouldBeTrue)
 		})
 		Convey("bytes that were not compressed so are refused", func() {
-			_, err := to.expand(nil, randomBytes(random, 100), limit)
+			_, err := to.decompress(nil, randomBytes(random, 100), limit)
 			So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 		})
 	})
 	Convey("Only sessions between zones are compressed, and only where both ends know how", t, func() {
 		a, b := wire.Who{Zone: "a"}, wire.Who{Zone: "b"}
-		So(isCompressed(a, b, wire.Version), ShouldBeTrue)
-		So(isCompressed(a, a, wire.Version), ShouldBeFalse)
-		So(isCompressed(a, b, compressedSince-1), ShouldBeFalse)
+		So(shouldCompress(a, b, wire.Version), ShouldBeTrue)
+		So(shouldCompress(a, a, wire.Version), ShouldBeFalse)
+		So(shouldCompress(a, b, compressionSinceVersion-1), ShouldBeFalse)
 	})
 }
 
 // TestCompressedSessions: the same over connections, with batches cut on many goroutines.
 func TestCompressedSessions(t *testing.T) {
 	const asks = 500
-	patient := timing.Bounds{Config: 5 * time.Minute} // a busy machine ends no session: what is tested is what the bytes mean
-	for _, newest := range []int64{compressedSince - 1, wire.Version} {
+	patient := timing.Bounds{ConfigApply: 5 * time.Minute} // a busy machine ends no session: what is tested is what the bytes mean
+	for _, newest := range []int64{compressionSinceVersion - 1, wire.Version} {
 		Convey("Two nodes in two zones, one of them of some version, understand each other", t, func() {
 			server, err := NewNode(Options{Self: wire.Who{Name: "server", Zone: "a"}, Listen: "127.0.0.1:0", Batch: 3, Bounds: patient,
 				Handlers: map[string]Handler{"place": func(_ wire.Who, body any, answer func(any)) {
@@ -95,13 +95,13 @@
 				}}})
 			So(err, ShouldBeNil)
 			go server.Serve()
-			client, err := NewNode(Options{Self: wire.Who{Name: "client", Zone: "b"}, Batch: 3, Bounds: patient, Newest: newest, Oldest: wire.Oldest})
+			client, err := NewNode(Options{Self: wire.Who{Name: "client", Zone: "b"}, Batch: 3, Bounds: patient, Newest: newest, Oldest: wire.OldestVersion})
 			So(err, ShouldBeNil)
 			Reset(server.Close)
 			Reset(client.Close)
 			peer := client.Peer(wire.PlaceLink, server.Addr())
-			dialled(peer)
-			So(peer.session.past != nil, ShouldEqual, newest >= compressedSince)
+			waitConnected(peer)
+			So(peer.session.history != nil, ShouldEqual, newest >= compressionSinceVersion)
 			wrong := make(chan string, asks)
 			for i := range asks {
 				go func() {
@@ -124,7 +124,7 @@
 	}
 	Convey("A compressed array in a session that has none ends it", t, func() {
 		s := &session{}
-		_, err := s.expand(head{isCompressed: true}, []byte("x"))
+		_, err := s.decompress(frameHeader{isCompressed: true}, []byte("x"))
 		So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 	})
 }
--- a/internal/transport/shake.go
+++ b/internal/transport/handshake.go
@@ -11,28 +11,28 @@
 )
 
 var (
-	helloCodec   = wire.NewPlain(&wire.Hello{})
-	welcomeCodec = wire.NewPlain(&wire.Welcome{})
+	helloCodec   = wire.NewRecordCodec(&wire.Hello{})
+	welcomeCodec = wire.NewRecordCodec(&wire.Welcome{})
 )
 
-const shakeLimit = 4 << 10
+const handshakeBytesLimit = 4 << 10
 
 // magic opens every connection, so that a stranger is told apart at once.
 var magic = [4]byte{'c', 'w', 'h', 1}
 
-func writeShake(conn net.Conn, body []byte) error {
+func writeHandshake(conn net.Conn, body []byte) error {
 	raw := append(append([]byte{}, magic[:]...), binary.BigEndian.AppendUint32(nil, uint32(len(body)))...)
 	_, err := conn.Write(append(raw, body...))
 	return errs.Wrap(err, errs.Lost, "write handshake")
 }
 
-func readShake(conn net.Conn) ([]byte, error) {
+func readHandshake(conn net.Conn) ([]byte, error) {
 	var raw [8]byte
 	if _, err := io.ReadFull(conn, raw[:]); err != nil {
 		return nil, errs.Wrap(err, errs.Lost, "read handshake")
 	}
 	size := binary.BigEndian.Uint32(raw[4:])
-	if [4]byte(raw[:4]) != magic || size > shakeLimit {
+	if [4]byte(raw[:4]) != magic || size > handshakeBytesLimit {
 		return nil, errs.New(errs.Corrupt, "not a caperwheel peer")
 	}
 	body := make([]byte, size)
@@ -43,19 +43,19 @@
 // dial opens a session and shakes hands. Both sides settle on the lower of
 // their newest wire versions; no overlap is a reject.
 func (n *Node) dial(link *wire.Link, addr string) (*session, error) {
-	dialer := net.Dialer{Timeout: n.opts.Bounds.Of(deadRatio), KeepAliveConfig: n.opts.Bounds.Probes()}
+	dialer := net.Dialer{Timeout: n.opts.Bounds.Of(connectionTimeoutRatio), KeepAliveConfig: n.opts.Bounds.KeepAliveConfig()}
 	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Lost, "dial %s", addr)
 	}
-	conn.SetDeadline(time.Now().Add(n.opts.Bounds.Of(deadRatio)))
+	conn.SetDeadline(time.Now().Add(n.opts.Bounds.Of(connectionTimeoutRatio)))
 	hello := wire.Hello{Who: n.opts.Self, Link: link.Name, Newest: n.opts.Newest,
 		Oldest: n.opts.Oldest, Window: int64(n.opts.Window), Cluster: n.opts.Shape}
 	var welcome wire.Welcome
-	err = writeShake(conn, helloCodec.Encode(&hello))
+	err = writeHandshake(conn, helloCodec.Encode(&hello))
 	if err == nil {
 		var raw []byte
-		if raw, err = readShake(conn); err == nil {
+		if raw, err = readHandshake(conn); err == nil {
 			err = welcomeCodec.Decode(raw, &welcome)
 		}
 	}
@@ -75,9 +75,9 @@
 
 // accept answers one handshake and serves the session.
 func (n *Node) accept(conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(n.opts.Bounds.Of(deadRatio)))
+	conn.SetDeadline(time.Now().Add(n.opts.Bounds.Of(connectionTimeoutRatio)))
 	var hello wire.Hello
-	raw, err := readShake(conn)
+	raw, err := readHandshake(conn)
 	if err == nil {
 		err = helloCodec.Decode(raw, &hello)
 	}
@@ -95,7 +95,7 @@
 	case hello.Cluster != n.opts.Shape:
 		welcome.Reject = "shape is " + n.opts.Shape + ", not " + hello.Cluster
 	}
-	if err := writeShake(conn, welcomeCodec.Encode(&welcome)); err != nil || welcome.Reject != "" {
+	if err := writeHandshake(conn, welcomeCodec.Encode(&welcome)); err != nil || welcome.Reject != "" {
 		conn.Close()
 		return
 	}
@@ -104,12 +104,12 @@
 	s.handle = func(item wire.Item) {
 		handler(s.peer, item.Body, func(reply any) {
 			// A full or broken session loses the reply; the asker's deadline tells it.
-			if err := s.out.put(wire.Item{Corr: item.Corr, Body: reply}); errs.Is(err, errs.Full) {
+			if err := s.outbox.enqueue(wire.Item{CorrelationId: item.CorrelationId, Body: reply}); errs.Is(err, errs.Full) {
 				s.down(err)
 			}
 		})
 	}
 	n.track(s)
-	s.watch(func(error) { n.untrack(s) })
-	s.read()
+	s.notifyClose(func(error) { n.untrack(s) })
+	s.readLoop()
 }
--- a/internal/transport/idle_test.go
+++ b/internal/transport/keepalive_test.go
@@ -17,14 +17,14 @@
 // deployment has two thousand sessions, most of them idle.
 func TestIdleSession(t *testing.T) {
 	Convey("A session that is idle says one frame in two beats", t, func() {
-		bounds := timing.Bounds{Config: 200 * time.Millisecond}
+		bounds := timing.Bounds{ConfigApply: 200 * time.Millisecond}
 		node, err := NewNode(Options{Bounds: bounds})
 		So(err, ShouldBeNil)
 		near, far := net.Pipe()
 		defer far.Close()
 		s := node.newSession(wire.PlaceLink, near, wire.Who{}, wire.Version, 4096, true)
 		defer s.down(errs.New(errs.Lost, "the test ends"))
-		raw := make([]byte, headSize+4)
+		raw := make([]byte, frameHeaderSize+4)
 		_, err = io.ReadFull(far, raw)
 		So(err, ShouldBeNil)
 		const frames = 4
@@ -33,10 +33,10 @@
 			_, err := io.ReadFull(far, raw)
 			So(err, ShouldBeNil)
 		}
-		So(time.Since(began), ShouldBeGreaterThan, (2*frames-1)*bounds.Of(idleRatio))
+		So(time.Since(began), ShouldBeGreaterThan, (2*frames-1)*bounds.Of(keepAliveRatio))
 	})
 	Convey("A session is never silent for longer than half of what its other end waits", t, func() {
-		So(idleBeats*idleRatio*2, ShouldBeLessThanOrEqualTo, deadRatio)
+		So(silentTicksLimit*keepAliveRatio*2, ShouldBeLessThanOrEqualTo, connectionTimeoutRatio)
 		cases := []struct {
 			name  string
 			wrote []bool // a frame left before this beat
@@ -48,14 +48,14 @@
 			{"one that falls silent", []bool{true, true, false, false}, []bool{false, false, true, false}},
 		}
 		for _, c := range cases {
-			idle, due := idleness{}, []bool{}
+			idle, due := keepAliveTracker{}, []bool{}
 			for _, isWritten := range c.wrote {
 				if isWritten {
-					idle.wrote()
+					idle.frameWritten()
 				}
-				isDue := idle.beat()
+				isDue := idle.tick()
 				if isDue {
-					idle.wrote()
+					idle.frameWritten()
 				}
 				due = append(due, isDue)
 			}
@@ -63,9 +63,9 @@
 		}
 	})
 	Convey("All sessions of a process beat at the same moments", t, func() {
-		So(untilBeat(0, 450), ShouldEqual, 450)
-		So(untilBeat(449, 450), ShouldEqual, 1)
-		So(untilBeat(450, 450), ShouldEqual, 450)
-		So(untilBeat(1000, 450), ShouldEqual, 350)
+		So(untilTick(0, 450), ShouldEqual, 450)
+		So(untilTick(449, 450), ShouldEqual, 1)
+		So(untilTick(450, 450), ShouldEqual, 450)
+		So(untilTick(1000, 450), ShouldEqual, 350)
 	})
 }
--- a/internal/transport/flow.go
+++ b/internal/transport/linkmetrics.go
@@ -18,28 +18,28 @@
 )
 
 // flow counts one way of one link.
-type flow struct {
+type linkMetrics struct {
 	link            string
 	messages, bytes prometheus.Counter
 	kinds           *sync.Map // reflect.Type -> tally
 }
 
-// tally counts one kind of message.
-type tally struct{ messages, bytes prometheus.Counter }
+// kindMetrics counts one kind of message.
+type kindMetrics struct{ messages, bytes prometheus.Counter }
 
-func flowOf(link, way string) flow {
-	return flow{link, linkMessages.WithLabelValues(link, way), linkBytes.WithLabelValues(link, way), &sync.Map{}}
+func newLinkMetrics(link, way string) linkMetrics {
+	return linkMetrics{link, linkMessages.WithLabelValues(link, way), linkBytes.WithLabelValues(link, way), &sync.Map{}}
 }
 
-// count notes one message sent.
-func (f *flow) count(body any, bytes int) {
+// countSent notes one message sent.
+func (f *linkMetrics) countSent(body any, bytes int) {
 	kind := reflect.TypeOf(body)
 	known, isKnown := f.kinds.Load(kind)
 	if !isKnown {
 		name := kind.Elem().Name()
-		known, _ = f.kinds.LoadOrStore(kind, tally{kindMessages.WithLabelValues(f.link, name), kindBytes.WithLabelValues(f.link, name)})
+		known, _ = f.kinds.LoadOrStore(kind, kindMetrics{kindMessages.WithLabelValues(f.link, name), kindBytes.WithLabelValues(f.link, name)})
 	}
-	t := known.(tally)
+	t := known.(kindMetrics)
 	t.messages.Inc()
 	t.bytes.Add(float64(bytes))
 }
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -20,15 +20,15 @@
 	mu       sync.Mutex
 	accepted map[*session]bool
 	peers    map[string]*Peer // by link and address
-	closed   bool
+	isClosed bool
 }
 
 // NewNode opens the listener, if any; Serve starts accepting.
 func NewNode(opts Options) (*Node, error) {
-	n := &Node{opts: opts.filled(), accepted: map[*session]bool{}, peers: map[string]*Peer{}}
+	n := &Node{opts: opts.withDefaults(), accepted: map[*session]bool{}, peers: map[string]*Peer{}}
 	n.pool = pond.NewPool(n.opts.Pool)
 	if n.opts.Listen != "" {
-		config := net.ListenConfig{KeepAliveConfig: n.opts.Bounds.Probes()}
+		config := net.ListenConfig{KeepAliveConfig: n.opts.Bounds.KeepAliveConfig()}
 		listener, err := config.Listen(context.Background(), "tcp", n.opts.Listen)
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Invalid, "listen on %s", n.opts.Listen)
@@ -70,7 +70,7 @@
 // Close ends all sessions.
 func (n *Node) Close() {
 	n.mu.Lock()
-	n.closed = true
+	n.isClosed = true
 	if n.listener != nil {
 		n.listener.Close()
 	}
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	idleRatio = timing.KeepAlive
-	deadRatio = timing.ConnectionTimeout
+	keepAliveRatio         = timing.KeepAlive
+	connectionTimeoutRatio = timing.ConnectionTimeout
 )
 
 // Options set up a node. The zero value of each number means its default.
@@ -28,31 +28,31 @@
 	Bounds     timing.Bounds
 	Handlers   map[string]Handler // by link name
 	Shape      string             // what both ends of a session must agree on
-	Refused    func(addr string)  // told when nobody listens where a peer was, if given
+	OnRefused  func(addr string)  // told when nobody listens where a peer was, if given
 }
 
 // Handler takes one message of a link. It must not block for long: what waits
 // must wait elsewhere, in something bounded. answer may be called later, once.
 type Handler func(from wire.Who, body any, answer func(any))
 
-func (o Options) filled() Options {
-	fill := func(value *int, standard int) {
+func (o Options) withDefaults() Options {
+	setDefault := func(value *int, defaultValue int) {
 		if *value == 0 {
-			*value = standard
+			*value = defaultValue
 		}
 	}
-	fill(&o.Batch, 40)
-	fill(&o.Pool, 40)
-	fill(&o.Window, 4096)
-	fill(&o.FrameLimit, 64<<20)
+	setDefault(&o.Batch, 40)
+	setDefault(&o.Pool, 40)
+	setDefault(&o.Window, 4096)
+	setDefault(&o.FrameLimit, 64<<20)
 	if o.Flush == 0 {
 		o.Flush = 500 * time.Microsecond
 	}
-	if o.Bounds.Config == 0 {
+	if o.Bounds.ConfigApply == 0 {
 		o.Bounds = timing.Default
 	}
 	if o.Newest == 0 {
-		o.Newest, o.Oldest = wire.Version, wire.Oldest
+		o.Newest, o.Oldest = wire.Version, wire.OldestVersion
 	}
 	return o
 }
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -12,9 +12,9 @@
 	"caperwheel/internal/wire"
 )
 
-// askBytes: while so many bytes wait to be written, no further ask is taken.
+// queuedRequestBytesLimit: while so many bytes wait to be written, no further ask is taken.
 // Whoever would wait for its answer is told at once and can go elsewhere.
-const askBytes = 4 << 20
+const queuedRequestBytesLimit = 4 << 20
 
 // Peer is one long-lived link to one other daemon. It redials when it breaks.
 //
@@ -25,14 +25,14 @@
 	link *wire.Link
 	addr string
 
-	mu      sync.Mutex
-	session *session
-	corr    int64
-	waiting map[int64]func(any, error)
-	closed  bool
-	dialing bool
-	failed  time.Time
-	raised  []func() // told once when the session stands
+	mu                 sync.Mutex
+	session            *session
+	lastCorrelationId  int64
+	pendingReplies     map[int64]func(any, error)
+	isClosed           bool
+	isDialing          bool
+	lastFailure        time.Time
+	connectedCallbacks []func() // told once when the session stands
 }
 
 // Peer gives the link to an address, opening it when first used.
@@ -42,42 +42,42 @@
 	key := link.Name + " " + addr
 	p := n.peers[key]
 	if p == nil {
-		p = &Peer{node: n, link: link, addr: addr, waiting: map[int64]func(any, error){}}
+		p = &Peer{node: n, link: link, addr: addr, pendingReplies: map[int64]func(any, error){}}
 		n.peers[key] = p
 	}
 	return p
 }
 
-// Warm opens the link if it is not open, so that the first ask need not wait.
-func (p *Peer) Warm() { p.connect() }
+// EnsureConnected opens the link if it is not open, so that the first ask need not wait.
+func (p *Peer) EnsureConnected() { p.connect() }
 
-// Up reports whether the session stands.
-func (p *Peer) Up() bool {
+// IsConnected reports whether the session stands.
+func (p *Peer) IsConnected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.session != nil
 }
 
-// HasRoom reports whether the session stands and fewer bytes than so many wait to
+// HasSendCapacity reports whether the session stands and fewer bytes than so many wait to
 // be written to it. A sender that has much to send asks before it does: what
 // is small, such as a heartbeat, then never waits long behind it.
-func (p *Peer) HasRoom(most int) bool {
+func (p *Peer) HasSendCapacity(maxBytes int) bool {
 	p.mu.Lock()
 	s := p.session
 	p.mu.Unlock()
-	return s != nil && s.out.waiting() < most
+	return s != nil && s.outbox.queuedBytes() < maxBytes
 }
 
-// onUp calls tell once the session stands, at once if it does already.
-func (p *Peer) onUp(tell func()) {
+// onConnected calls tell once the session stands, at once if it does already.
+func (p *Peer) onConnected(callback func()) {
 	p.mu.Lock()
-	isUp := p.session != nil
-	if !isUp {
-		p.raised = append(p.raised, tell)
+	isConnected := p.session != nil
+	if !isConnected {
+		p.connectedCallbacks = append(p.connectedCallbacks, callback)
 	}
 	p.mu.Unlock()
-	if isUp {
-		tell()
+	if isConnected {
+		callback()
 		return
 	}
 	p.connect()
@@ -89,21 +89,21 @@
 // connect dials in the background, at most once per Redial interval.
 func (p *Peer) connect() {
 	p.mu.Lock()
-	pause := p.node.opts.Bounds.Of(timing.Redial)
-	if p.closed || p.dialing || p.session != nil || time.Since(p.failed) < pause {
+	redialInterval := p.node.opts.Bounds.Of(timing.RedialDelay)
+	if p.isClosed || p.isDialing || p.session != nil || time.Since(p.lastFailure) < redialInterval {
 		p.mu.Unlock()
 		return
 	}
-	p.dialing = true
+	p.isDialing = true
 	p.mu.Unlock()
 	go func() {
 		s, err := p.node.dial(p.link, p.addr)
 		p.mu.Lock()
-		if err != nil || p.closed {
-			p.dialing, p.failed = false, time.Now()
+		if err != nil || p.isClosed {
+			p.isDialing, p.lastFailure = false, time.Now()
 			p.mu.Unlock()
-			if errors.Is(err, syscall.ECONNREFUSED) && p.node.opts.Refused != nil {
-				p.node.opts.Refused(p.addr)
+			if errors.Is(err, syscall.ECONNREFUSED) && p.node.opts.OnRefused != nil {
+				p.node.opts.OnRefused(p.addr)
 			}
 			if s != nil {
 				s.down(errs.New(errs.Lost, "peer closed"))
@@ -111,46 +111,46 @@
 			return
 		}
 		p.mu.Unlock()
-		p.adopt(s)
+		p.attach(s)
 	}()
 }
 
-// adopt makes a session that was just opened the link's own.
-func (p *Peer) adopt(s *session) {
+// attach makes a session that was just opened the link's own.
+func (p *Peer) attach(s *session) {
 	p.mu.Lock()
-	p.dialing = false
-	s.handle = p.onReply
+	p.isDialing = false
+	s.handle = p.handleReply
 	p.session = s
-	raised := p.raised
-	p.raised = nil
+	callbacks := p.connectedCallbacks
+	p.connectedCallbacks = nil
 	p.mu.Unlock()
-	s.watch(func(cause error) { p.lose(s, cause) })
-	go s.read()
-	for _, tell := range raised {
+	s.notifyClose(func(cause error) { p.detach(s, cause) })
+	go s.readLoop()
+	for _, tell := range callbacks {
 		tell()
 	}
 }
 
-func (p *Peer) lose(s *session, cause error) {
+func (p *Peer) detach(s *session, cause error) {
 	p.mu.Lock()
 	if p.session != s {
 		p.mu.Unlock()
 		return
 	}
 	p.session = nil
-	orphans := p.waiting
-	p.waiting = map[int64]func(any, error){}
+	pending := p.pendingReplies
+	p.pendingReplies = map[int64]func(any, error){}
 	p.mu.Unlock()
-	for _, answer := range orphans {
+	for _, answer := range pending {
 		answer(nil, errs.Wrap(cause, errs.Lost, "session with %s", p.addr))
 	}
 	p.connect() // at once: whether anybody listens there tells whether the process has ended
 }
 
-func (p *Peer) onReply(item wire.Item) {
+func (p *Peer) handleReply(item wire.Item) {
 	p.mu.Lock()
-	answer := p.waiting[item.Corr]
-	delete(p.waiting, item.Corr)
+	answer := p.pendingReplies[item.CorrelationId]
+	delete(p.pendingReplies, item.CorrelationId)
 	p.mu.Unlock()
 	if answer != nil {
 		answer(item.Body, nil)
@@ -167,31 +167,31 @@
 		p.connect()
 		return errs.New(errs.Lost, "no session with %s", p.addr)
 	}
-	if !s.out.codec.Carries(body) {
+	if !s.outbox.codec.Supports(body) {
 		p.mu.Unlock()
 		return errs.New(errs.Rejected, "%s settled on wire version %d, which has no %T", p.addr, s.version, body)
 	}
-	corr := int64(0)
+	correlationId := int64(0)
 	if answer != nil {
-		if len(p.waiting) >= p.node.opts.Window {
+		if len(p.pendingReplies) >= p.node.opts.Window {
 			p.mu.Unlock()
 			return errs.New(errs.Full, "%d asks wait for %s", p.node.opts.Window, p.addr)
 		}
-		if s.out.waiting() >= askBytes {
+		if s.outbox.queuedBytes() >= queuedRequestBytesLimit {
 			p.mu.Unlock()
 			counters.full.Inc()
-			return errs.New(errs.Full, "%d bytes wait to be written to %s", askBytes, p.addr)
+			return errs.New(errs.Full, "%d bytes wait to be written to %s", queuedRequestBytesLimit, p.addr)
 		}
-		p.corr++
-		corr = p.corr
-		p.waiting[corr] = answer
+		p.lastCorrelationId++
+		correlationId = p.lastCorrelationId
+		p.pendingReplies[correlationId] = answer
 	}
 	p.mu.Unlock()
-	err := s.out.put(wire.Item{Corr: corr, Body: body})
-	if err != nil && corr != 0 {
+	err := s.outbox.enqueue(wire.Item{CorrelationId: correlationId, Body: body})
+	if err != nil && correlationId != 0 {
 		p.mu.Lock()
-		_, isOurs := p.waiting[corr]
-		delete(p.waiting, corr)
+		_, isOurs := p.pendingReplies[correlationId]
+		delete(p.pendingReplies, correlationId)
 		p.mu.Unlock()
 		if !isOurs {
 			return nil // lose() has told the answer already
@@ -209,7 +209,7 @@
 	}
 	got := make(chan result, 1)
 	if err := p.Post(body, func(reply any, err error) { got <- result{reply, err} }); err != nil {
-		return nil, &Unsent{err}
+		return nil, &UnsentError{err}
 	}
 	select {
 	case r := <-got:
@@ -219,21 +219,21 @@
 	}
 }
 
-// Unsent marks a failure before anything was sent.
-type Unsent struct{ cause error }
+// UnsentError marks a failure before anything was sent.
+type UnsentError struct{ cause error }
 
-// NewUnsent marks a failure as one before anything was sent.
-func NewUnsent(cause error) *Unsent { return &Unsent{cause} }
+// NewUnsentError marks a failure as one before anything was sent.
+func NewUnsentError(cause error) *UnsentError { return &UnsentError{cause} }
 
-func (u *Unsent) Error() string { return "unsent: " + u.cause.Error() }
+func (u *UnsentError) Error() string { return "unsent: " + u.cause.Error() }
 
 // Unwrap gives the cause.
-func (u *Unsent) Unwrap() error { return u.cause }
+func (u *UnsentError) Unwrap() error { return u.cause }
 
 // Close ends the link for good.
 func (p *Peer) Close() {
 	p.mu.Lock()
-	p.closed = true
+	p.isClosed = true
 	s := p.session
 	p.mu.Unlock()
 	if s != nil {
--- a/internal/transport/reply_test.go
+++ b/internal/transport/reply_test.go
@@ -15,7 +15,7 @@
 // link never dialled again, and every ask was told that it was not sent.
 func TestDownAtOnce(t *testing.T) {
 	Convey("Given a session that has broken before its link adopts it", t, func() {
-		server, client := pair(Options{}, func(_ wire.Who, body any, answer func(any)) {
+		server, client := newNodePair(Options{}, func(_ wire.Who, body any, answer func(any)) {
 			answer(&wire.Taken{Id: body.(*wire.Take).Id})
 		})
 		Reset(server.Close)
@@ -24,13 +24,13 @@
 		s, err := client.dial(wire.PlaceLink, server.Addr())
 		So(err, ShouldBeNil)
 		s.down(errs.New(errs.Lost, "the test says so"))
-		peer.adopt(s)
+		peer.attach(s)
 		Convey("the link dials again, and asks are answered", func() {
 			peer.mu.Lock()
 			isKept := peer.session == s
 			peer.mu.Unlock()
 			So(isKept, ShouldBeFalse)
-			dialled(peer)
+			waitConnected(peer)
 			reply, err := peer.Call(context.Background(), &wire.Take{Id: "0-x"})
 			So(err, ShouldBeNil)
 			So(reply.(*wire.Taken).Id, ShouldEqual, "0-x")
@@ -53,30 +53,30 @@
 	Convey("Given a link that has lost a session with an ask under way, a reply that", t, func() {
 		for _, c := range cases {
 			Convey(c.name+" is dropped", func() {
-				server, client := pair(Options{}, func(wire.Who, any, func(any)) {})
+				server, client := newNodePair(Options{}, func(wire.Who, any, func(any)) {})
 				Reset(server.Close)
 				Reset(client.Close)
 				peer := client.Peer(wire.PlaceLink, server.Addr())
-				dialled(peer)
-				lost := make(chan error, 1)
-				So(peer.Post(&wire.Take{Id: "0-1"}, func(_ any, err error) { lost <- err }), ShouldBeNil)
+				waitConnected(peer)
+				failed := make(chan error, 1)
+				So(peer.Post(&wire.Take{Id: "0-1"}, func(_ any, err error) { failed <- err }), ShouldBeNil)
 				peer.mu.Lock()
 				old := peer.session
 				peer.mu.Unlock()
 				old.down(errs.New(errs.Lost, "the test says so"))
-				So(errs.Is(<-lost, errs.Lost), ShouldBeTrue)
-				dialled(peer)
+				So(errs.Is(<-failed, errs.Lost), ShouldBeTrue)
+				waitConnected(peer)
 
 				got := []any{}
 				So(peer.Post(&wire.Take{Id: "0-2"}, func(reply any, _ error) { got = append(got, reply) }), ShouldBeNil)
 				peer.mu.Lock()
-				corr := peer.corr
+				corr := peer.lastCorrelationId
 				peer.mu.Unlock()
-				reply := func(number int64) { old.handle(wire.Item{Corr: number, Body: &wire.Taken{Id: "another's"}}) }
+				reply := func(number int64) { old.handle(wire.Item{CorrelationId: number, Body: &wire.Taken{Id: "another's"}}) }
 				c.before(reply, corr)
 				So(got, ShouldBeEmpty)
-				peer.onReply(wire.Item{Corr: corr, Body: &wire.Taken{Id: "0-2"}})
-				peer.onReply(wire.Item{Corr: corr, Body: &wire.Taken{Id: "0-2"}})
+				peer.handleReply(wire.Item{CorrelationId: corr, Body: &wire.Taken{Id: "0-2"}})
+				peer.handleReply(wire.Item{CorrelationId: corr, Body: &wire.Taken{Id: "0-2"}})
 				So(len(got), ShouldEqual, 1)
 				So(got[0].(*wire.Taken).Id, ShouldEqual, "0-2")
 			})
--- a/internal/transport/room_test.go
+++ b/internal/transport/sendcapacity_test.go
@@ -21,8 +21,8 @@
 		defer far.Close()
 		s := node.newSession(wire.PlaceLink, near, wire.Who{}, wire.Version, 4096, true)
 		defer s.down(errs.New(errs.Lost, "the test ends"))
-		peer := &Peer{node: node, link: wire.PlaceLink, session: s, waiting: map[int64]func(any, error){}}
-		So(peer.HasRoom(1), ShouldBeTrue)
+		peer := &Peer{node: node, link: wire.PlaceLink, session: s, pendingReplies: map[int64]func(any, error){}}
+		So(peer.HasSendCapacity(1), ShouldBeTrue)
 		ask := func() error {
 			return peer.Post(&wire.Take{Body: make([]byte, 64<<10)}, func(any, error) {})
 		}
@@ -31,10 +31,10 @@
 			for ask() == nil {
 				taken++
 			}
-			So(taken, ShouldEqual, askBytes/(64<<10))
+			So(taken, ShouldEqual, queuedRequestBytesLimit/(64<<10))
 			So(errs.Is(ask(), errs.Full), ShouldBeTrue)
-			So(peer.HasRoom(askBytes), ShouldBeFalse)
-			So(peer.HasRoom(askBytes+1), ShouldBeTrue)
+			So(peer.HasSendCapacity(queuedRequestBytesLimit), ShouldBeFalse)
+			So(peer.HasSendCapacity(queuedRequestBytesLimit+1), ShouldBeTrue)
 		})
 		Convey("there is room again once they are written", func() {
 			for ask() == nil {
@@ -47,13 +47,13 @@
 					}
 				}
 			}()
-			for !peer.HasRoom(1) {
+			for !peer.HasSendCapacity(1) {
 				runtime.Gosched()
 			}
 			So(ask(), ShouldBeNil)
 		})
 	})
 	Convey("Without a session there is no room", t, func() {
-		So((&Peer{}).HasRoom(1), ShouldBeFalse)
+		So((&Peer{}).HasSendCapacity(1), ShouldBeFalse)
 	})
 }
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -15,44 +15,44 @@
 // session is one open connection after its handshake. The dialer sends asks
 // and gets replies; the acceptor the other way round.
 type session struct {
-	node    *Node
-	link    *wire.Link
-	peer    wire.Who
-	version int64
-	conn    net.Conn
-	out     *outbox
-	in      *wire.Codec
-	handle  func(item wire.Item)
-	once    sync.Once
+	node         *Node
+	link         *wire.Link
+	peer         wire.Who
+	version      int64
+	conn         net.Conn
+	outbox       *outbox
+	inboundCodec *wire.Codec
+	handle       func(item wire.Item)
+	closeOnce    sync.Once
 
-	watching sync.Mutex
-	onDown   func(error)
-	cause    error // why it is down; nil while it is not
+	closeMu sync.Mutex
+	onClose func(error)
+	cause   error // why it is down; nil while it is not
 
 	// Ordered links: batches parsed ahead of their turn wait here. Bounded by
 	// the peer's window, since they are not yet consumed.
-	turn  sync.Mutex
-	early map[uint32][]wire.Item
-	next  uint32
-	alive atomic.Bool
-	flow  flow     // what comes in
-	past  *history // of what came in; the reading goroutine's alone
+	orderMu    sync.Mutex
+	outOfOrder map[uint32][]wire.Item
+	nextSeq    uint32
+	isAlive    atomic.Bool
+	received   linkMetrics         // what comes in
+	history    *compressionHistory // of what came in; the reading goroutine's alone
 }
 
-// read frames what arrives and leaves the rest to the pool.
-func (s *session) read() {
+// readLoop frames what arrives and leaves the rest to the pool.
+func (s *session) readLoop() {
 	r := bufio.NewReaderSize(s.conn, 64<<10)
 	for {
-		s.conn.SetReadDeadline(time.Now().Add(s.node.opts.Bounds.Of(deadRatio)))
+		s.conn.SetReadDeadline(time.Now().Add(s.node.opts.Bounds.Of(connectionTimeoutRatio)))
 		buffer := rawPool.Get().(*[]byte)
 		h, raw, err := readFrame(r, (*buffer)[:0], s.node.opts.FrameLimit)
 		if err != nil {
 			s.down(err)
 			return
 		}
-		s.flow.bytes.Add(float64(headSize + len(raw)))
-		s.out.credit(h.consumed)
-		if raw, err = s.expand(h, raw); err != nil {
+		s.received.bytes.Add(float64(frameHeaderSize + len(raw)))
+		s.outbox.addCredit(h.consumed)
+		if raw, err = s.decompress(h, raw); err != nil {
 			s.down(err)
 			return
 		}
@@ -68,9 +68,9 @@
 			s.down(errs.New(errs.Corrupt, "batch of %d messages", count))
 			return
 		}
-		s.flow.messages.Add(float64(count))
+		s.received.messages.Add(float64(count))
 		s.node.pool.Submit(func() {
-			items, err := s.in.Parse(raw[4:], count)
+			items, err := s.inboundCodec.Decode(raw[4:], count)
 			rawPool.Put(&raw)
 			if err != nil {
 				s.down(err)
@@ -81,9 +81,9 @@
 	}
 }
 
-// expand returns the array of a frame as it was before compression.
-func (s *session) expand(h head, raw []byte) ([]byte, error) {
-	if s.past == nil {
+// decompress returns the array of a frame as it was before compression.
+func (s *session) decompress(h frameHeader, raw []byte) ([]byte, error) {
+	if s.history == nil {
 		if h.isCompressed {
 			return raw, errs.New(errs.Corrupt, "a compressed array in a session without compression")
 		}
@@ -92,85 +92,85 @@
 	array := raw
 	if h.isCompressed {
 		buffer := rawPool.Get().(*[]byte)
-		expanded, err := s.past.expand((*buffer)[:0], raw, s.node.opts.FrameLimit)
+		expanded, err := s.history.decompress((*buffer)[:0], raw, s.node.opts.FrameLimit)
 		if err != nil {
 			return nil, err
 		}
 		rawPool.Put(&raw)
 		array = expanded
 	}
-	s.past.add(array)
+	s.history.add(array)
 	return array, nil
 }
 
 func (s *session) dispatch(seq uint32, items []wire.Item) {
 	if !s.link.Ordered {
-		s.consume(items)
+		s.deliver(items)
 		return
 	}
-	s.turn.Lock()
-	defer s.turn.Unlock()
-	s.early[seq] = items
+	s.orderMu.Lock()
+	defer s.orderMu.Unlock()
+	s.outOfOrder[seq] = items
 	for {
-		items, ready := s.early[s.next]
+		items, ready := s.outOfOrder[s.nextSeq]
 		if !ready {
 			return
 		}
-		delete(s.early, s.next)
-		s.next++
-		s.consume(items)
+		delete(s.outOfOrder, s.nextSeq)
+		s.nextSeq++
+		s.deliver(items)
 	}
 }
 
-func (s *session) consume(items []wire.Item) {
+func (s *session) deliver(items []wire.Item) {
 	for _, item := range items {
 		s.handle(item)
 	}
-	s.out.consume(len(items))
+	s.outbox.addConsumed(len(items))
 }
 
 // down closes the session once, whatever found the failure.
 func (s *session) down(cause error) {
-	s.once.Do(func() {
-		s.alive.Store(false)
+	s.closeOnce.Do(func() {
+		s.isAlive.Store(false)
 		counters.lost.Inc()
 		s.conn.Close()
-		s.out.close(errs.Wrap(cause, errs.Lost, "session with %s", s.peer.Name))
-		s.watching.Lock()
+		s.outbox.close(errs.Wrap(cause, errs.Lost, "session with %s", s.peer.Name))
+		s.closeMu.Lock()
 		s.cause = cause
-		tell := s.onDown
-		s.watching.Unlock()
-		if tell != nil {
-			tell(cause)
+		notify := s.onClose
+		s.closeMu.Unlock()
+		if notify != nil {
+			notify(cause)
 		}
 	})
 }
 
-// watch has onDown told once the session is down, at once if it is already: it
+// notifyClose has onClose told once the session is down, at once if it is already: it
 // may break as soon as it is open.
-func (s *session) watch(onDown func(cause error)) {
-	s.watching.Lock()
-	s.onDown = onDown
+func (s *session) notifyClose(onDown func(cause error)) {
+	s.closeMu.Lock()
+	s.onClose = onDown
 	cause := s.cause
-	s.watching.Unlock()
+	s.closeMu.Unlock()
 	if cause != nil {
 		onDown(cause)
 	}
 }
 
 func (n *Node) newSession(link *wire.Link, conn net.Conn, peer wire.Who, version, window int64, isDialer bool) *session {
-	isCompressed := isCompressed(n.opts.Self, peer, version)
-	s := &session{node: n, link: link, peer: peer, version: version, conn: conn, early: map[uint32][]wire.Item{}, flow: flowOf(link.Name, "in"),
-		past: newHistory(isCompressed)}
+	isCompressed := shouldCompress(n.opts.Self, peer, version)
+	s := &session{node: n, link: link, peer: peer, version: version, conn: conn, outOfOrder: map[uint32][]wire.Item{}, received: newLinkMetrics(link.Name, "in"),
+		history: newCompressionHistory(isCompressed)}
 	asks, replies := link.Codecs(version)
-	s.in = asks
+	s.inboundCodec = asks
 	out := replies
 	if isDialer {
-		out, s.in = asks, replies
+		out, s.inboundCodec = asks, replies
 	}
-	s.alive.Store(true)
+	s.isAlive.Store(true)
 	counters.sessions.Inc()
-	s.out = newOutbox(&n.opts, out, n.pool, conn, window, flowOf(link.Name, "out"), newHistory(isCompressed), func(err error) { s.down(err) })
-	s.out.start() // only now: what fails there closes the session
+	s.outbox = newOutbox(&n.opts, out, n.pool, conn, window, newLinkMetrics(link.Name, "out"), newCompressionHistory(isCompressed), func(err error) { s.down(err) })
+	s.outbox.start() // only now: what fails there closes the session
 	return s
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,33 +13,33 @@
 	"caperwheel/internal/wire"
 )
 
-func pair(opts Options, handler Handler) (*Node, *Node) {
-	opts.Listen = "127.0.0.1:0"
-	opts.Handlers = map[string]Handler{"place": handler, "group": handler}
-	server, err := NewNode(opts)
+func newNodePair(serverOptions Options, handler Handler) (*Node, *Node) {
+	serverOptions.Listen = "127.0.0.1:0"
+	serverOptions.Handlers = map[string]Handler{"place": handler, "group": handler}
+	server, err := NewNode(serverOptions)
 	So(err, ShouldBeNil)
 	go server.Serve()
-	client, err := NewNode(Options{Batch: opts.Batch, Window: opts.Window, FrameLimit: opts.FrameLimit, Self: wire.Who{Name: "client"}})
+	client, err := NewNode(Options{Batch: serverOptions.Batch, Window: serverOptions.Window, FrameLimit: serverOptions.FrameLimit, Self: wire.Who{Name: "client"}})
 	So(err, ShouldBeNil)
 	return server, client
 }
 
-func dialled(p *Peer) {
+func waitConnected(p *Peer) {
 	got := make(chan struct{})
-	p.onUp(func() { close(got) })
+	p.onConnected(func() { close(got) })
 	<-got
 }
 
 func TestCallsAreAnswered(t *testing.T) {
 	Convey("Given a node that answers with what it got", t, func() {
-		server, client := pair(Options{Self: wire.Who{Name: "server"}}, func(from wire.Who, body any, answer func(any)) {
+		server, client := newNodePair(Options{Self: wire.Who{Name: "server"}}, func(from wire.Who, body any, answer func(any)) {
 			take := body.(*wire.Take)
 			answer(&wire.Taken{Id: take.Id, Text: from.Name + string(take.Body)})
 		})
 		defer server.Close()
 		defer client.Close()
 		peer := client.Peer(wire.PlaceLink, server.Addr())
-		dialled(peer)
+		waitConnected(peer)
 		Convey("every one of a thousand concurrent calls gets its own answer", func() {
 			var group sync.WaitGroup
 			wrong := make(chan string, 1000)
@@ -67,11 +67,11 @@
 func TestLargeMessages(t *testing.T) {
 	Convey("Given a session whose frames may have 4 MiB", t, func() {
 		got := make(chan int, 99)
-		server, client := pair(Options{FrameLimit: 4 << 20}, func(_ wire.Who, body any, _ func(any)) { got <- len(body.(*wire.GroupMsg).State) })
+		server, client := newNodePair(Options{FrameLimit: 4 << 20}, func(_ wire.Who, body any, _ func(any)) { got <- len(body.(*wire.GroupMsg).State) })
 		defer server.Close()
 		defer client.Close()
 		peer := client.Peer(wire.GroupLink, server.Addr())
-		dialled(peer)
+		waitConnected(peer)
 		Convey("twenty messages of 1 MiB posted at once all arrive", func() {
 			for range 20 {
 				So(peer.Post(&wire.GroupMsg{State: make([]byte, 1<<20), Entries: []wire.Entry{}, Roster: []string{}}, nil), ShouldBeNil)
@@ -86,12 +86,12 @@
 func TestFullWindowRejects(t *testing.T) {
 	Convey("Given a peer that consumes nothing", t, func() {
 		gate := make(chan struct{})
-		server, client := pair(Options{Window: 8, Batch: 2}, func(wire.Who, any, func(any)) { <-gate })
+		server, client := newNodePair(Options{Window: 8, Batch: 2}, func(wire.Who, any, func(any)) { <-gate })
 		defer server.Close()
 		defer client.Close()
 		defer close(gate)
 		peer := client.Peer(wire.PlaceLink, server.Addr())
-		dialled(peer)
+		waitConnected(peer)
 		Convey("the sender is rejected once the window is used up", func() {
 			for range 8 {
 				So(peer.Post(&wire.Look{}, nil), ShouldBeNil)
@@ -104,10 +104,10 @@
 func TestLostSessionTellsEveryCall(t *testing.T) {
 	Convey("Given calls that wait for an answer", t, func() {
 		arrived := make(chan struct{}, 10)
-		server, client := pair(Options{}, func(wire.Who, any, func(any)) { arrived <- struct{}{} })
+		server, client := newNodePair(Options{}, func(wire.Who, any, func(any)) { arrived <- struct{}{} })
 		defer client.Close()
 		peer := client.Peer(wire.PlaceLink, server.Addr())
-		dialled(peer)
+		waitConnected(peer)
 		got := make(chan error, 10)
 		for range 10 {
 			So(peer.Post(&wire.Look{}, func(_ any, err error) { got <- err }), ShouldBeNil)
@@ -132,7 +132,7 @@
 		{"no wire version in common", Options{Newest: 9, Oldest: 9}, wire.PlaceLink},
 	}
 	Convey("Given a server of the place link", t, func() {
-		server, client := pair(Options{}, func(wire.Who, any, func(any)) {})
+		server, client := newNodePair(Options{}, func(wire.Who, any, func(any)) {})
 		defer server.Close()
 		defer client.Close()
 		for _, c := range cases {
@@ -156,11 +156,11 @@
 func TestOrderedLinkKeepsOrder(t *testing.T) {
 	Convey("Given an ordered link with batches of one", t, func() {
 		seen := make(chan int64, 2000)
-		server, client := pair(Options{Batch: 1}, func(_ wire.Who, body any, _ func(any)) { seen <- body.(*wire.GroupMsg).Index })
+		server, client := newNodePair(Options{Batch: 1}, func(_ wire.Who, body any, _ func(any)) { seen <- body.(*wire.GroupMsg).Index })
 		defer server.Close()
 		defer client.Close()
 		peer := client.Peer(wire.GroupLink, server.Addr())
-		dialled(peer)
+		waitConnected(peer)
 		Convey("two thousand messages arrive as they were sent", func() {
 			for i := range int64(2000) {
 				So(peer.Post(&wire.GroupMsg{Index: i}, nil), ShouldBeNil)
@@ -176,7 +176,7 @@
 
 func TestMixedVersionsSettle(t *testing.T) {
 	Convey("Given a server of wire version 1", t, func() {
-		server, client := pair(Options{Newest: 1, Oldest: 1}, func(wire.Who, any, func(any)) {})
+		server, client := newNodePair(Options{Newest: 1, Oldest: 1}, func(wire.Who, any, func(any)) {})
 		defer server.Close()
 		defer client.Close()
 		Convey("a daemon that speaks 1 and 2 settles on 1", func() {
@@ -190,12 +190,12 @@
 		Convey("what only version 2 has is left out for it, and not for a newer one", func() {
 			for newest, want := range map[int64]int64{1: 0, 2: 5} {
 				got := make(chan int64, 1)
-				server, client := pair(Options{Newest: newest, Oldest: 1}, func(_ wire.Who, body any, answer func(any)) {
+				server, client := newNodePair(Options{Newest: newest, Oldest: 1}, func(_ wire.Who, body any, answer func(any)) {
 					got <- body.(*wire.Look).Wait
 					answer(&wire.Sight{Id: "0-x", Body: []byte{}, Proof: wire.Proof{Answer: []byte{}}})
 				})
 				peer := client.Peer(wire.PlaceLink, server.Addr())
-				dialled(peer)
+				waitConnected(peer)
 				reply, err := peer.Call(context.Background(), &wire.Look{Id: "0-x", Wait: 5})
 				So(err, ShouldBeNil)
 				So(reply.(*wire.Sight).Id, ShouldEqual, "0-x")
@@ -211,11 +211,11 @@
 			defer server.Close()
 			go server.Serve()
 			peer := client.Peer(wire.RunLink, server.Addr())
-			dialled(peer)
+			waitConnected(peer)
 			So(errs.Is(peer.Post(&wire.AskTime{Group: 1}, func(any, error) {}), errs.Rejected), ShouldBeTrue)
 			_, err = peer.Call(context.Background(), &wire.Want{Pool: "p"})
 			So(err, ShouldBeNil)
-			So(len(peer.waiting), ShouldEqual, 0)
+			So(len(peer.pendingReplies), ShouldEqual, 0)
 		})
 		Convey("a daemon of another shape is refused", func() {
 			other, err := NewNode(Options{Shape: "places=7 parts=1"})
--- a/internal/transport/broken_test.go
+++ b/internal/transport/writefailure_test.go
@@ -21,16 +21,16 @@
 // know all of it yet: the writing goroutine was begun before the session had its outbox. The race detector shows it.
 func TestSessionThatCannotWrite(t *testing.T) {
 	Convey("A session whose first frame cannot be written is closed whole, and whoever watches it is told", t, func() {
-		node, err := NewNode(Options{Bounds: timing.Bounds{Config: 30 * time.Millisecond}, Self: wire.Who{Name: "a"}})
+		node, err := NewNode(Options{Bounds: timing.Bounds{ConfigApply: 30 * time.Millisecond}, Self: wire.Who{Name: "a"}})
 		So(err, ShouldBeNil)
 		defer node.Close()
 		for range 20 {
 			near, far := net.Pipe()
 			down := make(chan error, 1)
 			s := node.newSession(wire.PlaceLink, brokenConn{near}, wire.Who{Name: "b"}, wire.Version, 9, false)
-			s.watch(func(cause error) { down <- cause })
+			s.notifyClose(func(cause error) { down <- cause })
 			So(errs.Is(<-down, errs.Lost), ShouldBeTrue)
-			So(s.alive.Load(), ShouldBeFalse)
+			So(s.isAlive.Load(), ShouldBeFalse)
 			So(far.Close(), ShouldBeNil)
 		}
 	})
--- a/internal/verdict/judge.go
+++ b/internal/verdict/evaluator.go
@@ -12,44 +12,44 @@
 
 const module = "caperwheel/"
 
-// red is a test that is known to fail.
-type red struct{ test, cause, issue string }
+// knownFailure is a test that is known to fail.
+type knownFailure struct{ test, cause, issue string }
 
-// readKnown reads a line for each red test: test, cause, issue.
-func readKnown(text string, isThere bool) ([]red, error) {
-	known := []red{}
+// parseKnownFailures reads a line for each red test: test, cause, issue.
+func parseKnownFailures(text string, isThere bool) ([]knownFailure, error) {
+	known := []knownFailure{}
 	for line := range strings.Lines(text) {
 		first, rest, _ := strings.Cut(strings.TrimSpace(line), ",")
 		at := strings.LastIndex(rest, ",")
 		if at < 0 || first == "" || strings.TrimSpace(rest[:at]) == "" || strings.TrimSpace(rest[at+1:]) == "" {
-			return nil, errs.New(errs.Invalid, "%s: %q is not: test, cause, issue", knownFile, strings.TrimSpace(line))
+			return nil, errs.New(errs.Invalid, "%s: %q is not: test, cause, issue", knownFailuresFile, strings.TrimSpace(line))
 		}
-		known = append(known, red{first, strings.TrimSpace(rest[:at]), strings.TrimSpace(rest[at+1:])})
+		known = append(known, knownFailure{first, strings.TrimSpace(rest[:at]), strings.TrimSpace(rest[at+1:])})
 	}
 	if isThere && len(known) == 0 {
-		return nil, errs.New(errs.Invalid, "%s lists nothing; remove it", knownFile)
+		return nil, errs.New(errs.Invalid, "%s lists nothing; remove it", knownFailuresFile)
 	}
 	return known, nil
 }
 
-// tested is what came of a package. A package whose tests all ran says FAIL or
+// packageResult is what came of a package. A package whose tests all ran says FAIL or
 // PASS itself; one that panicked says neither.
-type tested struct {
-	result, said string
-	tests        map[string]string   // the result of each test, none while it runs
-	output       map[string][]string // of each test, its parts included
+type packageResult struct {
+	result, summary string
+	tests           map[string]string   // the result of each test, none while it runs
+	output          map[string][]string // of each test, its parts included
 }
 
 type event struct{ Action, Package, Test, Output string }
 
-// judge hears what go test -json tells.
-type judge struct {
-	known    []red
+// evaluator hears what go test -json tells.
+type evaluator struct {
+	known    []knownFailure
 	print    func(text string)
-	packages map[string]*tested
+	packages map[string]*packageResult
 }
 
-func (j *judge) hear(line string) {
+func (j *evaluator) readLine(line string) {
 	var e event
 	if json.Unmarshal([]byte(line), &e) != nil || e.Package == "" {
 		if text := e.Output; text != "" { // of the build
@@ -61,7 +61,7 @@
 	}
 	p := j.packages[e.Package]
 	if p == nil {
-		p = &tested{tests: map[string]string{}, output: map[string][]string{}}
+		p = &packageResult{tests: map[string]string{}, output: map[string][]string{}}
 		j.packages[e.Package] = p
 	}
 	test, _, isPart := strings.Cut(e.Test, "/")
@@ -69,7 +69,7 @@
 	switch {
 	case e.Action == "output" && test == "":
 		if text := strings.TrimSpace(e.Output); text == "PASS" || text == "FAIL" {
-			p.said = text
+			p.summary = text
 		} else {
 			j.print(e.Output)
 		}
@@ -88,8 +88,8 @@
 	}
 }
 
-// end tells all that speaks against the whole.
-func (j *judge) end(isFine bool) (faults []string) {
+// failures tells all that speaks against the whole.
+func (j *evaluator) failures(isFine bool) (faults []string) {
 	excused := map[string]bool{}
 	for _, k := range j.known {
 		at := strings.LastIndex(k.test, "/")
@@ -112,7 +112,7 @@
 	for _, name := range slices.Sorted(maps.Keys(j.packages)) {
 		p := j.packages[name]
 		hasFailed = hasFailed || p.result == "fail"
-		isExplained := p.result == "fail" && p.said == "FAIL" // by tests that are known
+		isExplained := p.result == "fail" && p.summary == "FAIL" // by tests that are known
 		for _, test := range slices.Sorted(maps.Keys(p.tests)) {
 			switch result := p.tests[test]; {
 			case result == "fail" && !excused[name+"/"+test]:
--- a/internal/verdict/judge_test.go
+++ b/internal/verdict/evaluator_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// ran is a package's stream: each test with its result, then what the package
+// packageStream is a package's stream: each test with its result, then what the package
 // says itself and its result.
-func ran(tests, said, result string) string {
+func packageStream(tests, said, result string) string {
 	out := `{"Action":"start","Package":"caperwheel/internal/a"}` + "\n"
 	for _, test := range strings.Fields(tests) {
 		name, result, _ := strings.Cut(test, "=")
@@ -31,33 +31,33 @@
 		isFine              bool // what the command's exit tells
 		faults              string
 	}{
-		{"all pass", "", ran("TestX=pass", "PASS", "pass"), true, ""},
-		{"one fails", "", ran("TestX=fail TestY=pass", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestX"},
-		{"a known one fails", one, ran("TestX=fail TestY=pass", "FAIL", "fail"), false, ""},
-		{"a known and another one fail", one, ran("TestX=fail TestY=fail", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestY"},
-		{"a known one passes", one, ran("TestX=pass", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
-		{"a known one is skipped", one, ran("TestX=skip", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
-		{"a known one is not there", one, ran("TestY=pass", "PASS", "pass"), true, "no such test: internal/a/TestX"},
-		{"a known one of no package", "TestX, c, #1", ran("TestX=fail", "FAIL", "fail"), false, "no such test: TestX; failed: caperwheel/internal/a/TestX"},
-		{"a known one takes the others down", one, ran("TestX=fail", "panic: x", "fail"), false, "failed as a whole: caperwheel/internal/a"},
-		{"one never ends", "", ran("TestX=", "panic: timed out", "fail"), false, "never ended: caperwheel/internal/a/TestX; failed as a whole"},
-		{"a package is not built", one, ran("TestX=fail", "FAIL", "fail") + `{"Action":"fail","Package":"caperwheel/internal/b"}`, false,
+		{"all pass", "", packageStream("TestX=pass", "PASS", "pass"), true, ""},
+		{"one fails", "", packageStream("TestX=fail TestY=pass", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestX"},
+		{"a known one fails", one, packageStream("TestX=fail TestY=pass", "FAIL", "fail"), false, ""},
+		{"a known and another one fail", one, packageStream("TestX=fail TestY=fail", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestY"},
+		{"a known one passes", one, packageStream("TestX=pass", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
+		{"a known one is skipped", one, packageStream("TestX=skip", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
+		{"a known one is not there", one, packageStream("TestY=pass", "PASS", "pass"), true, "no such test: internal/a/TestX"},
+		{"a known one of no package", "TestX, c, #1", packageStream("TestX=fail", "FAIL", "fail"), false, "no such test: TestX; failed: caperwheel/internal/a/TestX"},
+		{"a known one takes the others down", one, packageStream("TestX=fail", "panic: x", "fail"), false, "failed as a whole: caperwheel/internal/a"},
+		{"one never ends", "", packageStream("TestX=", "panic: timed out", "fail"), false, "never ended: caperwheel/internal/a/TestX; failed as a whole"},
+		{"a package is not built", one, packageStream("TestX=fail", "FAIL", "fail") + `{"Action":"fail","Package":"caperwheel/internal/b"}`, false,
 			"failed as a whole: caperwheel/internal/b"},
 		{"a package is cut short", "", `{"Action":"start","Package":"caperwheel/internal/b"}`, false, "failed as a whole: caperwheel/internal/b"},
 		{"nothing runs", "", "", true, "could not be run"},
-		{"the command fails by itself", "", ran("TestX=pass", "PASS", "pass"), false, "could not be run"},
+		{"the command fails by itself", "", packageStream("TestX=pass", "PASS", "pass"), false, "could not be run"},
 	}
 	Convey("A run in which", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				known, err := readKnown(c.known, c.known != "")
+				known, err := parseKnownFailures(c.known, c.known != "")
 				So(err, ShouldBeNil)
 				printed := ""
-				j := &judge{known: known, print: func(text string) { printed += text }, packages: map[string]*tested{}}
+				j := &evaluator{known: known, print: func(text string) { printed += text }, packages: map[string]*packageResult{}}
 				for line := range strings.Lines(c.stream) {
-					j.hear(strings.TrimSpace(line))
+					j.readLine(strings.TrimSpace(line))
 				}
-				faults := strings.Join(j.end(c.isFine), "; ")
+				faults := strings.Join(j.failures(c.isFine), "; ")
 				So(faults == "", ShouldEqual, c.faults == "")
 				for want := range strings.SplitSeq(c.faults, "; ") {
 					So(faults, ShouldContainSubstring, want)
@@ -71,7 +71,7 @@
 		for name, text := range map[string]string{"is empty": "", "lacks the issue": "internal/a/TestX, cause", "lacks the cause": "a/TestX, , #1",
 			"has a blank line": one + "\n" + one} {
 			Convey(name, func() {
-				_, err := readKnown(text, true)
+				_, err := parseKnownFailures(text, true)
 				So(err, ShouldNotBeNil)
 			})
 		}
--- a/internal/verdict/main.go
+++ b/internal/verdict/main.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/errs"
 )
 
-const knownFile = "KNOWN-RED.txt"
+const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
 	faults, err := run(os.Args[1:])
@@ -30,11 +30,11 @@
 }
 
 func run(command []string) ([]string, error) {
-	raw, err := os.ReadFile(knownFile)
+	raw, err := os.ReadFile(knownFailuresFile)
 	if err != nil && !os.IsNotExist(err) {
-		return nil, errs.Wrap(err, errs.Invalid, "read %s", knownFile)
+		return nil, errs.Wrap(err, errs.Invalid, "read %s", knownFailuresFile)
 	}
-	known, err := readKnown(string(raw), err == nil)
+	known, err := parseKnownFailures(string(raw), err == nil)
 	if err != nil {
 		return nil, err
 	}
@@ -50,14 +50,14 @@
 	if err := tests.Start(); err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "tests")
 	}
-	j := &judge{known: known, print: func(text string) { fmt.Print(text) }, packages: map[string]*tested{}}
+	j := &evaluator{known: known, print: func(text string) { fmt.Print(text) }, packages: map[string]*packageResult{}}
 	lines := bufio.NewReader(out)
 	for {
 		line, err := lines.ReadString('\n')
-		j.hear(strings.TrimSpace(line))
+		j.readLine(strings.TrimSpace(line))
 		if err != nil {
 			break
 		}
 	}
-	return j.end(tests.Wait() == nil), nil
+	return j.failures(tests.Wait() == nil), nil
 }
--- a/internal/web/client.go
+++ b/internal/web/client.go
@@ -13,14 +13,14 @@
 
 // ClientOptions set up a client.
 type ClientOptions struct {
-	Dial      time.Duration // a connection that is not made within this is given up
-	Idle      time.Duration // a connection that nobody has used for this long is closed
-	MostIdle  int           // connections kept for one address
-	KeepAlive net.KeepAliveConfig
+	DialTimeout       time.Duration // a connection that is not made within this is given up
+	IdleTimeout       time.Duration // a connection that nobody has used for this long is closed
+	MaxIdlePerAddress int           // connections kept for one address
+	KeepAlive         net.KeepAliveConfig
 }
 
-// mostIdle bounds the connections that a client keeps for all addresses.
-const mostIdle = 4096
+// maxIdleConnections bounds the connections that a client keeps for all addresses.
+const maxIdleConnections = 4096
 
 // Client is the one way out of a daemon for HTTP requests. Each exchange has a
 // connection to itself, on which the library sends a request once or fails:
@@ -42,92 +42,92 @@
 // NewClient gives a client without connections.
 func NewClient(o ClientOptions) *Client {
 	c := &Client{options: o, idle: map[string][]*connection{}}
-	dialer := &net.Dialer{Timeout: o.Dial, KeepAliveConfig: o.KeepAlive}
+	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAliveConfig: o.KeepAlive}
 	c.transport = &http.Transport{DisableCompression: true, DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 		raw, err := dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		conn := ctx.Value(dialed{}).(*connection)
+		conn := ctx.Value(connectionKey{}).(*connection)
 		conn.Conn = raw
 		return conn, nil
 	}}
 	return c
 }
 
-// dialed is the context's key of the connection that is being made.
-type dialed struct{}
+// connectionKey is the context's key of the connection that is being made.
+type connectionKey struct{}
 
-// Terms are what a request is sent on.
-type Terms struct {
-	Most     int64             // bytes of the answer's body that are kept; a longer one is read to its end and not kept
-	IsSummed bool              // the body's checksum is wanted
-	MayKeep  func(*Reply) bool // whether the connection may carry another request after this answer; nil means no
+// SendOptions are what a request is sent on.
+type SendOptions struct {
+	MaxBodyBytes  int64             // bytes of the answer's body that are kept; a longer one is read to its end and not kept
+	WantsChecksum bool              // the body's checksum is wanted
+	CanReuse      func(*Reply) bool // whether the connection may carry another request after this answer; nil means no
 	// Before is asked once a connection had to be made for the request, right
 	// before the request is written: making it may have taken long. Nil asks nothing.
-	Before func() error
+	BeforeSend func() error
 }
 
-// Always lets every connection be used again whose answer was whole.
-func Always(*Reply) bool { return true }
+// AlwaysReuse lets every connection be used again whose answer was whole.
+func AlwaysReuse(*Reply) bool { return true }
 
 // Send sends a request at most once and reads its whole answer. An answer whose
 // end cannot be known is an error.
-func (c *Client) Send(r *http.Request, t Terms) (*Reply, error) {
+func (c *Client) Send(r *http.Request, t SendOptions) (*Reply, error) {
 	answer, _, err := c.send(r, t)
 	return answer, err
 }
 
 // SendRepeatable is Send for a call that does no harm when it arrives twice: if
 // a kept connection breaks over it, it is sent once more.
-func (c *Client) SendRepeatable(r *http.Request, t Terms) (*Reply, error) {
+func (c *Client) SendRepeatable(r *http.Request, t SendOptions) (*Reply, error) {
 	answer, isFirst, err := c.send(r, t)
 	if err == nil || isFirst || r.Context().Err() != nil || !errs.Is(err, errs.Lost) {
 		return answer, err
 	}
-	again, isWhole := renewed(r)
+	again, isWhole := withFreshBody(r)
 	if !isWhole {
 		return nil, err
 	}
 	return c.Send(again, t)
 }
 
-func (c *Client) send(r *http.Request, t Terms) (answer *Reply, isFirst bool, err error) {
+func (c *Client) send(r *http.Request, t SendOptions) (answer *Reply, isFirst bool, err error) {
 	for {
-		conn, err := c.take(r)
+		conn, err := c.acquire(r)
 		if err != nil {
-			return nil, true, &Unsent{errs.Wrap(err, errs.Lost, "no connection to %s", r.URL.Host)}
+			return nil, true, &UnsentError{errs.Wrap(err, errs.Lost, "no connection to %s", r.URL.Host)}
 		}
-		if conn.requests == 1 && t.Before != nil {
-			if err := t.Before(); err != nil {
+		if conn.requests == 1 && t.BeforeSend != nil {
+			if err := t.BeforeSend(); err != nil {
 				_ = conn.Close()
-				return nil, true, &Unsent{err}
+				return nil, true, &UnsentError{err}
 			}
 		}
 		answer, err := conn.exchange(r, t)
 		if err == nil {
-			if t.MayKeep != nil && t.MayKeep(answer) {
-				conn.keep()
+			if t.CanReuse != nil && t.CanReuse(answer) {
+				conn.makeReusable()
 			} else {
 				_ = conn.Close()
 			}
-			return answer, answer.IsFirst, nil
+			return answer, answer.IsFirstOnConnection, nil
 		}
 		isFirst, isUnsent := conn.requests == 1, conn.withdraw()
 		_ = conn.Close()
 		if !isUnsent {
 			return nil, isFirst, err
 		}
-		again, isWhole := renewed(r)
+		again, isWhole := withFreshBody(r)
 		if isFirst || !isWhole || r.Context().Err() != nil {
-			return nil, isFirst, &Unsent{err}
+			return nil, isFirst, &UnsentError{err}
 		}
 		r = again // the kept connection had gone before anything was written
 	}
 }
 
-// renewed returns the request with its body from the start, if it can be had.
-func renewed(r *http.Request) (again *http.Request, isWhole bool) {
+// withFreshBody returns the request with its body from the start, if it can be had.
+func withFreshBody(r *http.Request) (again *http.Request, isWhole bool) {
 	out := *r
 	if r.Body == nil || r.Body == http.NoBody {
 		return &out, true
@@ -140,11 +140,11 @@
 	return &out, err == nil
 }
 
-// take returns a kept connection that is fit for use, or makes one.
-func (c *Client) take(r *http.Request) (*connection, error) {
+// acquire returns a kept connection that is fit for use, or makes one.
+func (c *Client) acquire(r *http.Request) (*connection, error) {
 	address := addressOf(r)
 	for {
-		conn := c.pop(address)
+		conn := c.popIdle(address)
 		if conn == nil {
 			return c.dial(r, address)
 		}
@@ -156,12 +156,12 @@
 
 func (c *Client) dial(r *http.Request, address string) (*connection, error) {
 	conn := &connection{client: c, address: address, isPlain: r.URL.Scheme == "http", requests: 1}
-	made, err := c.transport.NewClientConn(context.WithValue(r.Context(), dialed{}, conn), r.URL.Scheme, address)
+	clientConn, err := c.transport.NewClientConn(context.WithValue(r.Context(), connectionKey{}, conn), r.URL.Scheme, address)
 	if err != nil {
 		return nil, err
 	}
 	conn.clear()
-	conn.tripper = made
+	conn.clientConn = clientConn
 	return conn, nil
 }
 
@@ -177,7 +177,7 @@
 	return net.JoinHostPort(r.URL.Hostname(), port)
 }
 
-func (c *Client) pop(address string) *connection {
+func (c *Client) popIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[address]
@@ -185,15 +185,15 @@
 		return nil
 	}
 	conn := list[len(list)-1]
-	c.without(conn, list, len(list)-1)
+	c.removeAt(conn, list, len(list)-1)
 	return conn
 }
 
-// put keeps a connection, if there is room.
-func (c *Client) put(conn *connection) bool {
+// putIdle keeps a connection, if there is room.
+func (c *Client) putIdle(conn *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[conn.address]) >= c.options.MostIdle || c.total >= mostIdle {
+	if len(c.idle[conn.address]) >= c.options.MaxIdlePerAddress || c.total >= maxIdleConnections {
 		return false
 	}
 	c.idle[conn.address] = append(c.idle[conn.address], conn)
@@ -201,18 +201,18 @@
 	return true
 }
 
-// remove takes a connection out that is not fit any more.
-func (c *Client) remove(conn *connection) {
+// removeIdle takes a connection out that is not fit any more.
+func (c *Client) removeIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[conn.address]
 	if at := slices.Index(list, conn); at >= 0 {
-		c.without(conn, list, at)
+		c.removeAt(conn, list, at)
 	}
 }
 
-// without is called with mu held.
-func (c *Client) without(conn *connection, list []*connection, at int) {
+// removeAt is called with mu held.
+func (c *Client) removeAt(conn *connection, list []*connection, at int) {
 	c.total--
 	if list = slices.Delete(list, at, at+1); len(list) == 0 {
 		delete(c.idle, conn.address)
@@ -221,8 +221,8 @@
 	c.idle[conn.address] = list
 }
 
-// Kept reports how many connections are kept.
-func (c *Client) Kept() int {
+// IdleCount reports how many connections are kept.
+func (c *Client) IdleCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.total
--- a/internal/web/client_test.go
+++ b/internal/web/client_test.go
@@ -42,15 +42,15 @@
 }
 
 func testClient() *Client {
-	return NewClient(ClientOptions{Dial: time.Minute, Idle: time.Minute, MostIdle: 8})
+	return NewClient(ClientOptions{DialTimeout: time.Minute, IdleTimeout: time.Minute, MaxIdlePerAddress: 8})
 }
 
-// settle waits until the client keeps so many connections.
-func settle(c *Client, kept int) {
-	for until := time.Now().Add(time.Minute); c.Kept() != kept && time.Now().Before(until); {
+// waitIdleCount waits until the client keeps so many connections.
+func waitIdleCount(c *Client, kept int) {
+	for until := time.Now().Add(time.Minute); c.IdleCount() != kept && time.Now().Before(until); {
 		runtime.Gosched()
 	}
-	So(c.Kept(), ShouldEqual, kept)
+	So(c.IdleCount(), ShouldEqual, kept)
 }
 
 // TestBytesAsTheyWere: nothing that keeps a request from being sent again shows
@@ -92,7 +92,7 @@
 				if c.isNoBody {
 					r.Body = http.NoBody
 				}
-				_, err = testClient().Send(r, Terms{Most: 100, MayKeep: nil})
+				_, err = testClient().Send(r, SendOptions{MaxBodyBytes: 100, CanReuse: nil})
 				So(err, ShouldBeNil)
 				So(<-got, ShouldEqual, c.want)
 			})
@@ -110,20 +110,20 @@
 		mayKeep            func(*Reply) bool
 		isUsedAgain        bool
 	}{
-		{"answered", whole + "own", "", false, Always, true},
-		{"answered in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n", "", false, Always, true},
-		{"answered without a body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, Always, true},
+		{"answered", whole + "own", "", false, AlwaysReuse, true},
+		{"answered in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n", "", false, AlwaysReuse, true},
+		{"answered without a body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, AlwaysReuse, true},
 		{"answered, when whoever asked does not let it", whole + "own", "", false, func(*Reply) bool { return false }, false},
 		{"answered, when nobody lets it", whole + "own", "", false, nil, false},
-		{"left a byte over", whole + "own.", "", false, Always, false},
-		{"answered twice at once", whole + "own" + whole + "old", "", false, Always, false},
-		{"left half a head over", whole + "ownHTTP/1.1 2", "", false, Always, false},
-		{"left over after its chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n", "", false, Always, false},
-		{"answered a second time later", whole + "own", whole + "old", false, Always, false},
-		{"sent half a head later", whole + "own", "HTTP/1.1 2", false, Always, false},
-		{"sent 408 later", whole + "own", "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n", true, Always, false},
-		{"closed later", whole + "own", "", true, Always, false},
-		{"says that it closes", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown", "", false, Always, false},
+		{"left a byte over", whole + "own.", "", false, AlwaysReuse, false},
+		{"answered twice at once", whole + "own" + whole + "old", "", false, AlwaysReuse, false},
+		{"left half a head over", whole + "ownHTTP/1.1 2", "", false, AlwaysReuse, false},
+		{"left over after its chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n", "", false, AlwaysReuse, false},
+		{"answered a second time later", whole + "own", whole + "old", false, AlwaysReuse, false},
+		{"sent half a head later", whole + "own", "HTTP/1.1 2", false, AlwaysReuse, false},
+		{"sent 408 later", whole + "own", "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n", true, AlwaysReuse, false},
+		{"closed later", whole + "own", "", true, AlwaysReuse, false},
+		{"says that it closes", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nown", "", false, AlwaysReuse, false},
 	}
 	Convey("A connection on which the worker", t, func() {
 		for _, c := range cases {
@@ -154,13 +154,13 @@
 				send := func() string {
 					r, err := http.NewRequest("POST", "http://"+address+"/", strings.NewReader("body"))
 					So(err, ShouldBeNil)
-					reply, err := client.Send(r, Terms{Most: 100, MayKeep: c.mayKeep})
+					reply, err := client.Send(r, SendOptions{MaxBodyBytes: 100, CanReuse: c.mayKeep})
 					So(err, ShouldBeNil)
 					return string(reply.Bytes)
 				}
 				So(send(), ShouldBeIn, "own", "")
 				close(isRead)
-				settle(client, map[bool]int{true: 1}[c.isUsedAgain])
+				waitIdleCount(client, map[bool]int{true: 1}[c.isUsedAgain])
 				So(send(), ShouldEqual, "new")
 				So(accepted.Load() == 1, ShouldEqual, c.isUsedAgain)
 			})
@@ -170,7 +170,7 @@
 		ours, theirs := net.Pipe() // on which a write ends when it was read
 		client := testClient()
 		client.transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
-			conn := ctx.Value(dialed{}).(*connection)
+			conn := ctx.Value(connectionKey{}).(*connection)
 			conn.Conn = ours
 			return conn, nil
 		}
@@ -184,7 +184,7 @@
 		}}
 		r, err := http.NewRequest("POST", "http://x.example/", strings.NewReader("body"))
 		So(err, ShouldBeNil)
-		_, err = client.Send(r.WithContext(httptrace.WithClientTrace(context.Background(), trace)), Terms{Most: 100, MayKeep: Always})
+		_, err = client.Send(r.WithContext(httptrace.WithClientTrace(context.Background(), trace)), SendOptions{MaxBodyBytes: 100, CanReuse: AlwaysReuse})
 		So(err, ShouldNotBeNil)
 	})
 }
--- a/internal/web/fuzz_test.go
+++ b/internal/web/fuzz_test.go
@@ -24,21 +24,21 @@
 		f.Fatal(err)
 	}
 	f.Cleanup(func() { _ = listener.Close() })
-	client := NewClient(ClientOptions{Dial: time.Minute, Idle: time.Minute, MostIdle: 1})
+	client := NewClient(ClientOptions{DialTimeout: time.Minute, IdleTimeout: time.Minute, MaxIdlePerAddress: 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		go answerWith(listener, raw)
 		r, err := http.NewRequest(http.MethodPost, "http://"+listener.Addr().String()+"/", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		reply, err := client.Send(r, Terms{Most: 3, IsSummed: true})
+		reply, err := client.Send(r, SendOptions{MaxBodyBytes: 3, WantsChecksum: true})
 		if err != nil {
 			if kind := errs.KindOf(err); kind != errs.Lost && kind != errs.Truncated {
 				t.Fatalf("%q: %v", raw, err)
 			}
 			return
 		}
-		if reply.IsKept() != (reply.Size <= 3) || len(reply.Sum) != 64 || reply.StatusCode < 200 {
+		if reply.HasWholeBody() != (reply.Size <= 3) || len(reply.Checksum) != 64 || reply.StatusCode < 200 {
 			t.Fatalf("%q is read as %d of %d bytes, status %d", raw, len(reply.Bytes), reply.Size, reply.StatusCode)
 		}
 	})
--- a/internal/web/limits_test.go
+++ b/internal/web/limits_test.go
@@ -19,9 +19,9 @@
 	Convey("A request with a head as long as any may be is served, and a much longer one is told so", t, func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = fmt.Fprint(w, len(r.Header.Get("X-Long"))) })
 		line, end := "GET / HTTP/1.1\r\nHost: h\r\nX-Long: ", "\r\n\r\n"
-		long := strings.Repeat("l", mostHeader-len(line)-len(end))
-		s.say(line + long + end)
-		text, _ := s.hear()
+		long := strings.Repeat("l", maxHeaderBytes-len(line)-len(end))
+		s.write(line + long + end)
+		text, _ := s.readAnswer()
 		So(text, ShouldEqual, fmt.Sprint(len(long)))
 		s.dial()
 		go func() { _, _ = io.WriteString(s.conn, line+long+long+end) }()
@@ -43,7 +43,7 @@
 				if isChunked {
 					r.ContentLength = -1
 				}
-				body, err := Body(r, limit)
+				body, err := ReadBody(r, limit)
 				if kind == "" {
 					So(err, ShouldBeNil)
 					So(len(body), ShouldEqual, size)
@@ -67,15 +67,15 @@
 					}
 					_, _ = io.WriteString(w, strings.Repeat("b", size))
 				}))
-				client := NewClient(ClientOptions{Dial: time.Minute, Idle: time.Minute, MostIdle: 1})
+				client := NewClient(ClientOptions{DialTimeout: time.Minute, IdleTimeout: time.Minute, MaxIdlePerAddress: 1})
 				r, err := http.NewRequest(http.MethodGet, server.URL, nil)
 				So(err, ShouldBeNil)
-				reply, err := client.Send(r, Terms{Most: most, MayKeep: Always})
+				reply, err := client.Send(r, SendOptions{MaxBodyBytes: most, CanReuse: AlwaysReuse})
 				So(err, ShouldBeNil)
 				So(reply.Size, ShouldEqual, size)
-				So(reply.IsKept(), ShouldEqual, size <= most)
+				So(reply.HasWholeBody(), ShouldEqual, size <= most)
 				So(len(reply.Bytes), ShouldEqual, map[bool]int{true: size}[size <= most])
-				So(client.Kept(), ShouldEqual, 1)
+				So(client.IdleCount(), ShouldEqual, 1)
 				server.Close()
 			}
 		}
--- a/internal/web/ascame.go
+++ b/internal/web/pathredirect.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// AsCame returns a handler for a mux whose "/" takes requests as they came. The library's mux
+// WithoutPathRedirects returns a handler for a mux whose "/" takes requests as they came. The library's mux
 // by itself sends a caller elsewhere whose path has dots or double slashes.
-func AsCame(mux *http.ServeMux) http.Handler {
+func WithoutPathRedirects(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if isPlain(r.URL.Path) {
+		if isCleanPath(r.URL.Path) {
 			mux.ServeHTTP(w, r)
 			return
 		}
@@ -20,6 +20,6 @@
 	})
 }
 
-func isPlain(p string) bool {
+func isCleanPath(p string) bool {
 	return strings.HasPrefix(p, "/") && (path.Clean(p) == p || path.Clean(p)+"/" == p)
 }
--- a/internal/web/ascame_test.go
+++ b/internal/web/pathredirect_test.go
@@ -25,7 +25,7 @@
 			Convey(c.target+" is served as it came", func() {
 				w, r := httptest.NewRecorder(), httptest.NewRequest("GET", "http://x.example"+c.target, nil)
 				r.RequestURI = c.target
-				AsCame(mux).ServeHTTP(w, r)
+				WithoutPathRedirects(mux).ServeHTTP(w, r)
 				So(w.Code, ShouldEqual, 200)
 				So(w.Body.String(), ShouldEqual, c.body)
 			})
--- a/internal/web/repeat_test.go
+++ b/internal/web/repeat_test.go
@@ -37,14 +37,14 @@
 			}
 		})
 		client := testClient()
-		call := func(send func(*http.Request, Terms) (*Reply, error)) error {
+		call := func(send func(*http.Request, SendOptions) (*Reply, error)) error {
 			r, err := http.NewRequest("POST", "http://"+address+"/", strings.NewReader("body"))
 			So(err, ShouldBeNil)
-			_, err = send(r, Terms{Most: 100, MayKeep: Always})
+			_, err = send(r, SendOptions{MaxBodyBytes: 100, CanReuse: AlwaysReuse})
 			return err
 		}
 		So(call(client.Send), ShouldBeNil)
-		settle(client, 1)
+		waitIdleCount(client, 1)
 		Convey("it fails, if it does not say that it may be sent again", func() {
 			err := call(client.Send)
 			So(errs.Is(err, errs.Lost), ShouldBeTrue)
@@ -59,11 +59,11 @@
 	Convey("A call that nobody hears was not sent", t, func() {
 		r, err := http.NewRequest("POST", "http://127.0.0.1:1/", nil)
 		So(err, ShouldBeNil)
-		_, err = testClient().Send(r, Terms{Most: 100, MayKeep: nil})
+		_, err = testClient().Send(r, SendOptions{MaxBodyBytes: 100, CanReuse: nil})
 		So(IsUnsent(err), ShouldBeTrue)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_, err = testClient().Send(r.WithContext(ctx), Terms{Most: 100, MayKeep: nil})
+		_, err = testClient().Send(r.WithContext(ctx), SendOptions{MaxBodyBytes: 100, CanReuse: nil})
 		So(IsUnsent(err), ShouldBeTrue)
 	})
 }
@@ -81,11 +81,11 @@
 				_, _ = conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
 		})
-		client, asked := testClient(), 0
+		client, checks := testClient(), 0
 		send := func(cause error) error {
 			r, err := http.NewRequest("GET", "http://"+address+"/", nil)
 			So(err, ShouldBeNil)
-			_, err = client.Send(r, Terms{MayKeep: Always, Before: func() error { asked++; return cause }})
+			_, err = client.Send(r, SendOptions{CanReuse: AlwaysReuse, BeforeSend: func() error { checks++; return cause }})
 			return err
 		}
 		Convey("and it may not go out any more, nothing of it does", func() {
@@ -100,7 +100,7 @@
 			So(send(nil), ShouldBeNil)
 			So(send(nil), ShouldBeNil)
 			So(arrived.Load(), ShouldEqual, 2)
-			So(asked, ShouldEqual, 1)
+			So(checks, ShouldEqual, 1)
 		})
 	})
 }
@@ -108,20 +108,20 @@
 // TestOneWayOut: a daemon that made a client of its own once had the library
 // send its runs twice. The proof tools and the operators' command line may.
 func TestOneWayOut(t *testing.T) {
-	others := regexp.MustCompile(`http\.(Transport\{|Client\{|DefaultClient|DefaultTransport|Get\(|Post\(|PostForm\(|Head\()|resty\.New|httputil\.(NewSingleHost)?ReverseProxy`)
-	tools := regexp.MustCompile(`^(internal/(fleet|standin|scale|sim|check|cli)/|internal/web/client\.go$)`)
+	forbidden := regexp.MustCompile(`http\.(Transport\{|Client\{|DefaultClient|DefaultTransport|Get\(|Post\(|PostForm\(|Head\()|resty\.New|httputil\.(NewSingleHost)?ReverseProxy`)
+	allowed := regexp.MustCompile(`^(internal/(fleet|standin|scale|sim|check|cli)/|internal/web/client\.go$)`)
 	Convey("No daemon has another way out than Client", t, func() {
 		root := filepath.Join("..", "..")
 		seen := 0
 		for _, folder := range []string{"internal", "platform", "cmd"} {
 			So(filepath.WalkDir(filepath.Join(root, folder), func(path string, entry os.DirEntry, err error) error {
 				name, _ := filepath.Rel(root, path)
-				if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || tools.MatchString(name) {
+				if err != nil || entry.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || allowed.MatchString(name) {
 					return err
 				}
 				seen++
 				text, err := os.ReadFile(path)
-				So(name+": "+string(others.Find(text)), ShouldEqual, name+": ")
+				So(name+": "+string(forbidden.Find(text)), ShouldEqual, name+": ")
 				return err
 			}), ShouldBeNil)
 		}
@@ -132,15 +132,15 @@
 // TestOverTls: a connection over TLS carries one request.
 func TestOverTls(t *testing.T) {
 	Convey("Over TLS a call is answered, and its connection not kept", t, func() {
-		server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { Answer(w, 200, "x") }))
+		server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { WriteJson(w, 200, "x") }))
 		Reset(server.Close)
 		client := testClient()
 		client.transport.TLSClientConfig = server.Client().Transport.(*http.Transport).TLSClientConfig
 		r, err := http.NewRequest("GET", server.URL+"/", nil)
 		So(err, ShouldBeNil)
-		reply, err := client.Send(r, Terms{Most: 100, MayKeep: Always})
+		reply, err := client.Send(r, SendOptions{MaxBodyBytes: 100, CanReuse: AlwaysReuse})
 		So(err, ShouldBeNil)
 		So(reply.StatusCode, ShouldEqual, 200)
-		So(client.Kept(), ShouldEqual, 0)
+		So(client.IdleCount(), ShouldEqual, 0)
 	})
 }
--- a/internal/web/reply.go
+++ b/internal/web/reply.go
@@ -13,31 +13,31 @@
 // Reply is a whole answer that came in.
 type Reply struct {
 	*http.Response
-	Bytes   []byte // the body; nil where it is longer than its terms let it be kept
-	Size    int64  // of the body, in bytes
-	Sum     string // SHA-256 of the body in hex; empty where the terms ask for none
-	IsFirst bool   // no other request went over its connection before
+	Bytes               []byte // the body; nil where it is longer than its terms let it be kept
+	Size                int64  // of the body, in bytes
+	Checksum            string // SHA-256 of the body in hex; empty where the terms ask for none
+	IsFirstOnConnection bool   // no other request went over its connection before
 }
 
-// IsKept reports whether Bytes is the whole body.
-func (r *Reply) IsKept() bool { return int64(len(r.Bytes)) == r.Size }
+// HasWholeBody reports whether Bytes is the whole body.
+func (r *Reply) HasWholeBody() bool { return int64(len(r.Bytes)) == r.Size }
 
 // read reads the body to its end, however long it is: what an answer means does not
 // depend on its size. Memory is bounded by the terms, time by the request's context.
-func (r *Reply) read(t Terms) error {
+func (r *Reply) read(t SendOptions) error {
 	defer func() { _ = r.Body.Close() }()
 	hasNoLength := r.ContentLength < 0 && len(r.TransferEncoding) == 0 && r.Request.Method != http.MethodHead
 	if r.StatusCode < 200 || hasNoLength {
 		return errs.New(errs.Truncated, "an answer that tells no length cannot be known to be whole")
 	}
 	body, sum := io.Reader(r.Body), hash.Hash(nil)
-	if t.IsSummed {
+	if t.WantsChecksum {
 		sum = sha256.New()
 		body = io.TeeReader(body, sum)
 	}
-	kept, err := io.ReadAll(io.LimitReader(body, t.Most+1))
+	kept, err := io.ReadAll(io.LimitReader(body, t.MaxBodyBytes+1))
 	r.Bytes, r.Size = kept, int64(len(kept))
-	if err == nil && r.Size > t.Most {
+	if err == nil && r.Size > t.MaxBodyBytes {
 		rest, discardErr := io.Copy(io.Discard, body)
 		r.Bytes, r.Size, err = nil, r.Size+rest, discardErr
 	}
@@ -45,7 +45,7 @@
 		return errs.Wrap(err, errs.Truncated, "the answer was cut short")
 	}
 	if sum != nil {
-		r.Sum = hex.EncodeToString(sum.Sum(nil))
+		r.Checksum = hex.EncodeToString(sum.Sum(nil))
 	}
 	return nil
 }
--- a/internal/web/server.go
+++ b/internal/web/server.go
@@ -13,9 +13,9 @@
 
 // Limits of a connection towards callers.
 const (
-	headerTimeout = 10 * time.Second // for the head of a request, from its first byte on
-	idleTimeout   = 2 * time.Minute  // between an answer and the next request
-	mostHeader    = 32 << 10
+	headerTimeout  = 10 * time.Second // for the head of a request, from its first byte on
+	idleTimeout    = 2 * time.Minute  // between an answer and the next request
+	maxHeaderBytes = 32 << 10
 )
 
 // ErrStopping is the cause for which the context of a request ends whose daemon is about
@@ -24,9 +24,9 @@
 
 // ServerOptions are what a server is made of.
 type ServerOptions struct {
-	Listener net.Listener
-	Handler  http.Handler
-	LastLook time.Duration // how long a waiting connection is read once more as the server stops
+	Listener         net.Listener
+	Handler          http.Handler
+	FinalReadTimeout time.Duration // how long a waiting connection is read once more as the server stops
 }
 
 // Server is an HTTP server that stops without cutting off a request that it has
@@ -37,58 +37,58 @@
 // Invariant: until the time to stop is over, a connection is closed only by the
 // goroutine that reads it.
 type Server struct {
-	http      *http.Server
-	listener  net.Listener
-	lastLook  time.Duration
-	isLeaving atomic.Bool
-	base      context.Context // of all requests
-	hurry     context.CancelCauseFunc
+	http             *http.Server
+	listener         net.Listener
+	finalReadTimeout time.Duration
+	isDraining       atomic.Bool
+	baseContext      context.Context // of all requests
+	cancelRequests   context.CancelCauseFunc
 
 	mu          sync.Mutex
-	isEnding    bool
+	isStopping  bool
 	isAccepting bool
-	open        map[*accepted]struct{}
+	connections map[*serverConn]struct{}
 	changed     chan struct{} // poked when a connection or the listener is closed
 }
 
 // NewServer readies a server; Serve begins it.
 func NewServer(o ServerOptions) *Server {
-	s := &Server{listener: o.Listener, lastLook: o.LastLook, isAccepting: true, open: map[*accepted]struct{}{},
+	s := &Server{listener: o.Listener, finalReadTimeout: o.FinalReadTimeout, isAccepting: true, connections: map[*serverConn]struct{}{},
 		changed: make(chan struct{}, 1)}
-	s.base, s.hurry = context.WithCancelCause(context.Background())
-	s.http = &http.Server{Handler: s.telling(o.Handler), BaseContext: func(net.Listener) context.Context { return s.base }, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: mostHeader}
+	s.baseContext, s.cancelRequests = context.WithCancelCause(context.Background())
+	s.http = &http.Server{Handler: s.withConnectionHeader(o.Handler), BaseContext: func(net.Listener) context.Context { return s.baseContext }, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes}
 	return s
 }
 
 // Serve accepts connections until Stop; then it returns nil.
 func (s *Server) Serve() error {
-	err := s.http.Serve(&acceptor{Listener: s.listener, server: s})
+	err := s.http.Serve(&trackingListener{Listener: s.listener, server: s})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isAccepting = false
-	s.poke()
-	if s.isEnding {
+	s.signalChange()
+	if s.isStopping {
 		return nil
 	}
 	return errs.Wrap(err, errs.Internal, "serve HTTP")
 }
 
-// Leave has each further answer say that its connection is closed after it, so
+// StartDraining has each further answer say that its connection is closed after it, so
 // that callers go to other daemons. Connections that wait stay open.
-func (s *Server) Leave() { s.isLeaving.Store(true) }
+func (s *Server) StartDraining() { s.isDraining.Store(true) }
 
-// Hurry ends the contexts of all requests, those too that are read later, so that they are
+// CancelRequests ends the contexts of all requests, those too that are read later, so that they are
 // answered with what is known before the time to stop is over.
-func (s *Server) Hurry() { s.hurry(ErrStopping) }
+func (s *Server) CancelRequests() { s.cancelRequests(ErrStopping) }
 
 // Stop takes no new connections, ends those that wait for a request, and returns
 // once the last one has been answered. When ctx ends the rest is cut off, which
 // is an error.
 func (s *Server) Stop(ctx context.Context) error {
-	defer s.Hurry()
-	s.Leave()
-	s.end()
+	defer s.CancelRequests()
+	s.StartDraining()
+	s.closeIdle()
 	for s.isServing() {
 		select {
 		case <-s.changed:
@@ -100,17 +100,17 @@
 	return nil
 }
 
-func (s *Server) end() {
+func (s *Server) closeIdle() {
 	s.mu.Lock()
-	s.isEnding = true
-	waiting := make([]*accepted, 0, len(s.open))
-	for conn := range s.open {
-		waiting = append(waiting, conn)
+	s.isStopping = true
+	connections := make([]*serverConn, 0, len(s.connections))
+	for conn := range s.connections {
+		connections = append(connections, conn)
 	}
 	s.mu.Unlock()
 	s.stopAccepting()
-	for _, conn := range waiting {
-		conn.end()
+	for _, conn := range connections {
+		conn.startClosing()
 	}
 }
 
@@ -118,7 +118,7 @@
 // can be given a deadline.
 func (s *Server) stopAccepting() {
 	timed, isTimed := s.listener.(interface{ SetDeadline(at time.Time) error })
-	if !isTimed || timed.SetDeadline(time.Now().Add(s.lastLook)) != nil {
+	if !isTimed || timed.SetDeadline(time.Now().Add(s.finalReadTimeout)) != nil {
 		_ = s.listener.Close()
 	}
 }
@@ -126,65 +126,65 @@
 func (s *Server) isServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isAccepting || len(s.open) > 0
+	return s.isAccepting || len(s.connections) > 0
 }
 
 // add notes a connection, and reports whether the server is about to end it.
-func (s *Server) add(conn *accepted) (isEnding bool) {
+func (s *Server) add(conn *serverConn) (isEnding bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[conn] = struct{}{}
-	return s.isEnding
+	s.connections[conn] = struct{}{}
+	return s.isStopping
 }
 
-func (s *Server) remove(conn *accepted) {
+func (s *Server) remove(conn *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, conn)
-	s.poke()
+	delete(s.connections, conn)
+	s.signalChange()
 }
 
-func (s *Server) poke() {
+func (s *Server) signalChange() {
 	select {
 	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
-// telling returns the handler with answers that say when their connection ends.
-func (s *Server) telling(handler http.Handler) http.Handler {
+// withConnectionHeader returns the handler with answers that say when their connection ends.
+func (s *Server) withConnectionHeader(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		told := &tellingWriter{ResponseWriter: w, server: s}
-		handler.ServeHTTP(told, r)
-		told.tell()
+		writer := &connectionHeaderWriter{ResponseWriter: w, server: s}
+		handler.ServeHTTP(writer, r)
+		writer.setConnectionHeader()
 	})
 }
 
-// tellingWriter adds "Connection: close" to an answer that begins after Leave.
-type tellingWriter struct {
+// connectionHeaderWriter adds "Connection: close" to an answer that begins after Leave.
+type connectionHeaderWriter struct {
 	http.ResponseWriter
-	server *Server
-	isTold bool
+	server      *Server
+	isHeaderSet bool
 }
 
-func (w *tellingWriter) tell() {
-	if !w.isTold && w.server.isLeaving.Load() {
+func (w *connectionHeaderWriter) setConnectionHeader() {
+	if !w.isHeaderSet && w.server.isDraining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	w.isTold = true
+	w.isHeaderSet = true
 }
 
 // WriteHeader is that of http.ResponseWriter.
-func (w *tellingWriter) WriteHeader(code int) {
-	w.tell()
+func (w *connectionHeaderWriter) WriteHeader(code int) {
+	w.setConnectionHeader()
 	w.ResponseWriter.WriteHeader(code)
 }
 
 // Write is that of http.ResponseWriter.
-func (w *tellingWriter) Write(p []byte) (int, error) {
-	w.tell()
+func (w *connectionHeaderWriter) Write(p []byte) (int, error) {
+	w.setConnectionHeader()
 	return w.ResponseWriter.Write(p)
 }
 
 // Unwrap is for http.ResponseController.
-func (w *tellingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *connectionHeaderWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/web/server_test.go
+++ b/internal/web/server_test.go
@@ -15,25 +15,25 @@
 	"caperwheel/internal/errs"
 )
 
-// served is a server that runs, and what a caller says and hears on one connection.
-type served struct {
+// testServer is a server that runs, and what a caller says and hears on one connection.
+type testServer struct {
 	*Server
 	conn    net.Conn
 	answers *bufio.Reader
 	ended   chan error // what Serve returned
 }
 
-func serve(handler http.HandlerFunc) *served {
+func serve(handler http.HandlerFunc) *testServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	s := &served{Server: NewServer(ServerOptions{Listener: listener, Handler: handler, LastLook: 10 * time.Millisecond}),
+	s := &testServer{Server: NewServer(ServerOptions{Listener: listener, Handler: handler, FinalReadTimeout: 10 * time.Millisecond}),
 		ended: make(chan error, 1)}
 	go func() { s.ended <- s.Serve() }()
 	s.dial()
 	return s
 }
 
-func (s *served) dial() {
+func (s *testServer) dial() {
 	conn, err := net.Dial("tcp", s.listener.Addr().String())
 	So(err, ShouldBeNil)
 	So(conn.SetDeadline(time.Now().Add(time.Minute)), ShouldBeNil)
@@ -41,13 +41,13 @@
 	s.conn, s.answers = conn, bufio.NewReader(conn)
 }
 
-func (s *served) say(text string) {
+func (s *testServer) write(text string) {
 	_, err := io.WriteString(s.conn, text)
 	So(err, ShouldBeNil)
 }
 
-// hear returns the next answer's body, and whether the connection ends after it.
-func (s *served) hear() (text string, isLast bool) {
+// readAnswer returns the next answer's body, and whether the connection ends after it.
+func (s *testServer) readAnswer() (text string, isLast bool) {
 	reply, err := http.ReadResponse(s.answers, nil)
 	So(err, ShouldBeNil)
 	raw, err := io.ReadAll(reply.Body)
@@ -56,13 +56,13 @@
 }
 
 // stopIn stops the server within a span, and returns what Stop and Serve did.
-func (s *served) stopIn(span time.Duration) (stopped, served error) {
+func (s *testServer) stopIn(span time.Duration) (stopped, served error) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	return s.Stop(ctx), <-s.ended
 }
 
-const asked = "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 5\r\n\r\nhello"
+const helloRequest = "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 5\r\n\r\nhello"
 
 // TestServerStops: what callers on open connections get as a server stops.
 func TestServerStops(t *testing.T) {
@@ -70,8 +70,8 @@
 	Convey("As a server stops", t, func() {
 		Convey("a connection that waits is ended after its last look, and no new one is taken", func() {
 			s := serve(echo)
-			s.say(asked)
-			text, isLast := s.hear()
+			s.write(helloRequest)
+			text, isLast := s.readAnswer()
 			So(text, ShouldEqual, "hello")
 			So(isLast, ShouldBeFalse)
 			stopped, served := s.stopIn(time.Minute)
@@ -86,14 +86,14 @@
 			for _, isUsed := range []bool{true, false} {
 				s := serve(echo)
 				if isUsed {
-					s.say(asked)
-					s.hear()
+					s.write(helloRequest)
+					s.readAnswer()
 				}
-				s.say(asked)
+				s.write(helloRequest)
 				stopped, served := s.stopIn(time.Minute)
 				So(stopped, ShouldBeNil)
 				So(served, ShouldBeNil)
-				text, _ := s.hear() // it may have been answered before Stop
+				text, _ := s.readAnswer() // it may have been answered before Stop
 				So(text, ShouldEqual, "hello")
 				_, err := s.answers.ReadByte()
 				So(err, ShouldEqual, io.EOF)
@@ -108,20 +108,20 @@
 					_, _ = io.Copy(w, r.Body)
 				}
 			})
-			s.say(asked)
+			s.write(helloRequest)
 			<-begun
-			s.Leave()
+			s.StartDraining()
 			close(goOn)
-			_, isLast := s.hear()
+			_, isLast := s.readAnswer()
 			So(isLast, ShouldBeTrue)
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
 		})
 		Convey("an answer without a body or a status of its own is the last, too", func() {
 			s := serve(func(http.ResponseWriter, *http.Request) {})
-			s.Leave()
-			s.say(asked)
-			_, isLast := s.hear()
+			s.StartDraining()
+			s.write(helloRequest)
+			_, isLast := s.readAnswer()
 			So(isLast, ShouldBeTrue)
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
@@ -138,14 +138,14 @@
 						_, _ = w.Write(append(first, rest...))
 					}
 				})
-				s.say(strings.Replace(asked, "Content-Length", expects+"Content-Length", 1)[:len(asked)+len(expects)-3])
+				s.write(strings.Replace(helloRequest, "Content-Length", expects+"Content-Length", 1)[:len(helloRequest)+len(expects)-3])
 				<-read
 				done := make(chan error, 1)
 				go func() { done <- s.Stop(context.Background()) }()
 				for s.isAcceptingNow() { // the last look of a connection that waits ends with it
 					_, _ = s.conn.Write(nil)
 				}
-				s.say("llo")
+				s.write("llo")
 				if expects != "" {
 					line, err := s.answers.ReadString('\n')
 					So(err, ShouldBeNil)
@@ -153,7 +153,7 @@
 					_, err = s.answers.ReadString('\n')
 					So(err, ShouldBeNil)
 				}
-				text, isLast := s.hear()
+				text, isLast := s.readAnswer()
 				So(text, ShouldEqual, "hello")
 				So(isLast, ShouldBeTrue)
 				So(<-done, ShouldBeNil)
@@ -166,17 +166,17 @@
 				<-r.Context().Done()
 				_, _ = io.WriteString(w, context.Cause(r.Context()).Error())
 			})
-			s.say(asked)
+			s.write(helloRequest)
 			<-begun
-			s.Hurry()
-			text, _ := s.hear()
+			s.CancelRequests()
+			text, _ := s.readAnswer()
 			So(text, ShouldEqual, ErrStopping.Error())
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
 		})
 		Convey("who never ends a request is cut off when the time is over, and it is told", func() {
 			s := serve(func(_ http.ResponseWriter, r *http.Request) { _, _ = io.ReadAll(r.Body) })
-			s.say(asked[:len(asked)-1])
+			s.write(helloRequest[:len(helloRequest)-1])
 			stopped, served := s.stopIn(50 * time.Millisecond)
 			So(errs.Is(stopped, errs.DeadlineExceeded), ShouldBeTrue)
 			So(served, ShouldBeNil)
@@ -184,7 +184,7 @@
 	})
 }
 
-func (s *served) isAcceptingNow() bool {
+func (s *testServer) isAcceptingNow() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isAccepting
--- a/internal/web/unsent.go
+++ b/internal/web/unsent.go
@@ -2,19 +2,19 @@
 
 import "errors"
 
-// Unsent marks a failure before a byte of the request was written.
-type Unsent struct{ cause error }
+// UnsentError marks a failure before a byte of the request was written.
+type UnsentError struct{ cause error }
 
-// NewUnsent marks a failure as one before a byte was written.
-func NewUnsent(cause error) *Unsent { return &Unsent{cause} }
+// NewUnsentError marks a failure as one before a byte was written.
+func NewUnsentError(cause error) *UnsentError { return &UnsentError{cause} }
 
-func (u *Unsent) Error() string { return "unsent: " + u.cause.Error() }
+func (u *UnsentError) Error() string { return "unsent: " + u.cause.Error() }
 
 // Unwrap gives the cause.
-func (u *Unsent) Unwrap() error { return u.cause }
+func (u *UnsentError) Unwrap() error { return u.cause }
 
 // IsUnsent reports whether a request that failed was certainly not sent.
 func IsUnsent(err error) bool {
-	var unsent *Unsent
+	var unsent *UnsentError
 	return errors.As(err, &unsent)
 }
--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -21,22 +21,22 @@
 	More  any       `json:"more,omitempty"`
 }
 
-var codes = map[errs.Kind]int{
+var statusByKind = map[errs.Kind]int{
 	errs.Full: 429, errs.Lost: 503, errs.DeadlineExceeded: 504, errs.NotOwner: 503, errs.Stale: 503, errs.Rejected: 409,
 	errs.Unknown: 404, errs.Invalid: 400, errs.Conflict: 409, errs.Missing: 428, errs.TooLarge: 413,
-	errs.DiskFull: 507, errs.Unauthorized: 401, errs.OverQuota: 429, errs.Unfounded: 503, errs.Undecided: 504, errs.BadMethod: 405, errs.Disk: 503,
+	errs.DiskFull: 507, errs.Unauthorized: 401, errs.OverQuota: 429, errs.NotBootstrapped: 503, errs.Undecided: 504, errs.BadMethod: 405, errs.Disk: 503,
 }
 
-// CodeOf gives the HTTP status of a kind of error.
-func CodeOf(kind errs.Kind) int {
-	if code := codes[kind]; code != 0 {
+// StatusOf gives the HTTP status of a kind of error.
+func StatusOf(kind errs.Kind) int {
+	if code := statusByKind[kind]; code != 0 {
 		return code
 	}
 	return 500
 }
 
-// Answer writes body as JSON with a Content-Length.
-func Answer(w http.ResponseWriter, code int, body any) {
+// WriteJson writes body as JSON with a Content-Length.
+func WriteJson(w http.ResponseWriter, code int, body any) {
 	raw, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		code, raw = 500, []byte(`{"error":"internal"}`)
@@ -48,32 +48,32 @@
 	_, _ = w.Write(raw) // the client has gone, if this fails
 }
 
-// Scheme is how callers are to show their API keys, as answers of 401 must tell.
-const Scheme = "Bearer"
+// AuthScheme is how callers are to show their API keys, as answers of 401 must tell.
+const AuthScheme = "Bearer"
 
-// Reject writes a problem. A retry above 0 is sent as Retry-After, in whole
+// WriteProblem writes a problem. A retry above 0 is sent as Retry-After, in whole
 // seconds.
-func Reject(w http.ResponseWriter, code int, p Problem, retry time.Duration) {
+func WriteProblem(w http.ResponseWriter, code int, p Problem, retry time.Duration) {
 	if code == http.StatusUnauthorized {
-		w.Header().Set("WWW-Authenticate", Scheme)
+		w.Header().Set("WWW-Authenticate", AuthScheme)
 	}
 	if retry > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int((retry+time.Second-1)/time.Second)))
 	}
-	Answer(w, code, p)
+	WriteJson(w, code, p)
 }
 
-// Fail writes the problem and status that belong to an error's kind.
-func Fail(w http.ResponseWriter, err error) {
+// WriteError writes the problem and status that belong to an error's kind.
+func WriteError(w http.ResponseWriter, err error) {
 	kind, retry := errs.KindOf(err), time.Duration(0)
-	if code := CodeOf(kind); code == 503 || code == 429 || code == 504 {
+	if code := StatusOf(kind); code == 503 || code == 429 || code == 504 {
 		retry = time.Second
 	}
-	Reject(w, CodeOf(kind), Problem{Error: kind, Text: err.Error()}, retry)
+	WriteProblem(w, StatusOf(kind), Problem{Error: kind, Text: err.Error()}, retry)
 }
 
-// Body reads a request body whole, and fails if it is longer than limit.
-func Body(r *http.Request, limit int64) ([]byte, error) {
+// ReadBody reads a request body whole, and fails if it is longer than limit.
+func ReadBody(r *http.Request, limit int64) ([]byte, error) {
 	if r.ContentLength > limit {
 		return nil, errs.New(errs.TooLarge, "body of %d bytes, limit %d", r.ContentLength, limit)
 	}
@@ -87,8 +87,8 @@
 	return raw, nil
 }
 
-// Methods returns a handler that chooses by method; others get a typed 405.
-func Methods(by map[string]http.HandlerFunc) http.HandlerFunc {
+// ByMethod returns a handler that chooses by method; others get a typed 405.
+func ByMethod(by map[string]http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if serve := by[r.Method]; serve != nil {
 			serve(w, r)
@@ -97,11 +97,11 @@
 		for method := range by {
 			w.Header().Add("Allow", method)
 		}
-		Reject(w, 405, Problem{Error: errs.BadMethod, Text: r.Method + " is not served here"}, 0)
+		WriteProblem(w, 405, Problem{Error: errs.BadMethod, Text: r.Method + " is not served here"}, 0)
 	}
 }
 
 // NotFound answers paths that are not served with a typed 404.
 func NotFound(w http.ResponseWriter, r *http.Request) {
-	Reject(w, 404, Problem{Error: errs.Unknown, Text: r.URL.Path + " is not served here"}, 0)
+	WriteProblem(w, 404, Problem{Error: errs.Unknown, Text: r.URL.Path + " is not served here"}, 0)
 }
--- a/internal/weight/peers.go
+++ b/internal/weight/peers.go
@@ -11,46 +11,46 @@
 // Invariant: only peers that were asked since they were last seen here have an
 // entry, so their number is bounded by the members.
 type Peers struct {
-	mu      sync.Mutex
-	seen    map[string]Seen
-	weights map[string]float64
+	mu           sync.Mutex
+	observations map[string]Observation
+	weights      map[string]float64
 }
 
-const smooth = 0.1 // share of the newest observation
+const smoothing = 0.1 // share of the newest observation
 
-// Saw records one request to a peer, whether it was answered, and how fast.
-func (p *Peers) Saw(name string, micros float64, isAnswered bool) {
+// Record records one request to a peer, whether it was answered, and how fast.
+func (p *Peers) Record(name string, micros float64, isAnswered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.seen == nil {
-		p.seen = map[string]Seen{}
+	if p.observations == nil {
+		p.observations = map[string]Observation{}
 	}
-	s := p.seen[name]
+	s := p.observations[name]
 	if isAnswered {
 		if s.Micros == 0 {
 			s.Micros = micros
 		}
-		s.Micros += (micros - s.Micros) * smooth
-		s.Failed -= s.Failed * smooth
+		s.Micros += (micros - s.Micros) * smoothing
+		s.Failed -= s.Failed * smoothing
 	} else {
-		s.Failed += (1 - s.Failed) * smooth
+		s.Failed += (1 - s.Failed) * smoothing
 	}
-	p.seen[name] = s
+	p.observations[name] = s
 }
 
 // Turn moves the weights one step and forgets peers that are gone.
-func (p *Peers) Turn(isHere func(name string) bool) {
+func (p *Peers) Update(isHere func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.seen, func(name string, _ Seen) bool { return !isHere(name) })
-	p.weights = Turn(p.weights, p.seen)
+	maps.DeleteFunc(p.observations, func(name string, _ Observation) bool { return !isHere(name) })
+	p.weights = UpdateWeights(p.weights, p.observations)
 }
 
-// Of returns a peer's weight, from Least to 1.
-func (p *Peers) Of(name string) float64 {
+// Weight returns a peer's weight, from Least to 1.
+func (p *Peers) Weight(name string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return get(p.weights, name)
+	return weightOf(p.weights, name)
 }
 
 // All returns a copy of all weights, by peer.
--- a/internal/weight/shares_test.go
+++ b/internal/weight/shares_test.go
@@ -7,25 +7,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// feed gives a lane's messages to two pools by weight for some turns, each pool
+// simulateFeed gives a lane's messages to two pools by weight for some turns, each pool
 // running at most its capacity a turn, and counts what was left waiting at the
 // end. isControlled has the weights follow what is seen, two turns late.
-func feed(turns int, isControlled bool, capacity func(turn int) (a, b float64)) (waiting float64, turned []float64) {
+func simulateFeed(turns int, isControlled bool, capacity func(turn int) (a, b float64)) (waiting float64, turned []float64) {
 	weights, queued := map[string]float64{}, map[string]float64{}
-	late := []map[string]Seen{}
+	late := []map[string]Observation{}
 	for turn := range turns {
 		x, y := capacity(turn)
-		sum := get(weights, "a") + get(weights, "b")
-		seen := map[string]Seen{}
+		sum := weightOf(weights, "a") + weightOf(weights, "b")
+		seen := map[string]Observation{}
 		for name, most := range map[string]float64{"a": x, "b": y} {
-			queued[name] = math.Max(0, queued[name]+100*get(weights, name)/sum-most)
-			seen[name] = Seen{Micros: 1e6 / most}
+			queued[name] = math.Max(0, queued[name]+100*weightOf(weights, name)/sum-most)
+			seen[name] = Observation{Micros: 1e6 / most}
 		}
 		late = append(late, seen)
 		if isControlled && len(late) > 2 {
-			weights = Turn(weights, late[len(late)-3])
+			weights = UpdateWeights(weights, late[len(late)-3])
 		}
-		turned = append(turned, get(weights, "a"))
+		turned = append(turned, weightOf(weights, "a"))
 	}
 	return queued["a"] + queued["b"], turned
 }
@@ -39,14 +39,14 @@
 		return 95, 95
 	}
 	Convey("When one of two pools turns slow for a while", t, func() {
-		fixed, _ := feed(40, false, slows)
-		led, turned := feed(40, true, slows)
+		fixed, _ := simulateFeed(40, false, slows)
+		led, turned := simulateFeed(40, true, slows)
 		Convey("much less is left waiting than under fixed weights", func() {
 			So(fixed, ShouldBeGreaterThan, 1000)
 			So(led, ShouldBeLessThan, fixed/4)
 		})
 		Convey("its weight goes down and comes back, and does not swing", func() {
-			_, turned = feed(120, true, slows)
+			_, turned = simulateFeed(120, true, slows)
 			So(turned[39], ShouldBeLessThan, 0.2)
 			So(turned[119], ShouldBeGreaterThan, 0.95)
 			turns := 0
@@ -61,13 +61,13 @@
 	Convey("A peer that does not answer loses weight, keeps the least, and is forgotten when it is gone", t, func() {
 		p := &Peers{}
 		for range 80 {
-			p.Saw("a", 1000, true)
-			p.Saw("b", 1000, false)
-			p.Turn(func(string) bool { return true })
+			p.Record("a", 1000, true)
+			p.Record("b", 1000, false)
+			p.Update(func(string) bool { return true })
 		}
-		So(p.Of("a"), ShouldEqual, 1)
-		So(p.Of("b"), ShouldEqual, Least)
-		p.Turn(func(name string) bool { return name == "a" })
+		So(p.Weight("a"), ShouldEqual, 1)
+		So(p.Weight("b"), ShouldEqual, WeightFloor)
+		p.Update(func(name string) bool { return name == "a" })
 		So(p.All(), ShouldResemble, map[string]float64{"a": 1})
 	})
 }
--- a/internal/weight/weight.go
+++ b/internal/weight/weight.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Seen is what the holder of a worker's duty has observed lately.
-type Seen struct {
+// Observation is what the holder of a worker's duty has observed lately.
+type Observation struct {
 	Zone    string
 	Micros  float64 // smoothed time of a run
 	Failed  float64 // smoothed share of runs that failed, 0 to 1
@@ -28,15 +28,15 @@
 // that every worker is tried now and then; one turn moves it by at most Step
 // of its value (or Least, if that is more), so that two controllers or late observations cannot swing it.
 const (
-	Least  = 0.05
-	Step   = 0.25
-	Damp   = 0.5  // share of the way to the target that one turn goes
-	Notice = 0.05 // smaller changes are not worth publishing
+	WeightFloor     = 0.05
+	StepLimit       = 0.25
+	Damping         = 0.5  // share of the way to the target that one turn goes
+	ChangeThreshold = 0.05 // smaller changes are not worth publishing
 )
 
-// Next returns the weights after one turn of the controller.
-func Next(old Weights, seen map[string]Seen) Weights {
-	out := Weights{Zones: map[string]float64{}, Workers: Turn(old.Workers, seen)}
+// NextWeights returns the weights after one turn of the controller.
+func NextWeights(old Weights, seen map[string]Observation) Weights {
+	out := Weights{Zones: map[string]float64{}, Workers: UpdateWeights(old.Workers, seen)}
 	zones := map[string][]float64{}
 	for _, s := range seen {
 		zones[s.Zone] = append(zones[s.Zone], 1-s.Failed)
@@ -46,48 +46,48 @@
 		for _, x := range healthy {
 			sum += x
 		}
-		out.Zones[zone] = move(get(old.Zones, zone), max(Least, sum/float64(len(healthy))))
+		out.Zones[zone] = stepToward(weightOf(old.Zones, zone), max(WeightFloor, sum/float64(len(healthy))))
 	}
 	return out
 }
 
 // Turn is one turn of the controller that the workers of a pool, the pools of
 // a lane and the stores that an adapter may choose among have alike.
-func Turn(old map[string]float64, seen map[string]Seen) map[string]float64 {
+func UpdateWeights(old map[string]float64, seen map[string]Observation) map[string]float64 {
 	out, usual := map[string]float64{}, median(seen)
 	for name, s := range seen {
-		out[name] = move(get(old, name), target(s, usual))
+		out[name] = stepToward(weightOf(old, name), target(s, usual))
 	}
 	return out
 }
 
 // target: a worker gets less the slower it is than usual and the more it fails.
-func target(s Seen, usual float64) float64 {
+func target(s Observation, usual float64) float64 {
 	if s.IsProbe {
-		return Least
+		return WeightFloor
 	}
 	share := 1.0
 	if s.Micros > 0 && usual > 0 {
 		share = min(1, usual/s.Micros)
 	}
-	return max(Least, share*(1-s.Failed))
+	return max(WeightFloor, share*(1-s.Failed))
 }
 
-func move(from, to float64) float64 {
-	step := (to - from) * Damp
-	most := max(from*Step, Least)
+func stepToward(from, to float64) float64 {
+	step := (to - from) * Damping
+	most := max(from*StepLimit, WeightFloor)
 	step = math.Max(-most, math.Min(most, step))
-	return math.Max(Least, math.Min(1, from+step))
+	return math.Max(WeightFloor, math.Min(1, from+step))
 }
 
-func get(m map[string]float64, name string) float64 {
+func weightOf(m map[string]float64, name string) float64 {
 	if w, isKnown := m[name]; isKnown {
 		return w
 	}
 	return 1
 }
 
-func median(seen map[string]Seen) float64 {
+func median(seen map[string]Observation) float64 {
 	times := []float64{}
 	for _, s := range seen {
 		if s.Micros > 0 && !s.IsProbe {
@@ -101,27 +101,27 @@
 	return times[(len(times)-1)/2] // of two the quicker: the slower one is the odd one
 }
 
-// IsNews reports whether the change is worth publishing.
-func IsNews(old, next Weights) bool {
-	return HasMoved(old.Zones, next.Zones) || HasMoved(old.Workers, next.Workers)
+// IsWorthPublishing reports whether the change is worth publishing.
+func IsWorthPublishing(old, next Weights) bool {
+	return HasChanged(old.Zones, next.Zones) || HasChanged(old.Workers, next.Workers)
 }
 
-// HasMoved reports whether any weight has changed enough to matter.
-func HasMoved(old, next map[string]float64) bool {
+// HasChanged reports whether any weight has changed enough to matter.
+func HasChanged(old, next map[string]float64) bool {
 	if !slices.Equal(slices.Sorted(maps.Keys(old)), slices.Sorted(maps.Keys(next))) {
 		return true
 	}
 	for name, w := range next {
-		if math.Abs(w-old[name]) > Notice*max(old[name], Least) {
+		if math.Abs(w-old[name]) > ChangeThreshold*max(old[name], WeightFloor) {
 			return true
 		}
 	}
 	return false
 }
 
-// Join sums up what was observed of a pool's workers as if they were one.
-func Join(seen map[string]Seen) Seen {
-	out, timed, probes := Seen{}, 0.0, 0
+// Aggregate sums up what was observed of a pool's workers as if they were one.
+func Aggregate(seen map[string]Observation) Observation {
+	out, timed, probes := Observation{}, 0.0, 0
 	for _, s := range seen {
 		out.Failed += s.Failed / float64(len(seen))
 		if s.Micros > 0 {
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -6,17 +6,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func even(count int) map[string]Seen {
-	out := map[string]Seen{}
+func even(count int) map[string]Observation {
+	out := map[string]Observation{}
 	for i := range count {
-		out[string(rune('a'+i))] = Seen{Zone: "x", Micros: 1000}
+		out[string(rune('a'+i))] = Observation{Zone: "x", Micros: 1000}
 	}
 	return out
 }
 
-func settle(seen map[string]Seen, turns int) (w Weights) {
+func settle(seen map[string]Observation, turns int) (w Weights) {
 	for range turns {
-		w = Next(w, seen)
+		w = NextWeights(w, seen)
 	}
 	return w
 }
@@ -25,17 +25,17 @@
 func TestWeights(t *testing.T) {
 	cases := []struct {
 		name string
-		odd  Seen
+		odd  Observation
 		low  float64
 		high float64
 	}{
-		{"like the others keeps its full weight", Seen{Micros: 1000}, 1, 1},
-		{"that is quicker gets no more than that", Seen{Micros: 10}, 1, 1},
-		{"ten times as slow gets a tenth", Seen{Micros: 10000}, 0.09, 0.12},
-		{"that fails half its runs gets half", Seen{Micros: 1000, Failed: 0.5}, 0.49, 0.52},
-		{"that fails always is still tried", Seen{Micros: 1000, Failed: 1}, Least, Least},
-		{"that is probed is still tried", Seen{IsProbe: true}, Least, Least},
-		{"not seen to run yet keeps its full weight", Seen{}, 1, 1},
+		{"like the others keeps its full weight", Observation{Micros: 1000}, 1, 1},
+		{"that is quicker gets no more than that", Observation{Micros: 10}, 1, 1},
+		{"ten times as slow gets a tenth", Observation{Micros: 10000}, 0.09, 0.12},
+		{"that fails half its runs gets half", Observation{Micros: 1000, Failed: 0.5}, 0.49, 0.52},
+		{"that fails always is still tried", Observation{Micros: 1000, Failed: 1}, WeightFloor, WeightFloor},
+		{"that is probed is still tried", Observation{IsProbe: true}, WeightFloor, WeightFloor},
+		{"not seen to run yet keeps its full weight", Observation{}, 1, 1},
 	}
 	Convey("A worker among four others", t, func() {
 		for _, c := range cases {
@@ -50,32 +50,32 @@
 		}
 		Convey("never moves by more than a step in one turn, and comes back", func() {
 			seen := even(4)
-			seen["odd"] = Seen{Zone: "x", Failed: 1}
+			seen["odd"] = Observation{Zone: "x", Failed: 1}
 			w, last := Weights{}, 1.0
 			for range 20 {
-				w = Next(w, seen)
-				So(last-w.Workers["odd"], ShouldBeLessThan, max(last*Step, Least)+1e-9)
+				w = NextWeights(w, seen)
+				So(last-w.Workers["odd"], ShouldBeLessThan, max(last*StepLimit, WeightFloor)+1e-9)
 				last = w.Workers["odd"]
 			}
-			seen["odd"] = Seen{Zone: "x", Micros: 1000}
+			seen["odd"] = Observation{Zone: "x", Micros: 1000}
 			for range 60 {
-				w = Next(w, seen)
+				w = NextWeights(w, seen)
 			}
 			So(w.Workers["odd"], ShouldBeGreaterThan, 0.95)
 		})
 		Convey("does not drag down its cell alone, but a failing cell goes down", func() {
 			seen := even(4)
 			for _, name := range []string{"p", "q", "r"} {
-				seen[name] = Seen{Zone: "y", Failed: 1}
+				seen[name] = Observation{Zone: "y", Failed: 1}
 			}
 			w := settle(seen, 60)
 			So(w.Zones["x"], ShouldEqual, 1)
-			So(w.Zones["y"], ShouldAlmostEqual, Least, 1e-6)
+			So(w.Zones["y"], ShouldAlmostEqual, WeightFloor, 1e-6)
 		})
 		Convey("publishes only what matters", func() {
 			w := settle(even(3), 1)
-			So(IsNews(Weights{}, w), ShouldBeTrue)
-			So(IsNews(w, Next(w, even(3))), ShouldBeFalse)
+			So(IsWorthPublishing(Weights{}, w), ShouldBeTrue)
+			So(IsWorthPublishing(w, NextWeights(w, even(3))), ShouldBeFalse)
 		})
 	})
 }
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/errs"
 )
 
-// fill sets all that a body can carry, so that every field has bytes of its own.
-func fill(v reflect.Value) {
+// fillValue sets all that a body can carry, so that every field has bytes of its own.
+func fillValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
 		v.SetString("text")
@@ -31,16 +31,16 @@
 				v.Index(i).SetUint(7)
 				continue
 			}
-			fill(v.Index(i))
+			fillValue(v.Index(i))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
 		value := reflect.New(v.Type().Elem()).Elem()
-		fill(value)
+		fillValue(value)
 		v.SetMapIndex(reflect.ValueOf("key"), value)
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i))
+			fillValue(v.Field(i))
 		}
 	}
 }
@@ -50,18 +50,18 @@
 func TestCodecWritesItsSchema(t *testing.T) {
 	Convey("For each version, link, direction and body,", t, func() {
 		bodies := 0
-		for version := Oldest; version <= Version; version++ {
+		for version := OldestVersion; version <= Version; version++ {
 			for _, name := range slices.Sorted(maps.Keys(Links)) {
 				asks, replies := Links[name].Codecs(version)
 				for _, c := range []*Codec{asks, replies} {
 					for _, b := range c.branches {
-						body := reflect.New(b.of)
-						fill(body.Elem())
-						item := Item{Corr: 99, Body: body.Interface()}
+						body := reflect.New(b.goType)
+						fillValue(body.Elem())
+						item := Item{CorrelationId: 99, Body: body.Interface()}
 						library := avro.NewWriter(nil, 64, avro.WithWriterConfig(c.api))
 						library.WriteVal(c.Schema, item)
 						So(library.Error, ShouldBeNil)
-						ours := c.Writer(64)
+						ours := c.NewWriter(64)
 						So(c.Append(ours, item), ShouldBeNil)
 						So(bytes.Equal(ours.Buffer(), library.Buffer()), ShouldBeTrue)
 
@@ -69,7 +69,7 @@
 						reader := avro.NewReader(nil, 0, avro.WithReaderConfig(c.api)).Reset(bytes.Clone(library.Buffer()))
 						reader.ReadVal(c.Schema, &wanted)
 						So(reader.Error, ShouldBeNil)
-						got, err := c.Parse(library.Buffer(), 1)
+						got, err := c.Decode(library.Buffer(), 1)
 						So(err, ShouldBeNil)
 						So(got, ShouldResemble, []Item{wanted})
 						bodies++
@@ -81,10 +81,10 @@
 	})
 	Convey("A body that a link does not carry is not written, and a number without a body not read", t, func() {
 		asks, _ := RunLink.Codecs(Version)
-		w := asks.Writer(64)
+		w := asks.NewWriter(64)
 		So(errs.Is(asks.Append(w, Item{Body: &Share{}}), errs.Internal), ShouldBeTrue)
 		for _, raw := range [][]byte{{2, 1}, {2, 100}, {2}, {}} { // body -1, body 50, cut short
-			_, err := asks.Parse(raw, 1)
+			_, err := asks.Decode(raw, 1)
 			So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 		}
 	})
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -8,8 +8,8 @@
 // that are compressed between zones; version 6 has the feature level of replicas; version 7 has
 // adapters that keep the time of groups; version 8 has limits of tenants.
 const (
-	Version int64 = 8
-	Oldest  int64 = 1
+	Version       int64 = 8
+	OldestVersion int64 = 1
 )
 
 // Who tells what a daemon is. Boot is new at every start, so that two lives of
@@ -96,7 +96,7 @@
 	MembershipHash string         `avro:"roll"`
 	Owns           []Owned        `avro:"owns"`
 	Fact           Fact           `avro:"fact"`
-	Beside         []Member       `avro:"beside"`
+	Colocated      []Member       `avro:"beside"`
 }
 
 // News answers a poll. Members is empty when Membership matches the asker's.
@@ -126,20 +126,20 @@
 // Edit changes one key of a part if the key's revision is still IfRevision: 0 for
 // absent, -1 for any. One whose Order has been taken before changes nothing.
 type Edit struct {
-	Part       int64    `avro:"part"`
-	Key        string   `avro:"key"`
-	Value      []byte   `avro:"value"`
-	IfRevision int64    `avro:"if_stamp"`
-	Gone       bool     `avro:"gone"`
-	By         string   `avro:"by"`
-	Order      string   `avro:"order" since:"4"`   // names the order that is remembered; empty: none is
-	Base       int64    `avro:"base" since:"4"`    // the version that an operator's order builds on; OneCall for the edit of a single call
-	Earlier    []string `avro:"earlier" since:"4"` // orders taken before that the part may not know
-	At         int64    `avro:"at" since:"4"`      // part time when the owner took it in, in milliseconds
+	Part              int64    `avro:"part"`
+	Key               string   `avro:"key"`
+	Value             []byte   `avro:"value"`
+	IfRevision        int64    `avro:"if_stamp"`
+	Gone              bool     `avro:"gone"`
+	By                string   `avro:"by"`
+	OperationId       string   `avro:"order" since:"4"`   // names the order that is remembered; empty: none is
+	BaseVersion       int64    `avro:"base" since:"4"`    // the version that an operator's order builds on; SingleCallBase for the edit of a single call
+	EarlierOperations []string `avro:"earlier" since:"4"` // orders taken before that the part may not know
+	At                int64    `avro:"at" since:"4"`      // part time when the owner took it in, in milliseconds
 }
 
-// OneCall is the Base of an edit that nobody but the manager that made it sends again.
-const OneCall = -1
+// SingleCallBase is the Base of an edit that nobody but the manager that made it sends again.
+const SingleCallBase = -1
 
 // Edited answers an edit. Kind is an error kind, empty when it holds. Revision is
 // the one that the order made, if it was taken, also when that was before.
@@ -147,7 +147,7 @@
 	Kind     string `avro:"kind"`
 	Text     string `avro:"text"`
 	Revision int64  `avro:"stamp"`
-	IsAgain  bool   `avro:"again" since:"4"` // the order had been taken before
+	IsRepeat bool   `avro:"again" since:"4"` // the order had been taken before
 }
 
 // Pull reads one key through a majority.
@@ -174,18 +174,18 @@
 // each group whose ownership a majority has confirmed since the ask came how it
 // stands. IsKnown says that the asked store knows of the retirement.
 type Retired struct {
-	Left    int64      `avro:"left"`
-	Text    string     `avro:"text"`
-	IsKnown bool       `avro:"known" since:"4"`
-	Groups  []Standing `avro:"groups" since:"4"`
+	RemainingGroups int64      `avro:"left"`
+	Text            string     `avro:"text"`
+	IsKnown         bool       `avro:"known" since:"4"`
+	Groups          []Standing `avro:"groups" since:"4"`
 }
 
 // Standing is how one group stands, as its owner sees it: the stores in its
 // roster, and how many of them, without the one that was asked about, have all
 // that was committed when the owner's last round began.
 type Standing struct {
-	Group  int64    `avro:"group"`
-	Term   int64    `avro:"term"`
-	Stores []string `avro:"stores"`
-	Whole  int64    `avro:"whole"`
+	Group          int64    `avro:"group"`
+	Term           int64    `avro:"term"`
+	Stores         []string `avro:"stores"`
+	UpToDateStores int64    `avro:"whole"`
 }
--- a/internal/wire/data.go
+++ b/internal/wire/data.go
@@ -1,21 +1,21 @@
 package wire
 
-// Take asks a place's owner to hold a message durably. Deadline is what remains
+// AcquireWriter asks a place's owner to hold a message durably. Deadline is what remains
 // of the message's patience, in milliseconds.
 type Take struct {
-	Place    int64  `avro:"place"`
-	Id       string `avro:"id"`
-	Lane     string `avro:"lane"`
-	Key      string `avro:"key"`
-	Idem     string `avro:"idem"`
-	Ctype    string `avro:"ctype"`
-	Body     []byte `avro:"body"`
-	Sum      string `avro:"sum"`
-	Deadline int64  `avro:"cutoff"`
-	Parent   string `avro:"parent"`
-	Head     []byte `avro:"head" since:"3"`   // of the request, where the message is the request as it came
-	Delay    int64  `avro:"delay" since:"3"`  // milliseconds before which it must not run
-	Notify   string `avro:"notify" since:"3"` // URL that is told of its end
+	Place          int64  `avro:"place"`
+	Id             string `avro:"id"`
+	Lane           string `avro:"lane"`
+	Key            string `avro:"key"`
+	IdempotencyKey string `avro:"idem"`
+	ContentType    string `avro:"ctype"`
+	Body           []byte `avro:"body"`
+	Checksum       string `avro:"sum"`
+	Deadline       int64  `avro:"cutoff"`
+	Parent         string `avro:"parent"`
+	RequestHead    []byte `avro:"head" since:"3"`   // of the request, where the message is the request as it came
+	Delay          int64  `avro:"delay" since:"3"`  // milliseconds before which it must not run
+	NotifyUrl      string `avro:"notify" since:"3"` // URL that is told of its end
 }
 
 // Taken answers Take and Settle. Kind is empty when the message is held; Id is
@@ -46,8 +46,8 @@
 	Wait  int64  `avro:"wait" since:"2"` // milliseconds for which the answer may wait for the message's end
 }
 
-// ErrorOf gives the kind of error that a reply tells; empty for none.
-func ErrorOf(reply any) string {
+// ErrorKindOf gives the kind of error that a reply tells; empty for none.
+func ErrorKindOf(reply any) string {
 	switch m := reply.(type) {
 	case *Taken:
 		return m.Kind
@@ -61,9 +61,9 @@
 	return ""
 }
 
-// SizeOf reports about how many bytes a message carries, so that large ones are
+// PayloadSize reports about how many bytes a message carries, so that large ones are
 // not put into one batch.
-func SizeOf(body any) int {
+func PayloadSize(body any) int {
 	switch m := body.(type) {
 	case *GroupMsg:
 		size := len(m.State)
@@ -74,7 +74,7 @@
 	case *Take:
 		return len(m.Body)
 	case *Run:
-		return len(m.Body) + len(m.Head)
+		return len(m.Body) + len(m.RequestHead)
 	case *Sight:
 		return len(m.Body) + len(m.Proof.Answer)
 	case *Outcome:
@@ -85,45 +85,45 @@
 
 // Proof is the record of one run.
 type Proof struct {
-	Attempt int64  `avro:"attempt"`
-	Worker  string `avro:"worker"`
-	Adapter string `avro:"adapter"`
-	Status  int64  `avro:"status"`
-	Ctype   string `avro:"ctype"`
-	Answer  []byte `avro:"answer"`
-	Sum     string `avro:"sum"`
+	Attempt     int64  `avro:"attempt"`
+	Worker      string `avro:"worker"`
+	Adapter     string `avro:"adapter"`
+	Status      int64  `avro:"status"`
+	ContentType string `avro:"ctype"`
+	Answer      []byte `avro:"answer"`
+	Checksum    string `avro:"sum"`
 }
 
 // Sight answers Look.
 type Sight struct {
-	Kind     string `avro:"kind"`
-	Owner    string `avro:"owner"`
-	Id       string `avro:"id"`
-	Lane     string `avro:"lane"`
-	Key      string `avro:"key"`
-	State    string `avro:"state"`
-	Attempts int64  `avro:"attempts"`
-	Cause    string `avro:"cause"`
-	Ctype    string `avro:"ctype"`
-	Body     []byte `avro:"body"`
-	Sum      string `avro:"sum"`
-	Parent   string `avro:"parent"`
-	Child    string `avro:"child"`
-	Proof    Proof  `avro:"proof"`
+	Kind        string `avro:"kind"`
+	Owner       string `avro:"owner"`
+	Id          string `avro:"id"`
+	Lane        string `avro:"lane"`
+	Key         string `avro:"key"`
+	State       string `avro:"state"`
+	Attempts    int64  `avro:"attempts"`
+	Cause       string `avro:"cause"`
+	ContentType string `avro:"ctype"`
+	Body        []byte `avro:"body"`
+	Checksum    string `avro:"sum"`
+	Parent      string `avro:"parent"`
+	Child       string `avro:"child"`
+	Proof       Proof  `avro:"proof"`
 }
 
 // Outcome brings the result of a run to the place's owner. Kind is empty for a
 // success. Begun tells whether the worker may have seen the request.
 type Outcome struct {
-	Place int64  `avro:"place"`
-	Id    string `avro:"id"`
-	Boot  string `avro:"boot"`
-	Proof Proof  `avro:"proof"`
-	Kind  string `avro:"kind"`
-	Begun bool   `avro:"begun"`
-	Final bool   `avro:"final"`
-	Wait  int64  `avro:"wait"`
-	Step  string `avro:"step"` // empty: for the place's owner; see internal/repair
+	Place          int64  `avro:"place"`
+	Id             string `avro:"id"`
+	Boot           string `avro:"boot"`
+	Proof          Proof  `avro:"proof"`
+	Kind           string `avro:"kind"`
+	MayHaveStarted bool   `avro:"begun"`
+	Final          bool   `avro:"final"`
+	Wait           int64  `avro:"wait"`
+	Step           string `avro:"step"` // empty: for the place's owner; see internal/repair
 }
 
 // OutcomeAck says that the result is durable, or that another store owns it.
@@ -148,20 +148,20 @@
 
 // Run hands a due message to the holder of a permit.
 type Run struct {
-	Place   int64  `avro:"place"`
-	Term    int64  `avro:"term"`
-	Id      string `avro:"id"`
-	Attempt int64  `avro:"attempt"`
-	Lane    string `avro:"lane"`
-	Key     string `avro:"key"`
-	Pool    string `avro:"pool"`
-	Worker  string `avro:"worker"`
-	Ctype   string `avro:"ctype"`
-	Body    []byte `avro:"body"`
-	Sum     string `avro:"sum"`
-	Permit  int64  `avro:"permit"`
-	Bound   int64  `avro:"bound"`
-	Head    []byte `avro:"head" since:"3"`
+	Place       int64  `avro:"place"`
+	Term        int64  `avro:"term"`
+	Id          string `avro:"id"`
+	Attempt     int64  `avro:"attempt"`
+	Lane        string `avro:"lane"`
+	Key         string `avro:"key"`
+	Pool        string `avro:"pool"`
+	Worker      string `avro:"worker"`
+	ContentType string `avro:"ctype"`
+	Body        []byte `avro:"body"`
+	Checksum    string `avro:"sum"`
+	Permit      int64  `avro:"permit"`
+	Bound       int64  `avro:"bound"`
+	RequestHead []byte `avro:"head" since:"3"`
 }
 
 // RunAck tells that the run is in hand, or (Kind set) that it never starts.
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -11,8 +11,8 @@
 func FuzzParse(f *testing.F) {
 	names := []string{"session", "peer", "part", "place", "run", "group"}
 	asks, _ := Links["place"].Codecs(Version)
-	w := asks.Writer(64)
-	if err := asks.Append(w, Item{Corr: 1, Body: &Take{Id: "1-x", Body: []byte("b")}}); err != nil {
+	w := asks.NewWriter(64)
+	if err := asks.Append(w, Item{CorrelationId: 1, Body: &Take{Id: "1-x", Body: []byte("b")}}); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(append([]byte{}, w.Buffer()...), uint8(3), uint8(1))
@@ -20,17 +20,17 @@
 	f.Add([]byte{2, 4, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, uint8(5), uint8(2))
 	f.Add([]byte{}, uint8(1), uint8(200))
 	f.Fuzz(func(t *testing.T, raw []byte, link, count uint8) {
-		for version := Oldest; version <= Version; version++ {
+		for version := OldestVersion; version <= Version; version++ {
 			asks, replies := Links[names[int(link)%len(names)]].Codecs(version)
 			for _, codec := range []*Codec{asks, replies} {
-				items, err := codec.Parse(raw, int(count))
+				items, err := codec.Decode(raw, int(count))
 				if err != nil {
 					if !errs.Is(err, errs.Corrupt) {
 						t.Fatal(err)
 					}
 					continue
 				}
-				w := codec.Writer(64)
+				w := codec.NewWriter(64)
 				for _, item := range items {
 					if err := codec.Append(w, item); err != nil {
 						t.Fatal(err)
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -9,11 +9,11 @@
 	Name    string
 	Ordered bool // batches are dispatched in the order in which they were cut
 
-	askKinds, replyKinds []any
+	requestKinds, replyKinds []any
 
-	mu      sync.Mutex
-	asks    map[int64]*Codec // by wire version; built when first used
-	replies map[int64]*Codec
+	mu            sync.Mutex
+	requestCodecs map[int64]*Codec // by wire version; built when first used
+	replyCodecs   map[int64]*Codec
 }
 
 // since is a kind of message that no version before the given one has. It stands behind all
@@ -60,22 +60,22 @@
 // Links finds a link by the name in a Hello.
 var Links = map[string]*Link{}
 
-func newLink(name string, ordered bool, asks, replies []any) *Link {
-	return &Link{Name: name, Ordered: ordered, askKinds: asks, replyKinds: replies, asks: map[int64]*Codec{},
-		replies: map[int64]*Codec{}}
+func newLink(name string, ordered bool, requests, replies []any) *Link {
+	return &Link{Name: name, Ordered: ordered, requestKinds: requests, replyKinds: replies, requestCodecs: map[int64]*Codec{},
+		replyCodecs: map[int64]*Codec{}}
 }
 
 // Codecs returns how both directions are written in a wire version, from Oldest to
 // Version. They are built when first used: a daemon speaks few links, mostly in one
 // version, and its start waits for what is built before.
-func (l *Link) Codecs(version int64) (asks, replies *Codec) {
+func (l *Link) Codecs(version int64) (requests, replies *Codec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.asks[version] == nil {
-		l.asks[version] = newCodec("ask", version, kindsOf(l.askKinds, version))
-		l.replies[version] = newCodec("reply", version, kindsOf(l.replyKinds, version))
+	if l.requestCodecs[version] == nil {
+		l.requestCodecs[version] = newCodec("ask", version, kindsOf(l.requestKinds, version))
+		l.replyCodecs[version] = newCodec("reply", version, kindsOf(l.replyKinds, version))
 	}
-	return l.asks[version], l.replies[version]
+	return l.requestCodecs[version], l.replyCodecs[version]
 }
 
 func init() {
--- a/internal/wire/quota.go
+++ b/internal/wire/quota.go
@@ -12,7 +12,7 @@
 // Need are totals since the life of the account began, so an ask may be lost, sent again or come late.
 type QuotaCount struct {
 	Tenant   string `avro:"tenant"`
-	Life     int64  `avro:"life"`      // of the account at the adapter; grows each time that the account begins anew
+	Epoch    int64  `avro:"life"`      // of the account at the adapter; grows each time that the account begins anew
 	Spent    int64  `avro:"spent"`     // messages accepted
 	Returned int64  `avro:"returned"`  // tokens given back
 	Need     int64  `avro:"need"`      // tokens that messages wait for, added to what was granted before
@@ -31,7 +31,7 @@
 // QuotaGrant tells how many tokens of a tenant an adapter has been granted in a life of its account.
 type QuotaGrant struct {
 	Tenant  string `avro:"tenant"`
-	Life    int64  `avro:"life"`
+	Epoch   int64  `avro:"life"`
 	Granted int64  `avro:"granted"` // in total
 	Share   int64  `avro:"share"`   // most tokens that the adapter may hold for messages to come
 	Wait    int64  `avro:"wait"`    // milliseconds after which to ask again for what was not granted; 0 if all was
--- a/internal/wire/schema.go
+++ b/internal/wire/schema.go
@@ -27,8 +27,8 @@
 // What one datum may make a receiver allocate: bytes of a text or body, and
 // items of a list.
 const (
-	limitSlice = 16 << 20
-	limitItems = 1 << 17
+	sliceBytesLimit = 16 << 20
+	listItemsLimit  = 1 << 17
 )
 
 // schemaOf gives the schema of a type as a wire version has it: a field tagged
@@ -79,25 +79,25 @@
 	return schema
 }
 
-// Plain is a codec for one record type, used on disk and inside log entries. It is
+// RecordCodec is a codec for one record type, used on disk and inside log entries. It is
 // built when first used.
-type Plain struct {
+type RecordCodec struct {
 	schema  func() avro.Schema
 	api     avro.API
 	readers sync.Pool
 }
 
-// NewPlain builds a codec for the type of sample, a pointer to a struct. What
+// NewRecordCodec builds a codec for the type of sample, a pointer to a struct. What
 // lies on disk and in logs stays as it was in version 1.
-func NewPlain(sample any) *Plain { return newPlain(sample, 1) }
+func NewRecordCodec(sample any) *RecordCodec { return newRecordCodec(sample, 1) }
 
-// NewInner builds a codec, with all fields, for records that never leave the process.
-func NewInner(sample any) *Plain { return newPlain(sample, Version) }
+// NewLatestRecordCodec builds a codec, with all fields, for records that never leave the process.
+func NewLatestRecordCodec(sample any) *RecordCodec { return newRecordCodec(sample, Version) }
 
-// NewOf builds a codec for records as a build of a wire version has them.
-func NewOf(sample any, version int64) *Plain { return newPlain(sample, version) }
+// NewRecordCodecAt builds a codec for records as a build of a wire version has them.
+func NewRecordCodecAt(sample any, version int64) *RecordCodec { return newRecordCodec(sample, version) }
 
-func newPlain(sample any, version int64) *Plain {
+func newRecordCodec(sample any, version int64) *RecordCodec {
 	api := avro.Config{MaxByteSliceSize: 1 << 30, MaxSliceAllocSize: 1 << 22}.Freeze()
 	schema := sync.OnceValue(func() avro.Schema {
 		text, err := json.Marshal(schemaOf(reflect.TypeOf(sample).Elem(), version, map[string]bool{}))
@@ -106,11 +106,11 @@
 		}
 		return mustParse(text)
 	})
-	return &Plain{schema: schema, api: api}
+	return &RecordCodec{schema: schema, api: api}
 }
 
 // Encode gives the record's bytes. A type that fits its schema cannot fail.
-func (p *Plain) Encode(value any) []byte {
+func (p *RecordCodec) Encode(value any) []byte {
 	out, err := p.api.Marshal(p.schema(), value)
 	if err != nil {
 		panic(errs.Wrap(err, errs.Internal, "encode %T", value))
@@ -120,7 +120,7 @@
 
 // Decode reads the record back. The library's own Unmarshal takes a record that
 // ends early for a whole one.
-func (p *Plain) Decode(raw []byte, value any) error {
+func (p *RecordCodec) Decode(raw []byte, value any) error {
 	r, isReader := p.readers.Get().(*avro.Reader)
 	if !isReader {
 		r = avro.NewReader(nil, 0, avro.WithReaderConfig(p.api))
--- a/internal/wire/versions_test.go
+++ b/internal/wire/schema_test.go
@@ -11,34 +11,34 @@
 // TestOlderPeers: a peer of version 2 neither gets nor sends what is new in
 // version 3, and one of version 3 has it whole.
 func TestOlderPeers(t *testing.T) {
-	take := &Take{Id: "1-x", Body: []byte("b"), Head: []byte("h"), Delay: 7, Notify: "u"}
-	run := &Run{Id: "1-x", Body: []byte("b"), Head: []byte("h")}
+	take := &Take{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h"), Delay: 7, NotifyUrl: "u"}
+	run := &Run{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h")}
 	trip := func(link *Link, from, to int64, ask any) (any, error) {
 		out, _ := link.Codecs(from)
 		in, _ := link.Codecs(to)
-		w := out.Writer(64)
-		So(out.Append(w, Item{Corr: 1, Body: ask}), ShouldBeNil)
-		items, err := in.Parse(w.Buffer(), 1)
+		w := out.NewWriter(64)
+		So(out.Append(w, Item{CorrelationId: 1, Body: ask}), ShouldBeNil)
+		items, err := in.Decode(w.Buffer(), 1)
 		if err != nil {
 			return nil, err
 		}
 		return items[0].Body, nil
 	}
 	Convey("Between two daemons that settled on a version,", t, func() {
-		for version := Oldest; version <= Version; version++ {
+		for version := OldestVersion; version <= Version; version++ {
 			got, err := trip(PlaceLink, version, version, take)
 			So(err, ShouldBeNil)
 			started, err := trip(RunLink, version, version, run)
 			So(err, ShouldBeNil)
 			m, r := got.(*Take), started.(*Run)
 			So([]string{m.Id, string(m.Body), r.Id}, ShouldResemble, []string{"1-x", "b", "1-x"})
-			edit, err := trip(PartLink, version, version, &Edit{Key: "k", Value: []byte{}, By: "x", Order: "o", Base: 2, Earlier: []string{"n"}, At: 5})
+			edit, err := trip(PartLink, version, version, &Edit{Key: "k", Value: []byte{}, By: "x", OperationId: "o", BaseVersion: 2, EarlierOperations: []string{"n"}, At: 5})
 			So(err, ShouldBeNil)
 			e := edit.(*Edit)
 			So([]string{e.Key, e.By}, ShouldResemble, []string{"k", "x"})
-			So([]bool{e.Order == "o", e.Base == 2, len(e.Earlier) == 1, e.At == 5}, ShouldResemble, []bool{version >= 4, version >= 4, version >= 4, version >= 4})
+			So([]bool{e.OperationId == "o", e.BaseVersion == 2, len(e.EarlierOperations) == 1, e.At == 5}, ShouldResemble, []bool{version >= 4, version >= 4, version >= 4, version >= 4})
 			isWhole := version >= 3
-			So([]bool{len(m.Head) > 0, m.Delay == 7, m.Notify == "u", len(r.Head) > 0}, ShouldResemble, []bool{isWhole, isWhole, isWhole, isWhole})
+			So([]bool{len(m.RequestHead) > 0, m.Delay == 7, m.NotifyUrl == "u", len(r.RequestHead) > 0}, ShouldResemble, []bool{isWhole, isWhole, isWhole, isWhole})
 		}
 	})
 }
@@ -47,8 +47,8 @@
 // last fields empty.
 func TestCutRecords(t *testing.T) {
 	Convey("A record on disk is read whole or refused, wherever it is cut", t, func() {
-		codec := NewPlain(&Take{})
-		raw := codec.Encode(&Take{Id: "1-x", Lane: "l", Body: []byte("b"), Sum: "s", Deadline: 9})
+		codec := NewRecordCodec(&Take{})
+		raw := codec.Encode(&Take{Id: "1-x", Lane: "l", Body: []byte("b"), Checksum: "s", Deadline: 9})
 		var whole Take
 		So(codec.Decode(raw, &whole), ShouldBeNil)
 		So([]any{whole.Id, whole.Deadline}, ShouldResemble, []any{"1-x", int64(9)})
@@ -63,12 +63,12 @@
 func TestCodecsAreBuiltWhenUsed(t *testing.T) {
 	Convey("A link builds the codecs of the versions that it is used in, once", t, func() {
 		link := newLink("unused", false, []any{&Look{}}, []any{&Sight{}})
-		So(len(link.asks)+len(link.replies), ShouldEqual, 0)
+		So(len(link.requestCodecs)+len(link.replyCodecs), ShouldEqual, 0)
 		asks, replies := link.Codecs(Version)
 		again, _ := link.Codecs(Version)
 		So(asks, ShouldEqual, again)
 		So(asks, ShouldNotEqual, replies)
-		So(len(link.asks)+len(link.replies), ShouldEqual, 2)
+		So(len(link.requestCodecs)+len(link.replyCodecs), ShouldEqual, 2)
 	})
 }
 
@@ -91,14 +91,14 @@
 				kinds []any
 				codec func(version int64) *Codec
 			}{
-				{link.askKinds, func(v int64) *Codec { asks, _ := link.Codecs(v); return asks }},
+				{link.requestKinds, func(v int64) *Codec { asks, _ := link.Codecs(v); return asks }},
 				{link.replyKinds, func(v int64) *Codec { _, replies := link.Codecs(v); return replies }},
 			} {
 				kinds, known := all(direction.kinds), 0
-				for version := Oldest; version <= Version; version++ {
+				for version := OldestVersion; version <= Version; version++ {
 					codec := direction.codec(version)
 					for i, kind := range kinds {
-						SoMsg(link.Name, codec.Carries(kind), ShouldEqual, i < len(codec.branches))
+						SoMsg(link.Name, codec.Supports(kind), ShouldEqual, i < len(codec.branches))
 					}
 					So(len(codec.branches), ShouldBeGreaterThanOrEqualTo, known)
 					known = len(codec.branches)
@@ -110,6 +110,6 @@
 	Convey("Adapters keep the time of groups from version 7 on", t, func() {
 		six, _ := RunLink.Codecs(6)
 		seven, _ := RunLink.Codecs(7)
-		So([]bool{six.Carries(&AskTime{}), seven.Carries(&AskTime{})}, ShouldResemble, []bool{false, true})
+		So([]bool{six.Supports(&AskTime{}), seven.Supports(&AskTime{})}, ShouldResemble, []bool{false, true})
 	})
 }
--- a/internal/listing/listing_test.go
+++ b/internal/workerlist/listing_test.go
@@ -1,4 +1,4 @@
-package listing
+package workerlist
 
 import (
 	"testing"
@@ -45,22 +45,22 @@
 			Convey(c.text, func() {
 				cursor, now, isComplete := Cursor{}, 10*time.Second, false
 				for _, a := range c.answers {
-					now += cursor.Due(now)
-					cursor.Ask(now)
+					now += cursor.Delay(now)
+					cursor.NextToken(now)
 					isComplete = false
 					if a.kind != "" {
-						cursor.Failed(a.kind, now, period, most)
+						cursor.PageFailed(a.kind, now, period, most)
 					} else {
-						isComplete = cursor.Took(a.next, now, period, interval)
+						isComplete = cursor.PageReceived(a.next, now, period, interval)
 					}
 				}
-				due := cursor.Due(now)
+				due := cursor.Delay(now)
 				if len(c.answers) > 1 && due != 0 && c.due == interval {
 					due = now + due - 10*time.Second // since the read began
 				}
 				So(due, ShouldEqual, c.due)
 				So(isComplete, ShouldEqual, c.isComplete)
-				So(cursor.Ask(now+due), ShouldEqual, c.ask)
+				So(cursor.NextToken(now+due), ShouldEqual, c.ask)
 				_, isRead := cursor.Age(now)
 				So(isRead, ShouldEqual, c.isComplete)
 			})
@@ -71,10 +71,10 @@
 // TestRoster is the table of when a worker is taken for gone.
 func TestRoster(t *testing.T) {
 	see := func(at time.Duration) func(*Roster) {
-		return func(r *Roster) { r.See("p", config.Worker{Name: "w", Zone: "a"}, at) }
+		return func(r *Roster) { r.Record("p", config.Worker{Name: "w", Zone: "a"}, at) }
 	}
 	passed := func(zone string, began time.Duration) func(*Roster) {
-		return func(r *Roster) { r.Passed(zone, began) }
+		return func(r *Roster) { r.ReadCompleted(zone, began) }
 	}
 	cases := []struct {
 		text   string
@@ -102,8 +102,8 @@
 		}
 		Convey("is as the newest call told, whichever answer comes last", func() {
 			r := NewRoster()
-			r.See("p", config.Worker{Name: "w", State: "leaving"}, 7)
-			r.See("p", config.Worker{Name: "w", State: "live"}, 6)
+			r.Record("p", config.Worker{Name: "w", State: "leaving"}, 7)
+			r.Record("p", config.Worker{Name: "w", State: "live"}, 6)
 			So(r.Pool("p")[0].State, ShouldEqual, "leaving")
 		})
 		Convey("is told as changed once", func() {
@@ -112,21 +112,21 @@
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": false}})
 			see(6)(r)
 			So(r.Changed(), ShouldBeEmpty)
-			r.Keep("p", map[string]bool{"w": true})
+			r.Requeue("p", map[string]bool{"w": true})
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": true}})
 		})
 		Convey("is told as new, until it changes after it was told of", func() {
 			r := NewRoster()
 			see(5)(r)
 			isNew := r.Changed()
-			r.Keep("p", isNew["p"])
+			r.Requeue("p", isNew["p"])
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": false}})
-			r.Keep("p", isNew["p"])
-			r.See("p", config.Worker{Name: "w", State: "leaving"}, 7)
-			r.Keep("p", isNew["p"])
+			r.Requeue("p", isNew["p"])
+			r.Record("p", config.Worker{Name: "w", State: "leaving"}, 7)
+			r.Requeue("p", isNew["p"])
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": true}})
-			r.Passed("", 8)
-			r.Passed("", 9)
+			r.ReadCompleted("", 8)
+			r.ReadCompleted("", 9)
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": true}})
 		})
 	})
--- a/internal/listing/plan.go
+++ b/internal/workerlist/plan.go
@@ -1,4 +1,4 @@
-package listing
+package workerlist
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 
 // Shares of the list's rate.
 const (
-	useShare   = 0.75  // the rest is left for the calls of others
-	sweepShare = 0.125 // of ours, for the read of all zones while each zone is read by itself
+	ownRateShare  = 0.75  // the rest is left for the calls of others
+	fullReadShare = 0.125 // of ours, for the read of all zones while each zone is read by itself
 )
 
 // Plan is which lists are read side by side. A short list is read whole. One whose read takes
@@ -40,25 +40,25 @@
 	if rate <= 0 {
 		return 0
 	}
-	ours := rate * useShare
+	ours := rate * ownRateShare
 	switch zones := len(p.cursors) - 1; {
 	case zones == 0:
 	case c.Zone == "":
-		ours *= sweepShare
+		ours *= fullReadShare
 	default:
-		ours *= (1 - sweepShare) / float64(zones)
+		ours *= (1 - fullReadShare) / float64(zones)
 	}
 	return time.Duration(float64(time.Second) / ours)
 }
 
-// Divide decides anew which lists are read, from the newest complete read of everything and the
+// Replan decides anew which lists are read, from the newest complete read of everything and the
 // zones of the workers that are known.
-func (p *Plan) Divide(zones map[string]bool, rate float64) {
+func (p *Plan) Replan(zones map[string]bool, rate float64) {
 	whole := p.cursors[0]
-	if !whole.IsWhole {
+	if !whole.HasRead {
 		return
 	}
-	if span := p.spanOf(whole.WholePages, rate); span <= p.interval || len(zones) < 2 {
+	if span := p.readTime(whole.LastReadPages, rate); span <= p.interval || len(zones) < 2 {
 		p.cursors = p.cursors[:1]
 		return
 	}
@@ -72,10 +72,10 @@
 	p.cursors = append([]*Cursor{whole}, kept...)
 }
 
-// spanOf returns how long a read of so many pages takes where nothing else is read.
-func (p *Plan) spanOf(pages int, rate float64) time.Duration {
+// readTime returns how long a read of so many pages takes where nothing else is read.
+func (p *Plan) readTime(pages int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(float64(pages) / (rate * useShare) * float64(time.Second))
+	return time.Duration(float64(pages) / (rate * ownRateShare) * float64(time.Second))
 }
--- a/internal/listing/roster.go
+++ b/internal/workerlist/roster.go
@@ -1,4 +1,4 @@
-package listing
+package workerlist
 
 import (
 	"cmp"
@@ -9,9 +9,9 @@
 	"caperwheel/internal/config"
 )
 
-// missesToGone is how many complete reads in a row must leave a worker out before it is taken for
+// missesToRemove is how many complete reads in a row must leave a worker out before it is taken for
 // gone: an entry may move to a page that was read before while the rest is read.
-const missesToGone = 2
+const missesToRemove = 2
 
 // Roster is what reads have told of workers, by pool and name.
 //
@@ -33,8 +33,8 @@
 	return &Roster{pools: map[string]map[string]*entry{}, changed: map[string]map[string]bool{}}
 }
 
-// See takes in that a page told of a worker. asked is when the page was asked for.
-func (r *Roster) See(pool string, w config.Worker, asked time.Duration) {
+// Record takes in that a page told of a worker. asked is when the page was asked for.
+func (r *Roster) Record(pool string, w config.Worker, asked time.Duration) {
 	if r.pools[pool] == nil {
 		r.pools[pool] = map[string]*entry{}
 	}
@@ -47,29 +47,29 @@
 		return
 	}
 	if e.worker != w {
-		r.note(pool, w.Name, isKnown)
+		r.markChanged(pool, w.Name, isKnown)
 	}
 	e.worker, e.seenAt, e.misses = w, asked, 0
 }
 
-func (r *Roster) note(pool, name string, isKnown bool) {
+func (r *Roster) markChanged(pool, name string, isKnown bool) {
 	if r.changed[pool] == nil {
 		r.changed[pool] = map[string]bool{}
 	}
 	r.changed[pool][name] = r.changed[pool][name] || isKnown
 }
 
-// Passed takes in that a read of a zone's workers, or of all where the zone is empty, is
+// ReadCompleted takes in that a read of a zone's workers, or of all where the zone is empty, is
 // complete, and when it began.
-func (r *Roster) Passed(zone string, began time.Duration) {
+func (r *Roster) ReadCompleted(zone string, began time.Duration) {
 	for pool, entries := range r.pools {
 		for name, e := range entries {
 			if e.seenAt >= began || zone != "" && e.worker.Zone != zone {
 				continue
 			}
-			if e.misses++; e.misses >= missesToGone {
+			if e.misses++; e.misses >= missesToRemove {
 				delete(entries, name)
-				r.note(pool, name, true)
+				r.markChanged(pool, name, true)
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 	return out
 }
 
-// Keep has workers change again that could not be written.
-func (r *Roster) Keep(pool string, names map[string]bool) {
+// Requeue has workers change again that could not be written.
+func (r *Roster) Requeue(pool string, names map[string]bool) {
 	for name, isKnown := range names {
-		r.note(pool, name, isKnown)
+		r.markChanged(pool, name, isKnown)
 	}
 }
 
@@ -100,8 +100,8 @@
 	return out
 }
 
-// Names returns the names of all pools that workers were told of, in order.
-func (r *Roster) Names() []string { return slices.Sorted(maps.Keys(r.pools)) }
+// PoolNames returns the names of all pools that workers were told of, in order.
+func (r *Roster) PoolNames() []string { return slices.Sorted(maps.Keys(r.pools)) }
 
 // Zones returns the zones of all workers.
 func (r *Roster) Zones() map[string]bool {
