--- a/internal/config/cache.go
+++ b/internal/config/cache.go
@@ -11,22 +11,23 @@
 	"caperwheel/internal/wire"
 )
 
-// Cache keeps the configuration of a view, compiled. What has changed in the view since is
-// compiled, and the rest is shared with the Compiled before: lists and duties may be long.
+// Cache holds the compiled configuration of a view. Each update compiles only what has changed in the
+// view and shares the rest with the previous Compiled, since lists and duties may be long. It is safe
+// for concurrent use.
 //
-// Invariants: compiled has all changes up to reached, and is never written once it was returned;
-// lists has each standing key of the pools' lists.
+// Invariants: compiled includes all changes up to compiledUpTo, and is never written once it was
+// returned; buckets has each existing key of the pools' lists.
 type Cache struct {
 	View *feed.View
 
 	mu           sync.Mutex
 	viewVersion  int64
 	compiled     *Compiled
-	compiledUpTo map[int64]int64              // revisions, by part
+	compiledUpTo map[int64]int64              // revision, by part
 	buckets      map[string]map[string]bucket // by pool and key
 }
 
-// Current returns the configuration of the view as it is.
+// Current returns the compiled configuration of the view's present state.
 func (s *Cache) Current() *Compiled {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,9 +39,8 @@
 	return s.compiled
 }
 
-// CanRead reports whether the newest configuration says anything to this build. A daemon
-// that cannot read it must stop, as one that has not heard of it must, rather
-// than take every lane for one that was removed.
+// CanRead reports whether this build can read the newest configuration. A daemon that cannot must stop
+// working, like one with a stale view, rather than treat every lane as removed.
 func (s *Cache) CanRead() bool { return !s.Current().IsUnreadable }
 
 func newCompiled() *Compiled {
@@ -50,7 +50,7 @@
 		Rules: &Rules{Lanes: map[string]Lane{}, Pools: map[string]Pool{}}}
 }
 
-// advance compiles what has changed since reached.
+// advance compiles the changes of the view since compiledUpTo.
 func (s *Cache) advance() {
 	if s.compiled == nil {
 		s.compiled, s.buckets = newCompiled(), map[string]map[string]bucket{}
@@ -65,16 +65,16 @@
 	s.compiled, s.compiledUpTo = &next, reached
 }
 
-// updater makes the next Compiled of one. Maps are copied before they are first written.
+// updater derives the next Compiled from the previous one. Each map is copied before its first write.
 type updater struct {
 	next        *Compiled
 	buckets     map[string]map[string]bucket
-	isCloned    map[string]bool                        // what has been copied
-	listChanges map[string]*listChange                 // by pool whose list has changed
+	isCloned    map[string]bool                        // maps that have been copied
+	listChanges map[string]*listChange                 // by pool, for lists that have changed
 	dutyChanges map[string]*tableBuilder[AssignedDuty] // by pool
 }
 
-// own copies a map of the Compiled before, once.
+// cloneOnce returns a map that may be written: a copy of the previous one, made at the first call.
 func cloneOnce[V any](u *updater, name string, m *map[string]V) map[string]V {
 	if !u.isCloned[name] {
 		u.isCloned[name] = true
@@ -83,7 +83,7 @@
 	return *m
 }
 
-// changeHandlers are what is done with a change, by the prefix of its key; no prefix begins another.
+// changeHandlers apply a change by the prefix of its key. No prefix is a prefix of another one.
 var changeHandlers = []struct {
 	prefix string
 	take   func(u *updater, name string, c wire.Change)
@@ -96,7 +96,7 @@
 	{ShareKey, (*updater).applyShares},
 }
 
-// apply takes one change in.
+// apply applies one change.
 func (u *updater) apply(c wire.Change) {
 	if c.Key == DocumentKey {
 		u.applyRules(c)
@@ -131,7 +131,8 @@
 	}
 }
 
-// endpointAddress returns all that rules say of a pool's list: the address of an endpoint, and nothing for others.
+// endpointAddress returns the only setting of a pool that its list depends on: the address of an
+// endpoint; empty for other pools.
 func endpointAddress(p Pool) string {
 	if !p.IsEndpoint {
 		return ""
@@ -194,7 +195,7 @@
 	u.dutyChanges[pool].remove(worker)
 }
 
-// finish puts together what has changed.
+// finish builds the lists and tables that have changed.
 func (u *updater) finish() {
 	u.finishLists()
 	for pool, change := range u.dutyChanges {
--- a/internal/config/cache_test.go
+++ b/internal/config/cache_test.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/wire"
 )
 
-// randomChange draws an edit of any kind that is compiled.
+// randomChange returns a random edit of one of the kinds that are compiled.
 func randomChange(r *rand.Rand) wire.Edit {
 	pool, zone := fmt.Sprint("p", r.IntN(3)), fmt.Sprint("z", r.IntN(3))
 	workers := Workers{Workers: []Worker{}}
@@ -41,10 +41,10 @@
 	return e
 }
 
-// TestCacheIsAsWhole: a cache compiles what has changed and shares the rest with the Compiled
-// before, which must stay as it was.
+// TestCacheIsAsWhole checks that a cache that compiles change by change yields the same as a new one, and
+// that a Compiled that it has returned, which shares data with later ones, never changes.
 func TestCacheIsAsWhole(t *testing.T) {
-	Convey("Change by change, a cache has what one made anew has, and nothing it returned changes", t, func() {
+	Convey("After each change a cache has the same as a new one, and nothing that it returned before changes", t, func() {
 		for seed := uint64(1); seed <= 20; seed++ {
 			r, part, view := rand.New(rand.NewPCG(seed, 3)), feed.NewPart(), feed.NewView(0)
 			cache := &Cache{View: view}
@@ -69,9 +69,10 @@
 	})
 }
 
-// TestListsInPlace: a list of many keys was once put together anew with each change of one of them.
+// TestListsInPlace checks the updates of a list of many keys, which once was rebuilt with each change of
+// one of them.
 func TestListsInPlace(t *testing.T) {
-	Convey("However the keys of a list change, its workers are those of a list put together anew", t, func() {
+	Convey("After each change of a list's keys, its workers are those of a rebuilt list", t, func() {
 		for seed := uint64(1); seed <= 20; seed++ {
 			r, part, view := rand.New(rand.NewPCG(seed, 7)), feed.NewPart(), feed.NewView(0)
 			cache, count := &Cache{View: view}, 4
@@ -91,8 +92,8 @@
 	})
 }
 
-// randomBucket draws a change of one key of a list: now and then of another count of keys, gone, or with a
-// worker that belongs to another key.
+// randomBucket returns a random change of one key of a list: at times one of another bucket count, a
+// removal, or one with a worker that belongs to another key.
 func randomBucket(r *rand.Rand, count int) wire.Edit {
 	if r.IntN(12) == 0 {
 		count = []int{1, 4, 8}[r.IntN(3)]
@@ -108,7 +109,7 @@
 	return wire.Edit{Key: BucketKey("p", bucket, count), Value: list.Encode(), IfRevision: -1, Gone: r.IntN(8) == 0}
 }
 
-// TestBuckets is the table of into how many buckets a list is cut.
+// TestBuckets checks into how many buckets a list is split.
 func TestBuckets(t *testing.T) {
 	cases := []struct {
 		text               string
@@ -116,18 +117,18 @@
 	}{
 		{"an empty list is one key", 0, 0, 1},
 		{"a short list is one key", workersPerBucket, 1, 1},
-		{"a longer one is cut", workersPerBucket + 1, 1, 2},
-		{"it stays cut as it is while that is about right", 3 * workersPerBucket, 8, 8},
+		{"a longer one is split", workersPerBucket + 1, 1, 2},
+		{"the bucket count stays while it is about right", 3 * workersPerBucket, 8, 8},
 		{"… and while the list grows a little", 30 * workersPerBucket, 8, 8},
-		{"it is cut anew when it has grown much", 33 * workersPerBucket, 8, 64},
+		{"it is split anew when it has grown much", 33 * workersPerBucket, 8, 64},
 		{"… and when it has become short", workersPerBucket, 8, 1},
-		{"there are bounds", 1 << 30, 1, maxBuckets},
+		{"the bucket count is bounded", 1 << 30, 1, maxBuckets},
 	}
 	Convey("Of a pool's list", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() { So(BucketCount(c.workers, c.now), ShouldEqual, c.want) })
 		}
-		Convey("each key tells its pool and count", func() {
+		Convey("each key yields its pool and bucket count", func() {
 			for _, count := range []int{1, 2, 64} {
 				pool, got := ParseListKey(BucketKey("a.b", count-1, count))
 				So(pool, ShouldEqual, "a.b")
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -8,31 +8,33 @@
 	"github.com/tidwall/gjson"
 )
 
-// Most bounds what a configuration may hold.
+// Bounds of a configuration document.
 const (
 	MaxDocumentBytes = 1 << 20
 	MaxLanesAndPools = 10000
 	maxDepth         = 16
 )
 
+// compiler collects the rules and faults of one configuration document.
 type compiler struct {
 	rules  Rules
 	faults []Fault
 }
 
+// addFault records a fault, up to 100 of them.
 func (c *compiler) addFault(path, text string) {
 	if len(c.faults) < 100 {
 		c.faults = append(c.faults, Fault{path, text})
 	}
 }
 
-// Compile checks a whole configuration and makes rules of it. Any fault means that
-// there are no rules.
+// Compile validates a whole configuration document and returns its rules. If there is any fault, it
+// returns the faults and no rules.
 func Compile(doc []byte) (*Rules, []Fault) {
 	c := &compiler{rules: Rules{Lanes: map[string]Lane{}, Pools: map[string]Pool{}}}
 	switch {
 	case len(doc) > MaxDocumentBytes:
-		return nil, []Fault{{"", "is larger than a configuration may be"}}
+		return nil, []Fault{{"", "is larger than 1 MiB"}}
 	case !gjson.ValidBytes(doc):
 		return nil, []Fault{{"", "is not JSON"}}
 	}
@@ -49,7 +51,7 @@
 			}
 		case "note":
 			if value.Type != gjson.String {
-				c.addFault(key, "must be a text")
+				c.addFault(key, "must be a string")
 			}
 		case originKey:
 			if !value.IsObject() {
@@ -87,7 +89,7 @@
 	r.ForEach(func(key, value gjson.Result) bool { visit(key.Str, value); return true })
 }
 
-// checkUniqueKeys refuses a key given twice: which one counts would be a guess.
+// checkUniqueKeys reports duplicate keys of an object as faults: which of them counts would be undefined.
 func (c *compiler) checkUniqueKeys(path string, r gjson.Result, depth int) {
 	if depth > 4*maxDepth {
 		c.addFault(path, "is nested too deeply")
@@ -118,6 +120,7 @@
 	})
 }
 
+// isName reports whether a string is a name of 1 to 64 letters, digits, - and _.
 func isName(name string) bool {
 	if name == "" || len(name) > 64 {
 		return false
@@ -125,22 +128,22 @@
 	return strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_") == ""
 }
 
-// readTree reads one node of a tree: it starts as its parent was and overrides
-// what it names itself. Only nodes without children are lanes or pools.
+// readTree reads one node of a tree and its descendants. A node inherits its parent's settings and
+// overrides those that it names. Only nodes without children are lanes or pools; add gets each.
 func readTree[T any](c *compiler, path, name string, r gjson.Result, node T, fields map[string]field[T],
 	add func(path, name string, node T), depth int) {
 	last := name[strings.LastIndex(name, ".")+1:]
 	if !isName(last) {
-		c.addFault(path, "has a name that is not letters, digits, - and _")
+		c.addFault(path, "must have a name of 1 to 64 letters, digits, - and _")
 		return
 	}
 	if !r.IsObject() || depth > maxDepth {
-		c.addFault(path, "must be an object, not nested too deeply")
+		c.addFault(path, "must be an object, nested at most 16 levels deep")
 		return
 	}
 	children := r.Get("children")
 	if children.Exists() && (!children.IsObject() || len(children.Map()) == 0) {
-		c.addFault(path+".children", "must be an object that is not empty")
+		c.addFault(path+".children", "must be an object with at least one member")
 	}
 	node, _ = readFields(c, path, r, node, fields)
 	if !children.Exists() {
@@ -152,7 +155,8 @@
 	})
 }
 
-// readFields reads what a node names itself over what it was, and reports whether all of it is right.
+// readFields overrides the settings of a node with those that r names, and reports whether all of them
+// are valid.
 func readFields[T any](c *compiler, path string, r gjson.Result, node T, fields map[string]field[T]) (T, bool) {
 	before := len(c.faults)
 	eachMember(r, func(key string, value gjson.Result) {
@@ -166,7 +170,7 @@
 		}
 		isBool := f.kind == gjson.True && value.IsBool()
 		if value.Type != f.kind && !isBool {
-			c.addFault(path+"."+key, "is of the wrong kind")
+			c.addFault(path+"."+key, "has a value of the wrong JSON type")
 			return
 		}
 		if f.check != nil {
@@ -194,34 +198,34 @@
 func (c *compiler) addPool(path, name string, p Pool) {
 	p.Name = name
 	if p.IsEndpoint != (p.Address != "") {
-		c.addFault(path+".address", "must be given for an endpoint, and only there")
+		c.addFault(path+".address", "must be given for an endpoint and for no other pool")
 	}
 	c.rules.Pools[name] = p
 }
 
-// checkReferences checks what lanes and pools say of each other.
+// checkReferences checks the references from lanes to pools and other lanes.
 func (c *compiler) checkReferences() {
 	if len(c.rules.Lanes)+len(c.rules.Pools) > MaxLanesAndPools {
-		c.addFault("", "has too many lanes and pools")
+		c.addFault("", "has more than 10000 lanes and pools")
 	}
 	for name, l := range c.rules.Lanes {
 		for _, pool := range l.Pools {
 			if _, isKnown := c.rules.Pools[pool]; !isKnown {
-				c.addFault("lanes."+name+".pools", "names "+pool+", which is no pool")
+				c.addFault("lanes."+name+".pools", "names "+pool+", which is not a pool")
 			}
 		}
 		if l.CallbackLane == "" {
 			continue
 		}
 		if next, isKnown := c.rules.Lanes[l.CallbackLane]; !isKnown {
-			c.addFault("lanes."+name+".callback", "names "+l.CallbackLane+", which is no lane")
+			c.addFault("lanes."+name+".callback", "names "+l.CallbackLane+", which is not a lane")
 		} else if next.IsOrdered {
-			c.addFault("lanes."+name+".callback", "names an ordered lane, and a call-back has no key")
+			c.addFault("lanes."+name+".callback", "names an ordered lane, but a callback has no ordering key")
 		}
 		seen := map[string]bool{name: true}
 		for next := l.CallbackLane; next != ""; next = c.rules.Lanes[next].CallbackLane {
 			if seen[next] {
-				c.addFault("lanes."+name+".callback", "leads back to "+next)
+				c.addFault("lanes."+name+".callback", "forms a cycle through "+next)
 				break
 			}
 			seen[next] = true
@@ -229,7 +233,7 @@
 	}
 }
 
-// CheckAddress says what is wrong with an IP number and port; empty if nothing.
+// CheckAddress returns the fault of a text that must be an IP address and a port; empty if it is valid.
 func CheckAddress(text string) string {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || net.ParseIP(host) == nil {
--- a/internal/config/compiled.go
+++ b/internal/config/compiled.go
@@ -10,27 +10,27 @@
 // Keys of the control state.
 const (
 	DocumentKey = "charter" // the configuration document, in the configuration part
-	ZoneKey     = "cell/"   // + zone: emptied when it stands, as its Order says
-	StoreKey    = "store/"  // + store: retired when it stands
-	// RetirementsKey has all retirements that were admitted, so that each is
-	// weighed against all others in one compare and set.
+	ZoneKey     = "cell/"   // + zone: drained, or restored and cold, as its DrainOrder says
+	StoreKey    = "store/"  // + store: retired while the key exists
+	// RetirementsKey holds all admitted retirements, so that each is checked against all others in one
+	// compare and set.
 	RetirementsKey = "retirements"
-	WorkersKey     = "workers/" // + pool: the platform's live list, in the pool's part
-	DutyKey        = "duty/"    // + pool + "/" + worker: its holder, in the pool's part
+	WorkersKey     = "workers/" // + pool: the worker list, in the pool's part
+	DutyKey        = "duty/"    // + pool + "/" + worker: its duty, in the pool's part
 	WeightKey      = "weight/"  // + pool: published weights, in the pool's part
 	ShareKey       = "share/"   // + lane: published weights of its pools, in the part of the lane's name
 )
 
-// Duty says which adapter serves a worker or endpoint. Its term is the revision
-// of the change that wrote it.
+// Duty assigns a worker or endpoint to the adapter that serves it. Its term is the revision of the
+// change that wrote it.
 type Duty struct {
 	Holder       string `json:"holder"`
 	Boot         string `json:"boot"`
-	PreviousBoot string `json:"before"`  // boot of the holder before; empty for none
-	IsReleased   bool   `json:"is_free"` // the holder before has given it up: no fence
+	PreviousBoot string `json:"before"`  // boot of the previous holder; empty for none
+	IsReleased   bool   `json:"is_free"` // the previous holder has released it: no fencing delay
 }
 
-// Encode gives the duty's JSON.
+// Encode returns the duty as JSON.
 func (d Duty) Encode() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
@@ -39,31 +39,30 @@
 	return raw
 }
 
-// AssignedDuty is a duty as the view has it.
+// AssignedDuty is a duty in the view, with its term.
 type AssignedDuty struct {
 	Duty
 	Term int64
 }
 
-// Compiled is all that a daemon needs of its view, compiled: rules, live workers,
-// duties, emptied zones. It is made anew when the view changes and never
-// written after that.
+// Compiled is the compiled control state that a daemon works with: rules, workers, duties, drained
+// zones, weights. A change of the view yields a new Compiled; an existing one is never written.
 type Compiled struct {
 	Rules              *Rules
 	Revision           int64
-	Workers            map[string]Table[Worker] // by pool and name, as listed: CanServe tells which are cold
-	Duties             map[string]Table[AssignedDuty]
-	DrainedZones       map[string]bool // whole zones
-	WorkerDrainedZones map[string]bool // zones of which only the workers get nothing
-	ColdZones          map[string]bool // restored zones whose workers still count as cold
-	IsUnreadable       bool            // the newest configuration cannot be read here: a newer build wrote it
+	Workers            map[string]Table[Worker]       // by pool and name, as listed; see CanServe for which are cold
+	Duties             map[string]Table[AssignedDuty] // by pool and worker
+	DrainedZones       map[string]bool                // whole zones
+	WorkerDrainedZones map[string]bool                // zones of which only the workers are drained
+	ColdZones          map[string]bool                // restored zones whose workers still count as cold
+	IsUnreadable       bool                           // the newest configuration is of a newer build and cannot be read
 	RetiredStores      map[string]bool
 	Weights            map[string]weight.Weights     // by pool, as published
 	Shares             map[string]map[string]float64 // by lane and pool, as published
 }
 
-// RelativeShare is how much of a lane's traffic a pool is asked for, against the pool
-// of the lane that has the most.
+// RelativeShare returns the share of a lane's traffic that a pool gets, relative to the pool of the lane
+// with the largest share.
 func (s *Compiled) RelativeShare(lane, pool string) float64 {
 	most, own := 0.0, 1.0
 	for _, name := range s.Rules.Lanes[lane].Pools {
@@ -82,7 +81,7 @@
 	return own / most
 }
 
-// EndpointWorker is the name under which an endpoint pool's one address is served.
+// EndpointWorker is the name of the single worker of an endpoint pool.
 const EndpointWorker = "endpoint"
 
 func splitDutyName(text string) (pool, worker string) {
@@ -94,20 +93,21 @@
 	return "", text
 }
 
-// CanServe says whether new work may go to a worker: it is in the live list,
-// live, and neither its zone nor the workers of its zone are being emptied.
+// CanServe reports whether new work may go to a worker, and returns its entry. The worker must be listed
+// and live, and neither its zone nor the workers of its zone may be drained. The entry is cold if
+// the worker is listed as cold or its zone was just restored.
 func (s *Compiled) CanServe(pool, worker string) (Worker, bool) {
 	w, isListed := s.Workers[pool].Get(worker)
 	w.IsCold = w.IsCold || s.ColdZones[w.Zone]
 	return w, isListed && w.State == "live" && !s.DrainedZones[w.Zone] && !s.WorkerDrainedZones[w.Zone]
 }
 
-// IsHolder says whether a life of an adapter holds a worker's duty.
+// IsHolder reports whether the adapter process with this name and boot holds a worker's duty.
 func (s *Compiled) IsHolder(pool, worker, name, boot string) bool {
 	held, isAssigned := s.Duties[pool].Get(worker)
 	return isAssigned && held.Holder == name && held.Boot == boot
 }
 
-// MayStartWork says whether a daemon of the zone may begin new work: not while the
-// zone is being emptied, whoever still thinks that it holds a duty there.
+// MayStartWork reports whether a daemon of the zone may begin new work. It may not while the zone is
+// drained, even if the daemon still holds a duty.
 func (s *Compiled) MayStartWork(zone string) bool { return !s.DrainedZones[zone] }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,8 @@
-// Package config reads, checks and merges the operators' tree of settings. A
-// lane or pool inherits everything from its parent and overrides what differs.
+// Package config defines the configuration of a deployment and its other control state. It compiles
+// the operators' document, a tree in which a lane or pool inherits all settings of its parent, into
+// Rules; reads and writes the values of worker lists, duties, drain orders and retirements; and keeps the
+// Compiled form of a view for the daemons. Managers use it to validate and write changes, all daemons
+// to read them.
 package config
 
 import (
@@ -10,68 +13,69 @@
 	"github.com/tidwall/gjson"
 )
 
-// Lane is one kind of message, with all that it inherited.
+// Lane is one class of messages, with its inherited settings.
 type Lane struct {
 	Name               string
-	Urgency            int64         // 1 to 9; share of turns among lanes of a pool
-	Patience           time.Duration // a message not ended by then expires
-	IsOrdered          bool          // one message of a key after another
-	MaxAttempts        int64         // runs that may fail; 0 for as long as patience lasts
-	Backoff            time.Duration // pause after the first failed run; doubles
+	Urgency            int64         // 1 to 9; share of the scheduling turns among the lanes of a pool
+	Patience           time.Duration // a message that has not ended by then expires
+	IsOrdered          bool          // messages of a key run one after another
+	MaxAttempts        int64         // runs that may fail; 0 for no limit within TimeToLive
+	Backoff            time.Duration // delay after the first failed run; doubles with each further one
 	MaxBackoff         time.Duration
-	Retention          time.Duration // an end can be asked for that long
-	MaxBodyBytes       int64         // most bytes of a body
-	Pools              []string      // pools that may run it
-	AllowsRerun        bool          // a run whose fate is unknown may be run again
-	CallbackLane       string        // lane that gets the answer of a success
-	HoldsAfterFailure  bool          // after a failed ordered message the key waits
-	Host               string        // messages that come as they are: to this host,
-	PathPrefix         string        // under this path; empty for none
-	RunTimeout         time.Duration // a run that takes longer is given up; 0: as the pool says
-	StartWithin        time.Duration // within which a run is wanted to begin; 0 for none
-	AllowsNotifyUrl    bool          // a message may name a URL that is told of its end
-	CountsEveryRun     bool          // each run that began spends an attempt; else only those that the worker says have failed
-	DropsBodyOnSuccess bool          // the bytes go with a success; else they stay for the retention
-	UsesWitness        bool          // results are left with others before the owner has them
-	IsPublic           bool          // messages need no API key of a tenant
+	Retention          time.Duration // for how long the result of a message can be queried
+	MaxBodyBytes       int64         // limit on the body of a message
+	Pools              []string      // pools that may run its messages
+	AllowsRerun        bool          // a run of unknown outcome may be repeated
+	CallbackLane       string        // lane that gets the answer of a successful run
+	HoldsAfterFailure  bool          // a failed ordered message blocks its key
+	Host               string        // plain HTTP requests to this host are messages of the lane,
+	PathPrefix         string        // if under this path prefix; empty for none
+	RunTimeout         time.Duration // a run that takes longer is aborted; 0 for the pool's timeout
+	StartWithin        time.Duration // target for the time until a run begins; 0 for none
+	AllowsNotifyUrl    bool          // a message may name a URL that is notified of its end
+	CountsEveryRun     bool          // each started run is an attempt; otherwise only runs reported as failed
+	DropsBodyOnSuccess bool          // the body is dropped on success; otherwise it is kept for the retention
+	UsesWitness        bool          // results are copied to witnesses before the owner has them
+	IsPublic           bool          // messages need no tenant's API key
 }
 
-// Pool is a set of workers, or one outside endpoint.
+// Pool is a set of workers, or one external endpoint.
 type Pool struct {
 	Name                string
 	IsEndpoint          bool
-	Address             string        // endpoints only
+	Address             string        // of an endpoint; empty otherwise
 	Path                string        // of the request to a worker
-	Rate                float64       // runs a second over the whole fleet; 0 for no cap
-	Concurrency         int64         // runs at once on one worker
-	SlowStart           time.Duration // a cold worker reaches its full share after this
-	RunTimeout          time.Duration // a run that takes longer is given up
-	AllowsCrossZone     bool          // may use workers of other zones
-	ColdRate            float64       // runs a second of a worker that the list calls cold; 0 for no cap
-	MaxProbeInterval    time.Duration // longest pause between two probes of an unhealthy worker
-	AllowsDuplicateRuns bool          // a run may be given again at once, though the first may go on
+	Rate                float64       // runs per second of the whole deployment; 0 for no limit
+	Concurrency         int64         // concurrent runs per worker
+	SlowStart           time.Duration // time after which a cold worker gets its full share
+	RunTimeout          time.Duration // a run that takes longer is aborted
+	AllowsCrossZone     bool          // runs may go to workers of other zones
+	ColdRate            float64       // runs per second of a worker that is listed as cold; 0 for no limit
+	MaxProbeInterval    time.Duration // longest interval between two probes of an unhealthy worker
+	AllowsDuplicateRuns bool          // a run may be repeated at once although the first one may still be in progress
 }
 
-// Rules are a configuration ready for use.
+// Rules are the compiled lanes, pools and tenants of a configuration document.
 //
-// Invariants: ways has each lane with a prefix once, by host, longest first; keys has each API key
-// of Tenants, and none of any other.
+// Invariants: routes has each lane with a path prefix once, by host, longest prefix first; keys has
+// exactly the API keys of Tenants.
 type Rules struct {
 	Lanes   map[string]Lane
 	Pools   map[string]Pool
-	Version int64             // the operators' own number; 0 for none
-	Tenants map[string]Tenant // nil where messages need no API key
+	Version int64             // version number given by the operators; 0 for none
+	Tenants map[string]Tenant // nil if messages need no API key
 	routes  map[string][]Lane
 	keys    map[KeyHash]keyTenant
 }
 
-// Fault is one thing wrong with a configuration, at a path of its tree.
+// Fault is one validation error, at a path of a document.
 type Fault struct {
 	Path string `json:"path"`
 	Text string `json:"text"`
 }
 
-// field is one setting of a lane or pool: how to check and to read it.
+// field is one setting of a node: its JSON type, its check and its reader. check returns a fault's text,
+// empty for none.
 type field[T any] struct {
 	kind  gjson.Type
 	check func(gjson.Result) string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,30 +31,30 @@
 	})
 }
 
-// TestFaults is the table of configurations that must never take effect.
+// TestFaults checks that invalid configurations are refused, and at which path the fault is.
 func TestFaults(t *testing.T) {
 	cases := []struct{ name, from, to, path string }{
 		{"an unknown key at the top", `"pools"`, `"polls"`, "polls"},
 		{"an unknown key of a lane", `"urgency":7`, `"urgence":7`, "lanes.top.urgence"},
-		{"a text for a number", `"urgency":7`, `"urgency":"7"`, "lanes.top.urgency"},
+		{"a string for a number", `"urgency":7`, `"urgency":"7"`, "lanes.top.urgency"},
 		{"a number out of range", `"urgency":7`, `"urgency":10`, "lanes.top.urgency"},
-		{"half a number", `"urgency":7`, `"urgency":7.5`, "lanes.top.urgency"},
+		{"a fraction for a whole number", `"urgency":7`, `"urgency":7.5`, "lanes.top.urgency"},
 		{"a duration without a unit", `"5s"`, `"5"`, "lanes.top.children.x.patience"},
-		{"a pool that is not there", `["p.a"]`, `["p.c"]`, "lanes.top.x.pools"},
+		{"a pool that does not exist", `["p.a"]`, `["p.c"]`, "lanes.top.x.pools"},
 		{"a pool that has children", `["p.a"]`, `["p"]`, "lanes.top.x.pools"},
 		{"a lane with no pool", `"pools":["p.a"],`, ``, "lanes.top.children.x"},
-		{"a call-back to nowhere", `"callback":"top.x"`, `"callback":"z"`, "lanes.top.y.callback"},
-		{"a call-back to itself", `"callback":"top.x"`, `"callback":"top.y"`, "lanes.top.y.callback"},
+		{"a callback to a lane that does not exist", `"callback":"top.x"`, `"callback":"z"`, "lanes.top.y.callback"},
+		{"a callback to the lane itself", `"callback":"top.x"`, `"callback":"top.y"`, "lanes.top.y.callback"},
 		{"an endpoint without an address", `"address":"127.0.0.1:80",`, ``, "pools.e.address"},
-		{"an address that is a name", `127.0.0.1:80`, `localhost:80`, "pools.e.address"},
+		{"an address with a host name", `127.0.0.1:80`, `localhost:80`, "pools.e.address"},
 		{"a key given twice", `"concurrency":2`, `"concurrency":2,"concurrency":3`, "pools.p.concurrency"},
-		{"no children after all", `{"a":{},"b":{"concurrency":9}}`, `{}`, "pools.p.children"},
+		{"an empty set of children", `{"a":{},"b":{"concurrency":9}}`, `{}`, "pools.p.children"},
 		{"a bad name", `"x":`, `"x y":`, "lanes.top.children.x y"},
 		{"a lane that is a list", `{"patience":"5s"}`, `[]`, "lanes.top.children.x"},
 		{"half a document", `}}}}`, ``, ""},
-		{"something else than an object", validDocument, `[]`, ""},
+		{"a document that is not an object", validDocument, `[]`, ""},
 	}
-	Convey("A charter is refused that has", t, func() {
+	Convey("A configuration is refused that has", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				So(validDocument, ShouldContainSubstring, c.from)
@@ -70,18 +70,18 @@
 	})
 }
 
-// TestUnreadCharter: a daemon of an older build must not take a configuration that it
-// cannot read for one without lanes.
+// TestUnreadCharter guards against a daemon of an older build treating a configuration that it cannot
+// read as one without lanes.
 func TestUnreadCharter(t *testing.T) {
 	cases := []struct {
 		name, doc string
 		canRead   bool
 	}{
-		{"one that this build knows", validDocument, true},
-		{"one with a key that it does not know", strings.Replace(validDocument, `"urgency"`, `"newer"`, 1), false},
+		{"one of this build", validDocument, true},
+		{"one with an unknown key", strings.Replace(validDocument, `"urgency"`, `"newer"`, 1), false},
 		{"one that is empty", `{}`, true},
 	}
-	Convey("A charter can be read here:", t, func() {
+	Convey("Whether this build can read a configuration is known for", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				view := feed.NewView(0)
@@ -123,11 +123,11 @@
 	})
 }
 
-// TestOriginIsConcealed: the document that a configuration was made from may hold keys, and is not shown.
+// TestOriginIsConcealed checks that the origin of a configuration, which may hold keys, is not shown.
 func TestOriginIsConcealed(t *testing.T) {
 	Convey("Of documents with origins", t, func() {
 		one, two := `{"origin":{"api_keys":["secret-1"]},"note":"a"}`, `{"origin":{"api_keys":["secret-2"]},"note":"a"}`
-		Convey("the difference is told without values", func() {
+		Convey("the difference has no values", func() {
 			d, err := Diff([]byte(one), []byte(two))
 			So(err, ShouldBeNil)
 			So(d, ShouldResemble, []Difference{{Path: "origin"}})
@@ -135,12 +135,12 @@
 			So(err, ShouldBeNil)
 			So(d, ShouldResemble, []Difference{{Path: "origin"}})
 		})
-		Convey("alike ones differ in nothing", func() {
+		Convey("equal ones have no difference", func() {
 			d, err := Diff([]byte(one), []byte(one))
 			So(err, ShouldBeNil)
 			So(d, ShouldBeEmpty)
 		})
-		Convey("what is shown has none, and is no configuration", func() {
+		Convey("the redacted document has none, and is not a valid configuration", func() {
 			shown, err := Redact([]byte(one))
 			So(err, ShouldBeNil)
 			So(string(shown), ShouldNotContainSubstring, "secret")
@@ -148,7 +148,7 @@
 			So(rules, ShouldBeNil)
 			So(faults[0].Path, ShouldEqual, "origin")
 		})
-		Convey("one without is shown as it is", func() {
+		Convey("a document without an origin is not changed", func() {
 			shown, err := Redact([]byte(validDocument))
 			So(err, ShouldBeNil)
 			So(string(shown), ShouldEqual, validDocument)
--- a/internal/config/drainorder.go
+++ b/internal/config/drainorder.go
@@ -6,35 +6,35 @@
 	"caperwheel/internal/errs"
 )
 
-// DrainOrder is what stands at a zone's key. One key holds all that can be said of a
-// zone, so that no daemon sees a zone restored before it sees its workers cold.
+// DrainOrder is the value of a zone's or store's key. One key holds the whole state of a zone, so that no
+// daemon sees a zone restored before it sees its workers as cold.
 //
-// Invariant: Others, IsLastRestore and RestoredAgoMs are set only where Only is OnlyWorkers.
+// Invariant: OtherDrains, IsLastRestore and RestoredAgoMs are set only if Only is OnlyWorkers.
 type DrainOrder struct {
-	Only          string `json:"only,omitempty"`     // empty: the whole zone is emptied
-	OtherDrains   int64  `json:"others,omitempty"`   // emptyings that stand besides, each to be taken back by itself
-	IsLastRestore bool   `json:"back,omitempty"`     // the last word was that one of them is taken back
-	RestoredAgoMs int64  `json:"back_ago,omitempty"` // milliseconds before the last word in which one was; 0 for long
+	Only          string `json:"only,omitempty"`     // empty: the whole zone is drained
+	OtherDrains   int64  `json:"others,omitempty"`   // further drains in force, each with its own restore to come
+	IsLastRestore bool   `json:"back,omitempty"`     // the last order restored one of several drains
+	RestoredAgoMs int64  `json:"back_ago,omitempty"` // time from the last restore to the last order; 0 if long
 }
 
-// What an order may be restricted to.
+// Values of DrainOrder.Only.
 const (
-	OnlyWorkers = "workers" // only the workers of the zone get nothing
-	OnlyCold    = "cold"    // restored; the workers count as cold until the list can be trusted again
+	OnlyWorkers = "workers" // only the workers of the zone are drained
+	OnlyCold    = "cold"    // restored; the workers count as cold until the list has caught up
 )
 
-// ParseDrainOrder reads a mark. One that says nothing known empties the whole zone.
+// ParseDrainOrder decodes a drain order. One that this build does not understand drains the whole zone.
 func ParseDrainOrder(raw []byte) DrainOrder {
 	var m DrainOrder
-	_ = json.Unmarshal(raw, &m) // an unreadable order empties the whole zone
+	_ = json.Unmarshal(raw, &m) // an unreadable order drains the whole zone
 	return m
 }
 
-// Encode gives the order's JSON.
+// Encode returns the order as JSON.
 func (m DrainOrder) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "mark"))
+		panic(errs.Wrap(err, errs.Internal, "drain order"))
 	}
 	return raw
 }
--- a/internal/config/drainorder_test.go
+++ b/internal/config/drainorder_test.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// TestMark is the table of what a zone's order says of its workers and daemons.
+// TestMark checks what a zone's drain order means for its workers and daemons.
 func TestMark(t *testing.T) {
 	cases := []struct {
 		order                     string // empty for none
@@ -22,9 +22,9 @@
 		{`{"only":"of a newer build"}`, false, false, false},
 		{`?`, false, false, false},
 	}
-	Convey("With the mark", t, func() {
+	Convey("With the drain order", t, func() {
 		for _, c := range cases {
-			Convey(c.order+" at its cell", func() {
+			Convey(c.order+" for its zone", func() {
 				view := feed.NewView(1)
 				list := Workers{Workers: []Worker{{Name: "w", Address: "127.0.0.1:1", Zone: "a", State: "live"}}}
 				view.Update([]wire.PartNews{{Part: 1, To: 1, Changes: []wire.Change{{Key: WorkersKey + "p", Revision: 1, Value: list.Encode()}}}}, 0)
@@ -39,10 +39,10 @@
 	})
 }
 
-// TestEdits: what an older build remembered of edits, in the configuration, is read
-// still, and it is known when it may not have been all.
+// TestEdits checks that the edits that an older build lists in the document can be read, and that it is
+// known when older ones may be missing.
 func TestEdits(t *testing.T) {
-	Convey("Of a configuration that an older build made", t, func() {
+	Convey("The edits of a document of an older build can be read", t, func() {
 		doc := []byte(`{"origin":{"x":[1.50,2.0]},"edits":["4","5","19"]}`)
 		So([]bool{HasEdit(doc, "3"), HasEdit(doc, "4"), HasEdit(doc, "19"), HasEdit(doc, "")}, ShouldResemble, []bool{false, true, true, false})
 		So(EditsOf(doc), ShouldResemble, []string{"4", "5", "19"})
--- a/internal/config/edits.go
+++ b/internal/config/edits.go
@@ -6,20 +6,20 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxRememberedEdits is how many edits an older build remembered by their digests, in the
-// configuration itself. Now the part that holds the configuration remembers them.
+// maxRememberedEdits is how many edits an older build remembered, by their digests in the document
+// itself. Today the configuration's part remembers them.
 const maxRememberedEdits = 16
 
-// VersionOf gives the operators' own number of a configuration; 0 for none.
+// VersionOf returns the version number that operators gave to a document; 0 for none.
 func VersionOf(doc []byte) int64 { return gjson.GetBytes(doc, "version").Int() }
 
-// HasEdit reports whether a configuration of an older build holds an edit, or was made
-// from one that does.
+// HasEdit reports whether a document of an older build lists an edit as applied to it or to a document
+// that it is based on.
 func HasEdit(doc []byte, digest string) bool {
 	return digest != "" && slices.Contains(EditsOf(doc), digest)
 }
 
-// EditsOf gives the edits that a configuration of an older build remembers.
+// EditsOf returns the digests of the edits that a document of an older build lists.
 func EditsOf(doc []byte) []string {
 	out := []string{}
 	for _, edit := range gjson.GetBytes(doc, "edits").Array() {
@@ -28,6 +28,6 @@
 	return out
 }
 
-// MayHaveForgotten reports whether a configuration of an older build may come from edits that
-// it no longer remembers.
+// MayHaveForgotten reports whether a document of an older build may be based on edits that it no longer
+// lists.
 func MayHaveForgotten(doc []byte) bool { return len(EditsOf(doc)) >= maxRememberedEdits }
--- a/internal/config/fuzz_test.go
+++ b/internal/config/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDocuments: configurations, patches and live lists are read whole or refused; a
-// configuration that is accepted says the same when it is read again.
+// FuzzDocuments checks that configurations, patches and worker lists are either read as a whole or
+// refused, and that reading an accepted one again gives the same result.
 func FuzzDocuments(f *testing.F) {
 	f.Add([]byte(validDocument), []byte(`{"note":"n"}`))
 	f.Add([]byte(`{"lanes":{"a":{"children":{}}}}`), []byte(`{"lanes":null}`))
@@ -18,17 +18,17 @@
 	f.Fuzz(func(t *testing.T, doc, patch []byte) {
 		rules, faults := Compile(doc)
 		if (rules == nil) != (len(faults) > 0) {
-			t.Fatal("neither rules nor faults, or both")
+			t.Fatal("Compile returned neither rules nor faults, or both")
 		}
 		if again, _ := Compile(doc); !reflect.DeepEqual(again, rules) {
-			t.Fatal("compiled again, other rules come of it")
+			t.Fatal("compiling the document again gives other rules")
 		}
 		if rules != nil {
 			checkTenants(t, rules)
 		}
 		if list, faults := ReadWorkers(doc); len(faults) == 0 {
 			if again, faults := ReadWorkers(list.Encode()); len(faults) > 0 || len(again.Workers) != len(list.Workers) {
-				t.Fatal("a list that is accepted is not when read again")
+				t.Fatal("an accepted list is refused or differs when it is read again")
 			}
 		}
 		merged, err := Merge(doc, patch)
@@ -40,21 +40,22 @@
 		}
 		again, err := Merge(merged, patch)
 		if err != nil || string(again) != string(merged) {
-			t.Fatalf("a patch applied twice gives %s and %s, %v", merged, again, err)
+			t.Fatalf("a patch applied twice gives %s and then %s, error %v", merged, again, err)
 		}
 	})
 }
 
-// checkTenants: every name can go into a header field, and every key leads to a tenant that is there.
+// checkTenants checks that every tenant's name is valid in a header field, and that every key belongs to an
+// existing tenant.
 func checkTenants(t *testing.T, rules *Rules) {
 	for name, tenant := range rules.Tenants {
 		if name != tenant.Name || !IsTenantName(name) || tenant.Rate < 0 || tenant.Rate > 0 && tenant.Burst < 1 {
-			t.Fatalf("%q is a tenant: %+v", name, tenant)
+			t.Fatalf("the tenant %q is invalid: %+v", name, tenant)
 		}
 	}
 	for hash, held := range rules.keys {
 		if _, isThere := rules.Tenants[held.tenant]; !isThere || held.hash != hash {
-			t.Fatalf("a key is %q's", held.tenant)
+			t.Fatalf("a key belongs to the tenant %q, which does not exist, or is listed under another hash", held.tenant)
 		}
 	}
 }
--- a/internal/config/listchange.go
+++ b/internal/config/listchange.go
@@ -7,20 +7,20 @@
 	"caperwheel/internal/wire"
 )
 
-// list is what one key has of a pool's list.
+// bucket is the content of one key of a pool's list.
 type bucket struct {
 	revision          int64
 	workers           []Worker
-	hasOnlyOwnWorkers bool // each of its workers belongs to this key, as the key tells it
+	hasOnlyOwnWorkers bool // each worker belongs to this key by the hash of its name
 }
 
-// listChange is what has changed of a pool's list.
+// listChange describes what has changed in a pool's list.
 type listChange struct {
-	needsRebuild bool              // the list is put together anew
-	previous     map[string]bucket // by key that has changed: as it was
+	needsRebuild bool              // the list is rebuilt from all its buckets
+	previous     map[string]bucket // by changed key: the bucket before the change
 }
 
-// list notes that a pool's list changes.
+// listChangeOf returns the change of a pool's list, and adds one if there is none.
 func (u *updater) listChangeOf(pool string) *listChange {
 	if u.listChanges[pool] == nil {
 		u.listChanges[pool] = &listChange{previous: map[string]bucket{}}
@@ -45,14 +45,14 @@
 	u.buckets[pool][c.Key] = bucket{c.Revision, read.Workers, holdsOnlyOwnWorkers(pool, c.Key, read.Workers)}
 }
 
-// holdsOnlyOwnWorkers reports whether each worker belongs to this key, and so can stand in no other key of
-// a list that is cut in the same way.
+// holdsOnlyOwnWorkers reports whether each worker belongs to this key by its hash, and so cannot be in
+// another key of a list with the same bucket count.
 func holdsOnlyOwnWorkers(pool, key string, workers []Worker) bool {
 	_, count := ParseListKey(key)
 	return !slices.ContainsFunc(workers, func(w Worker) bool { return BucketKey(pool, BucketOf(w.Name, count), count) != key })
 }
 
-// finishLists puts the lists of pools together that have changed.
+// finishLists builds the pools' lists that have changed.
 func (u *updater) finishLists() {
 	for name, change := range u.listChanges {
 		workers := cloneOnce(u, WorkersKey, &u.next.Workers)
@@ -73,7 +73,7 @@
 	}
 }
 
-// areDisjoint reports whether no worker can stand in two of the keys.
+// areDisjoint reports whether no worker can be in two of the keys.
 func areDisjoint(before, now map[string]bucket) bool {
 	first := 0
 	for _, keys := range []map[string]bucket{before, now} {
@@ -93,8 +93,8 @@
 	return true
 }
 
-// applyBucketChanges returns a pool's workers after keys have changed from what they were before, where no
-// worker stands in two keys.
+// applyBucketChanges returns a pool's workers after the keys of before have changed to what they are in
+// now. No worker may be in two keys.
 func applyBucketChanges(workers Table[Worker], before, now map[string]bucket) Table[Worker] {
 	change := workers.builder()
 	for _, key := range slices.Sorted(maps.Keys(before)) {
@@ -110,7 +110,7 @@
 	return change.build()
 }
 
-// mergeBuckets returns the workers of a pool's keys. One that stands in two is as in the newer.
+// mergeBuckets returns the workers of all keys of a pool. For a worker in two keys, the newer key counts.
 func mergeBuckets(keys map[string]bucket) Table[Worker] {
 	lists := slices.Collect(maps.Values(keys))
 	slices.SortFunc(lists, func(a, b bucket) int { return int(a.revision - b.revision) })
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -13,13 +13,13 @@
 func Merge(doc, patch []byte) ([]byte, error) {
 	var base, change any
 	if err := json.Unmarshal(doc, &base); err != nil {
-		return nil, errs.Wrap(err, errs.Corrupt, "charter")
+		return nil, errs.Wrap(err, errs.Corrupt, "stored configuration")
 	}
 	if err := json.Unmarshal(patch, &change); err != nil {
 		return nil, errs.Wrap(err, errs.Invalid, "patch")
 	}
 	if _, isObject := change.(map[string]any); !isObject {
-		return nil, errs.New(errs.Invalid, "a patch must be an object")
+		return nil, errs.New(errs.Invalid, "a patch must be a JSON object")
 	}
 	out, err := json.Marshal(merge(base, change))
 	return out, errs.Wrap(err, errs.Internal, "merged configuration")
@@ -44,16 +44,16 @@
 	return out
 }
 
-// originKey is the root's key for the document that a configuration was made from. What it holds is
-// another interface's, and may be secret: it is given whole to whoever reads the configuration, and never shown.
+// originKey is the root's key for the document that another interface made the configuration from. It
+// may hold secrets: reading the configuration returns it in full, but no diff or display shows it.
 const originKey = "origin"
 
-// Redact returns a configuration to be shown: without its origin. It cannot be taken for the whole
-// one, since Compile refuses it.
+// Redact returns a document for display, without the content of its origin. Compile rejects the result,
+// so it cannot be written back by mistake.
 func Redact(doc []byte) ([]byte, error) {
 	var root map[string]json.RawMessage
 	if err := json.Unmarshal(doc, &root); err != nil {
-		return nil, errs.Wrap(err, errs.Corrupt, "configuration")
+		return nil, errs.Wrap(err, errs.Corrupt, "configuration to redact")
 	}
 	if root[originKey] == nil {
 		return doc, nil
@@ -63,14 +63,14 @@
 	return append(out, '\n'), errs.Wrap(err, errs.Internal, "configuration")
 }
 
-// Difference is one path whose value differs between two documents. The values of an origin are not given.
+// Difference is a path whose value differs between two documents. The values of an origin are left out.
 type Difference struct {
 	Path string `json:"path"`
 	From any    `json:"from,omitempty"`
 	To   any    `json:"to,omitempty"`
 }
 
-// Diff lists what differs, in order of paths.
+// Diff returns the differences between two documents, sorted by path.
 func Diff(from, to []byte) ([]Difference, error) {
 	var a, b any
 	if err := json.Unmarshal(from, &a); err != nil {
@@ -86,7 +86,7 @@
 	x, isX := a.(map[string]any)
 	y, isY := b.(map[string]any)
 	if !isX || !isY {
-		if !reflect.DeepEqual(a, b) { // 5 is not "5"
+		if !reflect.DeepEqual(a, b) { // the number 5 differs from the string "5"
 			out = append(out, Difference{path, a, b})
 		}
 		return out
@@ -111,7 +111,7 @@
 	return out
 }
 
-// appendRedacted tells that origins differ, and no more.
+// appendRedacted adds a difference without values if two origins differ.
 func appendRedacted(a, b any, out []Difference) []Difference {
 	if reflect.DeepEqual(a, b) {
 		return out
--- a/internal/config/retirements.go
+++ b/internal/config/retirements.go
@@ -7,13 +7,13 @@
 	"caperwheel/internal/errs"
 )
 
-// Retirements are the stores whose retirement was admitted. They stand at one key,
-// so that two admitted at once by two managers cannot both hold.
+// Retirements lists the stores whose retirement was admitted. It is stored at one key, so that two
+// managers cannot admit two retirements on the same state.
 type Retirements struct {
 	Stores []string `json:"stores"`
 }
 
-// ReadRetirements reads them; nothing is there before the first one.
+// ReadRetirements decodes the list; no bytes mean an empty list.
 func ReadRetirements(raw []byte) (Retirements, error) {
 	var r Retirements
 	if len(raw) == 0 {
@@ -26,17 +26,17 @@
 // Has reports whether a store's retirement was admitted.
 func (r Retirements) Has(store string) bool { return slices.Contains(r.Stores, store) }
 
-// With gives them with one more.
+// With returns a copy of the list with a store added.
 func (r Retirements) With(store string) Retirements {
 	return Retirements{append(slices.Clone(r.Stores), store)}
 }
 
-// Without gives them with one less.
+// Without returns a copy of the list with a store removed.
 func (r Retirements) Without(store string) Retirements {
 	return Retirements{slices.DeleteFunc(slices.Clone(r.Stores), func(s string) bool { return s == store })}
 }
 
-// Encode gives their JSON.
+// Encode returns the list as JSON.
 func (r Retirements) Encode() []byte {
 	raw, err := json.Marshal(r)
 	if err != nil {
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// buildRoutes lays the ways of messages that come as they are, and checks that no two
-// lanes share one.
+// buildRoutes builds the routes of plain HTTP requests, and checks that no two lanes share a host and
+// path prefix.
 func (c *compiler) buildRoutes() {
 	c.rules.routes = map[string][]Lane{}
 	for name, l := range c.rules.Lanes {
 		if l.PathPrefix == "" {
 			if l.Host != "" {
-				c.addFault("lanes."+name+".host", "is of no use without a prefix")
+				c.addFault("lanes."+name+".host", "has no effect without a prefix")
 			}
 			continue
 		}
 		for _, other := range c.rules.routes[strings.ToLower(l.Host)] {
 			if other.PathPrefix == l.PathPrefix {
-				c.addFault("lanes."+name+".prefix", "is also that of "+other.Name)
+				c.addFault("lanes."+name+".prefix", "is also the prefix of lane "+other.Name)
 			}
 		}
 		c.rules.routes[strings.ToLower(l.Host)] = append(c.rules.routes[strings.ToLower(l.Host)], l)
@@ -30,8 +30,8 @@
 	}
 }
 
-// Route returns the lane of a request that comes as it is: of its host's lanes the
-// one with the longest prefix of its path. A lane without a host serves all.
+// Route returns the lane of a plain HTTP request: among the lanes of its host, the one with the longest
+// matching path prefix. If none matches, the lanes without a host are tried; they serve every host.
 func (r *Rules) Route(host, path string) (Lane, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -46,7 +46,7 @@
 	return Lane{}, false
 }
 
-// RunTimeoutMs is how long one run of a lane may take in a pool.
+// RunTimeoutMs returns the timeout, in milliseconds, of one run of a lane in a pool.
 func (r *Rules) RunTimeoutMs(lane, pool string) (bound int64) {
 	if l := r.Lanes[lane]; l.RunTimeout > 0 {
 		return l.RunTimeout.Milliseconds()
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -11,8 +11,8 @@
   "ab":{"pools":["p"],"host":"x.example","prefix":"/a/b/"},"other":{"pools":["p"],"host":"y.example","prefix":"/a/"},
   "any":{"pools":["p"],"prefix":"/any/"},"named":{"pools":["p"]}}}`
 
-// TestWays: requests that come as they are find their lane by host and longest
-// prefix, and nothing else finds one.
+// TestWays checks that plain HTTP requests find their lane by host and longest path prefix, and that no other
+// request finds one.
 func TestWays(t *testing.T) {
 	rules, faults := Compile([]byte(routedDocument))
 	cases := []struct{ name, host, path, lane string }{
@@ -26,7 +26,7 @@
 		{"an unknown path", "x.example", "/b", ""},
 		{"less than the prefix", "x.example", "/a", ""},
 	}
-	Convey("The lane is found by", t, func() {
+	Convey("The right lane, or none, is found for", t, func() {
 		So(faults, ShouldBeEmpty)
 		for _, c := range cases {
 			Convey(c.name, func() {
@@ -36,7 +36,7 @@
 			})
 		}
 	})
-	Convey("What a lane says of its runs goes before what the pool says", t, func() {
+	Convey("The run timeout of a lane overrides that of the pool", t, func() {
 		So(rules.RunTimeoutMs("a", "p"), ShouldEqual, 700)
 		So(rules.RunTimeoutMs("ab", "p"), ShouldEqual, 2000)
 		So(rules.Version, ShouldEqual, 7)
--- a/internal/config/rules_test.go
+++ b/internal/config/rules_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRulesLeaveListsAlone: a configuration that says the same of a pool's list once had the whole list put
-// together anew by every daemon.
+// TestRulesLeaveListsAlone guards against every daemon rebuilding a pool's whole list after a change of the
+// configuration that does not affect the list.
 func TestRulesLeaveListsAlone(t *testing.T) {
 	Convey("Given a list of workers and rules", t, func() {
 		part, view := feed.NewPart(), feed.NewView(0)
@@ -27,10 +27,10 @@
 		before := now(`{"pools":{"p":{}}}`)
 		So(before.Len(), ShouldEqual, 1)
 		same := func(t Table[Worker]) bool { return t.Len() == 1 && &t.shards[0][0] == &before.shards[0][0] }
-		Convey("other tenants leave the list as it is", func() { So(same(now(`{"pools":{"p":{}},"tenants":{"a":{}}}`)), ShouldBeTrue) })
-		Convey("so does another rate of the pool", func() { So(same(now(`{"pools":{"p":{"rate":5}}}`)), ShouldBeTrue) })
-		Convey("so does a pool that goes", func() { So(same(now(`{}`)), ShouldBeTrue) })
-		Convey("a pool that becomes an endpoint, moves, and becomes one of workers again has what its rules say", func() {
+		Convey("a change of the tenants leaves the list as it is", func() { So(same(now(`{"pools":{"p":{}},"tenants":{"a":{}}}`)), ShouldBeTrue) })
+		Convey("so does a change of the pool's rate", func() { So(same(now(`{"pools":{"p":{"rate":5}}}`)), ShouldBeTrue) })
+		Convey("so does the removal of the pool", func() { So(same(now(`{}`)), ShouldBeTrue) })
+		Convey("a pool that becomes an endpoint, changes its address and becomes one of workers again has the right list each time", func() {
 			addresses := []string{}
 			for _, address := range []string{"127.0.0.1:1", "127.0.0.1:2"} {
 				w, _ := now(`{"pools":{"p":{"kind":"endpoint","address":"` + address + `"}}}`).Get(EndpointWorker)
@@ -42,7 +42,7 @@
 	})
 }
 
-// BenchmarkKeyRotation measures what a change of tenants costs a daemon that knows long lists of workers.
+// BenchmarkKeyRotation measures the cost of a change of tenants for a daemon with long worker lists.
 func BenchmarkKeyRotation(b *testing.B) {
 	for _, workers := range []int{200, 10_000, 100_000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -8,15 +8,15 @@
 	"caperwheel/internal/errs"
 )
 
-// decodeStrict reads one JSON value and refuses unknown fields and trailing text.
+// decodeStrict decodes one JSON value and rejects unknown fields and trailing text.
 func decodeStrict(doc []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(doc))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return errs.Wrap(err, errs.Invalid, "JSON")
+		return errs.Wrap(err, errs.Invalid, "the text cannot be decoded as JSON of the expected form")
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return errs.New(errs.Invalid, "text behind the JSON value")
+		return errs.New(errs.Invalid, "text follows after the JSON value")
 	}
 	return nil
 }
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// Table maps names to values. It is never written: a change makes the next Table, which shares
-// with this one all shards that nothing was changed in. The zero Table is empty.
+// Table is an immutable map from names to values. A tableBuilder derives the next Table from one and
+// shares all unchanged shards with it. The zero Table is empty.
 //
-// Invariants: the number of shards follows from the number of rows alone; a row stands in the shard
-// that its name's hash tells, and the rows of a shard are sorted by name. So two Tables of the same
-// rows are alike, however they came about, and are walked in the same order.
+// Invariants: the shard count depends only on the number of rows; a row is in the shard that its name's
+// hash selects, and the rows of a shard are sorted by name. So two Tables of the same rows are equal,
+// however they were built, and are iterated in the same order.
 type Table[V any] struct {
 	shards [][]row[V]
 	size   int
@@ -25,10 +25,10 @@
 	value V
 }
 
-// rowsPerShard is how many rows a shard has when a table is just full enough.
+// rowsPerShard is the lower end of the average shard size: the shard count doubles above twice this.
 const rowsPerShard = 64
 
-// TableOf returns a table of what a map has.
+// TableOf returns a table with the entries of a map.
 func TableOf[V any](rows map[string]V) Table[V] {
 	c := Table[V]{}.builder()
 	for _, name := range slices.Sorted(maps.Keys(rows)) {
@@ -40,7 +40,7 @@
 // Len returns the number of names.
 func (t Table[V]) Len() int { return t.size }
 
-// Get returns the value of a name, and whether there is one.
+// Get returns the value of a name, and whether the name exists.
 func (t Table[V]) Get(name string) (V, bool) {
 	if t.size > 0 {
 		shard := t.shards[shardOf(name, len(t.shards))]
@@ -52,7 +52,7 @@
 	return none, false
 }
 
-// All yields each name with its value, always in the same order.
+// All iterates over all names and values, always in the same order.
 func (t Table[V]) All() iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		for _, shard := range t.shards {
@@ -88,7 +88,7 @@
 	return int(h.Sum32() % uint32(count))
 }
 
-// shardCount returns into how many shards so many rows are cut: a power of two, 0 for none.
+// shardCount returns the shard count of a table of so many rows: a power of two, 0 for no rows.
 func shardCount(size int) int {
 	if size == 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return count
 }
 
-// tableBuilder makes the next Table of one. A shard is copied before it is first written.
+// tableBuilder derives a new Table from an existing one. Each shard is copied before its first write.
 type tableBuilder[V any] struct {
 	shards   [][]row[V]
 	isCloned []bool // by shard
@@ -136,7 +136,7 @@
 	}
 }
 
-// own returns a shard that may be written.
+// writableShard returns a shard that may be written: a copy of the old one, made at the first call.
 func (c *tableBuilder[V]) writableShard(number int) []row[V] {
 	if !c.isCloned[number] {
 		c.shards[number] = slices.Clone(c.shards[number])
@@ -145,7 +145,7 @@
 	return c.shards[number]
 }
 
-// reshard spreads the rows over so many shards.
+// reshard distributes the rows over count shards.
 func (c *tableBuilder[V]) reshard(count int) {
 	next := make([][]row[V], count)
 	for _, shard := range c.shards {
--- a/internal/config/table_test.go
+++ b/internal/config/table_test.go
@@ -10,10 +10,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestTable plays a table beside a map: it holds the same, is alike however it came about, and what
-// was taken from it before stays.
+// TestTable compares a table with a map after random changes: it has the same entries, equals a table that
+// is built at once, and earlier tables never change.
 func TestTable(t *testing.T) {
-	Convey("Change by change, a table holds what a map holds", t, func() {
+	Convey("After each change a table has the entries of a map with the same changes", t, func() {
 		for seed := uint64(1); seed <= 10; seed++ {
 			r, table, want := rand.New(rand.NewPCG(seed, 11)), Table[int]{}, map[string]int{}
 			grows := true
@@ -52,7 +52,7 @@
 			}
 		}
 	})
-	Convey("A change of one name of many copies one shard", t, func() {
+	Convey("A change of one of many names copies one shard", t, func() {
 		rows := map[string]int{}
 		for i := range 10_000 {
 			rows[fmt.Sprint("n", i)] = i
@@ -71,7 +71,7 @@
 	})
 }
 
-// BenchmarkChange measures one change of a list of workers, by its length.
+// BenchmarkChange measures one change of a worker list, by the list's length.
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{100, 10_000, 100_000} {
 		rows := map[string]Worker{}
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -9,25 +9,25 @@
 	"github.com/tidwall/gjson"
 )
 
-// Tenant is a customer whose messages are told apart from those of others.
+// Tenant is a customer whose messages are identified by its API keys and limited by its own rate.
 type Tenant struct {
 	Name string
-	// Rate and Burst limit the messages that are accepted of the tenant by the whole fleet: in any
-	// span no more than Rate times the span in seconds, and Burst. A Rate of 0 means no limit.
+	// Rate and Burst are a token bucket for the tenant's messages over the whole deployment: in any
+	// period at most Rate per second plus Burst are accepted. A Rate of 0 means no limit.
 	Rate  float64
 	Burst float64
 }
 
-// KeyHash is the SHA-256 of an API key. The key itself is kept nowhere in rules or views.
+// KeyHash is the SHA-256 hash of an API key. Rules and views never hold the key itself.
 type KeyHash [sha256.Size]byte
 
-// HashApiKey returns the hash under which an API key stands in a configuration.
+// HashApiKey returns the hash by which a configuration lists an API key.
 func HashApiKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// String returns the hash in hexadecimal digits, as configurations have it.
+// String returns the hash in hexadecimal digits, as in the configuration document.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
 
-// Most of what one tenant may have.
+// Bounds of the tenants of a configuration.
 const (
 	MaxTenants         = 5000
 	MaxKeysPerTenant   = 100
@@ -41,10 +41,10 @@
 	tenant string
 }
 
-// HasTenants reports whether lanes that are not public need an API key.
+// HasTenants reports whether messages of lanes that are not public need an API key.
 func (r *Rules) HasTenants() bool { return r.Tenants != nil }
 
-// TenantOf returns the tenant that holds an API key, and false where none does.
+// TenantOf returns the tenant that an API key belongs to, and false if there is none.
 func (r *Rules) TenantOf(key string) (Tenant, bool) {
 	hash := HashApiKey(key)
 	known, isKnown := r.keys[hash]
@@ -54,12 +54,13 @@
 	return r.Tenants[known.tenant], true
 }
 
-// IsTenantName reports whether a text can be a tenant's name: it goes into header fields.
+// IsTenantName reports whether a text can be a tenant's name, which is sent in header fields.
 func IsTenantName(name string) bool {
 	return len(name) > 0 && len(name) <= MaxTenantNameBytes && strings.TrimSpace(name) == name && isPrintable(name)
 }
 
-// IsApiKey reports whether a text can be an API key: callers send it in a header field, behind a word.
+// IsApiKey reports whether a text can be an API key, which callers send in a header field after a scheme
+// such as Bearer.
 func IsApiKey(key string) bool {
 	return len(key) > 0 && len(key) <= MaxTenantNameBytes && !strings.ContainsAny(key, " ") && isPrintable(key)
 }
@@ -76,10 +77,10 @@
 var tenantFields = map[string]field[Tenant]{
 	"rate":  {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Rate = r.Num }},
 	"burst": {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Burst = r.Num }},
-	"keys":  {gjson.JSON, keyHashes, func(*Tenant, gjson.Result) {}}, // joined by addKeys
+	"keys":  {gjson.JSON, keyHashes, func(*Tenant, gjson.Result) {}}, // read by addKeys
 }
 
-// keyHashes checks a list of hashes of API keys, which may be empty.
+// keyHashes checks a list of API key hashes, which may be empty.
 func keyHashes(r gjson.Result) string {
 	count, isRight := 0, true
 	r.ForEach(func(_, item gjson.Result) bool {
@@ -89,9 +90,9 @@
 	})
 	switch {
 	case !r.IsArray() || count > MaxKeysPerTenant:
-		return "must be a list of hashes of keys, not too long"
+		return "must be a list of at most 100 key hashes"
 	case !isRight:
-		return "must hold SHA-256 hashes of keys, in 64 hexadecimal digits"
+		return "must hold SHA-256 hashes of keys, as 64 hexadecimal digits each"
 	}
 	return ""
 }
@@ -104,7 +105,7 @@
 	return out, err == nil
 }
 
-// readTenants reads the tenants of a configuration.
+// readTenants reads the tenants of a document.
 func (c *compiler) readTenants(root gjson.Result) {
 	tenants := root.Get("tenants")
 	if !tenants.Exists() {
@@ -117,7 +118,7 @@
 	c.rules.Tenants, c.rules.keys = map[string]Tenant{}, map[KeyHash]keyTenant{}
 	eachMember(tenants, c.readTenant)
 	if len(c.rules.Tenants) > MaxTenants {
-		c.addFault("tenants", "are too many")
+		c.addFault("tenants", "must have at most 5000 members")
 	}
 }
 
@@ -125,7 +126,7 @@
 	path := "tenants." + name
 	switch {
 	case !IsTenantName(name):
-		c.addFault(path, "has a name that no header field can hold")
+		c.addFault(path, "must have a name of 1 to 128 printable ASCII characters, without a space at either end")
 		return
 	case !r.IsObject() || r.Get("children").Exists():
 		c.addFault(path, "must be an object without children")
@@ -136,18 +137,18 @@
 		return
 	}
 	if tenant.Rate > 0 && tenant.Burst < 1 {
-		c.addFault(path+".burst", "must be at least 1 where there is a rate")
+		c.addFault(path+".burst", "must be at least 1 if there is a rate")
 	}
 	c.rules.Tenants[name] = tenant
 	c.addKeys(path, name, r.Get("keys"))
 }
 
-// addKeys joins a tenant's keys to it. A key belongs to one tenant.
+// addKeys records the keys of a tenant. A key that belongs to two tenants is a fault.
 func (c *compiler) addKeys(path, name string, keys gjson.Result) {
 	keys.ForEach(func(_, item gjson.Result) bool {
 		hash, _ := readHash(item)
 		if other, isHeld := c.rules.keys[hash]; isHeld && other.tenant != name {
-			c.addFault(path+".keys", "holds a key that is also one of "+other.tenant)
+			c.addFault(path+".keys", "has a key that also belongs to tenant "+other.tenant)
 		}
 		c.rules.keys[hash] = keyTenant{hash, name}
 		return true
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -9,12 +9,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// withTenants gives a configuration with tenants, as JSON.
+// withTenants returns a configuration document with tenants.
 func withTenants(tenants string) []byte {
 	return []byte(`{"pools":{"p":{}},"lanes":{"l":{"pools":["p"],"host":"x.example","prefix":"/a/"}},"tenants":` + tenants + `}`)
 }
 
-// keysOf gives the hashes of keys, as JSON.
+// keysOf returns the hashes of keys as a JSON array.
 func keysOf(keys ...string) string {
 	hashes := []string{}
 	for _, key := range keys {
@@ -25,7 +25,7 @@
 	return string(raw)
 }
 
-// manyTenants gives a configuration of so many tenants with so many keys each.
+// manyTenants returns a configuration document of count tenants with the given number of keys each.
 func manyTenants(count, keys int) []byte {
 	tenants := map[string]any{}
 	for i := range count {
@@ -42,31 +42,31 @@
 	return withTenants(string(raw))
 }
 
-// TestTenantFaults is the table of tenants that must never take effect. It guards against CONFIG: an invalid
-// configuration was acknowledged.
+// TestTenantFaults checks that invalid tenants are refused, and at which path the fault is. It guards
+// against CONFIG: an invalid configuration was acknowledged.
 func TestTenantFaults(t *testing.T) {
 	cases := []struct{ name, tenants, path string }{
-		{"no object of tenants", `[]`, "tenants"},
-		{"a tenant that is no object", `{"halls":[]}`, "tenants.halls"},
+		{"tenants that are not an object", `[]`, "tenants"},
+		{"a tenant that is not an object", `{"halls":[]}`, "tenants.halls"},
 		{"a tenant without a name", `{"":{}}`, "tenants."},
 		{"a name with a line break", `{"ha\r\nlls":{}}`, "tenants.ha\r\nlls"},
 		{"a name that is not ASCII", `{"hällar":{}}`, "tenants.hällar"},
 		{"a name with a space at its end", `{"halls ":{}}`, "tenants.halls "},
 		{"a name that is too long", `{"` + strings.Repeat("n", MaxTenantNameBytes+1) + `":{}}`, "tenants." + strings.Repeat("n", MaxTenantNameBytes+1)},
 		{"a tenant given twice", `{"halls":{},"halls":{}}`, "tenants.halls"},
-		{"tenants that inherit", `{"halls":{"children":{"a":{}}}}`, "tenants.halls"},
+		{"a tenant with children", `{"halls":{"children":{"a":{}}}}`, "tenants.halls"},
 		{"an unknown setting", `{"halls":{"api_keys":[]}}`, "tenants.halls.api_keys"},
 		{"a negative rate", `{"halls":{"rate":-1,"burst":1}}`, "tenants.halls.rate"},
-		{"a rate beyond reason", `{"halls":{"rate":1e12,"burst":1}}`, "tenants.halls.rate"},
-		{"a rate beyond what a number can be", `{"halls":{"rate":1e999,"burst":1}}`, "tenants.halls.rate"},
-		{"a rate that is a text", `{"halls":{"rate":"50","burst":1}}`, "tenants.halls.rate"},
+		{"a rate above the limit", `{"halls":{"rate":1e12,"burst":1}}`, "tenants.halls.rate"},
+		{"a rate that overflows a number", `{"halls":{"rate":1e999,"burst":1}}`, "tenants.halls.rate"},
+		{"a rate that is a string", `{"halls":{"rate":"50","burst":1}}`, "tenants.halls.rate"},
 		{"a negative burst", `{"halls":{"rate":1,"burst":-1}}`, "tenants.halls.burst"},
-		{"a burst beyond reason", `{"halls":{"rate":1,"burst":1e12}}`, "tenants.halls.burst"},
+		{"a burst above the limit", `{"halls":{"rate":1,"burst":1e12}}`, "tenants.halls.burst"},
 		{"a rate without a burst", `{"halls":{"rate":1}}`, "tenants.halls.burst"},
 		{"a burst too small for one message", `{"halls":{"rate":1,"burst":0.5}}`, "tenants.halls.burst"},
-		{"keys that are no list", `{"halls":{"keys":"a"}}`, "tenants.halls.keys"},
-		{"a key that is no text", `{"halls":{"keys":[7]}}`, "tenants.halls.keys"},
-		{"a key itself instead of its hash", `{"halls":{"keys":["key-1"]}}`, "tenants.halls.keys"},
+		{"keys that are not a list", `{"halls":{"keys":"a"}}`, "tenants.halls.keys"},
+		{"a key that is not a string", `{"halls":{"keys":[7]}}`, "tenants.halls.keys"},
+		{"a key instead of its hash", `{"halls":{"keys":["key-1"]}}`, "tenants.halls.keys"},
 		{"half a hash", `{"halls":{"keys":["abcdef"]}}`, "tenants.halls.keys"},
 	}
 	Convey("A configuration is refused that has", t, func() {
@@ -76,7 +76,7 @@
 		Convey("two tenants with one key", func() {
 			So(faultPaths(withTenants(`{"a":{"keys":`+keysOf("k-1", "k-2")+`},"b":{"keys":`+keysOf("k-2")+`}}`)), ShouldResemble, []string{"tenants.b.keys"})
 		})
-		Convey("two tenants with one key whose hash is written in large letters", func() {
+		Convey("two tenants with one key, whose hash is in upper case once", func() {
 			large := strings.ToUpper(keysOf("k-1"))
 			So(faultPaths(withTenants(`{"a":{"keys":`+keysOf("k-1")+`},"b":{"keys":`+large+`}}`)), ShouldResemble, []string{"tenants.b.keys"})
 		})
@@ -87,7 +87,7 @@
 	})
 }
 
-// faultPaths compiles a configuration that is refused, and gives the paths of its faults.
+// faultPaths compiles a document that must be refused, and returns the paths of its faults.
 func faultPaths(doc []byte) []string {
 	rules, faults := Compile(doc)
 	So(rules, ShouldBeNil)
@@ -98,7 +98,7 @@
 	return paths
 }
 
-// TestTenantOf: each key leads to its tenant, and nothing else to any.
+// TestTenantOf checks that each key yields its tenant, and any other text none.
 func TestTenantOf(t *testing.T) {
 	Convey("Given tenants with two keys, with one, and with none", t, func() {
 		doc := withTenants(`{"a b":{"keys":` + keysOf("k-1", "k-2") + `,"rate":5.5,"burst":20},"b":{"keys":` + keysOf("k-3") + `},"c":{}}`)
@@ -108,30 +108,30 @@
 		for _, c := range []struct {
 			key, tenant string
 		}{{"k-1", "a b"}, {"k-2", "a b"}, {"k-3", "b"}, {"", ""}, {"k-", ""}, {"k-11", ""}, {HashApiKey("k-1").String(), ""}, {"K-1", ""}} {
-			Convey("the key "+c.key+" leads to the tenant "+c.tenant, func() {
+			Convey("the key "+c.key+" yields the tenant "+c.tenant, func() {
 				tenant, isHeld := rules.TenantOf(c.key)
 				So(tenant.Name, ShouldEqual, c.tenant)
 				So(isHeld, ShouldEqual, c.tenant != "")
 			})
 		}
-		Convey("a tenant comes with its limit", func() {
+		Convey("a tenant has its limit", func() {
 			tenant, _ := rules.TenantOf("k-2")
 			So(tenant, ShouldResemble, Tenant{Name: "a b", Rate: 5.5, Burst: 20})
 		})
-		Convey("compiled again, the same rules come of it", func() {
+		Convey("compiling the document again gives equal rules", func() {
 			again, _ := Compile(doc)
 			So(again, ShouldResemble, rules)
 		})
-		Convey("no rule holds a key", func() { So(fmt.Sprintf("%+v", rules), ShouldNotContainSubstring, "k-1") })
+		Convey("the rules contain no key", func() { So(fmt.Sprintf("%+v", rules), ShouldNotContainSubstring, "k-1") })
 	})
-	Convey("Tenants may be none, which needs keys that nobody has, unlike none at all", t, func() {
+	Convey("An empty set of tenants requires keys, which then do not exist; without tenants none are required", t, func() {
 		none, faults := Compile(withTenants(`{}`))
 		So(faults, ShouldBeEmpty)
 		So(none.HasTenants(), ShouldBeTrue)
 		plain, _ := Compile([]byte(validDocument))
 		So(plain.HasTenants(), ShouldBeFalse)
 	})
-	Convey("A key that one tenant gives to another is the other's", t, func() {
+	Convey("A key that is moved to another tenant belongs to that one", t, func() {
 		before, _ := Compile(withTenants(`{"a":{"keys":` + keysOf("k-1") + `},"b":{}}`))
 		after, _ := Compile(withTenants(`{"a":{},"b":{"keys":` + keysOf("k-1") + `}}`))
 		first, _ := before.TenantOf("k-1")
@@ -140,9 +140,9 @@
 	})
 }
 
-// TestMostTenantsFit: as many tenants as are allowed, each with an old key and a new one, are a configuration.
+// TestMostTenantsFit checks that the maximum number of tenants, each with an old and a new key, is valid.
 func TestMostTenantsFit(t *testing.T) {
-	Convey("As many tenants as are allowed", t, func() {
+	Convey("The maximum number of tenants is valid", t, func() {
 		doc := manyTenants(MaxTenants, 2)
 		rules, faults := Compile(doc)
 		So(faults, ShouldBeEmpty)
@@ -151,7 +151,7 @@
 	})
 }
 
-// TestNamesAndKeys is the table of what can stand in a header field.
+// TestNamesAndKeys checks which texts are valid as tenant names and API keys in a header field.
 func TestNamesAndKeys(t *testing.T) {
 	cases := []struct {
 		text          string
@@ -161,7 +161,7 @@
 		{"a\x7f", false, false}, {"ä", false, false}, {"~!", true, true}, {strings.Repeat("k", MaxTenantNameBytes), true, true},
 		{strings.Repeat("k", MaxTenantNameBytes+1), false, false},
 	}
-	Convey("Of texts, some are names and some are keys", t, func() {
+	Convey("It is known whether a text is valid as a name and as a key:", t, func() {
 		for _, c := range cases {
 			Convey(fmt.Sprintf("%q", c.text), func() {
 				So(IsTenantName(c.text), ShouldEqual, c.isName)
@@ -171,7 +171,8 @@
 	})
 }
 
-// BenchmarkCompile measures what a change of the configuration costs each daemon, by tenants with two keys.
+// BenchmarkCompile measures the cost of a configuration change for a daemon, by the number of tenants with
+// two keys each.
 func BenchmarkCompile(b *testing.B) {
 	for _, count := range []int{0, 83, 1000, MaxTenants} {
 		doc := manyTenants(count, 2)
@@ -186,7 +187,7 @@
 	}
 }
 
-// BenchmarkTenantOf measures what a request's key costs, by tenants.
+// BenchmarkTenantOf measures the lookup of a request's key, by the number of tenants.
 func BenchmarkTenantOf(b *testing.B) {
 	for _, count := range []int{83, MaxTenants} {
 		rules, faults := Compile(manyTenants(count, 2))
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -11,27 +11,27 @@
 	"caperwheel/internal/errs"
 )
 
-// Worker is one entry of the platform's live list of a pool.
+// Worker is one entry of a pool's worker list.
 type Worker struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 	Zone    string `json:"cell"`
 	State   string `json:"state"`           // live or leaving
-	Slots   int64  `json:"slots,omitempty"` // runs at once; 0: as the pool says
-	IsCold  bool   `json:"cold,omitempty"`  // it has just begun: no more than the pool's cold_rate
-	// What it calls itself, where that cannot be spelled as a name; empty where the name says it.
+	Slots   int64  `json:"slots,omitempty"` // concurrent runs; 0 for the pool's setting
+	IsCold  bool   `json:"cold,omitempty"`  // just started: limited to the pool's cold_rate
+	// Identifier is the platform's name of the worker if that is not valid as Name; otherwise empty.
 	Identifier string `json:"identifier,omitempty"`
 }
 
-// MaxIdentifierBytes bounds a worker's identifier, in bytes: every request to it carries it.
+// MaxIdentifierBytes bounds a worker's identifier: every request to the worker carries it.
 const MaxIdentifierBytes = 1024
 
-// Workers is a pool's live list.
+// Workers is the worker list of a pool, or one bucket of it.
 type Workers struct {
 	Workers []Worker `json:"workers"`
 }
 
-// ReadWorkers reads and checks a live list.
+// ReadWorkers decodes and validates a worker list. A worker without a state is live.
 func ReadWorkers(doc []byte) (Workers, []Fault) {
 	var out Workers
 	if err := decodeStrict(doc, &out); err != nil {
@@ -55,9 +55,9 @@
 	return out, faults
 }
 
-const uniqueNameText = "must be a name of its own"
+const uniqueNameText = "must be a unique name of 1 to 64 letters, digits, - and _"
 
-// Check returns what of a worker no list may hold.
+// Check returns the faults of a worker's entry, with paths relative to the entry.
 func (w Worker) Check() []Fault {
 	faults := []Fault{}
 	if !isName(w.Name) {
@@ -67,7 +67,7 @@
 		faults = append(faults, Fault{"address", text})
 	}
 	if !IsIdentifier(w.Identifier) {
-		faults = append(faults, Fault{"identifier", fmt.Sprintf("must be at most %d bytes that a header field holds", MaxIdentifierBytes)})
+		faults = append(faults, Fault{"identifier", fmt.Sprintf("must be at most %d bytes and valid in a header field", MaxIdentifierBytes)})
 	}
 	if w.Slots < 0 || w.Slots > 1000 {
 		faults = append(faults, Fault{"slots", "must be from 0 to 1000"})
@@ -78,13 +78,13 @@
 	return faults
 }
 
-// IsIdentifier reports whether a text may be a worker's identifier: a header field carries it whole.
+// IsIdentifier reports whether a text can be a worker's identifier, which is sent in a header field.
 func IsIdentifier(text string) bool {
 	return len(text) <= MaxIdentifierBytes && strings.Trim(text, " \t") == text && !strings.ContainsFunc(text, unicode.IsControl) &&
 		utf8.ValidString(text)
 }
 
-// Encode gives the list's JSON.
+// Encode returns the list as JSON.
 func (w Workers) Encode() []byte {
 	out, err := json.Marshal(w)
 	if err != nil {
@@ -93,8 +93,7 @@
 	return out
 }
 
-// Patch changes single entries of a list: a worker given replaces the one of
-// its name; one with the state gone is taken out.
+// Patch returns the list with the entries of change added; an entry replaces the one of its name.
 func (w Workers) Patch(change Workers) Workers {
 	out := Workers{Workers: []Worker{}}
 	at := map[string]int{}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,6 +1,8 @@
-// Package duty cuts work that one daemon does by key over the live daemons. A
-// key changes hands under a fence: the new holder waits until the one before
-// must have stopped.
+// Package duty plans which adapter holds the duty of each worker and endpoint. It spreads the duties
+// over the live adapters, by zone and load. When a duty moves, the new holder is fenced: it waits until
+// the previous one must have stopped, unless that one has released the duty. The package holds the
+// planning only; managers call it and write the changes. HighestRanked also divides other work among
+// daemons by key.
 package duty
 
 import (
@@ -13,7 +15,8 @@
 	"caperwheel/internal/wire"
 )
 
-// Rank orders daemons for a key: the highest has the first claim.
+// Rank returns the rank of a daemon for a key, for rendezvous hashing: the daemon with the highest rank
+// is responsible for the key.
 func Rank(key, name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(key + "\x00" + name))
@@ -23,7 +26,7 @@
 	return x ^ x>>33
 }
 
-// HighestRanked gives the daemon with the first claim to a key.
+// HighestRanked returns the daemon with the highest rank for a key; empty if there are no names.
 func HighestRanked(key string, names []string) string {
 	best, top := "", uint64(0)
 	for _, name := range names {
@@ -34,30 +37,31 @@
 	return best
 }
 
-// Change is one duty that must be written anew.
+// Change is a planned change of one duty.
 type Change struct {
 	Pool, Worker      string
 	Next              config.Duty
 	IfRevision        int64
 	IsRemoval         bool // the worker is no longer listed
-	IsHolderSuspected bool // the holder is not here: it may only be out of our sight
-	IsHolderRestarted bool // it stays with its holder's new life
+	IsHolderSuspected bool // the holder is not a member in this planner's view, but may be alive
+	IsHolderRestarted bool // the duty stays with its holder, which has restarted
 }
 
 func (c Change) key() string { return c.Pool + "/" + c.Worker }
 
-// Adapters are those that may hold duties, as a planner sees them.
+// Adapters is a planner's view of the adapters.
 type Adapters struct {
 	Members      []wire.Who      // members
-	Leaving      map[string]bool // by name: asked to stop
-	Unresponsive map[string]bool // by name: not heard of for a while, so perhaps gone; none gets a duty that another can have
+	Leaving      map[string]bool // by name: it was asked to stop
+	Unresponsive map[string]bool // by name: not heard from for a while; it gets a duty only if no other can
 
-	Proposals *Proposals // nil: none are open
+	Proposals *Proposals // nil if none are open
 }
 
-// Plan tells which duties of a pool must change hands. A duty stays where it
-// is while its holder lives, stays and may serve; a lost one goes to the adapter of
-// the worker's zone, if there is one, that has the fewest duties.
+// Plan returns the changes of a pool's duties. A duty stays with its holder while that is a member, is
+// not leaving, is not in a drained zone and is in the worker's zone if that has adapters. Otherwise
+// the duty goes to the adapter with the fewest duties, in the worker's zone if there is one. revision
+// returns the revision to base a key's change on, and whether the key has ever existed.
 func Plan(pool string, compiled *config.Compiled, adapters Adapters, revision func(key string) (int64, bool)) []Change {
 	usable, load, leaving := map[string]wire.Who{}, map[string]int(nil), adapters.Leaving
 	for _, a := range adapters.Members {
@@ -85,7 +89,7 @@
 		if isHeld && isPlaced {
 			continue
 		}
-		if load == nil { // most rounds find nothing to move, and need no count of all duties
+		if load == nil { // most rounds move nothing and need no count of all duties
 			load = loadOf(compiled)
 		}
 		ifRevision, wasKnown := revision(config.DutyKey + pool + "/" + name)
@@ -100,7 +104,7 @@
 		}
 		isRestarted := isAssigned && isHere && holder.Boot != held.Boot
 		if isRestarted && isPlaced {
-			next = holder // its life before has ended: no other can act, so no fence
+			next = holder // its previous process has ended: no other can act, so no fencing
 		}
 		if next.Name == "" || isHeld && next.Name == held.Holder {
 			continue
@@ -125,7 +129,7 @@
 	return out
 }
 
-// loadOf counts the duties of each adapter.
+// loadOf returns the number of duties of each adapter.
 func loadOf(compiled *config.Compiled) map[string]int {
 	out := map[string]int{}
 	for _, duties := range compiled.Duties {
@@ -136,7 +140,8 @@
 	return out
 }
 
-// isInDrainedZone: a holder that is left out for its zone's sake is no guess.
+// isInDrainedZone reports whether a holder is a member of a drained zone. Such a holder is excluded
+// because of its zone, and is not suspected to have failed.
 func isInDrainedZone(compiled *config.Compiled, adapters []wire.Who, name string) bool {
 	for _, a := range adapters {
 		if a.Name == name {
@@ -146,6 +151,7 @@
 	return false
 }
 
+// hasAdapterIn reports whether one of the usable adapters is in a zone.
 func hasAdapterIn(usable map[string]wire.Who, zone string) bool {
 	for _, a := range usable {
 		if a.Zone == zone {
@@ -155,7 +161,8 @@
 	return false
 }
 
-// chooseHolder returns which of some adapters, sorted by name, a duty goes to.
+// chooseHolder returns the adapter that a duty is assigned to: one of the worker's zone if possible,
+// with the fewest duties, and of those the highest rank. The candidates are sorted by name.
 func chooseHolder(key, zone string, candidates []wire.Who, load map[string]int) wire.Who {
 	best := wire.Who{}
 	for _, a := range candidates {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -24,7 +24,7 @@
 	return config.AssignedDuty{Duty: config.Duty{Holder: holder, Boot: boot}, Term: 7}
 }
 
-// TestPlan is the table of when a duty changes hands.
+// TestPlan checks when a duty moves to another holder.
 func TestPlan(t *testing.T) {
 	adapters := []wire.Who{{Name: "a1", Boot: "1", Zone: "a"}, {Name: "a2", Boot: "1", Zone: "a"}, {Name: "b1", Boot: "1", Zone: "b"},
 		{Name: "l1", Boot: "1", Zone: "a"}}
@@ -35,20 +35,20 @@
 		name     string
 		compiled *config.Compiled
 		revision func(string) (int64, bool)
-		holder   string // "" for no change, "gone" for removal
+		holder   string // prefix of the new holder's name; "" for no change, "gone" for a removal
 		before   string
 	}{
-		{"a worker that nobody ever held goes to its cell, without a fence", compiled(inA, nil), never, "a", ""},
-		{"a worker that somebody held once goes with a fence", compiled(inA, nil), func(string) (int64, bool) { return 0, true }, "a", "an earlier holder"},
-		{"a holder that lives keeps its duty", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "", ""},
-		{"a holder's next life is not the holder", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "0")}), known, "a", "0"},
-		{"a holder that is gone loses it", compiled(inA, map[string]config.AssignedDuty{"w": held("x", "1")}), known, "a", "1"},
-		{"a holder of another cell gives way to the worker's own", compiled(inA, map[string]config.AssignedDuty{"w": held("b1", "1")}), known, "a", "1"},
-		{"an emptied cell's holder loses it", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}, "a"), known, "b", "1"},
-		{"a worker of a cell without adapters keeps any holder", compiled(map[string]config.Worker{"w": {Name: "w", Zone: "z"}},
+		{"a duty that never had a holder goes to the worker's zone, without fencing", compiled(inA, nil), never, "a", ""},
+		{"a duty that once had a holder is fenced", compiled(inA, nil), func(string) (int64, bool) { return 0, true }, "a", "an earlier holder"},
+		{"a live holder keeps its duty", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "", ""},
+		{"a restarted holder is not the same holder", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "0")}), known, "a", "0"},
+		{"an absent holder loses its duty", compiled(inA, map[string]config.AssignedDuty{"w": held("x", "1")}), known, "a", "1"},
+		{"a holder in another zone loses its duty to one in the worker's zone", compiled(inA, map[string]config.AssignedDuty{"w": held("b1", "1")}), known, "a", "1"},
+		{"a holder in a drained zone loses its duty", compiled(inA, map[string]config.AssignedDuty{"w": held("a1", "1")}, "a"), known, "b", "1"},
+		{"the duty of a worker in a zone without adapters stays with any holder", compiled(map[string]config.Worker{"w": {Name: "w", Zone: "z"}},
 			map[string]config.AssignedDuty{"w": held("b1", "1")}), known, "", ""},
-		{"a holder that leaves gives way at once", compiled(inA, map[string]config.AssignedDuty{"w": held("l1", "1")}), known, "a", "1"},
-		{"a worker that is no longer listed has its duty removed", compiled(nil, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "gone", ""},
+		{"a leaving holder loses its duty at once", compiled(inA, map[string]config.AssignedDuty{"w": held("l1", "1")}), known, "a", "1"},
+		{"the duty of a worker that is no longer listed is removed", compiled(nil, map[string]config.AssignedDuty{"w": held("a1", "1")}), known, "gone", ""},
 	}
 	Convey("In the plan of duties", t, func() {
 		for _, c := range cases {
@@ -68,7 +68,7 @@
 				So(plan[0].Next.PreviousBoot, ShouldEqual, c.before)
 			})
 		}
-		Convey("many workers are spread evenly", func() {
+		Convey("the duties of many workers are spread evenly", func() {
 			workers := map[string]config.Worker{}
 			for i := range 30 {
 				workers[string(rune('A'+i))] = config.Worker{Zone: "a"}
@@ -80,7 +80,7 @@
 			So(count, ShouldResemble, map[string]int{"a1": 15, "a2": 15})
 		})
 	})
-	Convey("Of the daemons left, the same one has the first claim as before", t, func() {
+	Convey("When a daemon is removed, a key's highest-ranked daemon stays the same unless it is the removed one", t, func() {
 		names := []string{"m1", "m2", "m3"}
 		moved := 0
 		for i := range 100 {
@@ -93,8 +93,9 @@
 	})
 }
 
-// TestReborn: after a loss of power every duty once waited for all sessions, and
-// endpoints for a fence besides, though one name has but one process.
+// TestReborn checks that a restarted holder keeps its duty without fencing. After a power failure every
+// duty waited for all sessions, and endpoints also for fencing, although only one process at a time
+// has a name.
 func TestReborn(t *testing.T) {
 	adapters := []wire.Who{{Name: "a1", Boot: "2", Zone: "a"}, {Name: "a2", Boot: "1", Zone: "a"}}
 	workers := map[string]config.Worker{"w": {Name: "w", Zone: "a"}}
@@ -105,9 +106,9 @@
 		next               string
 		isReborn, isFree   bool
 	}{
-		{"a holder's new life keeps its duty, unfenced", "a1", "1", false, "a1", true, true},
-		{"a holder that is gone loses it under a fence", "x", "1", false, "a", false, false},
-		{"a holder that leaves loses it unfenced: it begins nothing more", "a2", "1", true, "a1", false, true},
+		{"a restarted holder keeps its duty, without fencing", "a1", "1", false, "a1", true, true},
+		{"an absent holder loses its duty, with fencing", "x", "1", false, "a", false, false},
+		{"a leaving holder loses its duty without fencing, as it begins no new work", "a2", "1", true, "a1", false, true},
 	}
 	Convey("In the plan,", t, func() {
 		for _, c := range cases {
@@ -122,8 +123,8 @@
 	})
 }
 
-// TestSteady: two managers that saw different adapters once pulled a duty to
-// and fro, and its fence kept the endpoint from being served at all.
+// TestSteady guards against two managers with different views of the adapters moving a duty back and
+// forth, so that fencing keeps an endpoint from being served at all.
 func TestSteady(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -132,13 +133,13 @@
 		at      time.Duration
 		isKept  bool
 	}{
-		{"a guess about a duty that has been steady", true, 1, 20 * time.Second, true},
-		{"not a guess about one that has just changed hands", true, 2, 21 * time.Second, false},
-		{"not a guess a little later either", true, 2, 26 * time.Second, false},
-		{"a guess once it has been steady again", true, 2, 27 * time.Second, true},
-		{"what is known for sure, at any time", false, 3, 27 * time.Second, true},
+		{"a suspicion about a duty that has not moved for a while", true, 1, 20 * time.Second, true},
+		{"no suspicion about a duty that has just moved", true, 2, 21 * time.Second, false},
+		{"no suspicion a little later either", true, 2, 26 * time.Second, false},
+		{"a suspicion when the hold-down period is over", true, 2, 27 * time.Second, true},
+		{"a change without suspicion, at any time", false, 3, 27 * time.Second, true},
 	}
-	Convey("That a holder is gone is known for sure by a planner that saw it here since it moved the duty itself", t, func() {
+	Convey("A holder's absence is certain for a planner that has seen it as a member since it last moved the duty", t, func() {
 		const second = time.Second
 		guess := func(s *HoldDown, term int64, boot string, at time.Duration) bool {
 			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: term, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: boot}}}, at)
@@ -150,22 +151,22 @@
 		a, b := wire.Who{Name: "a", Boot: "a.1"}, wire.Who{Name: "b", Boot: "b.1"}
 		s := &HoldDown{Period: 6 * second}
 		s.ObserveMembers([]wire.Who{a, b}, 10*second)
-		So(guess(s, 1, a.Boot, 13*second), ShouldBeTrue) // to b, which it holds for a member
+		So(guess(s, 1, a.Boot, 13*second), ShouldBeTrue) // to b, which it sees as a member
 		s.ObserveMembers([]wire.Who{b}, 13*second)
 		Convey("so the next holder's duty moves at once", func() { So(guess(s, 2, b.Boot, 15*second), ShouldBeTrue) })
-		Convey("but not that of one which another planner chose, and which was here only before", func() {
+		Convey("but not the duty of a holder that another planner chose and that was last a member before the move", func() {
 			So(guess(s, 2, a.Boot, 15*second), ShouldBeFalse)
 			So(guess(s, 2, a.Boot, 21*second), ShouldBeTrue)
 		})
-		Convey("and one that was planned and left for a later turn moves in that turn", func() {
+		Convey("and a move that was planned and deferred happens in a later round", func() {
 			left := []Change{{Pool: "p", Worker: "w", IfRevision: 2, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: b.Boot}}}
 			So(s.Filter(left, 15*second), ShouldHaveLength, 1)
 			So(s.Filter(left, 16*second), ShouldHaveLength, 1)
 			s.RecordMove(left[0], 16*second)
 			So(s.Filter(left, 17*second), ShouldBeEmpty)
 		})
-		Convey("nor that of a life which it never saw", func() { So(guess(s, 2, "b.2", 15*second), ShouldBeFalse) })
-		Convey("and lives are forgotten", func() {
+		Convey("nor the duty of a process that it has never seen", func() { So(guess(s, 2, "b.2", 15*second), ShouldBeFalse) })
+		Convey("and departed processes are forgotten", func() {
 			s.ObserveMembers(nil, 100*second)
 			So(s.lastSeen, ShouldBeEmpty)
 		})
@@ -179,7 +180,7 @@
 	})
 }
 
-// TestProposals: what was proposed and is not seen yet counts in a plan.
+// TestProposals checks that a plan takes into account what was proposed and is not visible yet.
 func TestProposals(t *testing.T) {
 	const second = time.Second
 	workers := map[string]config.Worker{}
@@ -197,18 +198,18 @@
 		for _, change := range first {
 			p.Add(change, second)
 		}
-		Convey("the others go to the one that will have fewer", func() {
+		Convey("the others go to the adapter that will have fewer", func() {
 			rest := plan(p, a, b)
 			So(rest, ShouldHaveLength, 10)
 			for _, change := range rest {
 				So(change.Next.Holder, ShouldEqual, "a2")
 			}
 		})
-		Convey("one that failed is planned again", func() {
+		Convey("a failed proposal is planned again", func() {
 			p.Fail(first[3])
 			So(plan(p, a, b), ShouldHaveLength, 11)
 		})
-		Convey("a failure of an older proposal is none of the newer", func() {
+		Convey("the failure of an older proposal leaves the newer one open", func() {
 			newer := first[3]
 			newer.IfRevision = 7
 			p.Add(newer, second)
@@ -216,11 +217,11 @@
 			_, isOpen := p.find("p/"+newer.Worker, 7)
 			So(isOpen, ShouldBeTrue)
 		})
-		Convey("what is seen at another revision is planned whatever was proposed", func() {
+		Convey("duties at another revision are planned in spite of their proposals", func() {
 			seen := func(string) (int64, bool) { return 9, true }
 			So(Plan("p", compiled(workers, nil), Adapters{Members: []wire.Who{a, b}, Proposals: p}, seen), ShouldHaveLength, 20)
 		})
-		Convey("they are forgotten in time", func() {
+		Convey("they expire after the timeout", func() {
 			p.Expire(3*second - 1)
 			So(p.IsEmpty(), ShouldBeFalse)
 			p.Expire(3 * second)
--- a/internal/duty/holddown.go
+++ b/internal/duty/holddown.go
@@ -7,22 +7,23 @@
 	"caperwheel/internal/wire"
 )
 
-// HoldDown keeps two planners that see different daemons from pulling a duty to
-// and fro: one that has just changed hands is not moved on a guess. That a holder is gone is
-// no guess for a planner that has seen it here since it moved the duty itself. Of two that see
-// different adapters each may so move a duty once; after that, neither has seen the other's holder.
+// HoldDown keeps two planners with different views of the daemons from moving a duty back and forth: a
+// duty that has just moved is not moved again on the mere suspicion that its holder has failed. For a
+// planner that has itself seen the holder as a member since it last moved the duty, the holder's
+// absence is no suspicion but a fact. So each of two planners with different views can move a duty once
+// without waiting; after that, neither has seen the holder that the other chose.
 //
-// Invariants: seen has the newest term of each duty and when it was first planned; here has when
-// each life of a daemon was last a member, and moved when each duty was last moved, as this
-// planner saw it.
+// Invariants: terms has the newest term of each duty and when it was first planned; lastSeen has when
+// each daemon process was last a member, and movedAt when each duty was last moved, as this planner
+// saw it.
 type HoldDown struct {
-	Period   time.Duration // a duty stays so long before a guess may move it
+	Period   time.Duration // how long a duty stays before a suspicion may move it
 	terms    map[string]observedTerm
 	lastSeen map[string]time.Duration // by boot
 	movedAt  map[string]time.Duration // by duty
 }
 
-// ObserveMembers takes in which daemons are members now. It is called before each plan.
+// ObserveMembers records which daemons are members now. It is called before each plan.
 func (s *HoldDown) ObserveMembers(members []wire.Who, now time.Duration) {
 	if s.lastSeen == nil {
 		s.lastSeen = map[string]time.Duration{}
@@ -33,22 +34,24 @@
 	maps.DeleteFunc(s.lastSeen, func(_ string, at time.Duration) bool { return now-at > departedKeptPeriods*s.Period })
 }
 
-// departedKeptPeriods is for how many times Least a daemon that has gone is remembered.
+// departedKeptPeriods is for how many hold-down periods a departed daemon is remembered.
 const departedKeptPeriods = 10
 
-// hasSeenDeparture reports whether this planner itself has seen a duty's holder come or stay, and go,
-// since it last moved the duty.
+// hasSeenDeparture reports whether this planner has seen a duty's holder as a member since it last moved the
+// duty. It is called for a holder that is no member now.
 func (s *HoldDown) hasSeenDeparture(key, boot string) bool {
 	at, isKnown := s.lastSeen[boot]
 	return isKnown && at >= s.movedAt[key]
 }
 
+// observedTerm is a duty's term, and when this planner first saw it.
 type observedTerm struct {
 	term  int64
 	since time.Duration
 }
 
-// Filter drops the guesses that come too early. What is then carried out is noted with Move.
+// Filter drops the changes that are only due to a suspicion and come before the hold-down period is
+// over. The caller reports each change that it carries out with RecordMove.
 func (s *HoldDown) Filter(plan []Change, now time.Duration) []Change {
 	if s.terms == nil {
 		s.terms, s.movedAt = map[string]observedTerm{}, map[string]time.Duration{}
@@ -60,7 +63,7 @@
 		if !isKnown || was.term != c.IfRevision {
 			was = observedTerm{c.IfRevision, now}
 			s.terms[key] = was
-			if !isKnown { // we have just come: what we know of it may be old
+			if !isKnown { // the planner has just started: the term may be old
 				was.since = now - s.Period
 				s.terms[key] = was
 			}
@@ -72,6 +75,6 @@
 	return out
 }
 
-// RecordMove notes that a change is carried out now. A change that was planned and left for a later turn has
-// moved nothing: that its holder was seen to go stays known.
+// RecordMove records that a change is carried out now. A planned change that is deferred to a later
+// round is not recorded: the planner still counts as having seen the holder depart.
 func (s *HoldDown) RecordMove(c Change, now time.Duration) { s.movedAt[c.key()] = now }
--- a/internal/duty/plan_bench_test.go
+++ b/internal/duty/plan_bench_test.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/wire"
 )
 
-// BenchmarkPlan measures a manager's round over a pool, with nothing to move, by the number of workers.
+// BenchmarkPlan measures the plan of a pool in which nothing is to move, by the number of workers.
 func BenchmarkPlan(b *testing.B) {
 	for _, count := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -19,7 +19,7 @@
 			now, here := compiled(workers, duties), Adapters{Members: []wire.Who{{Name: "a1", Boot: "1", Zone: "a"}}}
 			for b.Loop() {
 				if len(Plan("p", now, here, func(string) (int64, bool) { return 1, true })) > 0 {
-					b.Fatal("nothing was to move")
+					b.Fatal("Plan returned changes although every holder is in place")
 				}
 			}
 		})
--- a/internal/duty/proposals.go
+++ b/internal/duty/proposals.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Proposals are the changes that a planner has proposed and does not see yet. A plan counts with them,
-// so no duty is proposed twice and the load of those that are to get one is known.
+// Proposals holds the changes that a planner has proposed and does not see in its view yet. Plan takes
+// them into account, so that no duty is proposed twice and the load of their future holders is known.
+// It is safe for concurrent use.
 //
-// Invariant: open has the newest proposal of each duty that was not seen to fail.
+// Invariant: open has the newest proposal of each duty, unless that is known to have failed.
 type Proposals struct {
-	Timeout time.Duration // a proposal whose outcome is not seen by then counts no longer
+	Timeout time.Duration // after this time a proposal of unknown outcome no longer counts
 	mu      sync.Mutex
 	open    map[string]proposal // by duty
 }
 
 type proposal struct {
 	ifRevision int64
-	holder     string // "" for a duty that is removed
+	holder     string // empty for a removal
 	proposedAt time.Duration
 }
 
-// Add notes that a change is proposed now.
+// Add records that a change is proposed now.
 func (p *Proposals) Add(c Change, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +33,7 @@
 	p.open[c.key()] = proposal{c.IfRevision, c.Next.Holder, now}
 }
 
-// Fail notes that a change that was proposed does not hold, and never will.
+// Fail records that a proposed change was not applied and never will be.
 func (p *Proposals) Fail(c Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,14 +49,14 @@
 	return len(p.open) == 0
 }
 
-// Expire drops what counts no longer.
+// Expire drops the proposals that are older than Timeout.
 func (p *Proposals) Expire(now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.open, func(_ string, o proposal) bool { return now-o.proposedAt >= p.Timeout })
 }
 
-// of returns the proposal of a duty that builds on a revision.
+// find returns the open proposal of a duty that is based on a revision.
 func (p *Proposals) find(key string, ifRevision int64) (proposal, bool) {
 	if p == nil {
 		return proposal{}, false
--- a/internal/duty/sharedrate.go
+++ b/internal/duty/sharedrate.go
@@ -9,15 +9,17 @@
 	"caperwheel/internal/wire"
 )
 
-// holderRunsPerSecondLimit is how many runs a second of a service one adapter keeps within a rate that the service's workers share.
+// maxRunsPerSecondPerHolder is the largest part of a shared rate that one adapter enforces.
 const holderRunsPerSecondLimit = 500
 
-// sharedHolders are the adapters that hold all duties of a pool whose listed workers share a rate: few, so that their parts of the
-// rate are large beside a single run. Each has the workers of a hash.
+// sharedHolders are the adapters that hold all duties of a pool whose workers share a rate limit. They
+// are few, so that the part of the rate that each gets is large compared with a single run. The
+// workers are divided among them by a hash of the name.
 type sharedHolders []wire.Who
 
-// chooseSharedHolders chooses the keepers of a pool; none where its workers share no rate. One that holds most of its workers' duties
-// and is a member stays; one that is silent gives way only where another can be had.
+// chooseSharedHolders returns the shared holders of a pool; none if its workers share no rate. For each
+// part of the workers, the usable adapter with the most of their duties stays the holder. If none of
+// them is usable, an adapter is chosen by rank, an unresponsive one only if there is no other.
 func chooseSharedHolders(pool string, compiled *config.Compiled, usable, responsive map[string]wire.Who, candidates []wire.Who) sharedHolders {
 	rules := config.Pool{}
 	if compiled.Rules != nil {
@@ -57,7 +59,7 @@
 	return int(h.Sum32() % uint32(len(k)))
 }
 
-// of returns who is to hold a worker's duty, and whether the pool has keepers at all.
+// holderOf returns the adapter that is to hold a worker's duty, and whether the pool has shared holders.
 func (k sharedHolders) holderOf(worker string) (wire.Who, bool) {
 	if len(k) == 0 {
 		return wire.Who{}, false
--- a/internal/duty/sharedrate_test.go
+++ b/internal/duty/sharedrate_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestTogether guards against a service whose allowed rate is cut into parts smaller than a single run: where its listed workers
-// share a rate, few adapters hold their duties, and stay.
+// TestTogether checks that few adapters hold the duties of workers that share a rate, and that they keep
+// them. Otherwise the rate would be divided into parts smaller than a single run.
 func TestTogether(t *testing.T) {
 	adapters := []wire.Who{}
 	for i := range 12 {
@@ -21,7 +21,7 @@
 	for i := range 30 {
 		workers[fmt.Sprint("w", i)] = config.Worker{Name: fmt.Sprint("w", i), Zone: string(rune('a' + i%3))}
 	}
-	// settle plans until nothing changes and returns the duties, with how many each adapter holds.
+	// settle plans until nothing changes, and returns the duties and how many each adapter holds.
 	settle := func(rate float64, duties map[string]config.AssignedDuty, here []wire.Who) (map[string]config.AssignedDuty, map[string]int) {
 		for range 5 {
 			world := compiled(workers, duties)
@@ -45,7 +45,7 @@
 		}
 		return duties, counts
 	}
-	Convey("Duties of a service that shares a rate", t, func() {
+	Convey("The duties of a pool with a shared rate", t, func() {
 		duties, counts := settle(5, nil, adapters)
 		So(len(duties), ShouldEqual, 30)
 		So(len(counts), ShouldEqual, 1)
@@ -56,22 +56,22 @@
 				others = append(others, who)
 			}
 		}
-		Convey("stay with their keeper while it lives, whoever else comes", func() {
+		Convey("stay with their holder while it is a member, even if an adapter is added", func() {
 			_, counts := settle(5, duties, append(adapters, wire.Who{Name: "a", Boot: "1", Zone: "a"}))
 			So(counts[keeper], ShouldEqual, 30)
 		})
-		Convey("go to one other when it is gone", func() {
+		Convey("go to one other adapter when the holder is gone", func() {
 			_, counts := settle(5, duties, others)
 			So(len(counts), ShouldEqual, 1)
 			So(counts[keeper], ShouldEqual, 0)
 		})
-		Convey("are gathered anew from adapters that have some each", func() {
+		Convey("are moved to one holder if many adapters hold them", func() {
 			spread, counts := settle(0, nil, adapters)
 			So(len(counts), ShouldBeGreaterThan, 9)
 			_, counts = settle(5, spread, adapters)
 			So(len(counts), ShouldEqual, 1)
 		})
-		Convey("have more keepers where the rate is high", func() {
+		Convey("have more holders if the rate is high", func() {
 			_, counts := settle(5*holderRunsPerSecondLimit, nil, adapters)
 			So(len(counts), ShouldBeBetweenOrEqual, 2, 5)
 		})
--- a/internal/manager/absentstores_test.go
+++ b/internal/manager/absentstores_test.go
@@ -11,22 +11,22 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRetireKnowsWhoWasHere: a store that was cut off for so long that its seats
-// were given away once counted for nothing: its own retirement was unknown, and
-// another one was rejected for want of it.
+// TestRetireKnowsWhoWasHere guards against forgetting a store that was partitioned for so long that its
+// replicas were assigned to others: its own retirement was answered as unknown, and that of another
+// store was rejected because it did not count.
 func TestRetireKnowsWhoWasHere(t *testing.T) {
 	cases := []struct {
 		name  string
-		ago   time.Duration // since a fifth store was last here, in bounds
+		ago   time.Duration // since a fifth store was last a member, in configuration bounds
 		calls []string
 		kind  errs.Kind
 	}{
-		{"its own, soon", 4, []string{"s9"}, errs.Stale},
-		{"its own, when it is forgotten", absentStoreBounds + 1, []string{"s9"}, errs.Unknown},
-		{"a second one, while it may come back", 4, []string{"s1", "s2"}, errs.Stale},
-		{"a second one, when it is forgotten", absentStoreBounds + 1, []string{"s1", "s2"}, errs.Rejected},
+		{"the absent store, soon after", 4, []string{"s9"}, errs.Stale},
+		{"the absent store, when it is forgotten", absentStoreBounds + 1, []string{"s9"}, errs.Unknown},
+		{"a second store, while the absent one may come back", 4, []string{"s1", "s2"}, errs.Stale},
+		{"a second store, when the absent one is forgotten", absentStoreBounds + 1, []string{"s1", "s2"}, errs.Rejected},
 	}
-	Convey("Where a fifth store is away, retiring", t, func() {
+	Convey("While a fifth store is absent, the answer is right when retiring", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, _ := newFakeManager()
@@ -44,21 +44,21 @@
 	})
 }
 
-// TestRetireByYoungManager: managers that had all begun lately knew neither of a store
-// that was away nor of one that had just started, and rejected a proper retirement.
+// TestRetireByYoungManager guards against managers that have all started recently, know neither of an
+// absent store nor of one that has just started, and reject a valid retirement.
 func TestRetireByYoungManager(t *testing.T) {
 	cases := []struct {
 		name    string
-		age     time.Duration // in bounds
+		age     time.Duration // in configuration bounds
 		isFirst bool
 		calls   []string
 		kind    errs.Kind
 	}{
-		{"one store too many, by one that has just begun", absentStoreBounds - 1, false, []string{"s1", "s2"}, errs.Stale},
-		{"the same, by one that knows all that are remembered", absentStoreBounds + 1, false, []string{"s1", "s2"}, errs.Rejected},
-		{"the same, by one that began with the deployment", absentStoreBounds - 1, true, []string{"s1", "s2"}, errs.Rejected},
-		{"a store that it has not heard of, by one that has just begun", absentStoreBounds - 1, false, []string{"s9"}, errs.Stale},
-		{"that one, by a manager that began with the deployment", absentStoreBounds - 1, true, []string{"s9"}, errs.Unknown},
+		{"one store too many, at a manager that has just started", absentStoreBounds - 1, false, []string{"s1", "s2"}, errs.Stale},
+		{"the same, at a manager that has run for as long as it remembers stores", absentStoreBounds + 1, false, []string{"s1", "s2"}, errs.Rejected},
+		{"the same, at a manager that started with the deployment", absentStoreBounds - 1, true, []string{"s1", "s2"}, errs.Rejected},
+		{"an unknown store, at a manager that has just started", absentStoreBounds - 1, false, []string{"s9"}, errs.Stale},
+		{"an unknown store, at a manager that started with the deployment", absentStoreBounds - 1, true, []string{"s9"}, errs.Unknown},
 	}
 	Convey("Retiring", t, func() {
 		for _, c := range cases {
--- a/internal/manager/api.go
+++ b/internal/manager/api.go
@@ -38,27 +38,27 @@
 	m.d.Mux.HandleFunc("/", web.NotFound)
 }
 
-// baseRevision reads the revision that an edit is based on. A missing one is a reject:
-// an edit without a base could undo another unseen.
+// baseRevision returns the revision that an edit is based on. A request without one is rejected: an
+// edit without a base could overwrite a change that its author has not seen.
 func baseRevision(r *http.Request) (int64, error) {
 	text := r.Header.Get("If-Match")
 	if r.Header.Get("If-None-Match") == "*" && text == "" {
 		return 0, nil
 	}
 	if text == "" {
-		return 0, errs.New(errs.Missing, "give the stamp that the change is based on, in If-Match")
+		return 0, errs.New(errs.Missing, "If-Match is missing: it must hold the stamp that the change is based on")
 	}
 	revision, err := strconv.ParseInt(strings.Trim(text, `"`), 10, 64)
 	if err != nil || revision < 0 {
-		return 0, errs.New(errs.Invalid, "If-Match must be a stamp")
+		return 0, errs.New(errs.Invalid, "If-Match must be a stamp, a whole number from 0")
 	}
 	return revision, nil
 }
 
 func etag(revision int64) string { return `"` + strconv.FormatInt(revision, 10) + `"` }
 
-// operatorName names who made a change and when, for the history. The time is for
-// people alone: nothing compares it.
+// operatorName returns who makes a change and when, for the history. The time is informational;
+// nothing compares it.
 func operatorName(r *http.Request) string {
 	name := r.Header.Get("X-Operator")
 	if name == "" {
@@ -67,7 +67,7 @@
 	return name[:min(len(name), 64)] + " from " + r.RemoteAddr + " at " + time.Now().UTC().Format(time.RFC3339)
 }
 
-// rejectEdit answers for an edit that does not hold, or may not.
+// rejectEdit answers an edit that has failed or whose outcome is unknown.
 func rejectEdit(w http.ResponseWriter, err error) {
 	if errs.Is(err, errs.Conflict) {
 		web.WriteProblem(w, 412, web.Problem{Error: errs.Conflict, Text: "another change came first: " + err.Error()}, 0)
@@ -132,8 +132,8 @@
 	}
 }
 
-// editDigest names an edit of the configuration: the same change on the same revision is
-// the same edit, sent again after an answer that was lost.
+// editDigest returns the idempotency key of a configuration edit: the same change on the same
+// revision is a retry after a lost answer.
 func editDigest(method string, revision int64, body []byte) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d\n%s", method, revision, body))
 	return hex.EncodeToString(sum[:16])
--- a/internal/manager/api_test.go
+++ b/internal/manager/api_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestConfigSentAgain is the table of what callers of our own interface are told, one
-// call after another. A change that was sent again after a lost answer was refused.
+// TestConfigSentAgain checks the answers to a sequence of configuration calls. It guards against
+// refusing a change that the caller retries after a lost answer.
 func TestConfigSentAgain(t *testing.T) {
 	type call struct {
 		method, base, body, query string
@@ -23,15 +23,15 @@
 		name  string
 		calls []call
 	}{
-		{"the first one, again", []call{first, first}},
-		{"a later one, again", []call{first, second, second}},
-		{"one on which another was built meanwhile, again", []call{first, second, first, {"PUT", `"2"`, `{}`, "", 200, `"3"`}, second}},
-		{"another one on the same base", []call{first, second, {"PATCH", `"1"`, `{"note":"c"}`, "", 412, ""}}},
-		{"the same words as another kind of change", []call{first, second, {"PUT", `"1"`, `{"note":"b"}`, "", 412, ""}}},
-		{"one that was only checked", []call{first, {"PATCH", `"1"`, `{"note":"b"}`, "?check=true", 200, ""}, second}},
-		{"a check on a base that has passed", []call{first, second, {"PATCH", `"1"`, `{"note":"b"}`, "?check=true", 412, ""}}},
+		{"a retry of the first change", []call{first, first}},
+		{"a retry of a later change", []call{first, second, second}},
+		{"a retry of a change on which another is based", []call{first, second, first, {"PUT", `"2"`, `{}`, "", 200, `"3"`}, second}},
+		{"another change on the same base", []call{first, second, {"PATCH", `"1"`, `{"note":"c"}`, "", 412, ""}}},
+		{"the same body with another method", []call{first, second, {"PUT", `"1"`, `{"note":"b"}`, "", 412, ""}}},
+		{"a change after a check of it", []call{first, {"PATCH", `"1"`, `{"note":"b"}`, "?check=true", 200, ""}, second}},
+		{"a check on an outdated base", []call{first, second, {"PATCH", `"1"`, `{"note":"b"}`, "?check=true", 412, ""}}},
 	}
-	Convey("A configuration is confirmed once, and refused only where another came first:", t, func() {
+	Convey("A change is applied once, and refused only if another one came first:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, _ := newFakeManager()
--- a/internal/manager/drainorder_test.go
+++ b/internal/manager/drainorder_test.go
@@ -9,14 +9,14 @@
 	"caperwheel/internal/config"
 )
 
-// TestMarks is the table of what stands at a zone's key after operators' calls.
+// TestMarks checks the value of a zone's key after operators' calls.
 func TestMarks(t *testing.T) {
 	ctx := context.Background()
 	whole := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", false) }
 	only := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", true) }
 	back := func(m *Manager) (int64, error) { return m.operators.RestoreZone(ctx, "x", "a") }
 	var parts *fakeParts
-	later := func(m *Manager) (int64, error) { // no order that was given can come again
+	later := func(m *Manager) (int64, error) { // no earlier order can be retried any more
 		parts.now += (m.resendWindow + m.d.Bounds.ConfigApply).Milliseconds()
 		return 0, nil
 	}
@@ -27,22 +27,22 @@
 		calls     calls
 		want      string // "" for none
 	}{
-		{"an emptied cell", false, calls{whole}, `{}`},
-		{"only its workers", false, calls{only}, `{"only":"workers"}`},
-		{"a whole cell stays whole", false, calls{whole, only}, `{}`},
-		{"workers, then the whole cell", false, calls{only, whole}, `{}`},
+		{"a drained zone", false, calls{whole}, `{}`},
+		{"a drain of its workers only", false, calls{only}, `{"only":"workers"}`},
+		{"a drained zone whose workers are drained stays drained as a whole", false, calls{whole, only}, `{}`},
+		{"a drain of the workers, then of the whole zone", false, calls{only, whole}, `{}`},
 		{"restored without a source", false, calls{only, back}, ""},
 		{"restored with a source: cold at first", true, calls{only, back}, `{"only":"cold"}`},
 		{"restored twice", true, calls{only, back, back}, `{"only":"cold"}`},
-		{"restored without a mark", true, calls{back}, ""},
-		{"asked for again at once: the same order", true, calls{only, only, back}, `{"only":"cold"}`},
-		{"two emptyings, one taken back", true, calls{only, later, only, back}, `{"only":"workers","back":true}`},
-		{"two emptyings, one taken back in two words", true, calls{only, later, only, back, back}, `{"only":"workers","back":true}`},
-		{"two emptyings, both taken back", true, calls{only, later, only, back, later, back}, `{"only":"cold"}`},
-		{"a third while the first is taken back", true, calls{only, later, only, back, only, later, back}, `{"only":"workers","back":true}`},
-		{"emptied again while cold", true, calls{only, back, only}, `{"only":"workers","back_ago":1}`},
+		{"restored without a drain", true, calls{back}, ""},
+		{"a drain that is repeated at once: a retry", true, calls{only, only, back}, `{"only":"cold"}`},
+		{"two drains, one restored", true, calls{only, later, only, back}, `{"only":"workers","back":true}`},
+		{"two drains, one restored with a retry", true, calls{only, later, only, back, back}, `{"only":"workers","back":true}`},
+		{"two drains, both restored", true, calls{only, later, only, back, later, back}, `{"only":"cold"}`},
+		{"a third drain while the first is restored", true, calls{only, later, only, back, only, later, back}, `{"only":"workers","back":true}`},
+		{"drained again while cold", true, calls{only, back, only}, `{"only":"workers","back_ago":1}`},
 	}
-	Convey("At a cell's key stands, for", t, func() {
+	Convey("The zone's key has the expected value after", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
--- a/internal/manager/duties.go
+++ b/internal/manager/duties.go
@@ -23,8 +23,8 @@
 
 func init() { prometheus.MustRegister(dutyMoves) }
 
-// runDutyController keeps every worker's duty with a live adapter. Each pool is
-// looked after by one manager; should two think so, the revisions let one win.
+// runDutyController assigns the duty of every worker to a live adapter. Each pool is managed by one
+// manager; if two managers both plan for a pool, the compare and set on revisions lets one of them win.
 func (m *Manager) runDutyController(ctx context.Context) {
 	planner := newDutyPlanner(m)
 	freshSince := m.d.Now()
@@ -33,13 +33,14 @@
 			freshSince = m.d.Now()
 			return
 		}
-		// A manager that has just come does not know all sessions yet: it only
-		// gives duties to new lives of those that hold them.
+		// A manager that has just started does not know all sessions yet. Until then it only
+		// reassigns duties to their restarted holders.
 		planner.runRound(ctx, m.d.Now()-freshSince < m.d.Bounds.Of(timing.SessionTimeout))
 	})
 }
 
-// managedPools lists the pools that this manager looks after.
+// managedPools returns those of the named pools that this manager is responsible for, by rendezvous
+// hashing among the managers.
 func (m *Manager) managedPools(names map[string]bool) []string {
 	managers, out := []string{}, []string{}
 	for _, who := range m.d.Membership.OfKind("manager") {
@@ -53,20 +54,21 @@
 	return out
 }
 
-// Bounds of a turn: a pool of very many workers must not hold up the duties of others.
+// Bounds of one planning round: a pool with very many workers must not delay the duties of others.
 const (
-	maxConcurrentDutyEdits = 64 // at once
+	maxConcurrentDutyEdits = 64 // edits in flight
 	maxAssignmentsPerRound = 1024
 )
 
-// dutyPlanner gives out the duties of the pools that this manager looks after.
+// dutyPlanner assigns the duties of the pools that this manager manages.
 type dutyPlanner struct {
 	m        *Manager
 	edits    pond.Pool
 	holdDown *duty.HoldDown
-	// A proposal of unknown outcome counts until a view that is fresh must show it.
+	// Assignments that the view does not show yet. One of unknown outcome counts until a fresh view
+	// must show it.
 	proposals *duty.Proposals
-	idleInput planInput // of the newest turn, if it found nothing to do
+	idleInput planInput // input of the last round, if that found nothing to do
 }
 
 func newDutyPlanner(m *Manager) *dutyPlanner {
@@ -74,14 +76,15 @@
 		proposals: &duty.Proposals{Timeout: m.d.Bounds.Of(timing.ViewAgeLimit)}}
 }
 
-// planInput is all that a plan depends on.
+// planInput is everything that a plan depends on; a round with the input of an idle one is skipped.
 type planInput struct {
 	compiled *config.Compiled
 	members  string // hash of the membership
 	leaving  string
 }
 
-// runRound plans and assigns. isStarting has it give duties to new lives of those that hold them alone.
+// runRound plans and assigns duties once. With isStarting it only reassigns duties to their restarted
+// holders.
 func (p *dutyPlanner) runRound(ctx context.Context, isStarting bool) {
 	m := p.m
 	adapters := duty.Adapters{Members: m.d.Membership.OfKind("adapter"), Leaving: map[string]bool{}, Unresponsive: map[string]bool{},
@@ -104,7 +107,7 @@
 	wanted := p.plan(input.compiled, adapters)
 	p.idleInput = planInput{}
 	if len(wanted) == 0 {
-		if p.proposals.IsEmpty() { // else a proposal may yet fail, and is then to be made again
+		if p.proposals.IsEmpty() { // an open proposal may still fail and must then be repeated
 			p.idleInput = input
 		}
 		return
@@ -120,7 +123,7 @@
 	_ = group.Wait()
 }
 
-// plan returns the duties that are to be written anew, guesses among them.
+// plan returns the duties to be written, including those whose holder is only suspected to have failed.
 func (p *dutyPlanner) plan(compiled *config.Compiled, adapters duty.Adapters) []duty.Change {
 	m, pools, out := p.m, map[string]bool{}, []duty.Change{}
 	for name := range compiled.Rules.Pools {
@@ -143,7 +146,7 @@
 	return out
 }
 
-// assign writes one duty.
+// assign writes one duty, and records whether the proposal is still open.
 func (p *dutyPlanner) assign(ctx context.Context, part int64, change duty.Change) {
 	m := p.m
 	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.ConfigApply)
@@ -156,14 +159,14 @@
 	started := time.Now()
 	p.proposals.Add(change, m.d.Now())
 	if _, err := m.edit(ctx, e); err != nil {
-		if !errs.Is(err, errs.Undecided) { // else it may hold, and the view will show it
+		if !errs.Is(err, errs.Undecided) { // an undecided edit may have been applied; the view will show it
 			p.proposals.Fail(change)
 		}
 		if !errs.Is(err, errs.Conflict) {
-			klog.Warningf("duty: %s/%s cannot be assigned after %v: %v.", change.Pool, change.Worker, time.Since(started), err)
+			klog.Warningf("duty: %s/%s could not be assigned within %v and is planned again: %v.", change.Pool, change.Worker, time.Since(started), err)
 		}
 		return
 	}
 	dutyMoves.WithLabelValues(change.Pool).Inc()
-	klog.V(1).Infof("duty: %s/%s goes to %q.", change.Pool, change.Worker, change.Next.Holder)
+	klog.V(1).Infof("duty: %s/%s is assigned to %q.", change.Pool, change.Worker, change.Next.Holder)
 }
--- a/internal/manager/duties_test.go
+++ b/internal/manager/duties_test.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// dutyFixture is a manager with workers on its lists and adapters to hold their duties.
+// dutyFixture is a manager with listed workers, and with adapters to hold their duties.
 type dutyFixture struct {
 	*listFixture
 	planner *dutyPlanner
@@ -36,7 +36,7 @@
 	return p
 }
 
-// dutyEdits counts the edits of duties so far.
+// dutyEdits returns the number of duty edits so far.
 func (p *dutyFixture) dutyEdits() (count int) {
 	for _, e := range p.f.edits {
 		if strings.HasPrefix(e.Key, config.DutyKey) {
@@ -52,14 +52,14 @@
 	return p.dutyEdits() - before
 }
 
-// TestDutiesAreProposedOnce: a planner once planned again what its view did not show yet, so of a long list
-// many duties were written twice.
+// TestDutiesAreProposedOnce guards against a planner that plans again what its view does not show yet:
+// many duties of a long list were written twice.
 func TestDutiesAreProposedOnce(t *testing.T) {
-	Convey("While the view lags behind,", t, func() {
+	Convey("While the view lags,", t, func() {
 		p := newDutyFixture(300)
 		p.f.isViewFrozen = true
 		Convey("each duty is proposed once", func() {
-			So(p.runRound(), ShouldEqual, 301) // with the endpoint's
+			So(p.runRound(), ShouldEqual, 301) // including the endpoint's duty
 			So(p.runRound(), ShouldEqual, 0)
 			p.f.isViewFrozen = false
 			p.f.updateView()
@@ -71,13 +71,13 @@
 			}
 			So(held, ShouldResemble, map[string]int{"adapter-a": 100, "adapter-b": 100, "adapter-c": 100})
 		})
-		Convey("one that does not hold is proposed again in the next turn", func() {
+		Convey("a duty whose proposal fails is proposed again in the next round", func() {
 			p.f.refuseKind = errs.Conflict
 			So(p.runRound(), ShouldEqual, 0)
 			p.f.refuseKind = ""
 			So(p.runRound(), ShouldEqual, 301)
 		})
-		Convey("what became of it is not known: it is proposed again, though nothing else changes, once a fresh view would show it", func() {
+		Convey("a duty whose proposal has an unknown outcome is proposed again, without other changes, once a fresh view would show it", func() {
 			So(p.runRound(), ShouldEqual, 301)
 			So(p.runRound(), ShouldEqual, 0)
 			p.now += p.m.d.Bounds.Of(timing.ViewAgeLimit)
--- a/internal/manager/edit.go
+++ b/internal/manager/edit.go
@@ -10,9 +10,10 @@
 	"caperwheel/internal/wire"
 )
 
-// edit changes one key and learns the outcome for sure, if it can be learnt. The
-// part remembers the edit by its order, so it may be sent any number of times:
-// it holds once, and is told so each time. Revision 0 means that it did not hold.
+// edit changes one key and returns the revision of the change. The part deduplicates edits by their
+// order ID, so edit retries until the outcome is certain or its time is over: the edit is applied at
+// most once, and each retry gets the same answer. A revision of 0 means that the edit was not
+// confirmed; the error is errs.Undecided if it may have been applied all the same.
 func (m *Manager) edit(ctx context.Context, e wire.Edit) (int64, error) {
 	if e.Value == nil {
 		e.Value = []byte{}
@@ -27,7 +28,7 @@
 	}
 	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply*2)
 	defer cancel()
-	for mayHaveApplied := false; ; { // whether a try may have had an effect that nobody told of
+	for mayHaveApplied := false; ; { // whether an attempt without a clear answer may have been applied
 		reply, mayApply, err := m.reach.CallOwnerTracked(ctx, e.Part, &e, func(reply any) (bool, string) {
 			got, isEdited := reply.(*wire.Edited)
 			return isEdited && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.Undecided), ""
@@ -37,7 +38,7 @@
 		case err != nil && mayHaveApplied:
 			return 0, undecidedError()
 		case err != nil:
-			return 0, errs.New(errs.NotOwner, "part %d has no owner now; nothing was changed", e.Part)
+			return 0, errs.New(errs.NotOwner, "part %d has no owner that can be reached; nothing was changed", e.Part)
 		}
 		got := reply.(*wire.Edited)
 		switch errs.Kind(got.Kind) {
@@ -52,14 +53,14 @@
 			if mayHaveApplied {
 				return 0, undecidedError()
 			}
-			return 0, errs.New(errs.Kind(got.Kind), "part %d takes no change now", e.Part)
+			return 0, errs.New(errs.Kind(got.Kind), "part %d accepts no edits at present; nothing was changed", e.Part)
 		}
 	}
 }
 
-// lost settles an edit that did not hold: a lost race, or, with a store of an
-// older build that remembers nothing, our own edit met twice. Who wrote last
-// tells as much as can be known then.
+// resolveConflict determines the outcome of an edit that met a conflict. Either another edit came
+// first, or a store of an older build, which does not deduplicate, has received ours twice. The
+// author of the newest change tells the two apart, as far as that is possible.
 func (m *Manager) resolveConflict(ctx context.Context, e wire.Edit, got *wire.Edited) (int64, error) {
 	now, err := m.readKey(ctx, e.Part, e.Key)
 	switch {
@@ -72,16 +73,16 @@
 }
 
 func undecidedError() error {
-	return errs.New(errs.Undecided, "the change may or may not hold; read it back")
+	return errs.New(errs.Undecided, "the outcome of the change is unknown; read the value back")
 }
 
-// readKey reads a key through a majority.
+// readKey reads a key through a majority of its part.
 func (m *Manager) readKey(ctx context.Context, part int64, key string) (wire.Change, error) {
 	got, err := m.readReply(ctx, part, key)
 	return got.Change, err
 }
 
-// read is pull with all that the part's owner tells.
+// readReply reads a key like readKey, and returns the whole reply of the part's owner.
 func (m *Manager) readReply(ctx context.Context, part int64, key string) (wire.Pulled, error) {
 	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply)
 	defer cancel()
@@ -90,7 +91,7 @@
 		return isPulled && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.DeadlineExceeded), ""
 	})
 	if err != nil {
-		return wire.Pulled{}, errs.New(errs.Lost, "part %d cannot be read now", part)
+		return wire.Pulled{}, errs.New(errs.Lost, "part %d cannot be read: no owner has answered", part)
 	}
 	got := reply.(*wire.Pulled)
 	if got.Kind != "" {
@@ -99,7 +100,7 @@
 	return *got, nil
 }
 
-// author gives the operator's word for itself without our request number.
+// author returns the author of a change as the operator gave it, without the request ID that edit adds.
 func author(by string) string {
 	name, _, _ := strings.Cut(by, " #")
 	return name
--- a/internal/manager/edit_test.go
+++ b/internal/manager/edit_test.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestEdit is the table of what is known of an edit's effect after what stores
-// answered, one after another, the last answer again and again.
+// TestEdit checks the outcome of an edit after a sequence of answers from stores, of which the last one
+// repeats.
 func TestEdit(t *testing.T) {
 	edited := func(kind errs.Kind) any { return &wire.Edited{Kind: string(kind), Revision: 7} }
 	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.UnsentError{})
@@ -22,23 +22,23 @@
 		answers []any
 		kind    errs.Kind
 	}{
-		{"it holds", []any{edited("")}, ""},
-		{"it holds at the second store", []any{edited(errs.NotOwner), edited("")}, ""},
-		{"it holds after a lost answer", []any{lost, edited("")}, ""},
-		{"it holds after an owner that was replaced", []any{edited(errs.Undecided), edited("")}, ""},
-		{"it holds after a full owner", []any{edited(errs.Full), edited("")}, ""},
-		{"a lost race", []any{edited(errs.Conflict)}, errs.Conflict},
-		{"it may be forgotten", []any{edited(errs.Stale)}, errs.Undecided},
-		{"nobody owns the part", []any{edited(errs.NotOwner)}, errs.NotOwner},
+		{"it is applied", []any{edited("")}, ""},
+		{"it is applied by the second store", []any{edited(errs.NotOwner), edited("")}, ""},
+		{"it is applied after a lost answer", []any{lost, edited("")}, ""},
+		{"it is applied after the owner was replaced", []any{edited(errs.Undecided), edited("")}, ""},
+		{"it is applied after an overloaded owner refused it", []any{edited(errs.Full), edited("")}, ""},
+		{"another edit came first", []any{edited(errs.Conflict)}, errs.Conflict},
+		{"the part may have forgotten it", []any{edited(errs.Stale)}, errs.Undecided},
+		{"no store owns the part", []any{edited(errs.NotOwner)}, errs.NotOwner},
 		{"nothing could be sent", []any{unsent}, errs.NotOwner},
-		{"an owner that is full", []any{edited(errs.Full)}, errs.Full},
-		{"nobody answers", []any{lost}, errs.Undecided},
-		{"nobody owns the part after a lost answer", []any{lost, edited(errs.NotOwner)}, errs.Undecided},
-		{"nobody owns the part after an owner that was replaced", []any{edited(errs.Undecided), edited(errs.NotOwner)}, errs.Undecided},
-		{"an owner that is full after one that was replaced", []any{edited(errs.Undecided), edited(errs.Full)}, errs.Undecided},
-		{"an owner that is full after a lost answer", []any{lost, edited(errs.Full)}, errs.Undecided},
+		{"the owner is overloaded", []any{edited(errs.Full)}, errs.Full},
+		{"no store answers", []any{lost}, errs.Undecided},
+		{"no store owns the part after a lost answer", []any{lost, edited(errs.NotOwner)}, errs.Undecided},
+		{"no store owns the part after the owner was replaced", []any{edited(errs.Undecided), edited(errs.NotOwner)}, errs.Undecided},
+		{"the owner is overloaded after the previous one was replaced", []any{edited(errs.Undecided), edited(errs.Full)}, errs.Undecided},
+		{"the owner is overloaded after a lost answer", []any{lost, edited(errs.Full)}, errs.Undecided},
 	}
-	Convey("Of an edit,", t, func() {
+	Convey("The outcome of an edit is known when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, _ := newFakeManager()
@@ -64,7 +64,7 @@
 					So(errs.KindOf(err), ShouldEqual, c.kind)
 				}
 				So(revision, ShouldEqual, map[bool]int64{true: 7}[c.kind == ""])
-				So(len(orders), ShouldEqual, 1) // it is one and the same, however often it is sent
+				So(len(orders), ShouldEqual, 1) // all retries carry the same order ID
 			})
 		}
 	})
--- a/internal/manager/histories_test.go
+++ b/internal/manager/histories_test.go
@@ -21,16 +21,15 @@
 	"caperwheel/internal/wire"
 )
 
-// faultyPart is a part whose owner loses answers, is replaced over edits, and takes
-// old tries in late, long after they were answered. Its state passes through
-// images.
+// faultyPart is a part whose owner loses answers, is replaced during edits, and applies delayed attempts
+// long after the edit was answered. Its state is restored from images.
 type faultyPart struct {
 	mu          sync.Mutex
 	random      *rand.Rand
 	part        *feed.Part
-	lateEdits   []wire.Edit // that may come once more
-	outageOdds  int         // in one of so many calls it grows dark
-	outageCalls int         // calls that get no answer, so that managers give up
+	lateEdits   []wire.Edit // edits that may arrive once more
+	outageOdds  int         // an outage begins at one of so many calls; 0 for never
+	outageCalls int         // calls left that get no answer, so that managers give up
 	mutateEdit  func(e *wire.Edit)
 }
 
@@ -63,7 +62,7 @@
 		r.mutateEdit(&e)
 		r.lateEdits = append(r.lateEdits, e)
 		if r.random.IntN(10) == 0 {
-			return nil, lost // it may come later
+			return nil, lost // it may arrive later
 		}
 		got := r.part.Apply(e)
 		if r.random.IntN(8) == 0 {
@@ -82,8 +81,8 @@
 	return nil, lost
 }
 
-// runOperator has an operator send orders to any of the managers, some of them sent
-// again, and gives what was told. The clock counts what was begun and ended.
+// runOperator sends proposals of one operator to random managers, some of them again, and returns the
+// operations with their outcomes. The clock advances with each start and end of an operation.
 func runOperator(client int, seed uint64, managers []*Manager, clock *atomic.Int64) (out []linearize.Operation) {
 	draw := rand.New(rand.NewPCG(seed, uint64(client)))
 	now := func() time.Duration { return time.Duration(clock.Add(1)) }
@@ -106,7 +105,7 @@
 			o.Outcome = linearize.Refused
 		}
 		out = append(out, o)
-		if o.Outcome != linearize.Refused { // one that was refused is not sent again
+		if o.Outcome != linearize.Refused { // a refused proposal is not retried
 			sent = append(sent, o)
 		}
 		read := linearize.Operation{Client: client, Kind: linearize.Read, Call: now(), Outcome: linearize.Confirmed}
@@ -120,13 +119,13 @@
 	return out
 }
 
-// randomHistory plays eight operators at three managers over one rough part.
-// In one of turns calls it grows dark; 0 for never.
+// randomHistory runs eight operators with three managers over one faulty part. An outage begins at one
+// of outageOdds calls; 0 for never.
 func randomHistory(seed uint64, outageOdds int, mutateEdit func(e *wire.Edit)) (out []linearize.Operation) {
 	r := &faultyPart{random: rand.New(rand.NewPCG(seed, 99)), part: feed.NewPart(), mutateEdit: mutateEdit, outageOdds: outageOdds}
 	patience := 400 * time.Millisecond
 	if outageOdds > 0 {
-		patience = 20 * time.Millisecond // managers give up in the dark
+		patience = 20 * time.Millisecond // managers give up during an outage
 	}
 	managers := []*Manager{}
 	for i := range 3 {
@@ -148,11 +147,10 @@
 	return out
 }
 
-// TestOperatorsAreLinearizable: whatever is lost, sent again or comes late, one
-// order of the operators' calls explains all answers; and it does not where a
-// guard is taken out.
+// TestOperatorsAreLinearizable checks that the history of operators' calls is linearizable with lost,
+// retried and delayed edits, and that it is not if deduplication or compare and set is disabled.
 func TestOperatorsAreLinearizable(t *testing.T) {
-	Convey("Of operators' calls over rough parts", t, func() {
+	Convey("Operators' calls over faulty parts are linearizable", t, func() {
 		for seed := range uint64(6) {
 			ok, text := linearize.Check(randomHistory(seed, int(seed%2)*300, func(*wire.Edit) {}))
 			So(text, ShouldBeBlank)
@@ -163,12 +161,12 @@
 		name string
 		out  func(e *wire.Edit)
 	}{
-		{"the memory of orders", func(e *wire.Edit) { e.OperationId = "" }},
+		{"deduplication", func(e *wire.Edit) { e.OperationId = "" }},
 		{"compare and set", func(e *wire.Edit) { e.IfRevision = -1 }},
 	}
 	Convey("Without", t, func() {
 		for _, g := range guards {
-			Convey(g.name+" a history without an order is found", func() {
+			Convey(g.name+" a history that is not linearizable is found", func() {
 				isFound := false
 				for seed := uint64(0); seed < 10 && !isFound; seed++ {
 					ok, _ := linearize.Check(randomHistory(seed, 0, g.out))
--- a/internal/manager/interleavings_simulation_test.go
+++ b/internal/manager/interleavings_simulation_test.go
@@ -18,58 +18,58 @@
 	"caperwheel/internal/wire"
 )
 
-// Every way in which two operators' orders on one version can go is walked through: the
-// managers' own code runs as it is, and at each of its calls to the part all that may
-// become of the call is tried, in every order with the other operator's calls. States in
-// which the part and all that was told are the same count once.
+// The simulation explores every interleaving of two operators' proposals on one version. The managers'
+// code runs unchanged; at each of its calls to the part every outcome of the call is tried, in every
+// order relative to the other operator's calls. States with the same part and the same transcripts
+// count once.
 
-// outcome is what becomes of a call.
+// outcome is what happens to a call.
 type outcome int
 
 const (
-	replied       outcome = iota // it is carried out and answered
-	replyLost                    // it is carried out, and the answer is lost
-	requestLost                  // it never comes
-	delayed                      // it is carried out at some later time, and never answered
-	ownerReplaced                // it is carried out by an owner that is replaced over it
+	replied       outcome = iota // it is executed and answered
+	replyLost                    // it is executed, and the answer is lost
+	requestLost                  // it never arrives
+	delayed                      // it is executed at some later time, and never answered
+	ownerReplaced                // it is executed by an owner that is replaced before it answers
 	outcomeCount
 )
 
-// maxFaults is how many calls of a run may meet anything but an answer.
+// maxFaults bounds the calls of a run that have another outcome than an answer.
 const maxFaults = 1
 
-// choice is one step of a run: an operator's next call and its fate, or, with an operator
-// of -1, an edit that is under way comes late.
+// choice is one step of a run: the outcome of an operator's pending call or, with operator -1, the
+// arrival of a delayed edit.
 type choice struct {
 	operator int
 	outcome  outcome
 }
 
-// operatorRun is one operator: it sends its order until it is told what became of it, at one
-// manager after another, and then reads.
+// operatorRun is one operator: it sends its proposal to one manager after another until the outcome is
+// clear, and then reads the configuration.
 type operatorRun struct {
-	next       func() (any, bool) // the call that it waits with
+	next       func() (any, bool) // returns the operator's next call
 	stop       func()
 	ask        any
-	isWaiting  bool   // it waits for the fate of ask
-	transcript string // all answers that it has had, for the state's key
+	isWaiting  bool   // it waits for the outcome of ask
+	transcript string // all answers so far, for the state's key
 	reply      func() (any, error)
-	isTimedOut bool // the manager's patience with this order
+	isTimedOut bool // the manager has given up on this proposal
 }
 
 // simulation is one run.
 type simulation struct {
 	part         *feed.Part
 	operators    []*operatorRun
-	delayedEdits []wire.Edit // that come late
+	delayedEdits []wire.Edit // edits that arrive later
 	faults       int
 	moment       time.Duration
 	history      []linearize.Operation
 	mutateEdit   func(e *wire.Edit)
 }
 
-// fakeClock is a clock by which no time passes, and a context that ends when a call was
-// lost: the manager has given up.
+// fakeClock is a clock on which no time passes, and a context that has expired once a call had a fault:
+// the manager gives up.
 type fakeClock struct {
 	context.Context
 	of *operatorRun
@@ -112,12 +112,12 @@
 	return p
 }
 
-// advance has an operator go on to its next call.
+// advance runs an operator up to its next call.
 func (s *operatorRun) advance() { s.ask, s.isWaiting = s.next() }
 
 func (p *simulation) now() time.Duration { p.moment++; return p.moment }
 
-// runOperator sends one order, again while it is unclear, and reads the configuration.
+// operate sends one proposal, retries it while its outcome is unclear, and reads the configuration.
 func (p *simulation) operate(client int, s *operatorRun, call func(context.Context, string, any) (any, error)) {
 	digest := "order " + strconv.Itoa(client)
 	for try := range 2 {
@@ -151,7 +151,7 @@
 	}
 }
 
-// managerOf returns a manager whose only store is the play's part.
+// managerOf returns a manager whose only store is the simulation's part.
 func managerOf(boot string, call func(context.Context, string, any) (any, error)) *Manager {
 	m, _ := newFakeManager()
 	m.d.Who.Boot = boot
@@ -159,7 +159,7 @@
 	return m
 }
 
-// choices lists what may come next.
+// choices returns the possible next steps.
 func (p *simulation) choices() (out []choice) {
 	if len(p.delayedEdits) > 0 {
 		out = append(out, choice{operator: -1})
@@ -180,7 +180,7 @@
 	return out
 }
 
-// add makes one step.
+// take performs one step.
 func (p *simulation) take(c choice) {
 	if c.operator < 0 {
 		p.part.Apply(p.delayedEdits[0])
@@ -203,7 +203,7 @@
 	s.advance()
 }
 
-// carryOut does what a call asks for, and returns the answer; nil for none.
+// carryOut executes a call according to its outcome and returns the answer; nil for none.
 func (p *simulation) carryOut(ask any, f outcome) any {
 	switch a := ask.(type) {
 	case *wire.Pull:
--- a/internal/manager/interleavings_test.go
+++ b/internal/manager/interleavings_test.go
@@ -11,20 +11,20 @@
 	"caperwheel/internal/wire"
 )
 
-// key tells states apart.
+// key identifies the state.
 func (p *simulation) key() string {
 	out := string(p.part.Snapshot()) + fmt.Sprint(p.faults, p.delayedEdits)
 	for _, s := range p.operators {
 		out += "#" + s.transcript
 	}
-	for _, o := range p.history { // what was told before what was asked counts too
+	for _, o := range p.history { // the order of answers relative to calls is part of the state
 		out += fmt.Sprint("@", o.Call, o.Return)
 	}
 	return out
 }
 
-// interleavings walks through all runs, and returns how many states there are, how many
-// ends were judged, and why the first history that no order of the calls explains has none.
+// interleavings explores all runs, and returns the number of states, the number of final states whose
+// history was checked, and why the first history that is not linearizable is not.
 func interleavings(hurt func(e *wire.Edit)) (states, ends int, broken string) {
 	seen := map[string]bool{}
 	var walk func(path []choice)
@@ -54,18 +54,19 @@
 	return len(seen), ends, broken
 }
 
-// TestEveryInterleavingOfTwoOrders: two orders on one version, each sent again at another
-// manager while it is unclear, with a call that is lost, late or unheard.
+// TestEveryInterleavingOfTwoOrders checks that two proposals on one version are linearizable, each of
+// them retried at another manager while its outcome is unclear, with one call that is lost, delayed or
+// whose answer is lost.
 func TestEveryInterleavingOfTwoOrders(t *testing.T) {
-	Convey("Two orders on one version are always explained by one order of the calls", t, func() {
+	Convey("Two proposals on one version are always linearizable", t, func() {
 		states, ends, broken := interleavings(func(*wire.Edit) {})
 		So(broken, ShouldBeEmpty)
 		So(states, ShouldBeGreaterThan, 1000)
 		So(ends, ShouldBeGreaterThan, 100)
 		Printf("%d states, %d ends ", states, ends)
 	})
-	Convey("It is found that they are not without", t, func() {
-		Convey("the memory of orders", func() {
+	Convey("A history that is not linearizable is found without", t, func() {
+		Convey("deduplication", func() {
 			_, _, broken := interleavings(func(e *wire.Edit) { e.OperationId = "" })
 			So(broken, ShouldNotBeEmpty)
 		})
--- a/internal/manager/list.go
+++ b/internal/manager/list.go
@@ -14,60 +14,60 @@
 	"caperwheel/internal/workerlist"
 )
 
-// Source tells which workers there are.
+// Source is a paged list of the workers of all pools, kept by the platform.
 type Source struct {
-	// Page reads one page of the list; zone may be empty for all, and token is for the first.
-	// errs.Full means that the list has been asked too often.
+	// Page reads one page of the list. An empty zone means all zones, and an empty token the first page.
+	// errs.Full means that the call was refused by the list's rate limit.
 	Page   func(ctx context.Context, zone, token string) (ListPage, error)
-	Rate   func() float64 // calls a second that the list takes from all; 0 for no bound
-	MaxLag time.Duration  // what it tells may be so old
+	Rate   func() float64 // calls per second that the list accepts from all callers; 0 for no limit
+	MaxLag time.Duration  // how far the list may lag behind
 }
 
-// ListPage is one page of a list: workers by pool, and which page follows; empty on the last.
+// ListPage is one page of a list: workers by pool, and the token of the next page; empty on the last.
 type ListPage struct {
 	Workers map[string][]config.Worker
 	Next    string
 }
 
-// listController reads a source and writes what it tells into the pools' lists. One manager does: all
-// calls come out of one rate, so that several readers would be no faster, and each key has one
+// listController reads a source and writes its workers into the pools' lists. Only one manager does
+// so: all calls share one rate limit, so several readers would be no faster, and each key has one
 // writer.
 //
-// Invariants: mu guards all below it; roster, plan and pools are nil while this manager is not the
-// reader; written has each key as this manager last wrote it, since the view may be behind.
+// Invariants: mu guards all fields below it; roster, plan and pools are nil while this manager is not
+// the reader; written holds each key as this manager last wrote it, since the view may be behind.
 type listController struct {
 	m     *Manager
 	edits pond.Pool
-	wake  chan struct{} // a read is complete
+	wake  chan struct{} // signals a completed read
 
 	mu              sync.Mutex
 	roster          *workerlist.Roster
 	plan            *workerlist.Plan
 	readers         map[*workerlist.Cursor]context.CancelFunc
-	completedReads  []completedRead // complete reads that are not written yet
+	completedReads  []completedRead // completed reads that are not written yet
 	written         map[string]listVersion
 	pools           map[string]*poolList
 	restoredZones   map[string]restoredZone
 	isFailing       map[*workerlist.Cursor]bool
-	loggedRejects   map[string]bool // by pool and name: entries that a list may not hold, of which the log tells
-	refusedCalls    int             // calls since the reading began
-	refusalLoggedAt time.Duration   // when that was last logged
+	loggedRejects   map[string]bool // by pool and name: invalid entries that were logged
+	refusedCalls    int             // calls refused since this manager became the reader
+	refusalLoggedAt time.Duration   // when a refused call was last logged
 }
 
-// passed is a complete read.
+// completedRead is a read of all pages of a list.
 type completedRead struct {
-	zone  string // empty for all
+	zone  string // empty for all zones
 	began time.Duration
 }
 
-// maxConcurrentListEdits is how many keys of lists are written at once.
+// maxConcurrentListEdits bounds how many keys of lists are written at once.
 const maxConcurrentListEdits = 32
 
 func newListController(m *Manager) *listController {
 	return &listController{m: m, edits: pond.NewPool(maxConcurrentListEdits), wake: make(chan struct{}, 1)}
 }
 
-// run runs the lister until ctx ends.
+// run reads and writes the lists until ctx ends.
 func (l *listController) run(ctx context.Context) {
 	ticker := time.NewTicker(l.m.d.Bounds.Of(timing.ListInterval))
 	defer ticker.Stop()
@@ -82,8 +82,8 @@
 	}
 }
 
-// runRound reads and writes, if this manager is the one that does. Should two think so, the revisions
-// let one win.
+// runRound reads and writes if this manager is the reader. If two managers both act as the reader, the
+// compare and set on revisions lets one of them win.
 func (l *listController) runRound(ctx context.Context) {
 	if l.prepare() {
 		l.startReaders(ctx)
@@ -91,7 +91,7 @@
 	}
 }
 
-// prepare reports whether this manager is the reader now, and has it begin or let go.
+// prepare reports whether this manager is the reader now, and starts or stops the reading accordingly.
 func (l *listController) prepare() bool {
 	if !l.isReader() {
 		l.stop()
@@ -102,7 +102,7 @@
 	return true
 }
 
-// flush writes what was read.
+// flush writes what was read to the pools' lists.
 func (l *listController) flush(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, l.m.d.Bounds.ConfigApply)
 	defer cancel()
@@ -125,7 +125,7 @@
 	return l.m.d.IsFresh() && duty.HighestRanked("list", managers) == l.m.d.Who.Name
 }
 
-// stop lets the reading go.
+// stop cancels the readers and drops all state of the reading.
 func (l *listController) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,14 +136,14 @@
 	l.written, l.pools, l.restoredZones, l.loggedRejects, l.refusedCalls = nil, nil, nil, nil, 0
 }
 
-// start takes the reading up: what the view has is known, until reads leave it out.
+// start begins the reading: the workers in the view count as listed until reads no longer return them.
 func (l *listController) start() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.roster != nil {
 		return
 	}
-	klog.Infof("list: This manager reads the source of workers.")
+	klog.Infof("list: This manager reads the source of the worker lists from now on.")
 	l.roster, l.plan = workerlist.NewRoster(), workerlist.NewPlan(l.m.d.Bounds.Of(timing.ListInterval))
 	l.readers, l.isFailing, l.loggedRejects = map[*workerlist.Cursor]context.CancelFunc{}, map[*workerlist.Cursor]bool{}, map[string]bool{}
 	l.written, l.pools = map[string]listVersion{}, map[string]*poolList{}
@@ -156,7 +156,7 @@
 			l.roster.Record(name, w, now)
 		}
 	}
-	l.roster.Changed() // the view has it
+	l.roster.Changed() // the view holds these already: they are no changes
 }
 
 func (l *listController) takeCompletedReads() []completedRead {
@@ -173,8 +173,8 @@
 	l.completedReads = append(reads, l.completedReads...)
 }
 
-// addCounts adds to what the manager tells of itself: the age of each list that it reads, in
-// milliseconds, and how many calls were refused.
+// addCounts adds to the counts that the manager reports: the age in milliseconds of each list that it
+// reads, and how many calls were refused.
 func (l *listController) addCounts(counts map[string]int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,9 +191,9 @@
 	counts[ListRefusedCount] = int64(l.refusedCalls)
 }
 
-// The counts by which a manager tells of its reading. ListAgePrefix is followed by the zone that a list
-// is of, none for all zones; its figure is the age of the newest complete read in milliseconds, -1
-// where there is none yet.
+// Names of the counts that the reading manager reports. ListAgePrefix is followed by the list's zone,
+// or by nothing for the list of all zones; the value is the age of the newest completed read in
+// milliseconds, -1 if there is none yet.
 const (
 	ListAgePrefix    = "list_age_ms "
 	ListRefusedCount = "list_refused"
--- a/internal/manager/list_test.go
+++ b/internal/manager/list_test.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// TestList is the table of what is written of a short list, turn by turn.
+// TestList checks what is written of a short list after each read.
 func TestList(t *testing.T) {
 	w1, w2, left := listedWorker("w1", "live", false), listedWorker("w2", "live", true), listedWorker("w1", "leaving", false)
 	bad, untold := listedWorker("no name", "live", false), listedWorker("w3", "live", false)
@@ -22,7 +22,7 @@
 	type turn struct {
 		read  []config.Worker
 		err   error
-		edits int // so far, without the configuration's
+		edits int // so far, without that of the configuration
 		want  []config.Worker
 	}
 	full, lost := errs.New(errs.Full, "rate"), errs.New(errs.Lost, "down")
@@ -35,13 +35,13 @@
 		{"a worker that leaves", []turn{{both, nil, 1, both}, {[]config.Worker{left, w2}, nil, 2, []config.Worker{left, w2}}}},
 		{"nothing when the read fails", []turn{{both, nil, 1, both}, {nil, lost, 1, both}, {both, nil, 1, both}}},
 		{"nothing when calls are refused", []turn{{both, nil, 1, both}, {nil, full, 1, both}, {[]config.Worker{left, w2}, nil, 2, []config.Worker{left, w2}}}},
-		{"a worker gone once it was missed twice", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both},
+		{"the removal of a worker that two reads lack", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both},
 			{[]config.Worker{w1}, nil, 2, []config.Worker{w1}}}},
-		{"a worker missed once", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both}, {both, nil, 1, both}}},
-		{"no worker that a list may not hold", []turn{{[]config.Worker{w1, bad, untold}, nil, 1, []config.Worker{w1}}}},
+		{"nothing when one read lacks a worker", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both}, {both, nil, 1, both}}},
+		{"no worker with an invalid entry", []turn{{[]config.Worker{w1, bad, untold}, nil, 1, []config.Worker{w1}}}},
 	}
 	for _, isBlind := range []bool{false, true} {
-		name := map[bool]string{false: "The list controller writes", true: "The list controller writes, with its view behind,"}[isBlind]
+		name := map[bool]string{false: "The list controller writes", true: "The list controller writes, while its view lags,"}[isBlind]
 		Convey(name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestReaderChanges: a manager that takes the reading over knows what stands, and writes what has
-// changed alone.
+// TestReaderChanges checks that a manager that takes over the reading starts from the stored lists and
+// writes only what has changed.
 func TestReaderChanges(t *testing.T) {
 	Convey("Given a long list that another manager has written", t, func() {
 		s := newListFixture(50, 40)
@@ -74,11 +74,11 @@
 		So(s.written(), ShouldHaveLength, 1000)
 		s.l = newListController(s.m)
 		edits := len(s.f.edits)
-		Convey("nothing is written where nothing has changed", func() {
+		Convey("nothing is written if nothing has changed", func() {
 			s.advance(5 * time.Second)
 			So(len(s.f.edits), ShouldEqual, edits)
 		})
-		Convey("workers that went meanwhile are taken out, and their keys", func() {
+		Convey("workers that are gone since are removed, and so are their keys", func() {
 			s.workers = s.workers[:10]
 			s.advance(10 * time.Second)
 			So(s.written(), ShouldHaveLength, 10)
@@ -91,7 +91,7 @@
 			}
 			So(cut, ShouldEqual, 1)
 		})
-		Convey("a pool that a configuration adds is written at once", func() {
+		Convey("the list of a pool that a new configuration adds is written at once", func() {
 			s.propose(`{"pools":{"p":{},"other":{}}}`)
 			s.mutatePage = func(page *ListPage) {
 				page.Workers["other"] = []config.Worker{listedWorker("o", "live", false)}
@@ -103,7 +103,7 @@
 	})
 }
 
-// TestPeriods is the table of how the rate is shared among the lists that are read side by side.
+// TestPeriods checks how the rate is divided among the lists that are read in parallel.
 func TestPeriods(t *testing.T) {
 	Convey("The calls of all lists together", t, func() {
 		for _, zones := range []int{0, 2, 9} {
@@ -127,10 +127,10 @@
 	})
 }
 
-// TestEasing: the workers of a restored zone count as cold until a read that
-// began later than the source's lag has reached every daemon.
+// TestEasing checks that the workers of a restored zone count as cold until a read that began after the
+// source's lag has reached every daemon.
 func TestEasing(t *testing.T) {
-	Convey("A restored cell's workers", t, func() {
+	Convey("The workers of a restored zone are cold for as long as the list may be outdated", t, func() {
 		s := newListFixture(100, 0)
 		s.workers = []config.Worker{{Name: "w", Address: "127.0.0.1:80", Zone: "a", State: "live"}}
 		s.turn()
@@ -151,9 +151,9 @@
 			isCold bool
 		}{
 			{"are cold at first", 0, true},
-			{"are cold while the list may be older", 500 * time.Millisecond, true},
-			{"are cold until daemons have what a later read told", 4 * time.Second, true},
-			{"are cold until daemons have it, still", 6 * time.Second, true},
+			{"are cold while the list may be older than the restore", 500 * time.Millisecond, true},
+			{"are cold until the daemons have the result of a later read", 4 * time.Second, true},
+			{"are still cold until the daemons have it", 6 * time.Second, true},
 			{"are as listed after that", 16 * time.Second, false},
 		}
 		for _, step := range steps {
--- a/internal/manager/listfixture_test.go
+++ b/internal/manager/listfixture_test.go
@@ -18,7 +18,7 @@
 
 // listFixture is a source of workers on a simulated clock, with a manager that reads it.
 //
-// Invariant: took has the moments of the calls of the last second, which are at most rate.
+// Invariant: callTimes has the times of the accepted calls of the last second, at most rate of them.
 type listFixture struct {
 	m            *Manager
 	f            *fakeParts
@@ -54,7 +54,7 @@
 	So(err, ShouldBeNil)
 }
 
-// read serves one page: the token is where it begins.
+// servePage serves one page; the token is the index of its first worker.
 func (s *listFixture) servePage(_ context.Context, zone, token string) (ListPage, error) {
 	s.calls++
 	s.callTimes = slices.DeleteFunc(s.callTimes, func(at time.Duration) bool { return at <= s.now-time.Second })
@@ -87,14 +87,14 @@
 	return out, nil
 }
 
-// refreshView has the view be fresh.
+// refreshView confirms the view, so that it is fresh.
 func (s *listFixture) refreshView() {
 	for part := range int64(2) {
 		s.m.d.View.Update([]wire.PartNews{{Part: part, From: s.m.d.View.Revision(part), To: s.m.d.View.Revision(part)}}, s.now)
 	}
 }
 
-// advance lets time go by: each list that is due is asked, and what was read is written.
+// advance advances the clock by span in steps, reads each list that is due, and writes what was read.
 func (s *listFixture) advance(span time.Duration) {
 	const step = 10 * time.Millisecond
 	flushAt, idle := s.now, 0
@@ -120,10 +120,10 @@
 	}
 }
 
-// runRound is one read at most of a list of one page, and its write.
+// turn advances the clock by one list interval: at most one read of a list of one page, and its write.
 func (s *listFixture) turn() { s.advance(s.m.d.Bounds.Of(timing.ListInterval)) }
 
-// written returns what stands of the pool, by name.
+// written returns the stored workers of the pool, by name.
 func (s *listFixture) written() map[string]config.Worker {
 	out := map[string]config.Worker{}
 	revisions := map[string]int64{}
@@ -147,7 +147,7 @@
 	return config.Worker{Name: name, Address: "127.0.0.1:80", Zone: "a", State: state, IsCold: isCold}
 }
 
-// manyWorkers returns so many workers of three zones.
+// manyWorkers returns count workers in three zones.
 func manyWorkers(count int) []config.Worker {
 	out := []config.Worker{}
 	for i := range count {
--- a/internal/manager/listread.go
+++ b/internal/manager/listread.go
@@ -21,7 +21,7 @@
 
 func init() { prometheus.MustRegister(listCalls, rejectedEntries) }
 
-// startReaders has one reader run for each list of the plan.
+// startReaders starts a reader for each list of the plan that has none, and cancels the others.
 func (l *listController) startReaders(ctx context.Context) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// read reads one list again and again until ctx ends.
+// readList reads the pages of one list repeatedly until ctx ends.
 func (l *listController) readList(ctx context.Context, c *workerlist.Cursor) {
 	for ctx.Err() == nil {
 		l.mu.Lock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// readPage asks for one page and takes it in.
+// readPage requests one page and merges it into the roster.
 func (l *listController) readPage(ctx context.Context, c *workerlist.Cursor) {
 	asked := l.m.d.Now()
 	l.mu.Lock()
@@ -97,10 +97,11 @@
 	return l.m.source.Rate()
 }
 
-// refusalLogBounds is for how many bounds nothing more is logged of refused calls.
+// refusalLogBounds is the minimum interval between two log lines on refused calls, in configuration
+// bounds.
 const refusalLogBounds = 10
 
-// recordCall counts a call, and logs when a list can no longer be read, or again.
+// recordCall counts a call, and logs when a list becomes unreadable or readable again.
 func (l *listController) recordCall(c *workerlist.Cursor, err error) {
 	name, now := listName(c), l.m.d.Now()
 	switch {
@@ -111,7 +112,7 @@
 		l.refusedCalls++
 		if l.refusalLoggedAt == 0 || now-l.refusalLoggedAt > refusalLogBounds*l.m.d.Bounds.ConfigApply {
 			l.refusalLoggedAt = now
-			klog.Infof("list: %s refuses calls over its rate, %d so far; the read goes on where it stands.", name, l.refusedCalls)
+			klog.Infof("list: %s refuses calls over its rate, %d so far; the read continues with the same page.", name, l.refusedCalls)
 		}
 		return
 	default:
@@ -120,7 +121,7 @@
 	if isLost := err != nil; isLost != l.isFailing[c] {
 		l.isFailing[c] = isLost
 		if isLost {
-			klog.Warningf("list: %s cannot be read: %v.", name, err)
+			klog.Warningf("list: %s cannot be read, so the workers stay as listed: %v.", name, err)
 		} else {
 			klog.Infof("list: %s can be read again.", name)
 		}
@@ -129,12 +130,13 @@
 
 func listName(c *workerlist.Cursor) string {
 	if c.Zone == "" {
-		return "The list of workers"
+		return "The list of all zones"
 	}
 	return "The list of zone " + c.Zone
 }
 
-// emitMetrics tells the age of each list that is read here, in seconds.
+// emitMetrics emits the age of each list that this manager reads, and how long its last read took, in
+// seconds.
 func (l *listController) emitMetrics(emit daemon.Emit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -149,7 +151,7 @@
 	}
 }
 
-// validEntries drops what a list may not hold. Called with mu held.
+// validEntries returns the entries without invalid and duplicate ones. It is called with mu held.
 func (l *listController) validEntries(pool string, list []config.Worker) []config.Worker {
 	out, seen := []config.Worker{}, map[string]bool{}
 	for _, w := range list {
@@ -163,10 +165,10 @@
 	return out
 }
 
-// maxLoggedRejects bounds the workers left out that are remembered so as to be logged once.
+// maxLoggedRejects bounds the rejected workers that are remembered, so that each is logged once.
 const maxLoggedRejects = 100
 
-// rejectEntry counts a worker that gets no work since a list may not hold it, and logs it once.
+// rejectEntry counts a worker that gets no work because its entry is invalid, and logs it once.
 func (l *listController) rejectEntry(pool string, w config.Worker, faults []config.Fault) {
 	rejectedEntries.WithLabelValues(pool).Inc()
 	key := pool + "/" + w.Name
@@ -174,5 +176,5 @@
 		return
 	}
 	l.loggedRejects[key] = true
-	klog.Warningf("list: Worker %q of %s is left out and gets no work: %v.", w.Name, pool, faults)
+	klog.Warningf("list: The entry of worker %q in pool %s is invalid, so the worker gets no work: %v.", w.Name, pool, faults)
 }
--- a/internal/manager/listwrite.go
+++ b/internal/manager/listwrite.go
@@ -13,27 +13,27 @@
 	"caperwheel/internal/wire"
 )
 
-// listVersion is a list as it stands at a key.
+// listVersion is the content of one key of a pool's list at a revision.
 type listVersion struct {
 	revision  int64
 	list      []config.Worker
-	isRemoved bool // it was taken away: revision is that of the change
+	isRemoved bool // the key was removed; revision is that of the removal
 }
 
-// poolList is how a pool's list is written.
+// poolList is the state of writing one pool's list.
 type poolList struct {
-	bucketCount  int           // into how many it is cut
-	isVerified   bool          // each bucket has been compared with what stands, since the newest failure
-	newWorkersAt time.Duration // new workers wait until then, unless a read is complete
+	bucketCount  int           // buckets that the list is split into
+	isVerified   bool          // each bucket was compared with the stored one since the last failure
+	newWorkersAt time.Duration // new workers are not written before, unless a read has completed
 }
 
-// newWorkersDelayFactor is for how many times as long as the newest write took new workers wait for the next
-// one. Workers of a list are spread over all its keys, so while a long list is first read each write is one
-// of all keys: without a rest, their bytes grow with the square of the list.
+// newWorkersDelayFactor is how many times the duration of the last write new workers wait for the next
+// one. Workers are spread over all keys of a list, so while a long list is read for the first time
+// each write covers all keys: without a delay, the bytes written grow with the square of the list.
 const newWorkersDelayFactor = 4
 
-// splitDue parts what has changed into what is written now and what waits. A change of a worker that was told
-// of before never waits.
+// splitDue splits the changed workers into those to write now and those that wait. A change of a worker
+// that was written before never waits.
 func (p *poolList) splitDue(changed map[string]bool, isAll bool, now time.Duration) (due, waiting map[string]bool) {
 	if isAll || now >= p.newWorkersAt {
 		return changed, nil
@@ -49,8 +49,8 @@
 	return due, waiting
 }
 
-// write brings the pools' lists to what was read; with isAll everything is compared with what
-// stands, else only what has changed. It reports whether all of it is known to stand.
+// write updates the pools' lists to what was read. With isAll every bucket is compared with the stored
+// one, otherwise only those with changes. It reports whether all lists are known to be up to date.
 func (l *listController) write(ctx context.Context, isAll bool) bool {
 	compiled, isWhole := l.m.configs.Current(), true
 	l.mu.Lock()
@@ -73,7 +73,7 @@
 	return isWhole
 }
 
-// pool returns how a pool's list is written. Only the goroutine that writes changes it.
+// poolListOf returns the state of a pool's list. Only the writing goroutine changes it.
 func (l *listController) poolListOf(name string) *poolList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,8 +85,8 @@
 	return p
 }
 
-// writePool writes the buckets of a pool's list that have changed, and then takes away what
-// stands of another number of buckets.
+// writePool writes the changed buckets of a pool's list, and then removes the keys of any other bucket
+// count.
 func (l *listController) writePool(ctx context.Context, pool string, changed map[string]bool, isAll bool) bool {
 	p, began := l.poolListOf(pool), l.m.d.Now()
 	l.mu.Lock()
@@ -107,7 +107,8 @@
 	return p.isVerified
 }
 
-// writeBuckets writes each bucket that is to be compared and differs from what stands.
+// writeBuckets compares the buckets with changes, or all of them with isAll, and writes each one that
+// differs from the stored one.
 func (l *listController) writeBuckets(ctx context.Context, pool string, count int, workers []config.Worker, changed map[string]bool, isAll bool) bool {
 	buckets, isDue := make([][]config.Worker, count), make([]bool, count)
 	for _, w := range workers {
@@ -131,7 +132,7 @@
 	return !slices.Contains(results, false)
 }
 
-// standing lists the keys of a pool's list that stand, and those last written here.
+// storedKeys returns the keys of a pool's list that the view holds or this manager has written.
 func (l *listController) storedKeys(pool string) []string {
 	out := []string{}
 	for _, c := range l.m.d.View.Keys(config.WorkersKey + pool) {
@@ -149,6 +150,7 @@
 	return out
 }
 
+// maxBucketCount returns the largest bucket count among the keys of a list.
 func maxBucketCount(keys []string) int {
 	most := 0
 	for _, key := range keys {
@@ -158,7 +160,7 @@
 	return most
 }
 
-// removeOldBuckets takes the keys of other numbers of buckets away.
+// removeOldBuckets removes the keys of a list that belong to another bucket count.
 func (l *listController) removeOldBuckets(ctx context.Context, pool string, count int, storedKeys []string) bool {
 	isDone := true
 	for _, key := range storedKeys {
@@ -172,7 +174,7 @@
 	return isDone
 }
 
-// base gives a list as the view has it, or as last written here.
+// baseList returns a key's list as the view has it, or as this manager last wrote it if that is newer.
 func (l *listController) baseList(pool, key string) listVersion {
 	c, isStanding := l.m.d.View.Get(feed.PartOf(pool, l.m.d.Settings.Parts), key)
 	l.mu.Lock()
@@ -190,6 +192,7 @@
 	return listVersion{revision: c.Revision, list: list.Workers}
 }
 
+// writeKey writes or removes one key of a pool's list, and reports whether that is confirmed.
 func (l *listController) writeKey(ctx context.Context, pool, key string, revision int64, list []config.Worker, isGone bool) bool {
 	if list == nil {
 		list = []config.Worker{}
@@ -202,13 +205,13 @@
 	newRevision, err := l.m.edit(ctx, edit)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.written == nil { // the reading was let go meanwhile
+	if l.written == nil { // the reading was stopped meanwhile
 		return false
 	}
 	if err != nil {
 		delete(l.written, key)
 		if !errs.Is(err, errs.Conflict) {
-			klog.Warningf("list: The list of %s cannot be written: %v.", pool, err)
+			klog.Warningf("list: The list of pool %s cannot be written; the write is repeated: %v.", pool, err)
 		}
 		return false
 	}
--- a/internal/manager/longlist_test.go
+++ b/internal/manager/longlist_test.go
@@ -15,21 +15,22 @@
 	"caperwheel/internal/errs"
 )
 
-// TestLongList: a list of more pages than it takes calls in a second was never read.
+// TestLongList guards against never completing the read of a list that has more pages than the calls
+// that it accepts per second.
 func TestLongList(t *testing.T) {
-	Convey("Of a list of 300 pages that takes 20 calls a second", t, func() {
+	Convey("Given a list of 300 pages that accepts 20 calls per second", t, func() {
 		s := newListFixture(4, 20)
 		s.workers = manyWorkers(1200)
 		Convey("the first pages are written while the rest is read", func() {
 			s.advance(5 * time.Second)
 			So(len(s.written()), ShouldBeBetween, 100, 400)
 		})
-		Convey("all is read at three quarters of the rate, the rest is left to others", func() {
+		Convey("all pages are read at three quarters of the rate, the rest is left to other callers", func() {
 			s.advance(22 * time.Second)
 			So(s.written(), ShouldHaveLength, 1200)
 			So(s.refusedCalls, ShouldEqual, 0)
 			So(float64(s.calls)/22, ShouldBeBetween, 0.7*s.rate, 0.8*s.rate)
-			Convey("then each zone by itself, and a change is written without the rest", func() {
+			Convey("then each zone is read separately, and a change is written without the rest", func() {
 				zones := []string{}
 				for _, c := range s.l.plan.Cursors() {
 					zones = append(zones, c.Zone)
@@ -46,14 +47,14 @@
 				So(bytes, ShouldBeLessThan, 20_000)
 			})
 		})
-		Convey("a 429 costs time and no page: the read goes on where it stands", func() {
-			s.rate = 7 // others call as well
+		Convey("after a 429 the read continues with the same page", func() {
+			s.rate = 7 // other callers use up the rest
 			s.m.source.Rate = func() float64 { return 20 }
 			s.advance(70 * time.Second)
 			So(s.refusedCalls, ShouldBeGreaterThan, 10)
 			So(s.written(), ShouldHaveLength, 1200)
 		})
-		Convey("a zone whose pages fail holds up no other", func() {
+		Convey("a zone whose pages fail does not delay the others", func() {
 			s.advance(22 * time.Second)
 			s.fail = func(zone, _ string) error {
 				if zone == "b" {
@@ -78,7 +79,7 @@
 			So(counts[ListAgePrefix+"b"], ShouldEqual, -1)
 			So(counts[ListAgePrefix+"a"], ShouldBeBetween, 0, 45_000)
 		})
-		Convey("tokens that expire begin the read anew, and nothing is taken for gone", func() {
+		Convey("an expired token restarts the read, and no worker is treated as gone", func() {
 			s.advance(22 * time.Second)
 			s.fail = func(_, token string) error {
 				if token != "" {
@@ -89,7 +90,7 @@
 			s.advance(60 * time.Second)
 			So(s.written(), ShouldHaveLength, 1200)
 		})
-		Convey("workers that are gone are taken out", func() {
+		Convey("workers that are gone are removed", func() {
 			s.advance(22 * time.Second)
 			s.workers = s.workers[:600]
 			s.advance(120 * time.Second)
@@ -98,11 +99,11 @@
 	})
 }
 
-// TestNewWorkersRest: while a long list was first read each write was one of all its keys, so what was
-// written grew with the square of the list.
+// TestNewWorkersRest guards against writes that grow with the square of the list's length: while a long
+// list was read for the first time, each write covered all of its keys.
 func TestNewWorkersRest(t *testing.T) {
 	const workers = 6000
-	Convey("Where writes take time,", t, func() {
+	Convey("If writes take time,", t, func() {
 		s := newListFixture(5, 20)
 		s.workers = manyWorkers(workers)
 		s.f.afterEdit = func() { s.now += 50 * time.Millisecond }
@@ -114,11 +115,11 @@
 			}
 			return sum
 		}
-		Convey("a long list is written few times as it is first read", func() {
+		Convey("a long list is written only a few times during its first read", func() {
 			s.advance(200 * time.Second)
 			So(s.written(), ShouldHaveLength, workers)
 			So(bytes(), ShouldBeLessThan, 12*len(config.Workers{Workers: s.workers}.Encode()))
-			Convey("a change of a worker that is known waits for none of it", func() {
+			Convey("a change of a known worker does not wait", func() {
 				s.f.afterEdit = nil
 				s.l.poolListOf("p").newWorkersAt = s.now + time.Hour
 				s.l.roster.Record("p", config.Worker{Name: "new", Address: "127.0.0.1:80", Zone: "a", State: "live"}, s.now)
@@ -135,10 +136,11 @@
 	})
 }
 
-// TestListThatMoves: entries come, go and move between pages while they are read. A worker that
-// is on the list all the time is never taken out, and in the end what is written is the list.
+// TestListThatMoves adds, removes and changes entries while the pages are read, so that entries move
+// between pages. A worker that is listed all the time must never be removed, and in the end the
+// written workers must be those of the list.
 func TestListThatMoves(t *testing.T) {
-	Convey("Under a list that moves while it is read, with pages that fail or are broken, in seed", t, func() {
+	Convey("If the list changes while it is read, and pages fail or are invalid, with seed", t, func() {
 		for seed := uint64(1); seed <= 4; seed++ {
 			Convey(fmt.Sprint(seed), func() {
 				r := rand.New(rand.NewPCG(seed, 5))
@@ -167,7 +169,7 @@
 					return nil
 				}
 				s.mutatePage = func(page *ListPage) {
-					if r.IntN(20) == 0 { // an entry that no list may hold, and one that comes twice
+					if r.IntN(20) == 0 { // an invalid entry and a duplicate
 						page.Workers["p"] = append(slices.Clone(page.Workers["p"]), config.Worker{Name: "no name"}, s.workers[0])
 					}
 				}
@@ -190,7 +192,7 @@
 	})
 }
 
-// updateDrainOrder takes a worker off the list, puts one on anywhere, or changes one.
+// change removes, inserts or changes one worker of the list at random.
 func (s *listFixture) change(r *rand.Rand, stays map[string]bool) {
 	at := r.IntN(len(s.workers))
 	switch r.IntN(3) {
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -1,6 +1,7 @@
-// Package manager is the control daemon: it holds sessions, follows the parts
-// and passes them on, serves the operators' API and runs the controllers. It
-// keeps nothing on disk.
+// Package manager implements the control daemon of a deployment. A manager keeps the sessions of
+// all daemons, follows the parts of the replicated control state and relays their changes to the
+// daemons, serves the operators' API and runs the controllers of duties, weights and worker lists.
+// It keeps nothing on disk. The daemon's main calls Run; the simulation calls NewOperators.
 package manager
 
 import (
@@ -20,29 +21,29 @@
 	"caperwheel/internal/wire"
 )
 
-// Manager is the daemon.
+// Manager is a running manager daemon.
 type Manager struct {
 	d              *daemon.Daemon
 	configs        *config.Cache
 	registry       *session.Registry
 	reach          *ownerclient.Client
 	operators      *Operators
-	source         *Source         // nil: operators write the lists
-	listController *listController // nil without a source; set before anything runs
+	source         *Source         // nil if operators write the worker lists
+	listController *listController // nil without a source; set before any goroutine starts
 	resendWindow   time.Duration
 	storeHistory   storeHistory
 	peers          peerShares
 }
 
-// Options of a manager: what it meets beside its own interface.
+// Options connects a manager to the interfaces of a platform.
 type Options struct {
-	Source         *Source          // tells which workers there are, if given
-	ServeOperators func(*Operators) // serves another interface of the operators, if given
-	ResendWindow   time.Duration    // so long an order without a number may be sent again; 0 for twice the bound
+	Source         *Source          // source of the worker lists; may be nil
+	ServeOperators func(*Operators) // starts a further interface for operators; may be nil
+	ResendWindow   time.Duration    // how long an order without request number may be retried; 0: twice the bound
 }
 
-// Run is the manager's main; a source gives its settings another way. options
-// makes the options for the daemon.
+// Run starts a manager and serves until the process ends. The settings come from source if it is
+// not nil. options returns the options for the new daemon.
 func Run(source *settings.Source, options func(*daemon.Daemon) Options) {
 	d := daemon.New("manager", source)
 	o := options(d)
@@ -75,7 +76,8 @@
 	d.Serve(nil)
 }
 
-// onSession renews a daemon's session and answers with news.
+// onSession renews the session of the polling daemon, and of the daemons whose state it relays, and
+// answers with the changes that the daemon lacks.
 func (m *Manager) onSession(_ wire.Who, body any, answer func(any)) {
 	poll, isPoll := body.(*wire.Poll)
 	if !isPoll {
@@ -89,7 +91,7 @@
 	answer(session.NewsFor(poll, m.d.View, now, m.d.Membership))
 }
 
-// onPeer takes another manager's sessions in and tells ours.
+// onPeer merges the sessions that another manager shares, and answers with our own.
 func (m *Manager) onPeer(_ wire.Who, body any, answer func(any)) {
 	share, isShare := body.(*wire.Share)
 	if !isShare {
@@ -118,7 +120,7 @@
 	}
 }
 
-// exchangeShares exchanges sessions with the other managers, and renews our own membership.
+// exchangeShares exchanges sessions with the other managers and renews this manager's own session.
 func (m *Manager) exchangeShares() {
 	own := m.d.NewPoll()
 	if m.listController != nil {
@@ -147,7 +149,7 @@
 	m.d.Membership.Update(m.registry.Members(m.d.Now()))
 }
 
-// followParts asks every store for news of the parts that it owns.
+// followParts requests from every store the changes of the parts that it owns.
 func (m *Manager) followParts() {
 	now := m.d.Now()
 	for _, who := range m.d.Membership.OfKind("store") {
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestManagersMeet: managers that were no seeds once never heard of each other,
-// and so of none of the daemons whose sessions stood with the other.
+// TestManagersMeet guards against managers that are not seeds never learning of each other, and so of
+// the daemons whose sessions the other one holds.
 func TestManagersMeet(t *testing.T) {
 	manager := func(name string) *Manager {
 		return &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute), Who: wire.Who{Name: name, Kind: "manager"}},
@@ -26,17 +26,17 @@
 		}
 		return out
 	}
-	Convey("Given a manager that two others share with", t, func() {
+	Convey("Given a manager with which two others share their sessions", t, func() {
 		seed, first, second := manager("seed"), manager("first"), manager("second")
 		seed.applyShare(&wire.Share{Who: first.d.Who, Members: []wire.Member{{Who: first.d.Who, Age: 500},
 			{Who: wire.Who{Name: "store", Kind: "store"}, Age: 100}}})
 		second.applyShare(seed.ownShare())
-		Convey("one learns of the other by it, at the age that is true, and not of sessions that stand elsewhere", func() {
+		Convey("each learns of the other from it, with the true age, but not of sessions that another manager holds", func() {
 			So(ages(second), ShouldContainKey, "first")
 			So(ages(second)["first"], ShouldBeGreaterThanOrEqualTo, 500)
 			So(ages(second), ShouldNotContainKey, "store")
 		})
-		Convey("what it hears of the other by it renews nothing", func() {
+		Convey("what it relays on the other does not renew the other's session", func() {
 			share := seed.ownShare()
 			for i := range share.Members {
 				share.Members[i].Age = 0
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestShares: a manager told by a peer of the peer's own state once put a blank
-// one in its place, so that the doctor took every other manager for stale.
+// TestShares guards against a manager that replaces the state that a peer reports of itself by an empty
+// one, so that the doctor command reported every other manager as stale.
 func TestShares(t *testing.T) {
 	who := wire.Who{Name: "manager-2", Kind: "manager", Boot: "1"}
 	cases := []struct {
@@ -56,10 +56,10 @@
 		members []wire.Member
 		isFresh bool
 	}{
-		{"what it tells of itself counts", []wire.Member{{Who: who, Age: 40, Fact: wire.Fact{Fresh: true, Revision: 7}}}, true},
-		{"it is a member also before it has anything to tell", nil, false},
+		{"the state that it reports of itself counts", []wire.Member{{Who: who, Age: 40, Fact: wire.Fact{Fresh: true, Revision: 7}}}, true},
+		{"it is a member even before it reports any state", nil, false},
 	}
-	Convey("Of a peer's share,", t, func() {
+	Convey("When a peer shares its sessions,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute)}, registry: session.NewRegistry(2 * time.Second)}
--- a/internal/manager/operators.go
+++ b/internal/manager/operators.go
@@ -12,13 +12,12 @@
 	"caperwheel/internal/wire"
 )
 
-// Operators is what operators can ask of a deployment, whatever interface they
-// ask through.
+// Operators carries out the operations that operators request, whichever interface they use.
 type Operators struct{ m *Manager }
 
-// NewOperators gives the operators' code on a daemon, a reach and a registry
-// that somebody else runs: the simulation does. Where there is a source of workers it
-// is not read, but restored zones' workers count as cold.
+// NewOperators returns the operators' operations on a daemon, reach and registry that the caller
+// runs; the simulation uses it. A source is not read, but with one the workers of restored zones count
+// as cold.
 func NewOperators(d *daemon.Daemon, r *ownerclient.Client, registry *session.Registry, source *Source) *Operators {
 	m := &Manager{d: d, configs: &config.Cache{View: d.View}, registry: registry, reach: r, source: source, resendWindow: 2 * d.Bounds.ConfigApply,
 		storeHistory: storeHistory{bound: d.Bounds.ConfigApply}}
@@ -26,27 +25,26 @@
 	return m.operators
 }
 
-// ObserveStores notes what is young among the marks and stores; to be called with each
-// beat of the feed.
+// ObserveStores records which stores are members now. It is called once in each polling period.
 func (o *Operators) ObserveStores() {
 	o.m.storeHistory.observe(o.m.d.Membership.OfKind("store"), o.m.d.Now())
 }
 
-// Proposal is a change of the configuration. It names what it builds on: a revision or,
-// if IsVersionBased, the operators' own version.
+// Proposal is a proposed change of the configuration. It is based on a revision or, if IsVersionBased,
+// on the version number that operators give.
 type Proposal struct {
 	By             string
-	Digest         string // names this very edit: one already taken is not made again; empty for none
+	Digest         string // idempotency key: an edit that was applied is not applied again; empty for none
 	BaseRevision   int64  // 0 for the first configuration
 	BaseVersion    int64  // 0 for a configuration without a version
 	IsVersionBased bool
-	IsDryRun       bool // it is only checked
+	IsDryRun       bool // it is validated and not written
 	Build          func(baseRank []byte) ([]byte, error)
 }
 
-// base ranks what the proposal builds on among all orders: its version or revision. The
-// part that remembers orders holds any order of a low rank for one that it may have
-// forgotten, so where both are used an order gets no clear answer rather than a wrong one.
+// baseRank ranks the proposal among all edits by its base version or revision. The part remembers a
+// bounded number of edits and treats any edit of a low rank as one that it may have forgotten. So if
+// versions and revisions are mixed, an edit may get an undecided answer but never a wrong one.
 func (p Proposal) baseRank() int64 {
 	if p.IsVersionBased {
 		return p.BaseVersion
@@ -54,14 +52,14 @@
 	return p.BaseRevision
 }
 
-// ProposalResult is what became of a proposal.
+// ProposalResult is the result of a proposal.
 type ProposalResult struct {
 	Revision    int64
 	Differences []config.Difference
-	Faults      []config.Fault // with errs.Invalid, if the new configuration has any
+	Faults      []config.Fault // the faults of the new configuration; the error is errs.Invalid
 }
 
-// Config reads the configuration through a majority. Revision 0 means that there is none.
+// Config reads the configuration document through a majority. Revision 0 means that there is none.
 func (o *Operators) Config(ctx context.Context) (doc []byte, revision int64, err error) {
 	c, err := o.m.readKey(ctx, feed.ConfigPart, config.DocumentKey)
 	if errs.Is(err, errs.Unknown) {
@@ -70,10 +68,10 @@
 	return c.Value, c.Revision, err
 }
 
-// Propose checks a configuration on its base and writes it on that base only. Of two
-// proposals on one base one wins; the other has errs.Conflict. One with a
-// digest that was taken before holds, also when others were made on top of it;
-// where that cannot be known it has errs.Undecided.
+// Propose validates a new configuration and writes it if its base is still the current one. Of two
+// proposals on one base one succeeds and the other fails with errs.Conflict. A proposal whose digest
+// was applied before succeeds, even if later edits followed; if the part no longer remembers whether
+// it was, the error is errs.Undecided.
 func (o *Operators) Propose(ctx context.Context, p Proposal) (ProposalResult, error) {
 	base, revision, err := o.Config(ctx)
 	if err != nil {
@@ -97,7 +95,7 @@
 		return ProposalResult{Faults: faults}, errs.New(errs.Invalid, "the configuration has faults")
 	}
 	if p.IsVersionBased && rules.Version <= version {
-		return ProposalResult{}, errs.New(errs.Invalid, "version %d is not above %d", rules.Version, version)
+		return ProposalResult{}, errs.New(errs.Invalid, "the new configuration's version is %d; it must be above %d", rules.Version, version)
 	}
 	out := ProposalResult{Revision: revision}
 	if !p.IsVersionBased {
@@ -113,9 +111,9 @@
 	return o.resolveOutcome(ctx, p, out, err)
 }
 
-// settle looks whether an edit that seems lost was taken all the same. The part
-// that holds the configuration remembers each order that was taken, so only its word
-// makes a clear no.
+// resolveOutcome determines whether an edit that met a conflict, or is undecided, was applied all the
+// same. The configuration's part remembers the edits that it applied, so only its answer can
+// confirm that this one was not.
 func (o *Operators) resolveOutcome(ctx context.Context, p Proposal, out ProposalResult, err error) (ProposalResult, error) {
 	if p.Digest == "" || !errs.Is(err, errs.Conflict) && !errs.Is(err, errs.Undecided) {
 		return out, err
@@ -132,8 +130,8 @@
 	return o.resolveLegacyOutcome(ctx, p, out, err)
 }
 
-// resolveLegacyOutcome is settle for a configuration that an older build made: it remembers the
-// newest orders itself.
+// resolveLegacyOutcome determines the outcome for a configuration that an older build wrote: the
+// document itself lists the digests of the newest edits.
 func (o *Operators) resolveLegacyOutcome(ctx context.Context, p Proposal, out ProposalResult, conflict error) (ProposalResult, error) {
 	doc, revision, err := o.Config(ctx)
 	switch {
