--- a/internal/manager/operators_test.go
+++ b/internal/manager/operators_test.go
@@ -19,27 +19,27 @@
 	"caperwheel/internal/wire"
 )
 
-// fakeParts hold all parts of the control state. lose loses the answer of the
-// next edits; before comes before an edit is taken in.
+// fakeParts holds all parts of the control state in memory. The answers of the next lostReplies edits
+// are lost; beforeEdit is called before the next edit is applied.
 type fakeParts struct {
 	mu           sync.Mutex
 	parts        map[int64]*feed.Part
 	lostReplies  int
-	afterEdit    func()    // called with each edit that is taken in, if given
-	refuseKind   errs.Kind // edits that come are refused so, and change nothing
+	afterEdit    func()    // called after each applied edit, if given
+	refuseKind   errs.Kind // if given, edits are refused with it and change nothing
 	beforeEdit   func(e *wire.Edit)
 	edits        []wire.Edit
 	view         *feed.View
-	isViewFrozen bool         // the view hears nothing
-	retired      wire.Retired // what each store tells of its groups, but their number
-	holders      []string     // of every group; all told of by the first store
+	isViewFrozen bool         // the view gets no changes
+	retired      wire.Retired // what each store reports; only IsKnown is used
+	holders      []string     // stores of every group, as reported by the first store
 	groups       int64
-	now          int64  // part time of all parts
-	duringPull   func() // called once while a read is on its way, if given
+	now          int64  // clock of all parts, in milliseconds
+	duringPull   func() // called once while a read is in flight, if given
 }
 
-// reportGroups answers a question about a retirement: the first store owns all
-// groups, the others own none.
+// reportGroups answers a request for a retirement report: the first store owns all groups, the others
+// own none.
 func (f *fakeParts) reportGroups(addr string) *wire.Retired {
 	out := &wire.Retired{IsKnown: f.retired.IsKnown}
 	for group := range f.groups {
@@ -107,7 +107,7 @@
 	return f.parts[number]
 }
 
-// newFakeManager makes a manager that knows three stores and meets fake parts.
+// newFakeManager returns a manager that knows four stores, s1 to s4, with fake parts.
 func newFakeManager() (*Manager, *fakeParts) {
 	view := feed.NewView(1)
 	f := &fakeParts{parts: map[int64]*feed.Part{}, view: view}
@@ -123,7 +123,7 @@
 	for _, member := range members {
 		m.registry.Renew(member, d.Now(), true)
 	}
-	// All was confirmed a moment ago.
+	// Every part of the view was just confirmed.
 	for part := range int64(2) {
 		view.Update([]wire.PartNews{{Part: part}}, d.Now())
 	}
@@ -138,18 +138,18 @@
 	}
 }
 
-// TestPropose is the table of what becomes of proposals, one after another.
+// TestPropose checks the results of proposals in sequence.
 func TestPropose(t *testing.T) {
 	type step struct {
 		digest       string
 		on, version  int
 		kind         errs.Kind
 		lose         int
-		isOvertaken  bool // another edit comes first
-		isBuiltUpon  bool // its answer is lost, and another edit comes on top of it
+		isOvertaken  bool // another edit is applied first
+		isBuiltUpon  bool // its answer is lost, and another edit follows
 		wantsVersion int64
 	}
-	newer := func(count int) (out []step) { // one after another
+	newer := func(count int) (out []step) { // each based on the one before
 		for i := range count {
 			out = append(out, step{digest: strconv.Itoa(i + 1), on: i, version: i + 1, wantsVersion: int64(i) + 1})
 		}
@@ -159,21 +159,21 @@
 		name  string
 		steps []step
 	}{
-		{"the first one is taken", []step{{digest: "a", version: 3, wantsVersion: 3}}},
-		{"a repeat is taken once", []step{{digest: "a", version: 3, wantsVersion: 3}, {digest: "a", version: 3, wantsVersion: 3}}},
-		{"a repeat after a newer one answers as taken", []step{{digest: "a", version: 3, wantsVersion: 3},
+		{"the first one is applied", []step{{digest: "a", version: 3, wantsVersion: 3}}},
+		{"a retry is applied once", []step{{digest: "a", version: 3, wantsVersion: 3}, {digest: "a", version: 3, wantsVersion: 3}}},
+		{"a retry after a newer one is answered as applied", []step{{digest: "a", version: 3, wantsVersion: 3},
 			{digest: "b", on: 3, version: 4, wantsVersion: 4}, {digest: "a", version: 3, wantsVersion: 4}}},
-		{"one on an older version is not", []step{{digest: "a", version: 3, wantsVersion: 3},
+		{"one on an older version is not applied", []step{{digest: "a", version: 3, wantsVersion: 3},
 			{digest: "c", version: 9, kind: errs.Conflict, wantsVersion: 3}}},
-		{"one on a version that never was is not", []step{{digest: "a", on: 2, version: 3, kind: errs.Conflict}}},
-		{"one whose version is not higher is not", []step{{digest: "a", version: 3, wantsVersion: 3},
+		{"one on a version that never existed is not applied", []step{{digest: "a", on: 2, version: 3, kind: errs.Conflict}}},
+		{"one whose version is not higher is not applied", []step{{digest: "a", version: 3, wantsVersion: 3},
 			{digest: "b", on: 3, version: 3, kind: errs.Invalid, wantsVersion: 3}}},
-		{"one with faults is not", []step{{digest: "a", version: 0, kind: errs.Invalid}}},
-		{"one whose answer is lost is found taken", []step{{digest: "a", version: 3, lose: 1, wantsVersion: 3}}},
-		{"one that another overtakes is not", []step{{digest: "a", version: 3, isOvertaken: true, kind: errs.Conflict, wantsVersion: 8}}},
-		{"one whose answer is lost under a newer one is found taken", []step{{digest: "a", version: 3, isBuiltUpon: true, wantsVersion: 9}}},
-		{"a repeat after hundreds of newer ones answers as taken", append(newer(300), step{digest: "2", on: 1, version: 2, wantsVersion: 300})},
-		{"one that lost is not taken after hundreds of newer ones", append(newer(300),
+		{"one with faults is not applied", []step{{digest: "a", version: 0, kind: errs.Invalid}}},
+		{"one whose answer is lost is recognised as applied", []step{{digest: "a", version: 3, lose: 1, wantsVersion: 3}}},
+		{"one that another overtakes is not applied", []step{{digest: "a", version: 3, isOvertaken: true, kind: errs.Conflict, wantsVersion: 8}}},
+		{"one whose answer is lost and which a newer one follows is recognised as applied", []step{{digest: "a", version: 3, isBuiltUpon: true, wantsVersion: 9}}},
+		{"a retry after hundreds of newer ones is answered as applied", append(newer(300), step{digest: "2", on: 1, version: 2, wantsVersion: 300})},
+		{"one that met a conflict is not applied after hundreds of newer ones", append(newer(300),
 			step{digest: "lost", on: 1, version: 2, kind: errs.Conflict, wantsVersion: 300})},
 	}
 	Convey("Of proposals", t, func() {
@@ -206,7 +206,7 @@
 				}
 			})
 		}
-		Convey("two at once on one base have one winner", func() {
+		Convey("of several at once on one base, exactly one is applied", func() {
 			m, _ := newFakeManager()
 			var group sync.WaitGroup
 			kinds := make([]error, 8)
--- a/internal/manager/peers.go
+++ b/internal/manager/peers.go
@@ -9,21 +9,21 @@
 	"caperwheel/internal/wire"
 )
 
-// peerShares notes which other managers have taken our shares, and when. Managers
-// tell each other their sessions once a turn, each way in a share of its own; an
-// answer that tells them again doubles what grows with the daemons.
+// peerShares records which other managers have acknowledged our shares, and when. In each polling
+// period every manager sends its sessions to every other one in a share of its own. Repeating them in
+// the answer as well would double traffic that grows with the number of daemons.
 //
-// Invariant: heard holds lives, so that a manager that has begun anew, and knows
-// of no sessions, is a stranger.
+// Invariant: takenAt is keyed by boot, so a restarted manager, which has lost all sessions, counts as
+// one that has acknowledged nothing.
 type peerShares struct {
 	mu      sync.Mutex
 	takenAt map[string]time.Duration // by boot
 }
 
-// lately is for how many beats an answered share shows that the shares arrive.
+// recentPeriods is for how many polling periods an acknowledged share proves that our shares arrive.
 const recentPeriods = 4
 
-// answered notes that a life of a manager has taken a share of ours.
+// recordTaken records that the manager process with this boot has acknowledged a share of ours.
 func (p *peerShares) recordTaken(boot string, now time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,7 +33,8 @@
 	p.takenAt[boot] = now
 }
 
-// hasTakenRecently reports whether a life of a manager has lately taken a share of ours.
+// hasTakenRecently reports whether the manager process with this boot has acknowledged a share of
+// ours within recentPeriods.
 func (p *peerShares) hasTakenRecently(boot string, now, period time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,8 +43,8 @@
 	return isKnown
 }
 
-// shareFor gives what a manager is told in answer to its share: all our sessions,
-// unless it has them by our own shares; then ours with ourselves alone.
+// shareFor returns the answer to a peer's share: all our sessions, or only this manager's own one if
+// the peer receives the others through our shares.
 func (m *Manager) shareFor(peer wire.Who) *wire.Share {
 	out := m.ownShare()
 	if !m.peers.hasTakenRecently(peer.Boot, m.d.Now(), m.d.Bounds.Of(timing.Poll)) {
--- a/internal/manager/peers_test.go
+++ b/internal/manager/peers_test.go
@@ -14,8 +14,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestAnswersToPeers: managers once told each other all their sessions twice a
-// beat, in a share and in the answer to the peer's own.
+// TestAnswersToPeers guards against managers that send each other all their sessions twice per polling
+// period, in their share and again in the answer to the peer's share.
 func TestAnswersToPeers(t *testing.T) {
 	peer := wire.Who{Name: "manager-2", Kind: "manager", Boot: "1"}
 	beatOf := timing.Default.Of(timing.Poll)
@@ -24,12 +24,12 @@
 		prepare func(m *Manager, now time.Duration)
 		isWhole bool
 	}{
-		{"one that takes our shares is told of us alone", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-2*beatOf) }, false},
-		{"a stranger is told of all our sessions", func(*Manager, time.Duration) {}, true},
-		{"so is the next life of one that took them", func(m *Manager, now time.Duration) { m.peers.recordTaken("0", now) }, true},
-		{"so is one that took none for a while", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-5*beatOf) }, true},
+		{"a peer that acknowledges our shares gets only our own session", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-2*beatOf) }, false},
+		{"an unknown peer gets all our sessions", func(*Manager, time.Duration) {}, true},
+		{"so does a peer that has restarted since its acknowledgement", func(m *Manager, now time.Duration) { m.peers.recordTaken("0", now) }, true},
+		{"so does a peer that has acknowledged none for a while", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-5*beatOf) }, true},
 	}
-	Convey("Of the managers that share their sessions with us,", t, func() {
+	Convey("In the answer to a peer's share,", t, func() {
 		for _, c := range cases {
 			for _, daemons := range []int{4, 400} {
 				Convey(fmt.Sprintf("%s, with %d daemons", c.name, daemons), func() {
@@ -45,11 +45,11 @@
 					m.onPeer(peer, &wire.Share{Who: peer}, func(reply any) { told = reply.(*wire.Share) })
 					want := 1
 					if c.isWhole {
-						want += daemons + 1 // and the managers that we know: the peer
+						want += daemons + 1 // and the known managers: the peer
 					}
 					So(len(told.Members), ShouldEqual, want)
 					So(told.Who, ShouldResemble, m.d.Who)
-					Convey("and takes nothing of us for stale", func() {
+					Convey("and does not treat us as stale", func() {
 						other := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute)}, registry: session.NewRegistry(time.Hour)}
 						other.applyShare(told)
 						_, members := other.registry.Members(other.d.Now())
--- a/internal/manager/proposals_test.go
+++ b/internal/manager/proposals_test.go
@@ -15,16 +15,16 @@
 	"caperwheel/internal/wire"
 )
 
-// propose makes an order on a version, as the platform's operator does.
+// propose proposes a document based on a version, as the platform's operator does.
 func propose(m *Manager, digest string, on, version int) (ProposalResult, error) {
 	return m.operators.Propose(context.Background(), Proposal{By: "x", Digest: digest, BaseVersion: int64(on), IsVersionBased: true,
 		Build: versioned(version, digest)})
 }
 
-// TestForgottenOrders: an order that may have been taken before all that is
-// remembered is never refused.
+// TestForgottenOrders checks that a proposal is never refused if it may have been applied and since been
+// forgotten; its answer is undecided.
 func TestForgottenOrders(t *testing.T) {
-	older := func(edits int) string { // a configuration as an older build wrote it
+	older := func(edits int) string { // a document as an older build wrote it
 		names := []string{}
 		for i := range edits {
 			names = append(names, strconv.Quote(fmt.Sprint("old", i)))
@@ -33,24 +33,24 @@
 	}
 	cases := []struct {
 		name    string
-		older   string // configuration that stands at first
-		steps   int    // orders taken after that
+		older   string // document stored at first
+		steps   int    // proposals applied after that
 		digest  string
 		on      int
 		isTaken bool
 		kind    errs.Kind
 	}{
-		{"taken by an older build", older(3), 0, "old1", 2, true, ""},
-		{"taken by an older build, under a newer one", older(3), 1, "old1", 2, true, ""},
-		{"taken by an older build, under hundreds of newer ones", older(16), 300, "old1", 2, true, ""},
-		{"never taken by an older build that remembers all", older(3), 0, "lost", 2, false, errs.Conflict},
-		{"maybe forgotten by an older build", older(16), 0, "lost", 2, false, errs.Undecided},
-		{"maybe forgotten by an older build, under a newer one", older(16), 1, "lost", 2, false, errs.Undecided},
+		{"applied by an older build", older(3), 0, "old1", 2, true, ""},
+		{"applied by an older build, and followed by another", older(3), 1, "old1", 2, true, ""},
+		{"applied by an older build, and followed by hundreds", older(16), 300, "old1", 2, true, ""},
+		{"never applied by an older build that remembers all", older(3), 0, "lost", 2, false, errs.Conflict},
+		{"possibly forgotten by an older build", older(16), 0, "lost", 2, false, errs.Undecided},
+		{"possibly forgotten by an older build, with a newer one applied", older(16), 1, "lost", 2, false, errs.Undecided},
 		{"the oldest that is remembered", "", 4096, "1", 0, true, ""},
-		{"maybe forgotten", "", 4097, "1", 0, false, errs.Undecided},
-		{"one that lost, on what is remembered", "", 4097, "lost", 1, false, errs.Conflict},
+		{"possibly forgotten", "", 4097, "1", 0, false, errs.Undecided},
+		{"one that met a conflict, on a base that is remembered", "", 4097, "lost", 1, false, errs.Conflict},
 	}
-	Convey("An order that is", t, func() {
+	Convey("The answer is right for a proposal that is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
@@ -78,10 +78,10 @@
 	})
 }
 
-// TestOneOrderAtOnce: one order that comes to managers several times at once is
-// taken once and acknowledged each time.
+// TestOneOrderAtOnce checks that a proposal that is sent several times at once is applied once and
+// acknowledged each time.
 func TestOneOrderAtOnce(t *testing.T) {
-	Convey("Of one order, eight times at once, with answers lost", t, func() {
+	Convey("A proposal that is sent eight times at once, with lost answers, is applied once and acknowledged each time", t, func() {
 		m, f := newFakeManager()
 		f.lostReplies = 5
 		var group sync.WaitGroup
--- a/internal/manager/restoredzones.go
+++ b/internal/manager/restoredzones.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/wire"
 )
 
-// restoredZone is what is known of a restored zone. Invariant: coveredAt is a moment
-// after a read that began later than the source's lag behind seenAt was written.
+// restoredZone tracks a restored zone whose workers count as cold. Invariant: coveredAt is a time by
+// which a read was written that had begun more than the source's lag after seenAt.
 type restoredZone struct {
 	revision  int64
 	seenAt    time.Duration
@@ -22,7 +22,7 @@
 	coveredAt time.Duration
 }
 
-// trackRestoredZones notes which restored zones' workers still count as cold.
+// trackRestoredZones records the restored zones whose workers still count as cold.
 func (l *listController) trackRestoredZones() {
 	now, next := l.m.d.Now(), map[string]restoredZone{}
 	for _, c := range l.m.d.View.Keys(config.ZoneKey) {
@@ -38,9 +38,9 @@
 	l.restoredZones = next
 }
 
-// settle takes the orders of restored zones that a read covers away: after a read that began later
-// than the lag behind the restoring was written, every daemon that still acts
-// has seen what was written, and the restoring is not sent again any more.
+// clearCoveredRestores removes the orders of restored zones that a read covers. That takes three
+// things: a read that began more than the source's lag after the restore was written, every daemon
+// that may act has seen what it wrote, and the restore can no longer be retried.
 func (l *listController) clearCoveredRestores(ctx context.Context, read completedRead) {
 	for key, e := range l.restoredZones {
 		if read.zone != "" && key != config.ZoneKey+read.zone {
@@ -54,7 +54,7 @@
 			_, err := l.m.edit(ctx, wire.Edit{Part: feed.ConfigPart, Key: key, IfRevision: e.revision, Gone: true,
 				By: "list controller at " + l.m.d.Who.Name})
 			if err != nil && !errs.Is(err, errs.Conflict) {
-				klog.Warningf("list: The mark %s cannot be taken away: %v.", key, err)
+				klog.Warningf("list: The drain order %s cannot be removed, so the zone's workers still count as cold: %v.", key, err)
 			}
 		}
 	}
--- a/internal/manager/retire.go
+++ b/internal/manager/retire.go
@@ -14,13 +14,13 @@
 	"caperwheel/internal/wire"
 )
 
-// RetireStore asks that all be moved off a store. span is for the log alone: the
-// move takes what it takes.
+// RetireStore orders that all groups be moved off a store. span is only logged: the move takes as long
+// as it needs.
 //
-// The retirement is admitted by a compare and set on the list of all retirements,
-// so that of two asked for at once the second is weighed with the first. It is
-// rejected only where too few stores would be left even once all that are away have
-// come back; while they are away it is put off.
+// The retirement is admitted by a compare and set on the list of all retirements, so that of two
+// concurrent ones the second is checked against the first. It is rejected only if too few stores
+// would be left even when all absent stores have come back; while they are absent, it fails with
+// errs.Stale and may be retried.
 func (o *Operators) RetireStore(ctx context.Context, by, name string, span time.Duration) (int64, error) {
 	if err := checkName(name); err != nil {
 		return 0, err
@@ -36,13 +36,13 @@
 		return 0, err
 	}
 	if isNew {
-		klog.Infof("retire: Store %s is to be emptied within %v.", name, span)
+		klog.Infof("retire: Store %s is retired; its groups are to be moved to other stores within %v.", name, span)
 	}
 	return o.publishRetirement(ctx, by, name)
 }
 
-// updateRetirements changes the list of all retirements by compare and set: next says
-// what it makes of the list, again where another change came first.
+// updateRetirements changes the list of all retirements by compare and set: next returns the new list,
+// and is called again after each conflict.
 func (o *Operators) updateRetirements(ctx context.Context, by string, next func(config.Retirements) (config.Retirements, error)) error {
 	for ctx.Err() == nil {
 		admitted, revision, err := o.retirements(ctx)
@@ -61,8 +61,8 @@
 	return undecidedError()
 }
 
-// publishRetirement tells all daemons of a retirement that was admitted. One that stands
-// is left as it is, so that an order sent again does not make it look new.
+// publishRetirement writes the store's key, through which all daemons learn of an admitted retirement.
+// An existing key is left as it is, so that a retried order does not make the retirement look new.
 func (o *Operators) publishRetirement(ctx context.Context, by, name string) (int64, error) {
 	standing, err := o.m.readKey(ctx, feed.ConfigPart, config.StoreKey+name)
 	switch {
@@ -74,7 +74,7 @@
 	return o.setDrainOrder(ctx, by, config.StoreKey+name, config.DrainOrder{}, -1)
 }
 
-// RestoreStore takes a retirement back.
+// RestoreStore cancels the retirement of a store.
 func (o *Operators) RestoreStore(ctx context.Context, by, name string) (int64, error) {
 	if err := checkName(name); err != nil {
 		return 0, err
@@ -88,8 +88,7 @@
 	return o.clearDrainOrder(ctx, by, config.StoreKey+name)
 }
 
-// retirements reads which were admitted, through a majority, and the revision to
-// build on.
+// retirements reads the admitted retirements through a majority, and returns them with their revision.
 func (o *Operators) retirements(ctx context.Context) (config.Retirements, int64, error) {
 	c, err := o.m.readKey(ctx, feed.ConfigPart, config.RetirementsKey)
 	if errs.Is(err, errs.Unknown) {
@@ -106,10 +105,10 @@
 	return o.m.edit(ctx, wire.Edit{Part: feed.ConfigPart, Key: config.RetirementsKey, Value: r.Encode(), IfRevision: onRevision, By: by})
 }
 
-// checkRetirement reports whether a store may be retired besides those that are.
+// checkRetirement returns an error unless the store may be retired in addition to the admitted ones.
 func (o *Operators) checkRetirement(ctx context.Context, name string, admitted config.Retirements) error {
 	m := o.m
-	for marked := range m.configs.Current().RetiredStores { // also those that an older build admitted
+	for marked := range m.configs.Current().RetiredStores { // an older build admitted some without the list
 		admitted = admitted.With(marked)
 	}
 	here, holding := []string{}, []string{}
@@ -124,26 +123,25 @@
 	switch {
 	case slices.Contains(here, name):
 	case !slices.Contains(holding, name) && !m.knowsAllStores():
-		return errs.New(errs.Stale, "this manager does not know all stores yet")
+		return errs.New(errs.Stale, "this manager has not yet observed the stores for long enough to know all of them")
 	case !slices.Contains(holding, name):
 		return m.unknownError("store", name)
 	case !isHolding:
-		return errs.New(errs.Stale, "store %s is away and holds nothing now", name)
+		return errs.New(errs.Stale, "store %s is absent and holds no group at present", name)
 	}
 	present, known := countRemaining(here, name, admitted), countRemaining(append(here, holding...), name, admitted)
 	switch {
 	case present >= m.replicaCount():
 		return nil
 	case known >= m.replicaCount():
-		return errs.New(errs.Stale, "%d stores would be left, and %d copies are needed; %d are away", known, m.replicaCount(), known-present)
+		return errs.New(errs.Stale, "%d stores would be left for %d replicas, and %d of them are absent", known, m.replicaCount(), known-present)
 	case !m.knowsAllStores():
-		return errs.New(errs.Stale, "this manager does not know all daemons yet")
+		return errs.New(errs.Stale, "this manager has not yet observed the stores for long enough to know all of them")
 	}
-	return errs.New(errs.Rejected, "%d stores would be left for %d copies", known, m.replicaCount())
+	return errs.New(errs.Rejected, "%d stores would be left for %d replicas", known, m.replicaCount())
 }
 
-// countRemaining counts the stores that are left without one and without those that are
-// retired.
+// countRemaining counts the stores other than without that are not retired.
 func countRemaining(stores []string, without string, admitted config.Retirements) int {
 	counted := map[string]bool{}
 	for _, name := range stores {
@@ -154,22 +152,23 @@
 	return len(counted)
 }
 
-// replicaCount is how many stores hold each group.
+// replicaCount returns how many stores hold each group.
 func (m *Manager) replicaCount() int { return m.d.Settings.Replicas() }
 
-// knowsAllStores reports whether this manager can say which stores there are not: its
-// view is fresh; no store has come or gone for so long that one which has just begun
-// would have been seen; and it has run for as long as it remembers a store that is
-// away, or since the deployment's first start.
+// knowsAllStores reports whether a store that this manager has not seen does not exist. For that its
+// view must be fresh; the set of stores must have been unchanged for so long that a store that has
+// just started would have been seen; and the manager must have run for as long as it remembers an
+// absent store, or since the first start of the deployment.
 func (m *Manager) knowsAllStores() bool {
 	hasSeenAll := m.d.Settings.IsFirstStart || m.d.Now() >= absentStoreBounds*m.d.Bounds.ConfigApply
 	return hasSeenAll && m.d.IsFresh() && m.storeHistory.observe(m.d.Membership.OfKind("store"), m.d.Now()) >= m.d.Bounds.ConfigApply
 }
 
-// unknownError says that there is no such thing, if this manager can know.
+// unknownError returns errs.Unknown for a subject that does not exist, or errs.Stale if this manager
+// has not run for long enough to know.
 func (m *Manager) unknownError(kind, subject string) error {
 	if !m.d.IsFresh() || m.d.Now() < m.d.Bounds.Of(timing.SessionTimeout) {
-		return errs.New(errs.Stale, "this manager does not know all daemons yet")
+		return errs.New(errs.Stale, "this manager does not know all daemons yet: its view is not fresh or it has just started")
 	}
-	return errs.New(errs.Unknown, "no %s %s is here", kind, subject)
+	return errs.New(errs.Unknown, "no %s %s exists", kind, subject)
 }
--- a/internal/manager/retire_test.go
+++ b/internal/manager/retire_test.go
@@ -11,14 +11,14 @@
 	"caperwheel/internal/wire"
 )
 
-// stabilizeStores has a manager see the same stores for a bound.
+// stabilizeStores makes a manager see an unchanged set of stores for the configuration bound.
 func stabilizeStores(m *Manager) {
 	m.storeHistory.observe(m.d.Membership.OfKind("store"), m.d.Now()-m.d.Bounds.ConfigApply)
 }
 
-// TestRetire is the table of which stores may be retired. newFakeManager has s1 to s4.
+// TestRetire checks which stores may be retired. newFakeManager has s1 to s4.
 func TestRetire(t *testing.T) {
-	another := func(name string) func(*fakeParts) { // another manager admits one at the same time
+	another := func(name string) func(*fakeParts) { // another manager admits a retirement at the same time
 		return func(f *fakeParts) {
 			f.beforeEdit = func(*wire.Edit) {
 				f.part(0).Apply(wire.Edit{Key: config.RetirementsKey, Value: config.Retirements{Stores: []string{name}}.Encode(), IfRevision: -1})
@@ -34,15 +34,15 @@
 	}{
 		{"one of four", nil, true, []string{"s1"}, ""},
 		{"the same again", nil, true, []string{"s1", "s1"}, ""},
-		{"two of four, for three copies", nil, true, []string{"s1", "s2"}, errs.Rejected},
+		{"two of four, for three replicas", nil, true, []string{"s1", "s2"}, errs.Rejected},
 		{"two of four at two managers at once", another("s2"), true, []string{"s1"}, errs.Rejected},
 		{"the same at two managers at once", another("s1"), true, []string{"s1"}, ""},
-		{"one that is not here", nil, true, []string{"s9"}, errs.Unknown},
-		{"one that is away, but holds groups", func(f *fakeParts) { f.groups, f.holders = 1, []string{"s1", "s2", "s9"} }, true, []string{"s9"}, ""},
-		{"two, while a fifth store is away", func(f *fakeParts) { f.groups, f.holders = 1, []string{"s1", "s2", "s9"} }, true, []string{"s3", "s4"}, errs.Stale},
-		{"too many, by a manager that has just seen stores come or go", nil, false, []string{"s1", "s2"}, errs.Stale},
+		{"one that does not exist", nil, true, []string{"s9"}, errs.Unknown},
+		{"one that is absent, but holds groups", func(f *fakeParts) { f.groups, f.holders = 1, []string{"s1", "s2", "s9"} }, true, []string{"s9"}, ""},
+		{"two, while a fifth store is absent", func(f *fakeParts) { f.groups, f.holders = 1, []string{"s1", "s2", "s9"} }, true, []string{"s3", "s4"}, errs.Stale},
+		{"too many, at a manager that has just seen the set of stores change", nil, false, []string{"s1", "s2"}, errs.Stale},
 	}
-	Convey("Retiring", t, func() {
+	Convey("The answer is right when retiring", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
@@ -65,7 +65,7 @@
 				So(errs.KindOf(err), ShouldEqual, c.kind)
 			})
 		}
-		Convey("and taking it back leaves room for another", func() {
+		Convey("one and restoring it, which leaves room for another", func() {
 			m, f := newFakeManager()
 			stabilizeStores(m)
 			for _, call := range []func(context.Context, string, string) (int64, error){
@@ -83,9 +83,8 @@
 	})
 }
 
-// TestRetirement is the table of when a store may be taken away. It was once told
-// from hints: from the stores that happened to be here, and from the largest roster
-// that any of them had last spoken of.
+// TestRetirement checks when a retirement is done. It guards against an answer from stale hints: the
+// stores that happened to be members, and the largest roster that any of them had last reported.
 func TestRetirement(t *testing.T) {
 	whole := func(f *fakeParts) {
 		f.groups, f.holders, f.retired.IsKnown = 3, []string{"s1", "s2", "s3"}, true
@@ -93,17 +92,17 @@
 	cases := []struct {
 		name   string
 		change func(*fakeParts)
-		isLate bool // the retirement has stood for a bound
+		isLate bool // the retirement has been in force for the configuration bound
 		isDone bool
 	}{
-		{"every group stands whole on others", func(*fakeParts) {}, true, true},
-		{"the retirement may not be known everywhere yet", func(*fakeParts) {}, false, false},
+		{"every group has complete replicas on other stores", func(*fakeParts) {}, true, true},
+		{"not every daemon may know of the retirement yet", func(*fakeParts) {}, false, false},
 		{"a group has no confirmed owner", func(f *fakeParts) { f.groups-- }, true, false},
-		{"a group still stands on it", func(f *fakeParts) { f.holders = []string{"s1", "s2", "s3", "s4"} }, true, false},
-		{"a group lacks a whole copy", func(f *fakeParts) { f.holders = []string{"s1", "s2"} }, true, false},
+		{"a group still has a replica on it", func(f *fakeParts) { f.holders = []string{"s1", "s2", "s3", "s4"} }, true, false},
+		{"a group lacks a complete replica", func(f *fakeParts) { f.holders = []string{"s1", "s2"} }, true, false},
 		{"an owner does not know of the retirement", func(f *fakeParts) { f.retired.IsKnown = false }, true, false},
 	}
-	Convey("A store's retirement, where", t, func() {
+	Convey("The progress of a store's retirement is right when", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
@@ -123,7 +122,7 @@
 			})
 		}
 	})
-	Convey("Of two words about one group that of the newer term counts", t, func() {
+	Convey("Of two reports on one group that of the newer term counts", t, func() {
 		s := retirementReports{map[int64]wire.Standing{}, true}
 		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 5, UpToDateStores: 2}}})
 		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 4, UpToDateStores: 3}}})
--- a/internal/manager/retirement.go
+++ b/internal/manager/retirement.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// RetirementProgress is how far the moving of all off a store has come.
+// RetirementProgress tells how far the move of all groups off a store has come.
 type RetirementProgress struct {
 	Store      string `json:"store"`
 	IsMember   bool   `json:"here"`
@@ -20,11 +20,11 @@
 	IsDone     bool   `json:"done"`
 }
 
-// RetirementProgress reports how far a store's retirement has come. It is done when the
-// owner of every group, confirmed by a majority since this question came, has the
-// group whole on enough other disks and knows of the retirement, and when the
-// retirement has stood for a bound: whoever may own a group next knows of it too,
-// or has stopped, so that none gives the store a seat again.
+// RetirementProgress reports how far the retirement of a store has come. It is done when two things
+// hold. The owner of every group, confirmed by a majority since this request, has enough complete
+// replicas of the group on other disks and knows of the retirement. And the retirement has been in
+// force for the configuration bound, after which every possible next owner of a group knows of it or
+// has stopped, so that none assigns a replica to the store again.
 func (o *Operators) RetirementProgress(ctx context.Context, name string) (RetirementProgress, error) {
 	m, out := o.m, RetirementProgress{Store: name}
 	order, err := m.readReply(ctx, feed.ConfigPart, config.StoreKey+name)
@@ -42,16 +42,17 @@
 	return out, nil
 }
 
-// groupCount is how many groups there are.
+// groupCount returns the number of groups of the deployment.
 func (m *Manager) groupCount() int { return m.d.Settings.Parts + 1 + m.d.Settings.Places }
 
-// standings are what confirmed owners told of their groups.
+// retirementReports collects what confirmed owners report on the replicas of their groups.
 type retirementReports struct {
-	groups            map[int64]wire.Standing // by group, of the newest term
-	isRetirementKnown bool                    // all that answered know of the retirement
+	groups            map[int64]wire.Standing // by group: the report of the newest term
+	isRetirementKnown bool                    // all owners that answered know of the retirement
 }
 
-// standings asks all stores how the groups that they own stand without one.
+// collectRetirementReports asks all stores for the replicas of the groups that they own, not counting
+// the store without.
 func (o *Operators) collectRetirementReports(ctx context.Context, without string) retirementReports {
 	ctx, cancel := timing.Within(ctx, o.m.d.Bounds.Of(timing.SettleTimeout))
 	defer cancel()
@@ -64,7 +65,8 @@
 	return out
 }
 
-// add adds what one store told. One that owns no confirmed group has no say.
+// add merges the report of one store. A store that owns no confirmed group does not count for
+// isRetirementKnown.
 func (s *retirementReports) add(told *wire.Retired) {
 	for _, g := range told.Groups {
 		if was, isKnown := s.groups[g.Group]; !isKnown || g.Term > was.Term {
@@ -74,10 +76,10 @@
 	s.isRetirementKnown = s.isRetirementKnown && (told.IsKnown || len(told.Groups) == 0)
 }
 
-// count is how many groups have a confirmed owner.
+// count returns how many groups have a confirmed owner.
 func (s retirementReports) count() int { return len(s.groups) }
 
-// groupsOn counts the groups that still stand on a store.
+// groupsOn counts the groups that still have a replica on a store.
 func (s retirementReports) groupsOn(name string) (out int64) {
 	for _, g := range s.groups {
 		for _, holder := range g.Stores {
@@ -89,7 +91,8 @@
 	return out
 }
 
-// minWholeCopies is the number of whole copies that every group has at least.
+// minWholeCopies returns the smallest number of complete replicas of any group; -1 if there are no
+// reports.
 func (s retirementReports) minWholeCopies() int64 {
 	least := int64(-1)
 	for _, g := range s.groups {
--- a/internal/manager/status.go
+++ b/internal/manager/status.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Status is what an operator sees at a glance.
+// Status is the summary of the deployment that the status call returns.
 type Status struct {
 	Manager            string                        `json:"manager"`
 	IsFresh            bool                          `json:"fresh"`
@@ -19,15 +19,15 @@
 	Places             []StatusGroup                 `json:"places"`
 	Parts              []StatusGroup                 `json:"parts"`
 	Lanes              []string                      `json:"lanes"`
-	LaneWeights        map[string]map[string]float64 `json:"lane_weights,omitempty"` // of lanes with several pools
+	LaneWeights        map[string]map[string]float64 `json:"lane_weights,omitempty"` // if it has several pools
 	Pools              []StatusPool                  `json:"pools"`
 	DrainedZones       []string                      `json:"emptied_cells"`
-	WorkerDrainedZones []string                      `json:"resting_cells,omitempty"` // only their workers
+	WorkerDrainedZones []string                      `json:"resting_cells,omitempty"` // of workers only
 	RetiredStores      []string                      `json:"retired_stores"`
 	Shape              map[string]int64              `json:"shape"`
 }
 
-// StatusMember is one daemon.
+// StatusMember is the state of one daemon.
 type StatusMember struct {
 	wire.Who
 	AgeMs    int64            `json:"age_ms"`
@@ -36,7 +36,7 @@
 	Counts   map[string]int64 `json:"counts,omitempty"`
 }
 
-// StatusGroup is one place or part and who owns it.
+// StatusGroup is one place or part, with its owner.
 type StatusGroup struct {
 	Number int64  `json:"number"`
 	Owner  string `json:"owner"`
@@ -45,7 +45,7 @@
 	Lag    int64  `json:"lag"`
 }
 
-// StatusPool is one pool and where its workers' duties lie.
+// StatusPool is one pool, with the holders of its workers' duties.
 type StatusPool struct {
 	Name    string            `json:"name"`
 	Workers int               `json:"workers"`
@@ -86,7 +86,7 @@
 	web.WriteJson(w, 200, out)
 }
 
-// measurePools reports how many workers each pool has, and how many have a holder.
+// measurePools emits how many workers each pool has, and how many of them have a holder.
 func (m *Manager) measurePools(emit daemon.Emit) {
 	compiled := m.configs.Current()
 	for name := range compiled.Rules.Pools {
@@ -97,6 +97,7 @@
 
 func withNumber(g StatusGroup, number int64) StatusGroup { g.Number = number; return g }
 
+// sorted returns the keys of a map in ascending order.
 func sorted[V any](m map[string]V) []string {
 	out := []string{}
 	for k := range m {
@@ -106,7 +107,7 @@
 	return out
 }
 
-// getDaemons lists daemons, for handing clients to adapters that are ready.
+// getDaemons lists the daemons, for load balancers that route clients to ready adapters.
 func (m *Manager) getDaemons(w http.ResponseWriter, r *http.Request) {
 	isReadyOnly, kind := r.URL.Query().Get("ready") == "true", r.URL.Query().Get("kind")
 	emptied := m.configs.Current().DrainedZones
@@ -122,7 +123,7 @@
 	web.WriteJson(w, 200, out)
 }
 
-// getStore reports how far a store's retirement has come.
+// getStore answers with the progress of a store's retirement.
 func (m *Manager) getStore(w http.ResponseWriter, r *http.Request) {
 	got, err := m.operators.RetirementProgress(r.Context(), r.PathValue("store"))
 	if err != nil {
--- a/internal/manager/storehistory.go
+++ b/internal/manager/storehistory.go
@@ -9,23 +9,22 @@
 	"caperwheel/internal/wire"
 )
 
-// storeHistory notes for how long a manager has seen the same stores, and which
-// it has seen lately, by its own clock. Safe for use by several goroutines.
+// storeHistory records for how long the set of member stores has been unchanged, and which stores were
+// members recently, by this manager's clock. It is safe for concurrent use.
 type storeHistory struct {
-	bound time.Duration // the bound on configurations
+	bound time.Duration // the configuration bound
 
 	mu             sync.Mutex
 	names          []string
 	unchangedSince time.Duration
-	lastSeen       map[string]time.Duration // when each store was last here
+	lastSeen       map[string]time.Duration // by name: when each store was last a member
 }
 
-// absentStoreBounds is for how many bounds a store that is away is remembered: it may come
-// back, though its seats were given away meanwhile.
+// absentStoreBounds is for how many configuration bounds an absent store is remembered: it may come back, though
+// its replicas were assigned to other stores meanwhile.
 const absentStoreBounds = 10
 
-// observe takes in which stores are members now, and gives for how long the same ones
-// have been.
+// observe records which stores are members now, and returns for how long the set has been unchanged.
 func (s *storeHistory) observe(stores []wire.Who, now time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +44,7 @@
 	return now - s.unchangedSince
 }
 
-// lately names the stores that are here or were not long ago.
+// recent returns the names of the stores that are members or were so recently, sorted.
 func (s *storeHistory) recent() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/manager/tenants_test.go
+++ b/internal/manager/tenants_test.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/config"
 )
 
-// serveRequest is what a manager answers a caller.
+// serveRequest returns a handler's response to a request for the configuration.
 func serveRequest(serve http.HandlerFunc, method, base, body string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, "/v1/charter", strings.NewReader(body))
 	if base != "" {
@@ -23,15 +23,15 @@
 	return w
 }
 
-// TestTenantsThatAreRefused guards against CONFIG: an invalid configuration was confirmed. With one of these
-// nothing changes.
+// TestTenantsThatAreRefused guards against CONFIG: an invalid configuration was confirmed. Each of these
+// must be refused and change nothing.
 func TestTenantsThatAreRefused(t *testing.T) {
 	first, second := config.HashApiKey("key-1").String(), config.HashApiKey("key-2").String()
 	cases := []struct{ name, patch, path string }{
-		{"a key that another tenant holds", `{"tenants":{"b":{"keys":["` + first + `"]}}}`, "tenants.b.keys"},
-		{"a key itself", `{"tenants":{"b":{"keys":["key-2"]}}}`, "tenants.b.keys"},
-		{"a rate that is negative", `{"tenants":{"a":{"rate":-1}}}`, "tenants.a.rate"},
-		{"a name that no field holds", `{"tenants":{"a\nb":{}}}`, `tenants.a\nb`},
+		{"a key that belongs to another tenant", `{"tenants":{"b":{"keys":["` + first + `"]}}}`, "tenants.b.keys"},
+		{"a key instead of its hash", `{"tenants":{"b":{"keys":["key-2"]}}}`, "tenants.b.keys"},
+		{"a negative rate", `{"tenants":{"a":{"rate":-1}}}`, "tenants.a.rate"},
+		{"a name that is not valid in a header field", `{"tenants":{"a\nb":{}}}`, `tenants.a\nb`},
 	}
 	Convey("Given tenants with keys", t, func() {
 		m, _ := newFakeManager()
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestOriginIsGivenWholeAndNotShown: the document that a configuration was made from is read back whole, and
-// told nowhere else, since it may hold keys.
+// TestOriginIsGivenWholeAndNotShown checks that the origin of a configuration, which may hold keys, is
+// returned by a read and appears in no other answer.
 func TestOriginIsGivenWholeAndNotShown(t *testing.T) {
 	Convey("Given a configuration with its origin", t, func() {
 		m, _ := newFakeManager()
@@ -60,15 +60,15 @@
 		So(first.Code, ShouldEqual, 200)
 		second := serveRequest(m.patchConfig, "PATCH", `"1"`, `{"origin":{"api_keys":["secret-2"]},"note":"n"}`)
 		So(second.Code, ShouldEqual, 200)
-		Convey("what has changed is told without it", func() {
+		Convey("the differences do not show it", func() {
 			So(first.Body.String()+second.Body.String(), ShouldNotContainSubstring, "secret")
 			So(second.Body.String(), ShouldContainSubstring, `"path": "origin"`)
 			So(second.Body.String(), ShouldContainSubstring, `"path": "note"`)
 		})
-		Convey("so is the history", func() {
+		Convey("neither does the history", func() {
 			So(serveRequest(m.getHistory, "GET", "", "").Body.String(), ShouldNotContainSubstring, "secret")
 		})
-		Convey("whoever reads the configuration gets it whole", func() {
+		Convey("a read of the configuration returns it in full", func() {
 			So(serveRequest(m.getConfig, "GET", "", "").Body.String(), ShouldContainSubstring, "secret-2")
 		})
 	})
--- a/internal/manager/weights.go
+++ b/internal/manager/weights.go
@@ -15,9 +15,9 @@
 	"k8s.io/klog/v2"
 )
 
-// runWeightController runs one controller for each pool that this manager looks
-// after: what adapters see goes in, weights come out, and are published when
-// they have changed enough to matter.
+// runWeightController computes the weights of the workers of each pool that this manager manages, from
+// what the adapters measure, and publishes those that have changed enough to matter. It does the same
+// for the weights of a lane's pools.
 func (m *Manager) runWeightController(ctx context.Context) {
 	timing.Every(ctx, m.d.Bounds.Of(timing.SessionTimeout), func() {
 		if !m.d.IsFresh() {
@@ -37,7 +37,7 @@
 	})
 }
 
-// seen gathers what adapters tell of their workers, by pool and worker.
+// workerMeasurements returns what the adapters report on their workers, by pool and worker.
 func (m *Manager) workerMeasurements() map[string]map[string]weight.Observation {
 	out := map[string]map[string]weight.Observation{}
 	compiled := m.configs.Current()
@@ -75,8 +75,8 @@
 	}
 }
 
-// publishShares weighs the pools of each lane that has several, by what is seen
-// of their workers. A lane is looked after as a pool of its name would be.
+// publishShares publishes the weights of the pools of each lane that has several, computed from the
+// measurements of their workers. A lane is assigned to a manager like a pool of the same name.
 func (m *Manager) publishShares(ctx context.Context, compiled *config.Compiled, measured map[string]map[string]weight.Observation) {
 	lanes := map[string]bool{}
 	for name, lane := range compiled.Rules.Lanes {
@@ -112,6 +112,6 @@
 	defer cancel()
 	_, err = m.edit(ctx, wire.Edit{Part: part, Key: prefix + name, Value: raw, IfRevision: revision, By: "weight controller at " + m.d.Who.Name})
 	if err != nil && !errs.Is(err, errs.Conflict) {
-		klog.Warningf("weight: Weights of %s cannot be published: %v.", name, err)
+		klog.Warningf("weight: Weights of %s cannot be published; the old ones stay in force: %v.", name, err)
 	}
 }
--- a/internal/manager/workers.go
+++ b/internal/manager/workers.go
@@ -10,11 +10,11 @@
 	"caperwheel/internal/wire"
 )
 
-// pool finds the pool named in the path and its workers' key.
+// poolKey returns the part and key of the worker list of the pool that is named in the request's path.
 func (m *Manager) poolKey(r *http.Request) (part int64, key string, err error) {
 	name, isFresh := r.PathValue("pool"), m.d.IsFresh()
 	pool, isKnown := m.configs.Current().Rules.Pools[name]
-	if !isKnown { // a configuration accepted a moment ago may not be in the view yet
+	if !isKnown { // the view may not show a configuration that was just written
 		if c, err := m.readKey(r.Context(), feed.ConfigPart, config.DocumentKey); err == nil {
 			if rules, faults := config.Compile(c.Value); len(faults) == 0 {
 				pool, isKnown = rules.Pools[name]
@@ -23,11 +23,11 @@
 	}
 	switch {
 	case !isFresh:
-		return 0, "", errs.New(errs.Stale, "this manager has lost touch with the stores")
+		return 0, "", errs.New(errs.Stale, "this manager's view is not fresh: the stores have not confirmed it")
 	case !isKnown:
-		return 0, "", errs.New(errs.Unknown, "no pool %s", name)
+		return 0, "", errs.New(errs.Unknown, "no pool %s exists", name)
 	case pool.IsEndpoint:
-		return 0, "", errs.New(errs.Rejected, "pool %s is an outside endpoint; its address is in the configuration", name)
+		return 0, "", errs.New(errs.Rejected, "pool %s is an endpoint and has no worker list; its address is in the configuration", name)
 	}
 	return feed.PartOf(name, m.d.Settings.Parts), config.WorkersKey + name, nil
 }
@@ -43,7 +43,7 @@
 	return
 }
 
-// isBucketed reports whether a pool's list is cut into buckets, as a source's long lists are.
+// isBucketed reports whether a pool's list is split into buckets, as the long lists of a source are.
 func (m *Manager) isBucketed(pool string) bool {
 	for _, c := range m.d.View.Keys(config.WorkersKey + pool + "/") {
 		if of, count := config.ParseListKey(c.Key); of == pool && count > 1 {
@@ -53,7 +53,7 @@
 	return false
 }
 
-// fullList returns a pool's list as the view has it, in the order of the names.
+// fullList returns a pool's list as the view has it, sorted by name.
 func (m *Manager) fullList(pool string) config.Workers {
 	workers := m.configs.Current().Workers[pool]
 	out := config.Workers{Workers: make([]config.Worker, 0, workers.Len())}
@@ -105,7 +105,7 @@
 	}
 	part, key, c, err := m.readWorkers(r)
 	if err == nil && m.isBucketed(r.PathValue("pool")) {
-		err = errs.New(errs.Rejected, "the list of %s is cut into buckets: its source keeps it", r.PathValue("pool"))
+		err = errs.New(errs.Rejected, "the list of pool %s is split into buckets; only its source can change it", r.PathValue("pool"))
 	}
 	if err != nil {
 		web.WriteError(w, err)
@@ -126,8 +126,8 @@
 	web.WriteJson(w, 200, map[string]any{"stamp": newRevision, "workers": len(next.Workers)})
 }
 
-// postOrder sets or clears an order: an emptied zone, a retired store. It needs
-// no base, since doing it twice is doing it once.
+// postOrder handles an order that drains a zone or retires a store, or takes that back. Such an order
+// needs no base revision, since it is idempotent.
 func (m *Manager) postOrder(kind string, change func(r *http.Request, subject string) (held int64, isMarked bool, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		subject := r.PathValue(kind)
@@ -143,7 +143,7 @@
 func (m *Manager) drainZone(r *http.Request, zone string) (int64, bool, error) {
 	only := r.URL.Query().Get("only")
 	if only != "" && only != config.OnlyWorkers {
-		return 0, false, errs.New(errs.Invalid, "only may be workers")
+		return 0, false, errs.New(errs.Invalid, "the query parameter only must be empty or workers")
 	}
 	held, err := m.operators.DrainZone(r.Context(), operatorName(r), zone, only != "")
 	return held, true, err
@@ -164,7 +164,7 @@
 	return held, false, err
 }
 
-// isKnown keeps a slip of the pen from marking nothing.
+// isKnownSubject reports whether a zone or store exists, so that an order for a misspelt name is rejected.
 func (m *Manager) isKnownSubject(kind, subject string) bool {
 	_, members := m.registry.Members(m.d.Now())
 	for _, member := range members {
--- a/internal/manager/zonedrain.go
+++ b/internal/manager/zonedrain.go
@@ -10,34 +10,32 @@
 	"caperwheel/internal/wire"
 )
 
-// Orders to empty a zone's workers, and to take that back, come without a number
-// and are sent again where no clear answer came. Several emptyings may stand at
-// once, and none may end while its own taking back has not come. So where an
-// order may be a new one or an old one sent again, it is taken for whichever
-// leaves the zone emptied:
+// Orders to drain the workers of a zone, and to restore them, carry no request number and are
+// retried when no clear answer came. Several drains of a zone may be in force at once, and none may
+// end before its own restore. So an order that may be new or a retry is treated as whichever of the
+// two keeps the zone drained:
 //
-//   - A taking back is the last one again for as long as that may be sent again,
-//     also where an emptying came in between.
-//   - An emptying is the one before it again only if that was the last order, and
-//     within the bound, in which nearly all that are sent again come. One that is
-//     sent again later counts twice, and the zone stays emptied.
+//   - A restore counts as a retry of the last restore while that one may still be retried, even if a
+//     drain came in between.
+//   - A drain counts as a retry of the drain before it only if that was the last order, and only
+//     within the configuration bound, in which nearly all retries arrive. A retry after the bound
+//     counts as a second drain, and the zone stays drained.
 //
-// How long ago an order was taken is told by the part's own time, which is the
-// same whichever manager asks, and however little that has heard.
+// The age of an order is measured by the part's own clock, which is the same for every manager, even
+// one whose view is behind.
 //
-// That holds for orders that are carried out while they may be sent again. A manager
-// that stood still, or was cut off, may find one much later, when it has long been
-// acknowledged elsewhere and another one stands: it would pass for a new order. So
-// what a manager has had for long is not carried out any more, nor one whose caller
-// has hung up.
+// These rules hold for orders that are carried out while they may still be retried. A manager that
+// was stalled or partitioned may get to an order much later, when another manager has acknowledged
+// it and a further order is in force; it would then pass for a new order. So a manager drops an
+// order that it received long ago, and one whose caller has closed the connection.
 
-// maxConflictRetries is how often an order about a zone is tried again when another change
-// of the zone's order came first.
+// maxConflictRetries bounds the attempts to apply an order for a zone, as each may meet a conflict with
+// another order for the zone.
 const maxConflictRetries = 3
 
-// DrainZone asks that a zone, or only its workers, get nothing new. A whole zone
-// stays emptied when only its workers are asked for. Where workers were asked for
-// before, both stand, and each is to be taken back.
+// DrainZone orders that a zone, or only its workers, get no new work. A zone that is drained as a
+// whole stays so when a drain of its workers is ordered. A further drain of the workers adds to the one
+// in force, and each needs its own restore.
 func (o *Operators) DrainZone(ctx context.Context, by, zone string, isOnlyWorkers bool) (int64, error) {
 	if err := checkName(zone); err != nil {
 		return 0, err
@@ -48,13 +46,13 @@
 		}
 		return o.setDrainOrder(ctx, by, config.ZoneKey+zone, config.DrainOrder{}, -1)
 	}
-	// Any name will do: workers that are not listed yet may come.
+	// The zone may be unknown: its workers may be listed later.
 	return o.updateDrainOrder(ctx, by, zone, o.m.nextDrain)
 }
 
-// RestoreZone takes an emptying back. Where a source tells of the workers they
-// count as cold at first, since the source runs behind: the mark says so until
-// the list controller takes it away.
+// RestoreZone ends a drain of a zone. If the worker lists come from a source, the zone's workers count
+// as cold at first, since the source lags behind: the drain order says so until the list controller
+// removes it.
 func (o *Operators) RestoreZone(ctx context.Context, by, zone string) (int64, error) {
 	if err := checkName(zone); err != nil {
 		return 0, err
@@ -65,15 +63,15 @@
 	return o.updateDrainOrder(ctx, by, zone, o.m.nextRestore)
 }
 
-// standing is what stands at a zone's key.
+// drainState is the drain order that is stored at a zone's key.
 type drainState struct {
-	revision int64 // 0 for nothing
+	revision int64 // 0 if there is none
 	order    config.DrainOrder
-	age      time.Duration // since the last order
+	age      time.Duration // time since the last order
 }
 
-// updateDrainOrder brings an order to a zone's order: next says what it makes of it, or that
-// it is there already.
+// updateDrainOrder replaces a zone's drain order by compare and set: next returns the new order, or
+// that the current one already is what was requested. A conflict is retried up to maxConflictRetries times.
 func (o *Operators) updateDrainOrder(ctx context.Context, by, zone string, next func(was drainState) (config.DrainOrder, bool)) (revision int64, err error) {
 	began := o.m.d.Now()
 	for range maxConflictRetries {
@@ -98,27 +96,27 @@
 	return revision, err
 }
 
-// checkNotStale returns an error where an order without a number must not be carried out
-// any more: its caller has hung up, or it came so long ago that it may have been
-// acknowledged and followed by another one. It is looked at behind the read that the
-// change builds on: nothing that came after that read is overwritten.
+// checkNotStale returns an error if an order without a request number must no longer be carried out:
+// its caller has closed the connection, or it arrived so long ago that another manager may have
+// acknowledged it and a further order may have followed. It is called after the read that the edit is
+// based on, so an order that arrives after the read is not overwritten.
 func (o *Operators) checkNotStale(ctx context.Context, began time.Duration) error {
 	switch {
 	case ctx.Err() != nil:
-		return errs.New(errs.Stale, "the caller has hung up")
+		return errs.New(errs.Stale, "the caller has closed the connection; the order was not carried out")
 	case o.m.d.Now()-began >= o.m.resendWindow/2:
-		return errs.New(errs.Stale, "the order came too long ago")
+		return errs.New(errs.Stale, "the order arrived too long ago and was not carried out")
 	}
 	return nil
 }
 
-// orderAge gives the age of what was read; one that is not known is bounded, so that
-// it can be reckoned with.
+// orderAge returns the age of the value that was read, at most one hour: an unknown age is very large
+// and would overflow sums.
 func orderAge(got wire.Pulled) time.Duration {
 	return time.Duration(min(got.Age, int64(time.Hour/time.Millisecond))) * time.Millisecond
 }
 
-// nextDrain is what an order to empty a zone's workers makes of its mark.
+// nextDrain returns the drain order after an order to drain the zone's workers.
 func (m *Manager) nextDrain(was drainState) (next config.DrainOrder, isThere bool) {
 	next = config.DrainOrder{Only: config.OnlyWorkers, RestoredAgoMs: m.msSinceRestore(was)}
 	switch {
@@ -131,7 +129,7 @@
 	return next, false
 }
 
-// nextRestore is what an order to take an emptying back makes of a zone's order.
+// nextRestore returns the drain order after an order to restore the zone.
 func (m *Manager) nextRestore(was drainState) (next config.DrainOrder, isThere bool) {
 	switch {
 	case was.revision == 0, was.order.Only == config.OnlyCold, m.msSinceRestore(was) > 0:
@@ -142,8 +140,8 @@
 	return config.DrainOrder{Only: config.OnlyCold}, false
 }
 
-// msSinceRestore gives the milliseconds since an emptying of the zone was last taken
-// back; 0 if that was so long ago that it cannot be sent again.
+// msSinceRestore returns the milliseconds since the last restore of the zone; 0 if there was none, or if
+// it was so long ago that it cannot be retried any more.
 func (m *Manager) msSinceRestore(was drainState) int64 {
 	ago := was.age
 	switch {
--- a/internal/manager/zonedrain_test.go
+++ b/internal/manager/zonedrain_test.go
@@ -12,46 +12,46 @@
 	"caperwheel/internal/wire"
 )
 
-// TestOrdersWithoutNumber is the table of what stands at a zone after orders
-// that come without a number, some of them sent again, to any manager.
+// TestOrdersWithoutNumber checks how many drains of a zone are in force after orders without request
+// number, some of them retried, at any manager.
 func TestOrdersWithoutNumber(t *testing.T) {
 	const resend = 5 * time.Second
 	const s = time.Second
 	type order struct {
 		verb   string        // start or finish
-		after  time.Duration // the order before
-		isLate bool          // at a manager that has heard nothing of the zone yet
+		after  time.Duration // time since the previous order
+		isLate bool          // at a manager whose view does not show the zone's order yet
 	}
 	cases := []struct {
 		name   string
 		orders []order
-		stands int // evacuations that stand at the end
+		stands int // drains in force at the end
 	}{
 		{"one", []order{{"start", 0, false}}, 1},
-		{"one, and back", []order{{"start", 0, false}, {"finish", 9 * s, false}}, 0},
-		{"one, sent again at once", []order{{"start", 0, false}, {"start", 0, false}, {"finish", 9 * s, false}}, 0},
-		{"one, sent again to a manager that has heard nothing", []order{{"start", 0, false}, {"start", s, true}, {"finish", 9 * s, false}}, 0},
-		{"one, sent again until the bound", []order{{"start", 0, false}, {"start", s, false}, {"start", s, false}, {"finish", 9 * s, false}}, 0},
-		{"one, and one later than the bound, which may be another", []order{{"start", 0, false}, {"start", 4 * s, false}, {"finish", 9 * s, false}}, 1},
-		{"two, one back", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false}}, 1},
-		{"two, the second at a manager that has heard nothing", []order{{"start", 0, false}, {"start", 20 * s, true}, {"finish", s, false}}, 1},
-		{"two, both back", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false}, {"finish", 8 * s, false}}, 0},
-		{"two, one back, sent again as late as may be", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false},
+		{"one, restored", []order{{"start", 0, false}, {"finish", 9 * s, false}}, 0},
+		{"one, retried at once", []order{{"start", 0, false}, {"start", 0, false}, {"finish", 9 * s, false}}, 0},
+		{"one, retried at a manager with a stale view", []order{{"start", 0, false}, {"start", s, true}, {"finish", 9 * s, false}}, 0},
+		{"one, retried until the bound", []order{{"start", 0, false}, {"start", s, false}, {"start", s, false}, {"finish", 9 * s, false}}, 0},
+		{"one, and an order after the bound, which may be a second drain", []order{{"start", 0, false}, {"start", 4 * s, false}, {"finish", 9 * s, false}}, 1},
+		{"two, one restored", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false}}, 1},
+		{"two, the second at a manager with a stale view", []order{{"start", 0, false}, {"start", 20 * s, true}, {"finish", s, false}}, 1},
+		{"two, both restored", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false}, {"finish", 8 * s, false}}, 0},
+		{"two, one restored, the restore retried as late as possible", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false},
 			{"finish", 4 * s, false}}, 1},
-		{"two, one back, sent again to a manager that has heard nothing", []order{{"start", 0, false}, {"start", 8 * s, false},
+		{"two, one restored, the restore retried at a manager with a stale view", []order{{"start", 0, false}, {"start", 8 * s, false},
 			{"finish", s, false}, {"finish", 4 * s, true}}, 1},
-		{"two, one back, a third, the taking back sent again", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false},
+		{"two, one restored, a third, the restore retried", []order{{"start", 0, false}, {"start", 8 * s, false}, {"finish", s, false},
 			{"start", s, false}, {"finish", s, false}}, 2},
-		{"one, back, another, the taking back sent again", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
+		{"one, restored, another, the restore retried", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
 			{"finish", s, false}}, 1},
-		{"one, back, another, the taking back sent again twice", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
+		{"one, restored, another, the restore retried twice", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
 			{"finish", s, false}, {"finish", 2 * s, false}}, 1},
-		{"one, back, another, and its own taking back", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
+		{"one, restored, another, and its own restore", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
 			{"finish", 8 * s, false}}, 0},
-		{"one, back, another, sent again", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
+		{"one, restored, another, retried", []order{{"start", 0, false}, {"finish", 9 * s, false}, {"start", s, false},
 			{"start", s, false}, {"finish", 8 * s, false}}, 0},
 	}
-	Convey("Of evacuations", t, func() {
+	Convey("The drains in force are counted correctly for", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
@@ -77,8 +77,8 @@
 	})
 }
 
-// TestOrdersWithoutNumberInTrouble: an order whose answers from the part are
-// lost, or that another one overtakes, counts once.
+// TestOrdersWithoutNumberInTrouble checks that an order counts once if its answers from the part are
+// lost or another order overtakes it.
 func TestOrdersWithoutNumberInTrouble(t *testing.T) {
 	ctx, key := context.Background(), config.ZoneKey+"a"
 	standing := func(f *fakeParts) config.DrainOrder {
@@ -90,7 +90,7 @@
 		_, err := m.operators.DrainZone(ctx, "x", "a", true)
 		return err
 	}
-	Convey("An evacuation", t, func() {
+	Convey("A drain", t, func() {
 		m, f := newFakeManager()
 		m.source, m.d.Bounds.ConfigApply, m.resendWindow = &Source{}, 3*time.Second, 5*time.Second
 		So(empty(m), ShouldBeNil)
@@ -100,7 +100,7 @@
 			So(empty(m), ShouldBeNil)
 			So(standing(f).OtherDrains, ShouldEqual, 1)
 		})
-		Convey("whose answer is lost under another one counts once", func() {
+		Convey("whose answer is lost and which another one follows counts once", func() {
 			f.beforeEdit = func(e *wire.Edit) {
 				held := f.part(0).Apply(*e)
 				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 2}.Encode(), IfRevision: held.Revision})
@@ -108,14 +108,14 @@
 			So(empty(m), ShouldBeNil)
 			So(standing(f).OtherDrains, ShouldEqual, 2)
 		})
-		Convey("that another one overtakes counts beside it", func() {
+		Convey("that another one overtakes counts in addition to it", func() {
 			f.beforeEdit = func(e *wire.Edit) {
 				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 1}.Encode(), IfRevision: e.IfRevision})
 			}
 			So(empty(m), ShouldBeNil)
 			So(standing(f).OtherDrains, ShouldEqual, 2)
 		})
-		Convey("that was restored whole is not taken back by an old try that comes late", func() {
+		Convey("after a restore of the zone is not ended by a delayed attempt of that restore", func() {
 			m.source = nil
 			late := wire.Edit{}
 			f.beforeEdit = func(e *wire.Edit) { late = *e }
@@ -128,18 +128,18 @@
 	})
 }
 
-// TestLateOrders: a manager that stood still once carried out a taking back long after
-// it had been acknowledged elsewhere, and took another evacuation back with it.
+// TestLateOrders guards against a stalled manager that carries out a restore long after another manager
+// has acknowledged it, and so ends a later drain.
 func TestLateOrders(t *testing.T) {
 	cases := []struct {
 		name      string
 		isHungUp  bool
-		took      time.Duration // from the order's coming to the read that it builds on, in resends
+		took      time.Duration // from the order's arrival to the read that it is based on, in resend windows
 		isRefused bool
 	}{
-		{"that is carried out at once holds", false, 0, false},
-		{"whose caller has hung up does not", true, 0, true},
-		{"that came long ago does not", false, 1, true},
+		{"that is carried out at once is applied", false, 0, false},
+		{"whose caller has closed the connection is not", true, 0, true},
+		{"that arrived long ago is not", false, 1, true},
 	}
 	for verb, order := range map[string]func(*Operators, context.Context) (int64, error){
 		"start":  func(o *Operators, ctx context.Context) (int64, error) { return o.DrainZone(ctx, "x", "a", true) },
@@ -158,7 +158,7 @@
 					was, _ := f.part(0).Get(config.ZoneKey + "a")
 					ctx, hangUp := context.WithCancel(context.Background())
 					defer hangUp()
-					f.duringPull = func() { // while the read is on its way
+					f.duringPull = func() { // while the read is in flight
 						if c.isHungUp {
 							hangUp()
 						}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/errs"
 )
 
-// Check returns all that is wrong with the settings, each with its key.
+// Check validates the settings for a kind of daemon. Its error lists all faults, each with its key.
 func (s Settings) Check(kind string) error {
 	wrong := []string{}
 	must := func(isRight bool, key, text string) {
@@ -27,7 +27,7 @@
 			wrong = append(wrong, key+": "+text)
 		}
 	}
-	must(s.Name != "" && !strings.ContainsAny(s.Name, "/~ "), "name", "must be given, without / ~ or blanks")
+	must(s.Name != "" && !strings.ContainsAny(s.Name, "/~ "), "name", "must be given, without / ~ or spaces")
 	must(s.Zone != "", "cell", "must be given")
 	addr("listen", s.Listen, true)
 	addr("http", s.Http, true)
@@ -44,7 +44,7 @@
 	must(s.TransportWorkers >= 1 && s.TransportWorkers <= 1024, "pool", "must be from 1 to 1024")
 	must(s.Window >= s.Batch, "window", "must be at least batch")
 	must(s.MaxInFlight >= 1, "most", "must be at least 1")
-	must(s.Flush.Duration > 0 && s.Flush.Duration <= 100*time.Millisecond, "flush", "must be from above 0 to 100ms")
+	must(s.Flush.Duration > 0 && s.Flush.Duration <= 100*time.Millisecond, "flush", "must be above 0 and at most 100ms")
 	must(s.Verbosity >= 0 && s.Verbosity <= 4, "verbosity", "must be from 0 to 4")
 	must(s.Copies >= 0 && s.Copies <= 5, "copies", "must be from 0 to 5")
 	must(s.MemoryLimit >= 0, "memory", "must not be below 0")
@@ -62,7 +62,7 @@
 	addr("list", s.List, false)
 	addr("crash_listen", s.CrashListen, false)
 	addr("crash_peer", s.CrashPeer, false)
-	must(s.CrashListen == "" || s.CrashListen != s.CrashPeer, "crash_peer", "must be another's, not crash_listen")
+	must(s.CrashListen == "" || s.CrashListen != s.CrashPeer, "crash_peer", "must be another's address, not that of crash_listen")
 	if host, _, err := net.SplitHostPort(s.Advertise); err == nil {
 		must(!net.ParseIP(host).IsUnspecified(), "advertise", "must be an address that others can reach")
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads what a daemon must know to start: from a file,
-// from flags that override it, checked as a whole before anything starts.
+// Package settings reads the settings of a daemon from a file and from flags that override it, and
+// validates them as a whole before the daemon starts. It holds the defaults, and watches the file for
+// changes that may be applied at run time. Every daemon's main calls Load, and Watch while it runs.
 package settings
 
 import (
@@ -30,7 +31,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.Duration.String()), nil }
 
-// Settings of a daemon. Tags name the file's keys; flags are the same words.
+// Settings are the settings of a daemon. The json tags name the keys in the file; the flags have the
+// same names.
 type Settings struct {
 	File             string   `arg:"--settings" json:"-" help:"settings file (JSON); flags override it"`
 	Name             string   `arg:"--name" json:"name" help:"name of this daemon, one of its kind in the deployment"`
@@ -71,29 +73,29 @@
 	CrashListen string `arg:"--crash_listen" json:"crash_listen" help:"IP number and port where the crashes of others on this machine are heard"`
 	CrashPeer   string `arg:"--crash_peer" json:"crash_peer" help:"IP number and port where a crash of this process is heard"`
 
-	args   []string // as given: they override the file whenever it is read
-	source *Source  // where the file's text comes from, if not from a settings file
+	args   []string // flags as given; they override the file at each reload
+	source *Source  // format of the file; nil for a settings file
 }
 
-// Source reads settings from a file in another format.
+// Source reads the settings from a file in another format.
 type Source struct {
-	File string                           // read in place of a settings file that no flag names
-	Read func(raw []byte) ([]byte, error) // turns the file's text into that of a settings file
+	File string                           // path of the file, read if no flag names a settings file
+	Read func(raw []byte) ([]byte, error) // converts the file's content to that of a settings file
 }
 
-// crashFileName is the name of the file for crashes in a data folder.
+// crashFileName is the name of the crash file in a data folder.
 const crashFileName = "crash.txt"
 
-// Default returns the settings that hold where nothing is given.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{Founders: 3, Places: 48, Parts: 4, ConfigBound: Duration{timing.Default.ConfigApply}, Batch: 40, TransportWorkers: 40,
 		Flush: Duration{500 * time.Microsecond}, Window: 4096, MaxInFlight: 2048, DiskReserve: 256 << 20, MayBootstrap: true}
 }
 
-// Bounds returns the bounds that all time constants are ratios of.
+// Bounds returns the time bounds that all time constants are derived from.
 func (s Settings) Bounds() timing.Bounds { return timing.Bounds{ConfigApply: s.ConfigBound.Duration} }
 
-// Replicas returns how many replicas a group should have.
+// Replicas returns how many replicas each group should have.
 func (s Settings) Replicas() int {
 	if s.Copies > 0 {
 		return s.Copies
@@ -101,7 +103,7 @@
 	return s.Founders
 }
 
-// CrashFilePath returns the file for what is printed as the process crashes; empty for none.
+// CrashFilePath returns the path of the file that a crashing process prints to; empty for none.
 func (s Settings) CrashFilePath() string {
 	if s.CrashFile == "" && s.Data != "" {
 		return filepath.Join(s.Data, crashFileName)
@@ -109,10 +111,12 @@
 	return s.CrashFile
 }
 
-// Shape returns what must be the same on all daemons of a deployment.
+// Shape returns the settings that must be equal on all daemons of a deployment, as text that daemons
+// compare when they connect.
 func (s Settings) Shape() string { return fmt.Sprintf("places=%d parts=%d", s.Places, s.Parts) }
 
-// GracePeriod returns the time between being asked to stop and being killed.
+// GracePeriod returns the time between the request to stop and the kill: the setting, or twice the
+// configuration bound.
 func (s Settings) GracePeriod() time.Duration {
 	if s.Grace.Duration > 0 {
 		return s.Grace.Duration
@@ -120,12 +124,12 @@
 	return 2 * s.ConfigBound.Duration
 }
 
-// Load reads file and flags for a kind of daemon. All faults are told at once.
-// A source, if there is one, is used unless a flag names a settings file.
+// Load reads and validates the settings of a kind of daemon from the file and the flags in args. Its error
+// lists all faults of the settings. A source that is not nil is used unless a flag names a settings file.
 func Load(kind string, args []string, source *Source) (Settings, error) {
 	s := Default()
 	s.args = args
-	for i, a := range args { // the file comes first: flags override it
+	for i, a := range args { // the file is read first: flags override it
 		if name, isIt := strings.CutPrefix(a, "--settings="); isIt {
 			s.File = name
 		} else if a == "--settings" && i+1 < len(args) {
@@ -170,7 +174,8 @@
 	return s.merge(raw)
 }
 
-// merge reads a file's text over the settings, naming every key that is wrong.
+// merge overrides the settings with those of a file's content. Its error lists all unknown keys and
+// wrong types.
 func (s *Settings) merge(raw []byte) error {
 	if !gjson.ValidBytes(raw) || !gjson.ParseBytes(raw).IsObject() {
 		return errs.New(errs.Invalid, "settings file %s: not a JSON object", s.File)
@@ -192,8 +197,8 @@
 	return errs.Wrap(json.Unmarshal(raw, s), errs.Invalid, "settings file %s", s.File)
 }
 
-// NonDefaultJson is the text of a settings file with what differs from the defaults, so
-// that a daemon of another version can read it.
+// NonDefaultJson returns the content of a settings file with only the settings that differ from the
+// defaults, so that a daemon of another version can read it.
 func (s Settings) NonDefaultJson() []byte {
 	standard, out := gjson.ParseBytes(Default().encode()), map[string]json.RawMessage{}
 	gjson.ParseBytes(s.encode()).ForEach(func(key, value gjson.Result) bool {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	return file
 }
 
-// TestLoad is the table of settings that are refused, and why.
+// TestLoad checks which settings are refused, and with which fault.
 func TestLoad(t *testing.T) {
 	cases := []struct {
 		name, file string
@@ -31,32 +31,32 @@
 		{"no file at all", "", nil, "name: must be given"},
 		{"half a file", validFile[:40], nil, "not a JSON object"},
 		{"an unknown key", `{"nmae":"s"}`, nil, "nmae: is not known"},
-		{"a wrong kind", `{"places":"many"}`, nil, "places: is of the wrong kind"},
+		{"a value of the wrong type", `{"places":"many"}`, nil, "places: is of the wrong kind"},
 		{"a host name", validFile, []string{"--listen=localhost:1"}, "listen: must be an IP number and a port"},
 		{"a port out of range", validFile, []string{"--http=127.0.0.1:99999"}, "http: must have a port"},
-		{"a store without a folder", strings.Replace(validFile, `,"data":"/d"`, "", 1), nil, "data: must be given"},
+		{"a store without a data folder", strings.Replace(validFile, `,"data":"/d"`, "", 1), nil, "data: must be given"},
 		{"two founders", validFile, []string{"--founders=2"}, "founders: must be 1, 3 or 5"},
-		{"a name that rosters could not hold", validFile, []string{"--name=a/b"}, "name: must be given, without"},
-		{"an address that nobody can reach", validFile, []string{"--advertise=0.0.0.0:1000"}, "advertise: must be an address"},
+		{"a name that is not valid in a roster", validFile, []string{"--name=a/b"}, "name: must be given, without"},
+		{"an advertised address that others cannot reach", validFile, []string{"--advertise=0.0.0.0:1000"}, "advertise: must be an address"},
 		{"a window below the batch", validFile, []string{"--window=3"}, "window: must be at least batch"},
 		{"a bool", validFile[:len(validFile)-1] + `,"founds":false}`, nil, ""},
 		{"a bool as a flag", validFile, []string{"--founds=false"}, ""},
-		{"a bool in quotes", `{"founds":"false"}`, nil, "founds: is of the wrong kind"},
+		{"a bool as a string", `{"founds":"false"}`, nil, "founds: is of the wrong kind"},
 		{"six copies", validFile, []string{"--copies=6"}, "copies: must be from 0 to 5"},
-		{"a host name to probe", validFile, []string{"--probe=here:1"}, "probe: must be an IP number and a port"},
-		{"no port for callers", validFile, []string{"--front=127.0.0.1"}, "front: must be"},
-		{"operators out of range", validFile, []string{"--operators=127.0.0.1:99999"}, "operators: must have a port"},
-		{"a list of no address", validFile, []string{"--list=/file"}, "list: must be"},
-		{"a rate below nothing", validFile, []string{"--list_rate=-1"}, "list_rate: must not be below 0"},
-		{"sent again for less than nothing", validFile, []string{"--resend=-1s"}, "resend: must not be below 0"},
-		{"a lag below nothing", validFile, []string{"--list_lag=-1s"}, "list_lag: must not be below 0"},
-		{"a memory below nothing", validFile, []string{"--memory=-1"}, "memory: must not be below 0"},
-		{"an end answered for less than nothing", validFile, []string{"--keep=-1s"}, "keep: must not be below 0"},
-		{"lingering until killed", validFile, []string{"--grace=2s", "--linger=2s"}, "linger: must be below grace"},
-		{"lingering past twice the bound", validFile, []string{"--linger=7s"}, "linger: must be below grace"},
-		{"a crash heard by a name", validFile, []string{"--crash_peer=agent"}, "crash_peer: must be an IP number and a port"},
-		{"crashes heard at no port", validFile, []string{"--crash_listen=127.0.0.1"}, "crash_listen: must be"},
-		{"a process that hears itself", validFile, []string{"--crash_listen=127.0.0.1:7", "--crash_peer=127.0.0.1:7"}, "crash_peer: must be another's"},
+		{"a probe address with a host name", validFile, []string{"--probe=here:1"}, "probe: must be an IP number and a port"},
+		{"a front address without a port", validFile, []string{"--front=127.0.0.1"}, "front: must be"},
+		{"an operators' port out of range", validFile, []string{"--operators=127.0.0.1:99999"}, "operators: must have a port"},
+		{"a list without an address", validFile, []string{"--list=/file"}, "list: must be"},
+		{"a negative list rate", validFile, []string{"--list_rate=-1"}, "list_rate: must not be below 0"},
+		{"a negative resend window", validFile, []string{"--resend=-1s"}, "resend: must not be below 0"},
+		{"a negative list lag", validFile, []string{"--list_lag=-1s"}, "list_lag: must not be below 0"},
+		{"a negative memory limit", validFile, []string{"--memory=-1"}, "memory: must not be below 0"},
+		{"a negative retention of results", validFile, []string{"--keep=-1s"}, "keep: must not be below 0"},
+		{"a linger time equal to the grace period", validFile, []string{"--grace=2s", "--linger=2s"}, "linger: must be below grace"},
+		{"a linger time above twice the bound, the default grace period", validFile, []string{"--linger=7s"}, "linger: must be below grace"},
+		{"a crash peer with a host name", validFile, []string{"--crash_peer=agent"}, "crash_peer: must be an IP number and a port"},
+		{"a crash listen address without a port", validFile, []string{"--crash_listen=127.0.0.1"}, "crash_listen: must be"},
+		{"a crash peer that is the process itself", validFile, []string{"--crash_listen=127.0.0.1:7", "--crash_peer=127.0.0.1:7"}, "crash_peer: must be another's"},
 		{"an unknown flag", validFile, []string{"--nmae=x"}, "nmae"},
 	}
 	Convey("Settings from", t, func() {
@@ -76,7 +76,7 @@
 				So(err.Error(), ShouldContainSubstring, c.says)
 			})
 		}
-		Convey("a manager needs no seeds and no folder, a store needs both", func() {
+		Convey("a manager needs no seeds and no data folder, a store needs both", func() {
 			args := []string{"--name=m", "--cell=a", "--listen=127.0.0.1:1", "--http=127.0.0.1:2"}
 			_, err := Load("manager", args, nil)
 			So(err, ShouldBeNil)
@@ -84,7 +84,7 @@
 			So(err.Error(), ShouldContainSubstring, "data")
 			So(err.Error(), ShouldContainSubstring, "seeds")
 		})
-		Convey("several faults are told at once", func() {
+		Convey("several faults are reported at once", func() {
 			_, err := Load("store", []string{"--settings", writeFile(t, `{"places":0,"parts":0}`)}, nil)
 			So(err.Error(), ShouldContainSubstring, "places")
 			So(err.Error(), ShouldContainSubstring, "parts")
@@ -97,16 +97,16 @@
 		name, text string
 		isUsed     bool
 	}{
-		{"another verbosity is used", validFile[:len(validFile)-1] + `,"verbosity":3}`, true},
-		{"another cell is refused", validFile[:len(validFile)-1] + `,"cell":"z"}`, false},
-		{"other seeds and another list are used", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"list":"127.0.0.1:7"}`, true},
-		{"founding is of no use any more", validFile[:len(validFile)-1] + `,"verbosity":3,"founds":false}`, true},
-		{"a first start is over", validFile[:len(validFile)-1] + `,"verbosity":3,"first":true}`, true},
-		{"another seed with another cell is refused", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"cell":"z"}`, false},
+		{"another verbosity is applied", validFile[:len(validFile)-1] + `,"verbosity":3}`, true},
+		{"another zone is refused", validFile[:len(validFile)-1] + `,"cell":"z"}`, false},
+		{"other seeds and another list are applied", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"list":"127.0.0.1:7"}`, true},
+		{"a change of founds is ignored", validFile[:len(validFile)-1] + `,"verbosity":3,"founds":false}`, true},
+		{"a change of first is ignored", validFile[:len(validFile)-1] + `,"verbosity":3,"first":true}`, true},
+		{"another seed together with another zone is refused", strings.Replace(validFile, ":1002", ":1003", 1)[:len(validFile)-1] + `,"verbosity":3,"cell":"z"}`, false},
 		{"half a file is refused", validFile[:30], false},
 		{"a value out of range is refused", validFile[:len(validFile)-1] + `,"verbosity":9}`, false},
 	}
-	Convey("When the file changes under a daemon,", t, func() {
+	Convey("When the file changes while a daemon runs,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				file := writeFile(t, validFile)
@@ -126,10 +126,10 @@
 	})
 }
 
-// TestSource: a file of another make is read through its source, at the start
-// and again, unless a flag names a settings file.
+// TestSource checks that a file in another format is read through its source, at the start and at a
+// reload, unless a flag names a settings file.
 func TestSource(t *testing.T) {
-	Convey("Given a file of another make", t, func() {
+	Convey("Given a file in another format", t, func() {
 		file := writeFile(t, "cell=a")
 		source := &Source{File: file, Read: func(raw []byte) ([]byte, error) {
 			zone, isOne := strings.CutPrefix(string(raw), "cell=")
@@ -142,7 +142,7 @@
 		So(err, ShouldBeNil)
 		So(s.Zone+s.File, ShouldEqual, "a"+file)
 		So(s.Verbosity, ShouldEqual, 2)
-		Convey("it is read again in the same way", func() {
+		Convey("it is reloaded in the same way", func() {
 			So(os.WriteFile(file, []byte("cell=b"), 0o600), ShouldBeNil)
 			_, err := Reload("store", s)
 			So(errs.Is(err, errs.Rejected), ShouldBeTrue)
@@ -150,7 +150,7 @@
 			_, err = Reload("store", s)
 			So(err.Error(), ShouldContainSubstring, "no cell")
 		})
-		Convey("a flag that names a file goes before it", func() {
+		Convey("a flag that names a settings file overrides it", func() {
 			s, err := Load("store", []string{"--settings", writeFile(t, strings.Replace(validFile, `"a"`, `"c"`, 1))}, source)
 			So(err, ShouldBeNil)
 			So(s.Zone, ShouldEqual, "c")
@@ -159,7 +159,7 @@
 }
 
 func TestSparse(t *testing.T) {
-	Convey("A sparse text has what differs from the defaults, and reads the same", t, func() {
+	Convey("The settings that differ from the defaults, as JSON, load as the same settings", t, func() {
 		s, err := Load("store", []string{"--settings", writeFile(t, validFile)}, nil)
 		So(err, ShouldBeNil)
 		So(string(s.NonDefaultJson()), ShouldNotContainSubstring, "founds")
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -13,15 +13,16 @@
 	"caperwheel/internal/timing"
 )
 
-// withReloadable gives s with what may change while a daemon runs as it is in next.
+// withReloadable returns s with the settings that may change while a daemon runs taken from next.
 func (s Settings) withReloadable(next Settings) Settings {
 	s.Verbosity, s.Seeds, s.List, s.ListRate, s.ListLag = next.Verbosity, next.Seeds, next.List, next.ListRate, next.ListLag
 	return s
 }
 
-// Reload reads the file again. Only what withReloadable names may change while a
-// daemon runs, and what only counts at the start: whether a store founds, and
-// whether the deployment starts for the first time. With anything else, or anything wrong, all is refused and the old settings are kept.
+// Reload reads the file again and returns the new settings. Only the settings of withReloadable may
+// change while a daemon runs. Changes of MayFound and IsFirstStart, which only count at the start, are
+// ignored. If any other setting has changed, or anything is invalid, Reload returns an error and the
+// old settings.
 func Reload(kind string, old Settings) (Settings, error) {
 	next, err := Load(kind, old.args, old.source)
 	if err != nil {
@@ -29,24 +30,24 @@
 	}
 	next.MayBootstrap, next.IsFirstStart = old.MayBootstrap, old.IsFirstStart
 	if string(old.withReloadable(next).encode()) != string(next.encode()) {
-		return old, errs.New(errs.Rejected, "the file changes what only a restart can change")
+		return old, errs.New(errs.Rejected, "the file changes settings that only a restart can change")
 	}
 	return next, nil
 }
 
-// watcher looks at the settings file now and then.
+// watcher polls the settings file for changes.
 //
-// Invariant: seen is nil until a whole file was read; a file that is as seen
-// (the same file, of the same size and time) is not read again.
+// Invariant: lastInfo is nil unless the last reload succeeded; a file that matches it (the same file, of
+// the same size and modification time) is not read again.
 type watcher struct {
 	kind        string
 	current     Settings
 	apply       func(Settings)
 	lastInfo    os.FileInfo
-	lastRefusal string // the last refusal, which is logged once
+	lastRefusal string // text of the last error, which is logged once
 }
 
-// poll reads the file if it has changed, or anyhow when asked to.
+// poll reloads the file if it has changed, or in any case if isForced.
 func (w *watcher) poll(isForced bool) {
 	info, err := os.Stat(w.current.File)
 	isSame := err == nil && w.lastInfo != nil && os.SameFile(info, w.lastInfo) && info.Size() == w.lastInfo.Size() && info.ModTime().Equal(w.lastInfo.ModTime())
@@ -58,7 +59,7 @@
 		w.lastInfo = nil
 		if text := err.Error(); text != w.lastRefusal {
 			w.lastRefusal = text
-			klog.Warningf("settings: A change is refused, the old settings stay: %v.", err)
+			klog.Warningf("settings: The changed file is rejected and the old settings stay in force: %v.", err)
 		}
 		return
 	}
@@ -66,12 +67,13 @@
 	if string(next.encode()) != string(w.current.encode()) {
 		w.current = next
 		w.apply(next)
-		klog.Infof("settings: The changed file is in use.")
+		klog.Infof("settings: The changed file was read and its settings are in force.")
 	}
 }
 
-// Watch follows the settings file until ctx ends; began is called once it does.
-// A SIGHUP has it read at once, and ends no daemon, even one without a file.
+// Watch polls the settings file until ctx ends and calls apply with changed settings; started is called
+// once signals are handled. A SIGHUP makes it reload the file at once, and never ends the daemon, even
+// one without a file.
 func Watch(ctx context.Context, kind string, s Settings, apply func(Settings), started func()) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestWatch breaks the file under a daemon in every way and mends it again:
-// only the mended one is ever used. Each mending has a verbosity of its own.
+// TestWatch replaces the file of a running daemon by a broken one in several ways, and then by a valid
+// one: only the valid one may be applied, recognised by its verbosity.
 func TestWatch(t *testing.T) {
 	with := func(verbosity string) []byte {
 		return []byte(validFile[:len(validFile)-1] + `,"verbosity":` + verbosity + `}`)
@@ -26,7 +26,7 @@
 	}
 	Convey("Given a daemon that watches its settings file", t, func() {
 		for name, hurt := range breaks {
-			Convey("one that is "+name+" is not used, the mended one is", func() {
+			Convey("one that is "+name+" is not applied, the valid one after it is", func() {
 				file := writeFile(t, validFile)
 				s, err := Load("store", []string{"--settings", file, "--bound=500ms"}, nil)
 				So(err, ShouldBeNil)
@@ -45,13 +45,13 @@
 	})
 }
 
-// TestLook is the table of what the polls of a file find: a change is seen
-// once, and one that keeps the size and even the time is seen when asked for.
+// TestLook checks what polls of the file find: a change is applied once, and a change that keeps the size
+// and the modification time is found by a forced poll.
 func TestLook(t *testing.T) {
 	with := func(verbosity string) []byte {
 		return []byte(validFile[:len(validFile)-1] + `,"verbosity":` + verbosity + `}`)
 	}
-	Convey("Given a file that was looked at", t, func() {
+	Convey("Given a file that was polled", t, func() {
 		file := writeFile(t, string(with("1")))
 		s, err := Load("store", []string{"--settings", file}, nil)
 		So(err, ShouldBeNil)
@@ -61,17 +61,17 @@
 		So(used, ShouldBeEmpty)
 		info, err := os.Stat(file)
 		So(err, ShouldBeNil)
-		Convey("what is the same is not read", func() {
+		Convey("a change that keeps the size and time is not read", func() {
 			So(os.WriteFile(file, with("2"), 0o600), ShouldBeNil)
 			So(os.Chtimes(file, info.ModTime(), info.ModTime()), ShouldBeNil)
 			w.poll(false)
 			So(used, ShouldBeEmpty)
-			Convey("but when asked to", func() {
+			Convey("unless the poll is forced", func() {
 				w.poll(true)
 				So(used, ShouldResemble, []int{2})
 			})
 		})
-		Convey("another file in its place is read, though of the same size and time", func() {
+		Convey("another file in its place is read, even with the same size and time", func() {
 			So(os.WriteFile(file+".new", with("3"), 0o600), ShouldBeNil)
 			So(os.Chtimes(file+".new", info.ModTime(), info.ModTime()), ShouldBeNil)
 			So(os.Rename(file+".new", file), ShouldBeNil)
@@ -79,7 +79,7 @@
 			w.poll(false)
 			So(used, ShouldResemble, []int{3})
 		})
-		Convey("a broken one is looked at until it is whole", func() {
+		Convey("a broken file is polled until it is valid", func() {
 			whole := with("4")
 			So(os.WriteFile(file, whole[:40], 0o600), ShouldBeNil)
 			w.poll(false)
@@ -92,7 +92,7 @@
 	})
 }
 
-// TestHangup: a SIGHUP ends no daemon; it has the file read at once.
+// TestHangup checks that a SIGHUP makes a daemon reload its file at once, and ends no daemon.
 func TestHangup(t *testing.T) {
 	Convey("Given daemons that watch, one of them without a file", t, func() {
 		file := writeFile(t, validFile)
