--- a/internal/config/cache.go
+++ b/internal/config/cache.go
@@ -18,7 +18,7 @@
 // Invariants: compiled includes all changes up to compiledUpTo, and is never written once it was
 // returned; buckets has each existing key of the pools' lists.
 type Cache struct {
-	View *feed.View
+	View *feed.View // the view that is compiled
 
 	mu           sync.Mutex
 	viewVersion  int64
@@ -103,13 +103,14 @@
 		return
 	}
 	for _, t := range changeHandlers {
-		if name, isIt := strings.CutPrefix(c.Key, t.prefix); isIt {
+		if name, hasPrefix := strings.CutPrefix(c.Key, t.prefix); hasPrefix {
 			t.take(u, name, c)
 			return
 		}
 	}
 }
 
+// applyRules compiles a new document. A document with faults leaves no rules and IsUnreadable set.
 func (u *updater) applyRules(c wire.Change) {
 	before := u.next.Rules.Pools
 	u.next.Revision, u.next.IsUnreadable = c.Revision, false
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -10,9 +10,9 @@
 
 // Bounds of a configuration document.
 const (
-	MaxDocumentBytes = 1 << 20
-	MaxLanesAndPools = 10000
-	maxDepth         = 16
+	MaxDocumentBytes = 1 << 20 // size of a document
+	MaxLanesAndPools = 10000   // lanes and pools together
+	maxDepth         = 16      // levels of a tree
 )
 
 // compiler collects the rules and faults of one configuration document.
--- a/internal/config/compiled.go
+++ b/internal/config/compiled.go
@@ -24,8 +24,8 @@
 // Duty assigns a worker or endpoint to the adapter that serves it. Its term is the revision of the
 // change that wrote it.
 type Duty struct {
-	Holder       string `json:"holder"`
-	Boot         string `json:"boot"`
+	Holder       string `json:"holder"`  // name of the adapter
+	Boot         string `json:"boot"`    // boot of its process
 	PreviousBoot string `json:"before"`  // boot of the previous holder; empty for none
 	IsReleased   bool   `json:"is_free"` // the previous holder has released it: no fencing delay
 }
@@ -84,6 +84,7 @@
 // EndpointWorker is the name of the single worker of an endpoint pool.
 const EndpointWorker = "endpoint"
 
+// splitDutyName splits a duty's name at its last slash.
 func splitDutyName(text string) (pool, worker string) {
 	for i := len(text) - 1; i >= 0; i-- {
 		if text[i] == '/' {
@@ -104,8 +105,8 @@
 
 // IsHolder reports whether the adapter process with this name and boot holds a worker's duty.
 func (s *Compiled) IsHolder(pool, worker, name, boot string) bool {
-	held, isAssigned := s.Duties[pool].Get(worker)
-	return isAssigned && held.Holder == name && held.Boot == boot
+	assigned, isAssigned := s.Duties[pool].Get(worker)
+	return isAssigned && assigned.Holder == name && assigned.Boot == boot
 }
 
 // MayStartWork reports whether a daemon of the zone may begin new work. It may not while the zone is
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -82,6 +82,7 @@
 	read  func(*T, gjson.Result)
 }
 
+// numberBetween returns a check that a number is in a range.
 func numberBetween(least, most float64) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		if r.Num < least || r.Num > most {
@@ -91,6 +92,7 @@
 	}
 }
 
+// wholeBetween returns a check that a number is whole and in a range.
 func wholeBetween(least, most float64) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		if r.Num != float64(int64(r.Num)) {
@@ -100,6 +102,7 @@
 	}
 }
 
+// durationBetween returns a check that a string is a duration in a range.
 func durationBetween(least, most time.Duration) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		d, err := time.ParseDuration(r.Str)
@@ -113,6 +116,7 @@
 	}
 }
 
+// oneOf returns a check that a string is one of the given ones.
 func oneOf(words ...string) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		for _, w := range words {
@@ -126,6 +130,7 @@
 
 func parseDuration(r gjson.Result) time.Duration { d, _ := time.ParseDuration(r.Str); return d }
 
+// laneFields are the settings of a lane, by their keys in the document.
 var laneFields = map[string]field[Lane]{
 	"urgency":       {gjson.Number, wholeBetween(1, 9), func(l *Lane, r gjson.Result) { l.Urgency = r.Int() }},
 	"patience":      {gjson.String, durationBetween(time.Second, 24*time.Hour), func(l *Lane, r gjson.Result) { l.Patience = parseDuration(r) }},
@@ -155,6 +160,7 @@
 	}},
 }
 
+// poolFields are the settings of a pool, by their keys in the document.
 var poolFields = map[string]field[Pool]{
 	"kind":        {gjson.String, oneOf("workers", "endpoint"), func(p *Pool, r gjson.Result) { p.IsEndpoint = r.Str == "endpoint" }},
 	"address":     {gjson.String, checkAddressValue, func(p *Pool, r gjson.Result) { p.Address = r.Str }},
@@ -169,6 +175,7 @@
 	"repeats":     {gjson.True, nil, func(p *Pool, r gjson.Result) { p.AllowsDuplicateRuns = r.Bool() }},
 }
 
+// checkNames checks a non-empty list of names.
 func checkNames(r gjson.Result) string {
 	if !r.IsArray() || len(r.Array()) == 0 {
 		return "must be a list of at least one name"
@@ -190,6 +197,7 @@
 
 func checkAddressValue(r gjson.Result) string { return CheckAddress(r.Str) }
 
+// defaultLane and defaultPool are what the roots of the trees inherit.
 var (
 	defaultLane = Lane{Urgency: 5, Patience: 2 * time.Minute, MaxAttempts: 8, Backoff: 200 * time.Millisecond,
 		MaxBackoff: 10 * time.Second, Retention: 10 * time.Minute, MaxBodyBytes: 64 << 10, AllowsRerun: true, CountsEveryRun: true, UsesWitness: true}
--- a/internal/config/listchange.go
+++ b/internal/config/listchange.go
@@ -28,6 +28,7 @@
 	return u.listChanges[pool]
 }
 
+// applyList replaces the content of one key of a pool's list.
 func (u *updater) applyList(_ string, c wire.Change) {
 	pool, _ := ParseListKey(c.Key)
 	change := u.listChangeOf(pool)
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -25,6 +25,7 @@
 	return out, errs.Wrap(err, errs.Internal, "merged configuration")
 }
 
+// merge returns base with a decoded patch applied; it may change base.
 func merge(base, change any) any {
 	patch, isObject := change.(map[string]any)
 	if !isObject {
@@ -82,6 +83,7 @@
 	return appendDifferences("", a, b, nil), nil
 }
 
+// appendDifferences appends the differences between two decoded values at a path to out.
 func appendDifferences(path string, a, b any, out []Difference) []Difference {
 	x, isX := a.(map[string]any)
 	y, isY := b.(map[string]any)
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -20,6 +20,7 @@
 	size   int
 }
 
+// row is one entry of a table.
 type row[V any] struct {
 	name  string
 	value V
@@ -75,10 +76,12 @@
 	return out
 }
 
+// findRow returns the index of a name in a shard, or where to insert it, and whether it exists.
 func findRow[V any](shard []row[V], name string) (int, bool) {
 	return slices.BinarySearchFunc(shard, name, func(r row[V], name string) int { return cmp.Compare(r.name, name) })
 }
 
+// shardOf returns the index of a name's shard among count shards.
 func shardOf(name string, count int) int {
 	if count == 1 {
 		return 0
@@ -107,6 +110,7 @@
 	size     int
 }
 
+// builder returns a builder that starts with the entries of the table.
 func (t Table[V]) builder() *tableBuilder[V] {
 	return &tableBuilder[V]{shards: slices.Clone(t.shards), isCloned: make([]bool, len(t.shards)), size: t.size}
 }
@@ -160,6 +164,7 @@
 	c.shards, c.isCloned = next, slices.Repeat([]bool{true}, count)
 }
 
+// build returns the table. The builder must not be used after that.
 func (c *tableBuilder[V]) build() Table[V] {
 	if count := shardCount(c.size); count != len(c.shards) {
 		c.reshard(count)
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -30,9 +30,9 @@
 // Bounds of the tenants of a configuration.
 const (
 	MaxTenants         = 5000
-	MaxKeysPerTenant   = 100
-	MaxTenantNameBytes = 128
-	maxTenantRate      = 10_000_000
+	MaxKeysPerTenant   = 100        // API keys of one tenant
+	MaxTenantNameBytes = 128        // also of an API key
+	maxTenantRate      = 10_000_000 // messages per second, and burst
 )
 
 // keyTenant is the tenant that an API key belongs to.
@@ -65,6 +65,7 @@
 	return len(key) > 0 && len(key) <= MaxTenantNameBytes && !strings.ContainsAny(key, " ") && isPrintable(key)
 }
 
+// isPrintable reports whether a text consists of printable ASCII characters.
 func isPrintable(text string) bool {
 	for i := range len(text) {
 		if text[i] < ' ' || text[i] > '~' {
@@ -74,6 +75,7 @@
 	return true
 }
 
+// tenantFields are the settings of a tenant, by their keys in the document.
 var tenantFields = map[string]field[Tenant]{
 	"rate":  {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Rate = r.Num }},
 	"burst": {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Burst = r.Num }},
@@ -97,6 +99,7 @@
 	return ""
 }
 
+// readHash decodes the hexadecimal hash of an API key.
 func readHash(r gjson.Result) (out KeyHash, isHash bool) {
 	if r.Type != gjson.String || len(r.Str) != hex.EncodedLen(len(out)) {
 		return out, false
@@ -122,6 +125,7 @@
 	}
 }
 
+// readTenant reads one tenant and its keys.
 func (c *compiler) readTenant(name string, r gjson.Result) {
 	path := "tenants." + name
 	switch {
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -55,6 +55,7 @@
 	return out, faults
 }
 
+// uniqueNameText is the fault of a name that is invalid or occurs twice.
 const uniqueNameText = "must be a unique name of 1 to 64 letters, digits, - and _"
 
 // Check returns the faults of a worker's entry, with paths relative to the entry.
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -47,6 +47,7 @@
 	IsHolderRestarted bool // the duty stays with its holder, which has restarted
 }
 
+// key returns the name of the duty.
 func (c Change) key() string { return c.Pool + "/" + c.Worker }
 
 // Adapters is a planner's view of the adapters.
@@ -78,9 +79,9 @@
 	out := []Change{}
 	shared := chooseSharedHolders(pool, compiled, usable, responsive, candidates)
 	for name, worker := range compiled.Workers[pool].All() {
-		held, isAssigned := compiled.Duties[pool].Get(name)
-		holder, isHere := usable[held.Holder]
-		isHeld := isAssigned && isHere && holder.Boot == held.Boot
+		assigned, isAssigned := compiled.Duties[pool].Get(name)
+		holder, isHere := usable[assigned.Holder]
+		isHeld := isAssigned && isHere && holder.Boot == assigned.Boot
 		isPlaced := worker.Zone == "" || holder.Zone == worker.Zone || !hasAdapterIn(usable, worker.Zone)
 		sharedHolder, isShared := shared.holderOf(name)
 		if isShared {
@@ -94,7 +95,7 @@
 		}
 		ifRevision, wasKnown := revision(config.DutyKey + pool + "/" + name)
 		if open, isOpen := adapters.Proposals.find(pool+"/"+name, ifRevision); isOpen {
-			load[held.Holder]--
+			load[assigned.Holder]--
 			load[open.holder]++
 			continue
 		}
@@ -102,28 +103,28 @@
 		if !isShared {
 			next = chooseHolder(pool+"/"+name, worker.Zone, candidates, load)
 		}
-		isRestarted := isAssigned && isHere && holder.Boot != held.Boot
+		isRestarted := isAssigned && isHere && holder.Boot != assigned.Boot
 		if isRestarted && isPlaced {
 			next = holder // its previous process has ended: no other can act, so no fencing
 		}
-		if next.Name == "" || isHeld && next.Name == held.Holder {
+		if next.Name == "" || isHeld && next.Name == assigned.Holder {
 			continue
 		}
-		load[held.Holder]--
+		load[assigned.Holder]--
 		load[next.Name]++
-		before := held.Boot
+		before := assigned.Boot
 		if !isAssigned && wasKnown {
 			before = "an earlier holder"
 		}
-		isKept := isRestarted && next == holder
-		out = append(out, Change{Pool: pool, Worker: name, IfRevision: ifRevision, IsHolderRestarted: isKept,
-			Next:              config.Duty{Holder: next.Name, Boot: next.Boot, PreviousBoot: before, IsReleased: isKept || leaving[held.Holder]},
-			IsHolderSuspected: isAssigned && !isHere && !leaving[held.Holder] && !isInDrainedZone(compiled, adapters.Members, held.Holder)})
+		keepsHolder := isRestarted && next == holder
+		out = append(out, Change{Pool: pool, Worker: name, IfRevision: ifRevision, IsHolderRestarted: keepsHolder,
+			Next:              config.Duty{Holder: next.Name, Boot: next.Boot, PreviousBoot: before, IsReleased: keepsHolder || leaving[assigned.Holder]},
+			IsHolderSuspected: isAssigned && !isHere && !leaving[assigned.Holder] && !isInDrainedZone(compiled, adapters.Members, assigned.Holder)})
 	}
-	for name, held := range compiled.Duties[pool].All() {
+	for name, assigned := range compiled.Duties[pool].All() {
 		_, isListed := compiled.Workers[pool].Get(name)
-		if _, isOpen := adapters.Proposals.find(pool+"/"+name, held.Term); !isListed && !isOpen {
-			out = append(out, Change{Pool: pool, Worker: name, IfRevision: held.Term, IsRemoval: true})
+		if _, isOpen := adapters.Proposals.find(pool+"/"+name, assigned.Term); !isListed && !isOpen {
+			out = append(out, Change{Pool: pool, Worker: name, IfRevision: assigned.Term, IsRemoval: true})
 		}
 	}
 	return out
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -11,6 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
+// compiled returns the control state of a pool p with workers, duties and drained zones.
 func compiled(workers map[string]config.Worker, duties map[string]config.AssignedDuty, emptied ...string) *config.Compiled {
 	out := &config.Compiled{Workers: map[string]config.Table[config.Worker]{"p": config.TableOf(workers)},
 		Duties: map[string]config.Table[config.AssignedDuty]{"p": config.TableOf(duties)}, DrainedZones: map[string]bool{}}
@@ -20,6 +21,7 @@
 	return out
 }
 
+// held returns a duty of a holder, with term 7.
 func held(holder, boot string) config.AssignedDuty {
 	return config.AssignedDuty{Duty: config.Duty{Holder: holder, Boot: boot}, Term: 7}
 }
--- a/internal/duty/proposals.go
+++ b/internal/duty/proposals.go
@@ -17,6 +17,7 @@
 	open    map[string]proposal // by duty
 }
 
+// proposal is a change that was proposed and is not visible in the view yet.
 type proposal struct {
 	ifRevision int64
 	holder     string // empty for a removal
--- a/internal/duty/sharedrate.go
+++ b/internal/duty/sharedrate.go
@@ -30,12 +30,12 @@
 	}
 	out := make(sharedHolders, int(math.Ceil(rules.Rate/holderRunsPerSecondLimit)))
 	counts := make([]map[string]int, len(out))
-	for name, held := range compiled.Duties[pool].All() {
+	for name, assigned := range compiled.Duties[pool].All() {
 		at := out.indexOf(name)
 		if counts[at] == nil {
 			counts[at] = map[string]int{}
 		}
-		counts[at][held.Holder]++
+		counts[at][assigned.Holder]++
 	}
 	names := make([]string, len(candidates))
 	for i, who := range candidates {
@@ -53,6 +53,7 @@
 	return out
 }
 
+// indexOf returns the index of the holder that a worker is assigned to.
 func (k sharedHolders) indexOf(worker string) int {
 	h := fnv.New32a()
 	h.Write([]byte(worker))
--- a/internal/manager/absentstores_test.go
+++ b/internal/manager/absentstores_test.go
@@ -23,7 +23,7 @@
 	}{
 		{"the absent store, soon after", 4, []string{"s9"}, errs.Stale},
 		{"the absent store, when it is forgotten", absentStoreBounds + 1, []string{"s9"}, errs.Unknown},
-		{"a second store, while the absent one may come back", 4, []string{"s1", "s2"}, errs.Stale},
+		{"a second store, while the absent one may return", 4, []string{"s1", "s2"}, errs.Stale},
 		{"a second store, when the absent one is forgotten", absentStoreBounds + 1, []string{"s1", "s2"}, errs.Rejected},
 	}
 	Convey("While a fifth store is absent, the answer is right when retiring", t, func() {
--- a/internal/manager/api.go
+++ b/internal/manager/api.go
@@ -18,9 +18,10 @@
 	"caperwheel/internal/wire"
 )
 
+// serveApi registers the handlers of the operators' HTTP API.
 func (m *Manager) serveApi() {
-	type by = map[string]http.HandlerFunc
-	paths := map[string]by{
+	type handlersByMethod = map[string]http.HandlerFunc
+	paths := map[string]handlersByMethod{
 		"/v1/charter":                {"GET": m.getConfig, "PUT": m.putConfig, "PATCH": m.patchConfig},
 		"/v1/charter/history":        {"GET": m.getHistory},
 		"/v1/pools/{pool}/workers":   {"GET": m.getWorkers, "PUT": m.putWorkers, "PATCH": m.patchWorkers},
@@ -55,6 +56,7 @@
 	return revision, nil
 }
 
+// etag returns a revision as the value of an ETag header.
 func etag(revision int64) string { return `"` + strconv.FormatInt(revision, 10) + `"` }
 
 // operatorName returns who makes a change and when, for the history. The time is informational;
@@ -104,15 +106,17 @@
 	m.proposeConfig(w, r, body, func(base []byte) ([]byte, error) { return config.Merge(base, body) })
 }
 
+// proposeConfig proposes the document that make returns for the current one, or only checks it with
+// ?check=true, and answers with the result.
 func (m *Manager) proposeConfig(w http.ResponseWriter, r *http.Request, body []byte, make func(base []byte) ([]byte, error)) {
 	revision, err := baseRevision(r)
 	if err != nil {
 		web.WriteError(w, err)
 		return
 	}
-	isCheck := r.URL.Query().Get("check") == "true"
-	p := Proposal{By: operatorName(r), BaseRevision: revision, IsDryRun: isCheck, Build: make}
-	if !isCheck {
+	isDryRun := r.URL.Query().Get("check") == "true"
+	p := Proposal{By: operatorName(r), BaseRevision: revision, IsDryRun: isDryRun, Build: make}
+	if !isDryRun {
 		p.Digest = editDigest(r.Method, revision, body)
 	}
 	got, err := m.operators.Propose(r.Context(), p)
@@ -124,7 +128,7 @@
 		web.WriteProblem(w, 412, web.Problem{Error: errs.Conflict, Text: known.Text}, 0)
 	case err != nil:
 		web.WriteError(w, err)
-	case isCheck:
+	case isDryRun:
 		web.WriteJson(w, 200, map[string]any{"checked": true, "differences": got.Differences})
 	default:
 		w.Header().Set("ETag", etag(got.Revision))
@@ -139,6 +143,7 @@
 	return hex.EncodeToString(sum[:16])
 }
 
+// getHistory answers with the newest changes of the configuration and their authors.
 func (m *Manager) getHistory(w http.ResponseWriter, r *http.Request) {
 	c, err := m.readKey(r.Context(), feed.ConfigPart, feed.History)
 	if err != nil {
@@ -147,7 +152,7 @@
 	}
 	var past []wire.Change
 	if err := json.Unmarshal(c.Value, &past); err != nil {
-		web.WriteError(w, errs.Wrap(err, errs.Corrupt, "history"))
+		web.WriteError(w, errs.Wrap(err, errs.Corrupt, "stored history of the configuration"))
 		return
 	}
 	out := []map[string]any{}
--- a/internal/manager/duties_test.go
+++ b/internal/manager/duties_test.go
@@ -46,6 +46,7 @@
 	return count
 }
 
+// runRound runs one planning round and returns the number of its duty edits.
 func (p *dutyFixture) runRound() int {
 	before := p.dutyEdits()
 	p.planner.runRound(context.Background(), false)
--- a/internal/manager/edit.go
+++ b/internal/manager/edit.go
@@ -11,8 +11,8 @@
 )
 
 // edit changes one key and returns the revision of the change. The part deduplicates edits by their
-// order ID, so edit retries until the outcome is certain or its time is over: the edit is applied at
-// most once, and each retry gets the same answer. A revision of 0 means that the edit was not
+// operation ID, so edit retries until the outcome is certain or its time is over: the edit is applied
+// at most once, and each retry gets the same answer. A revision of 0 means that the edit was not
 // confirmed; the error is errs.Undecided if it may have been applied all the same.
 func (m *Manager) edit(ctx context.Context, e wire.Edit) (int64, error) {
 	if e.Value == nil {
@@ -29,7 +29,7 @@
 	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply*2)
 	defer cancel()
 	for mayHaveApplied := false; ; { // whether an attempt without a clear answer may have been applied
-		reply, mayApply, err := m.reach.CallOwnerTracked(ctx, e.Part, &e, func(reply any) (bool, string) {
+		reply, mayApply, err := m.ownerClient.CallOwnerTracked(ctx, e.Part, &e, func(reply any) (bool, string) {
 			got, isEdited := reply.(*wire.Edited)
 			return isEdited && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.Undecided), ""
 		})
@@ -72,6 +72,7 @@
 	return 0, errs.New(errs.Conflict, "%s", got.Text)
 }
 
+// undecidedError returns the error of an edit whose outcome is unknown.
 func undecidedError() error {
 	return errs.New(errs.Undecided, "the outcome of the change is unknown; read the value back")
 }
@@ -86,7 +87,7 @@
 func (m *Manager) readReply(ctx context.Context, part int64, key string) (wire.Pulled, error) {
 	ctx, cancel := timing.Within(ctx, m.d.Bounds.ConfigApply)
 	defer cancel()
-	reply, err := m.reach.CallOwner(ctx, part, &wire.Pull{Part: part, Key: key}, func(reply any) (bool, string) {
+	reply, err := m.ownerClient.CallOwner(ctx, part, &wire.Pull{Part: part, Key: key}, func(reply any) (bool, string) {
 		got, isPulled := reply.(*wire.Pulled)
 		return isPulled && got.Kind != string(errs.NotOwner) && got.Kind != string(errs.DeadlineExceeded), ""
 	})
--- a/internal/manager/edit_test.go
+++ b/internal/manager/edit_test.go
@@ -43,9 +43,9 @@
 			Convey(c.name, func() {
 				m, _ := newFakeManager()
 				m.d.Bounds.ConfigApply = 50 * time.Millisecond
-				m.reach.Bounds = m.d.Bounds
+				m.ownerClient.Bounds = m.d.Bounds
 				turn, orders := 0, map[string]bool{}
-				m.reach.SendFunc = func(_ context.Context, _ string, ask any) (any, error) {
+				m.ownerClient.SendFunc = func(_ context.Context, _ string, ask any) (any, error) {
 					e, isEdit := ask.(*wire.Edit)
 					if !isEdit {
 						return &wire.Pulled{Kind: string(errs.Unknown)}, nil
@@ -64,7 +64,7 @@
 					So(errs.KindOf(err), ShouldEqual, c.kind)
 				}
 				So(revision, ShouldEqual, map[bool]int64{true: 7}[c.kind == ""])
-				So(len(orders), ShouldEqual, 1) // all retries carry the same order ID
+				So(len(orders), ShouldEqual, 1) // all retries have the same operation ID
 			})
 		}
 	})
--- a/internal/manager/histories_test.go
+++ b/internal/manager/histories_test.go
@@ -123,15 +123,15 @@
 // of outageOdds calls; 0 for never.
 func randomHistory(seed uint64, outageOdds int, mutateEdit func(e *wire.Edit)) (out []linearize.Operation) {
 	r := &faultyPart{random: rand.New(rand.NewPCG(seed, 99)), part: feed.NewPart(), mutateEdit: mutateEdit, outageOdds: outageOdds}
-	patience := 400 * time.Millisecond
+	configBound := 400 * time.Millisecond
 	if outageOdds > 0 {
-		patience = 20 * time.Millisecond // managers give up during an outage
+		configBound = 20 * time.Millisecond // managers give up during an outage
 	}
 	managers := []*Manager{}
 	for i := range 3 {
 		m, _ := newFakeManager()
-		m.d.Who.Boot, m.d.Bounds.ConfigApply = strconv.Itoa(i), patience
-		m.reach = &ownerclient.Client{Membership: m.d.Membership, Bounds: m.d.Bounds, SendFunc: r.call}
+		m.d.Who.Boot, m.d.Bounds.ConfigApply = strconv.Itoa(i), configBound
+		m.ownerClient = &ownerclient.Client{Membership: m.d.Membership, Bounds: m.d.Bounds, SendFunc: r.call}
 		managers = append(managers, m)
 	}
 	var group sync.WaitGroup
--- a/internal/manager/interleavings_simulation_test.go
+++ b/internal/manager/interleavings_simulation_test.go
@@ -63,7 +63,7 @@
 	operators    []*operatorRun
 	delayedEdits []wire.Edit // edits that arrive later
 	faults       int
-	moment       time.Duration
+	clock        time.Duration
 	history      []linearize.Operation
 	mutateEdit   func(e *wire.Edit)
 }
@@ -88,8 +88,9 @@
 
 func (c *fakeClock) Wait(context.Context, time.Duration) {}
 
-func newSimulation(hurt func(e *wire.Edit)) *simulation {
-	p := &simulation{part: feed.NewPart(), mutateEdit: hurt}
+// newSimulation starts two operators, each up to its first call. mutateEdit changes each edit before it arrives.
+func newSimulation(mutateEdit func(e *wire.Edit)) *simulation {
+	p := &simulation{part: feed.NewPart(), mutateEdit: mutateEdit}
 	for i := range 2 {
 		s := &operatorRun{}
 		s.next, s.stop = iter.Pull(func(yield func(any) bool) {
@@ -115,7 +116,8 @@
 // advance runs an operator up to its next call.
 func (s *operatorRun) advance() { s.ask, s.isWaiting = s.next() }
 
-func (p *simulation) now() time.Duration { p.moment++; return p.moment }
+// now returns the next time of a logical clock.
+func (p *simulation) now() time.Duration { p.clock++; return p.clock }
 
 // operate sends one proposal, retries it while its outcome is unclear, and reads the configuration.
 func (p *simulation) operate(client int, s *operatorRun, call func(context.Context, string, any) (any, error)) {
@@ -155,7 +157,7 @@
 func managerOf(boot string, call func(context.Context, string, any) (any, error)) *Manager {
 	m, _ := newFakeManager()
 	m.d.Who.Boot = boot
-	m.reach = &ownerclient.Client{Membership: m.d.Membership, Bounds: m.d.Bounds, SendFunc: call}
+	m.ownerClient = &ownerclient.Client{Membership: m.d.Membership, Bounds: m.d.Bounds, SendFunc: call}
 	return m
 }
 
@@ -233,6 +235,7 @@
 	return nil
 }
 
+// end stops the operators.
 func (p *simulation) end() {
 	for _, s := range p.operators {
 		s.stop()
--- a/internal/manager/interleavings_test.go
+++ b/internal/manager/interleavings_test.go
@@ -25,11 +25,11 @@
 
 // interleavings explores all runs, and returns the number of states, the number of final states whose
 // history was checked, and why the first history that is not linearizable is not.
-func interleavings(hurt func(e *wire.Edit)) (states, ends int, broken string) {
+func interleavings(mutateEdit func(e *wire.Edit)) (states, ends int, broken string) {
 	seen := map[string]bool{}
 	var walk func(path []choice)
 	walk = func(path []choice) {
-		p := newSimulation(hurt)
+		p := newSimulation(mutateEdit)
 		defer p.end()
 		for _, c := range path {
 			p.take(c)
--- a/internal/manager/list.go
+++ b/internal/manager/list.go
@@ -159,6 +159,7 @@
 	l.roster.Changed() // the view holds these already: they are no changes
 }
 
+// takeCompletedReads returns the completed reads that are not written yet, and removes them from the queue.
 func (l *listController) takeCompletedReads() []completedRead {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,6 +168,7 @@
 	return out
 }
 
+// requeueCompletedReads puts completed reads whose write has failed back at the head of the queue.
 func (l *listController) requeueCompletedReads(reads []completedRead) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/manager/listread.go
+++ b/internal/manager/listread.go
@@ -90,6 +90,7 @@
 	}
 }
 
+// rate returns the rate limit of the source, in calls per second; 0 for none.
 func (l *listController) rate() float64 {
 	if l.m.source.Rate == nil {
 		return 0
@@ -128,6 +129,7 @@
 	}
 }
 
+// listName returns the name of a list in log lines.
 func listName(c *workerlist.Cursor) string {
 	if c.Zone == "" {
 		return "The list of all zones"
--- a/internal/manager/manager.go
+++ b/internal/manager/manager.go
@@ -26,7 +26,7 @@
 	d              *daemon.Daemon
 	configs        *config.Cache
 	registry       *session.Registry
-	reach          *ownerclient.Client
+	ownerClient    *ownerclient.Client
 	operators      *Operators
 	source         *Source         // nil if operators write the worker lists
 	listController *listController // nil without a source; set before any goroutine starts
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d.OpenTransport(map[string]transport.Handler{"session": m.onSession, "peer": m.onPeer})
-	m.reach = &ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PartLink}
+	m.ownerClient = &ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PartLink}
 	d.Ready = func() (bool, string) { return d.IsFresh(), string(errs.Stale) }
 	m.serveApi()
 	if o.ServeOperators != nil {
@@ -101,18 +101,21 @@
 	answer(m.shareFor(share.Who))
 }
 
+// ownShare returns the sessions that this manager shares with its peers.
 func (m *Manager) ownShare() *wire.Share {
 	return &wire.Share{Who: m.d.Who, Members: m.registry.SessionsForPeers(m.d.Now())}
 }
 
+// applyShare merges a peer's share into the registry. Only what a manager reports of itself, and sessions of
+// other daemons, count as renewed; other managers are only added if they are unknown.
 func (m *Manager) applyShare(share *wire.Share) {
 	now := m.d.Now()
-	tellsOfItself := func(member wire.Member) bool { return member.Who.Name == share.Who.Name }
-	if !slices.ContainsFunc(share.Members, tellsOfItself) {
+	isSender := func(member wire.Member) bool { return member.Who.Name == share.Who.Name }
+	if !slices.ContainsFunc(share.Members, isSender) {
 		m.registry.Renew(wire.Member{Who: share.Who, Owns: []wire.Owned{}, Fact: wire.Fact{Counts: map[string]int64{}}}, now, false)
 	}
 	for _, member := range share.Members {
-		if member.Who.Kind == "manager" && !tellsOfItself(member) {
+		if member.Who.Kind == "manager" && !isSender(member) {
 			m.registry.AddIfUnknown(member, now)
 		} else {
 			m.registry.Renew(member, now, false)
--- a/internal/manager/operators.go
+++ b/internal/manager/operators.go
@@ -15,11 +15,11 @@
 // Operators carries out the operations that operators request, whichever interface they use.
 type Operators struct{ m *Manager }
 
-// NewOperators returns the operators' operations on a daemon, reach and registry that the caller
+// NewOperators returns the operators' operations on a daemon, owner client and registry that the caller
 // runs; the simulation uses it. A source is not read, but with one the workers of restored zones count
 // as cold.
 func NewOperators(d *daemon.Daemon, r *ownerclient.Client, registry *session.Registry, source *Source) *Operators {
-	m := &Manager{d: d, configs: &config.Cache{View: d.View}, registry: registry, reach: r, source: source, resendWindow: 2 * d.Bounds.ConfigApply,
+	m := &Manager{d: d, configs: &config.Cache{View: d.View}, registry: registry, ownerClient: r, source: source, resendWindow: 2 * d.Bounds.ConfigApply,
 		storeHistory: storeHistory{bound: d.Bounds.ConfigApply}}
 	m.operators = &Operators{m}
 	return m.operators
@@ -33,13 +33,13 @@
 // Proposal is a proposed change of the configuration. It is based on a revision or, if IsVersionBased,
 // on the version number that operators give.
 type Proposal struct {
-	By             string
+	By             string // author, for the history
 	Digest         string // idempotency key: an edit that was applied is not applied again; empty for none
 	BaseRevision   int64  // 0 for the first configuration
 	BaseVersion    int64  // 0 for a configuration without a version
 	IsVersionBased bool
-	IsDryRun       bool // it is validated and not written
-	Build          func(baseRank []byte) ([]byte, error)
+	IsDryRun       bool                              // it is validated and not written
+	Build          func(base []byte) ([]byte, error) // returns the new document for the base
 }
 
 // baseRank ranks the proposal among all edits by its base version or revision. The part remembers a
@@ -82,9 +82,9 @@
 	case config.HasEdit(base, p.Digest):
 		return ProposalResult{Revision: revision}, nil
 	case p.IsVersionBased && version != p.BaseVersion:
-		return o.resolveOutcome(ctx, p, ProposalResult{}, errs.New(errs.Conflict, "the configuration's version is %d", version))
+		return o.resolveOutcome(ctx, p, ProposalResult{}, errs.New(errs.Conflict, "the change is based on another version: the configuration's version is %d", version))
 	case !p.IsVersionBased && revision != p.BaseRevision:
-		return o.resolveOutcome(ctx, p, ProposalResult{}, errs.New(errs.Conflict, "the configuration's stamp is %d", revision))
+		return o.resolveOutcome(ctx, p, ProposalResult{}, errs.New(errs.Conflict, "the change is based on another stamp: the configuration's stamp is %d", revision))
 	}
 	doc, err := p.Build(base)
 	if err != nil {
--- a/internal/manager/operators_test.go
+++ b/internal/manager/operators_test.go
@@ -90,6 +90,7 @@
 	return nil, errs.New(errs.Lost, "session")
 }
 
+// updateView brings the manager's view up to date, unless it is frozen.
 func (f *fakeParts) updateView() {
 	if f.isViewFrozen {
 		return
@@ -127,11 +128,12 @@
 	for part := range int64(2) {
 		view.Update([]wire.PartNews{{Part: part}}, d.Now())
 	}
-	m.reach = &ownerclient.Client{Membership: d.Membership, Bounds: d.Bounds, SendFunc: f.call}
+	m.ownerClient = &ownerclient.Client{Membership: d.Membership, Bounds: d.Bounds, SendFunc: f.call}
 	m.operators = &Operators{m}
 	return m, f
 }
 
+// versioned returns a Proposal.Build that returns a document with a version and a note.
 func versioned(version int, note string) func([]byte) ([]byte, error) {
 	return func([]byte) ([]byte, error) {
 		return []byte(`{"note":"` + note + `","version":` + strconv.Itoa(version) + `}`), nil
--- a/internal/manager/retire.go
+++ b/internal/manager/retire.go
@@ -19,7 +19,7 @@
 //
 // The retirement is admitted by a compare and set on the list of all retirements, so that of two
 // concurrent ones the second is checked against the first. It is rejected only if too few stores
-// would be left even when all absent stores have come back; while they are absent, it fails with
+// would be left even after all absent stores have returned; while they are absent, it fails with
 // errs.Stale and may be retried.
 func (o *Operators) RetireStore(ctx context.Context, by, name string, span time.Duration) (int64, error) {
 	if err := checkName(name); err != nil {
@@ -101,6 +101,7 @@
 	return admitted, c.Revision, err
 }
 
+// writeRetirements writes the list of all retirements if its revision is onRevision.
 func (o *Operators) writeRetirements(ctx context.Context, by string, r config.Retirements, onRevision int64) (int64, error) {
 	return o.m.edit(ctx, wire.Edit{Part: feed.ConfigPart, Key: config.RetirementsKey, Value: r.Encode(), IfRevision: onRevision, By: by})
 }
@@ -108,12 +109,12 @@
 // checkRetirement returns an error unless the store may be retired in addition to the admitted ones.
 func (o *Operators) checkRetirement(ctx context.Context, name string, admitted config.Retirements) error {
 	m := o.m
-	for marked := range m.configs.Current().RetiredStores { // an older build admitted some without the list
-		admitted = admitted.With(marked)
+	for retired := range m.configs.Current().RetiredStores { // an older build admitted some without the list
+		admitted = admitted.With(retired)
 	}
-	here, holding := []string{}, []string{}
+	members, holding := []string{}, []string{}
 	for _, who := range m.d.Membership.OfKind("store") {
-		here = append(here, who.Name)
+		members = append(members, who.Name)
 	}
 	for _, g := range o.collectRetirementReports(ctx, name).groups {
 		holding = append(holding, g.Stores...)
@@ -121,7 +122,7 @@
 	isHolding := slices.Contains(holding, name)
 	holding = append(holding, m.storeHistory.recent()...)
 	switch {
-	case slices.Contains(here, name):
+	case slices.Contains(members, name):
 	case !slices.Contains(holding, name) && !m.knowsAllStores():
 		return errs.New(errs.Stale, "this manager has not yet observed the stores for long enough to know all of them")
 	case !slices.Contains(holding, name):
@@ -129,7 +130,7 @@
 	case !isHolding:
 		return errs.New(errs.Stale, "store %s is absent and holds no group at present", name)
 	}
-	present, known := countRemaining(here, name, admitted), countRemaining(append(here, holding...), name, admitted)
+	present, known := countRemaining(members, name, admitted), countRemaining(append(members, holding...), name, admitted)
 	switch {
 	case present >= m.replicaCount():
 		return nil
--- a/internal/manager/retirement.go
+++ b/internal/manager/retirement.go
@@ -13,11 +13,11 @@
 // RetirementProgress tells how far the move of all groups off a store has come.
 type RetirementProgress struct {
 	Store      string `json:"store"`
-	IsMember   bool   `json:"here"`
-	IsRetired  bool   `json:"retired"`
-	GroupsLeft int64  `json:"groups_left"`
-	IsComplete bool   `json:"complete"` // the owner of every group has answered
-	IsDone     bool   `json:"done"`
+	IsMember   bool   `json:"here"`        // the store is a member now // the store is a member now
+	IsRetired  bool   `json:"retired"`     // its retirement is in force
+	GroupsLeft int64  `json:"groups_left"` // groups with a replica on the store
+	IsComplete bool   `json:"complete"`    // the owner of every group has answered
+	IsDone     bool   `json:"done"`        // the store can be removed
 }
 
 // RetirementProgress reports how far the retirement of a store has come. It is done when two things
@@ -51,15 +51,15 @@
 	isRetirementKnown bool                    // all owners that answered know of the retirement
 }
 
-// collectRetirementReports asks all stores for the replicas of the groups that they own, not counting
-// the store without.
+// collectRetirementReports requests from all stores the state of the groups that they own, not counting
+// replicas on the store without.
 func (o *Operators) collectRetirementReports(ctx context.Context, without string) retirementReports {
 	ctx, cancel := timing.Within(ctx, o.m.d.Bounds.Of(timing.SettleTimeout))
 	defer cancel()
 	out := retirementReports{map[int64]wire.Standing{}, true}
-	for _, reply := range o.m.reach.CallMembers(ctx, o.m.d.Membership.OfKind("store"), &wire.Retire{Store: without}) {
-		if told, isTold := reply.(*wire.Retired); isTold {
-			out.add(told)
+	for _, reply := range o.m.ownerClient.CallMembers(ctx, o.m.d.Membership.OfKind("store"), &wire.Retire{Store: without}) {
+		if report, isReport := reply.(*wire.Retired); isReport {
+			out.add(report)
 		}
 	}
 	return out
@@ -67,13 +67,13 @@
 
 // add merges the report of one store. A store that owns no confirmed group does not count for
 // isRetirementKnown.
-func (s *retirementReports) add(told *wire.Retired) {
-	for _, g := range told.Groups {
+func (s *retirementReports) add(report *wire.Retired) {
+	for _, g := range report.Groups {
 		if was, isKnown := s.groups[g.Group]; !isKnown || g.Term > was.Term {
 			s.groups[g.Group] = g
 		}
 	}
-	s.isRetirementKnown = s.isRetirementKnown && (told.IsKnown || len(told.Groups) == 0)
+	s.isRetirementKnown = s.isRetirementKnown && (report.IsKnown || len(report.Groups) == 0)
 }
 
 // count returns how many groups have a confirmed owner.
--- a/internal/manager/status.go
+++ b/internal/manager/status.go
@@ -24,7 +24,7 @@
 	DrainedZones       []string                      `json:"emptied_cells"`
 	WorkerDrainedZones []string                      `json:"resting_cells,omitempty"` // of workers only
 	RetiredStores      []string                      `json:"retired_stores"`
-	Shape              map[string]int64              `json:"shape"`
+	Shape              map[string]int64              `json:"shape"` // numbers of places and parts
 }
 
 // StatusMember is the state of one daemon.
--- a/internal/manager/storehistory.go
+++ b/internal/manager/storehistory.go
@@ -20,8 +20,8 @@
 	lastSeen       map[string]time.Duration // by name: when each store was last a member
 }
 
-// absentStoreBounds is for how many configuration bounds an absent store is remembered: it may come back, though
-// its replicas were assigned to other stores meanwhile.
+// absentStoreBounds is for how many configuration bounds an absent store is remembered: it may return
+// although its replicas were assigned to other stores meanwhile.
 const absentStoreBounds = 10
 
 // observe records which stores are members now, and returns for how long the set has been unchanged.
--- a/internal/manager/weights.go
+++ b/internal/manager/weights.go
@@ -44,9 +44,9 @@
 	_, members := m.registry.Members(m.d.Now())
 	for _, member := range members {
 		for key, micros := range member.Fact.Counts {
-			name, isIt := strings.CutPrefix(key, "run_micros ")
+			name, isRunTime := strings.CutPrefix(key, "run_micros ")
 			at := strings.LastIndex(name, "/")
-			if !isIt || at < 0 {
+			if !isRunTime || at < 0 {
 				continue
 			}
 			pool, worker := name[:at], name[at+1:]
@@ -62,6 +62,7 @@
 	return out
 }
 
+// publishWeights publishes the next weights of a pool's workers if they differ enough from the old ones.
 func (m *Manager) publishWeights(ctx context.Context, compiled *config.Compiled, pool string, measured map[string]weight.Observation) {
 	for worker := range measured {
 		if _, isListed := compiled.Workers[pool].Get(worker); !isListed {
@@ -98,6 +99,7 @@
 	}
 }
 
+// publish writes a value at prefix and name, in the part of the name.
 func (m *Manager) publish(ctx context.Context, prefix, name string, value any) {
 	raw, err := json.Marshal(value)
 	if err != nil {
--- a/internal/manager/workers.go
+++ b/internal/manager/workers.go
@@ -32,6 +32,7 @@
 	return feed.PartOf(name, m.d.Settings.Parts), config.WorkersKey + name, nil
 }
 
+// readWorkers reads the key of the list that is named in the request's path; a missing key is an empty list.
 func (m *Manager) readWorkers(r *http.Request) (part int64, key string, c wire.Change, err error) {
 	if part, key, err = m.poolKey(r); err != nil {
 		return
@@ -64,6 +65,7 @@
 	return out
 }
 
+// getWorkers answers with a pool's list. A list in buckets has no single revision, and so no ETag.
 func (m *Manager) getWorkers(w http.ResponseWriter, r *http.Request) {
 	_, _, c, err := m.readWorkers(r)
 	if err != nil {
@@ -87,6 +89,8 @@
 	m.proposeWorkers(w, r, func(base, given config.Workers) config.Workers { return base.Patch(given) })
 }
 
+// proposeWorkers writes the list that make returns for the stored and the given one, if the stored one has the
+// revision in If-Match.
 func (m *Manager) proposeWorkers(w http.ResponseWriter, r *http.Request, make func(base, given config.Workers) config.Workers) {
 	revision, err := baseRevision(r)
 	if err != nil {
@@ -112,7 +116,7 @@
 		return
 	}
 	if c.Revision != revision {
-		rejectEdit(w, errs.New(errs.Conflict, "the list's stamp is %d", c.Revision))
+		rejectEdit(w, errs.New(errs.Conflict, "the change is based on another stamp: the list's stamp is %d", c.Revision))
 		return
 	}
 	base, _ := config.ReadWorkers(c.Value)
@@ -128,15 +132,15 @@
 
 // postOrder handles an order that drains a zone or retires a store, or takes that back. Such an order
 // needs no base revision, since it is idempotent.
-func (m *Manager) postOrder(kind string, change func(r *http.Request, subject string) (held int64, isMarked bool, err error)) http.HandlerFunc {
+func (m *Manager) postOrder(kind string, change func(r *http.Request, subject string) (revision int64, isInForce bool, err error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		subject := r.PathValue(kind)
-		held, isMarked, err := change(r, subject)
+		revision, isInForce, err := change(r, subject)
 		if err != nil {
 			rejectEdit(w, err)
 			return
 		}
-		web.WriteJson(w, 200, map[string]any{kind: subject, "stamp": held, "marked": isMarked})
+		web.WriteJson(w, 200, map[string]any{kind: subject, "stamp": revision, "marked": isInForce})
 	}
 }
 
@@ -145,23 +149,23 @@
 	if only != "" && only != config.OnlyWorkers {
 		return 0, false, errs.New(errs.Invalid, "the query parameter only must be empty or workers")
 	}
-	held, err := m.operators.DrainZone(r.Context(), operatorName(r), zone, only != "")
-	return held, true, err
+	revision, err := m.operators.DrainZone(r.Context(), operatorName(r), zone, only != "")
+	return revision, true, err
 }
 
 func (m *Manager) restoreZone(r *http.Request, zone string) (int64, bool, error) {
-	held, err := m.operators.RestoreZone(r.Context(), operatorName(r), zone)
-	return held, false, err
+	revision, err := m.operators.RestoreZone(r.Context(), operatorName(r), zone)
+	return revision, false, err
 }
 
 func (m *Manager) retireStore(r *http.Request, store string) (int64, bool, error) {
-	held, err := m.operators.RetireStore(r.Context(), operatorName(r), store, 0)
-	return held, true, err
+	revision, err := m.operators.RetireStore(r.Context(), operatorName(r), store, 0)
+	return revision, true, err
 }
 
 func (m *Manager) restoreStore(r *http.Request, store string) (int64, bool, error) {
-	held, err := m.operators.RestoreStore(r.Context(), operatorName(r), store)
-	return held, false, err
+	revision, err := m.operators.RestoreStore(r.Context(), operatorName(r), store)
+	return revision, false, err
 }
 
 // isKnownSubject reports whether a zone or store exists, so that an order for a misspelt name is rejected.
--- a/internal/manager/zonedrain.go
+++ b/internal/manager/zonedrain.go
@@ -29,8 +29,8 @@
 // it and a further order is in force; it would then pass for a new order. So a manager drops an
 // order that it received long ago, and one whose caller has closed the connection.
 
-// maxConflictRetries bounds the attempts to apply an order for a zone, as each may meet a conflict with
-// another order for the zone.
+// maxConflictRetries bounds the attempts to apply an order for a zone: each may conflict with another
+// order for the zone.
 const maxConflictRetries = 3
 
 // DrainZone orders that a zone, or only its workers, get no new work. A zone that is drained as a
@@ -70,8 +70,8 @@
 	age      time.Duration // time since the last order
 }
 
-// updateDrainOrder replaces a zone's drain order by compare and set: next returns the new order, or
-// that the current one already is what was requested. A conflict is retried up to maxConflictRetries times.
+// updateDrainOrder replaces a zone's drain order by compare and set, in at most maxConflictRetries
+// attempts. next returns the new order, or that the requested order is in force already.
 func (o *Operators) updateDrainOrder(ctx context.Context, by, zone string, next func(was drainState) (config.DrainOrder, bool)) (revision int64, err error) {
 	began := o.m.d.Now()
 	for range maxConflictRetries {
@@ -81,8 +81,8 @@
 			return 0, err
 		}
 		was := drainState{got.Change.Revision, config.ParseDrainOrder(got.Change.Value), orderAge(got)}
-		order, isThere := next(was)
-		if isThere {
+		order, isInForce := next(was)
+		if isInForce {
 			return was.revision, nil
 		}
 		if err = o.checkNotStale(ctx, began); err != nil {
@@ -117,7 +117,7 @@
 }
 
 // nextDrain returns the drain order after an order to drain the zone's workers.
-func (m *Manager) nextDrain(was drainState) (next config.DrainOrder, isThere bool) {
+func (m *Manager) nextDrain(was drainState) (next config.DrainOrder, isInForce bool) {
 	next = config.DrainOrder{Only: config.OnlyWorkers, RestoredAgoMs: m.msSinceRestore(was)}
 	switch {
 	case was.revision == 0 || was.order.Only == config.OnlyCold:
@@ -130,7 +130,7 @@
 }
 
 // nextRestore returns the drain order after an order to restore the zone.
-func (m *Manager) nextRestore(was drainState) (next config.DrainOrder, isThere bool) {
+func (m *Manager) nextRestore(was drainState) (next config.DrainOrder, isInForce bool) {
 	switch {
 	case was.revision == 0, was.order.Only == config.OnlyCold, m.msSinceRestore(was) > 0:
 		return next, true
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -130,7 +130,7 @@
 	s := Default()
 	s.args = args
 	for i, a := range args { // the file is read first: flags override it
-		if name, isIt := strings.CutPrefix(a, "--settings="); isIt {
+		if name, hasPrefix := strings.CutPrefix(a, "--settings="); hasPrefix {
 			s.File = name
 		} else if a == "--settings" && i+1 < len(args) {
 			s.File = args[i+1]
@@ -161,6 +161,7 @@
 	return s, s.Check(kind)
 }
 
+// readFile overrides the settings with those of the file, converted by the source if there is one.
 func (s *Settings) readFile() error {
 	raw, err := os.ReadFile(s.File)
 	if err != nil {
@@ -214,6 +215,7 @@
 	return raw
 }
 
+// encode returns all settings as JSON.
 func (s Settings) encode() []byte {
 	if s.Seeds == nil {
 		s.Seeds = []string{}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,6 +13,7 @@
 
 const validFile = `{"name":"s","cell":"a","listen":"127.0.0.1:1000","http":"127.0.0.1:1001","seeds":["127.0.0.1:1002"],"data":"/d"}`
 
+// writeFile writes a settings file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	file := filepath.Join(t.TempDir(), "settings.json")
 	So(os.WriteFile(file, []byte(text), 0o600), ShouldBeNil)
--- a/internal/settings/watch_test.go
+++ b/internal/settings/watch_test.go
@@ -15,7 +15,7 @@
 	with := func(verbosity string) []byte {
 		return []byte(validFile[:len(validFile)-1] + `,"verbosity":` + verbosity + `}`)
 	}
-	breaks := map[string]func(file string) error{
+	breakages := map[string]func(file string) error{
 		"half written":   func(file string) error { return os.WriteFile(file, with("4")[:40], 0o600) },
 		"emptied":        func(file string) error { return os.WriteFile(file, nil, 0o600) },
 		"removed":        os.Remove,
@@ -25,7 +25,7 @@
 		},
 	}
 	Convey("Given a daemon that watches its settings file", t, func() {
-		for name, hurt := range breaks {
+		for name, breakFile := range breakages {
 			Convey("one that is "+name+" is not applied, the valid one after it is", func() {
 				file := writeFile(t, validFile)
 				s, err := Load("store", []string{"--settings", file, "--bound=500ms"}, nil)
@@ -35,7 +35,7 @@
 				used, began := make(chan int, 99), make(chan struct{})
 				go Watch(ctx, "store", s, func(s Settings) { used <- s.Verbosity }, func() { close(began) })
 				<-began
-				So(hurt(file), ShouldBeNil)
+				So(breakFile(file), ShouldBeNil)
 				So(os.WriteFile(file+".new", with("2"), 0o600), ShouldBeNil)
 				_ = os.Remove(file)
 				So(os.Rename(file+".new", file), ShouldBeNil)
