--- a/internal/config/buckets.go
+++ b/internal/config/buckets.go
@@ -47,8 +47,8 @@
 
 // ParseListKey returns the pool that a list's key belongs to, and the bucket count that the key implies.
 func ParseListKey(key string) (pool string, count int) {
-	pool, bucket, isCut := strings.Cut(strings.TrimPrefix(key, WorkersKey), "/")
-	if !isCut {
+	pool, bucket, isBucketed := strings.Cut(strings.TrimPrefix(key, WorkersKey), "/")
+	if !isBucketed {
 		return pool, 1
 	}
 	text, _, _ := strings.Cut(bucket, ".")
--- a/internal/config/cache.go
+++ b/internal/config/cache.go
@@ -31,10 +31,10 @@
 func (s *Cache) Current() *Compiled {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	turn := s.View.Version()
-	if s.compiled == nil || turn != s.viewVersion {
+	version := s.View.Version()
+	if s.compiled == nil || version != s.viewVersion {
 		s.advance()
-		s.viewVersion = turn
+		s.viewVersion = version
 	}
 	return s.compiled
 }
@@ -86,7 +86,7 @@
 // changeHandlers apply a change by the prefix of its key. No prefix is a prefix of another one.
 var changeHandlers = []struct {
 	prefix string
-	take   func(u *updater, name string, c wire.Change)
+	apply  func(u *updater, name string, c wire.Change)
 }{
 	{DutyKey, (*updater).applyDuty},
 	{WorkersKey, (*updater).applyList},
@@ -104,7 +104,7 @@
 	}
 	for _, t := range changeHandlers {
 		if name, hasPrefix := strings.CutPrefix(c.Key, t.prefix); hasPrefix {
-			t.take(u, name, c)
+			t.apply(u, name, c)
 			return
 		}
 	}
@@ -142,20 +142,20 @@
 }
 
 func (u *updater) applyZone(zone string, c wire.Change) {
-	emptied, resting, easing := cloneOnce(u, ZoneKey, &u.next.DrainedZones), cloneOnce(u, "resting", &u.next.WorkerDrainedZones), cloneOnce(u, "easing", &u.next.ColdZones)
-	delete(emptied, zone)
-	delete(resting, zone)
-	delete(easing, zone)
+	drained, workerDrained, cold := cloneOnce(u, ZoneKey, &u.next.DrainedZones), cloneOnce(u, "resting", &u.next.WorkerDrainedZones), cloneOnce(u, "easing", &u.next.ColdZones)
+	delete(drained, zone)
+	delete(workerDrained, zone)
+	delete(cold, zone)
 	if c.Gone {
 		return
 	}
 	switch ParseDrainOrder(c.Value).Only {
 	case OnlyWorkers:
-		resting[zone] = true
+		workerDrained[zone] = true
 	case OnlyCold:
-		easing[zone] = true
+		cold[zone] = true
 	default:
-		emptied[zone] = true
+		drained[zone] = true
 	}
 }
 
@@ -176,10 +176,10 @@
 }
 
 func (u *updater) applyShares(lane string, c wire.Change) {
-	shares, one := cloneOnce(u, ShareKey, &u.next.Shares), map[string]float64(nil)
+	shares, weights := cloneOnce(u, ShareKey, &u.next.Shares), map[string]float64(nil)
 	delete(shares, lane)
-	if !c.Gone && json.Unmarshal(c.Value, &one) == nil {
-		shares[lane] = one
+	if !c.Gone && json.Unmarshal(c.Value, &weights) == nil {
+		shares[lane] = weights
 	}
 }
 
--- a/internal/config/compiled.go
+++ b/internal/config/compiled.go
@@ -34,7 +34,7 @@
 func (d Duty) Encode() []byte {
 	raw, err := json.Marshal(d)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "duty"))
+		panic(errs.Wrap(err, errs.Internal, "encode duty"))
 	}
 	return raw
 }
@@ -64,7 +64,7 @@
 // RelativeShare returns the share of a lane's traffic that a pool gets, relative to the pool of the lane
 // with the largest share.
 func (s *Compiled) RelativeShare(lane, pool string) float64 {
-	most, own := 0.0, 1.0
+	largest, own := 0.0, 1.0
 	for _, name := range s.Rules.Lanes[lane].Pools {
 		w, isKnown := s.Shares[lane][name]
 		if !isKnown {
@@ -73,12 +73,12 @@
 		if name == pool {
 			own = w
 		}
-		most = max(most, w)
+		largest = max(largest, w)
 	}
-	if most == 0 {
+	if largest == 0 {
 		return 1
 	}
-	return own / most
+	return own / largest
 }
 
 // EndpointWorker is the name of the single worker of an endpoint pool.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 	Urgency            int64         // 1 to 9; share of the scheduling turns among the lanes of a pool
 	Patience           time.Duration // a message that has not ended by then expires
 	IsOrdered          bool          // messages of a key run one after another
-	MaxAttempts        int64         // runs that may fail; 0 for no limit within TimeToLive
+	MaxAttempts        int64         // runs that may fail; 0 for no limit within Patience
 	Backoff            time.Duration // delay after the first failed run; doubles with each further one
 	MaxBackoff         time.Duration
 	Retention          time.Duration // for how long the result of a message can be queried
@@ -35,7 +35,7 @@
 	AllowsNotifyUrl    bool          // a message may name a URL that is notified of its end
 	CountsEveryRun     bool          // each started run is an attempt; otherwise only runs reported as failed
 	DropsBodyOnSuccess bool          // the body is dropped on success; otherwise it is kept for the retention
-	UsesWitness        bool          // results are copied to witnesses before the owner has them
+	UsesWitness        bool          // results are left with witnesses before the owner has them
 	IsPublic           bool          // messages need no tenant's API key
 }
 
@@ -83,48 +83,48 @@
 }
 
 // numberBetween returns a check that a number is in a range.
-func numberBetween(least, most float64) func(gjson.Result) string {
+func numberBetween(minimum, maximum float64) func(gjson.Result) string {
 	return func(r gjson.Result) string {
-		if r.Num < least || r.Num > most {
-			return fmt.Sprintf("must be from %g to %g", least, most)
+		if r.Num < minimum || r.Num > maximum {
+			return fmt.Sprintf("must be from %g to %g", minimum, maximum)
 		}
 		return ""
 	}
 }
 
 // wholeBetween returns a check that a number is whole and in a range.
-func wholeBetween(least, most float64) func(gjson.Result) string {
+func wholeBetween(minimum, maximum float64) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		if r.Num != float64(int64(r.Num)) {
 			return "must be a whole number"
 		}
-		return numberBetween(least, most)(r)
+		return numberBetween(minimum, maximum)(r)
 	}
 }
 
 // durationBetween returns a check that a string is a duration in a range.
-func durationBetween(least, most time.Duration) func(gjson.Result) string {
+func durationBetween(minimum, maximum time.Duration) func(gjson.Result) string {
 	return func(r gjson.Result) string {
 		d, err := time.ParseDuration(r.Str)
 		if err != nil {
 			return "must be a duration such as 500ms or 2m"
 		}
-		if d < least || d > most {
-			return fmt.Sprintf("must be from %v to %v", least, most)
+		if d < minimum || d > maximum {
+			return fmt.Sprintf("must be from %v to %v", minimum, maximum)
 		}
 		return ""
 	}
 }
 
 // oneOf returns a check that a string is one of the given ones.
-func oneOf(words ...string) func(gjson.Result) string {
+func oneOf(choices ...string) func(gjson.Result) string {
 	return func(r gjson.Result) string {
-		for _, w := range words {
-			if r.Str == w {
+		for _, choice := range choices {
+			if r.Str == choice {
 				return ""
 			}
 		}
-		return "must be one of " + strings.Join(words, ", ")
+		return "must be one of " + strings.Join(choices, ", ")
 	}
 }
 
--- a/internal/config/drainorder.go
+++ b/internal/config/drainorder.go
@@ -14,7 +14,7 @@
 	Only          string `json:"only,omitempty"`     // empty: the whole zone is drained
 	OtherDrains   int64  `json:"others,omitempty"`   // further drains in force, each with its own restore to come
 	IsLastRestore bool   `json:"back,omitempty"`     // the last order restored one of several drains
-	RestoredAgoMs int64  `json:"back_ago,omitempty"` // time from the last restore to the last order; 0 if long
+	RestoredAgoMs int64  `json:"back_ago,omitempty"` // time from the last restore to the last order; 0 for none or if long ago
 }
 
 // Values of DrainOrder.Only.
@@ -34,7 +34,7 @@
 func (m DrainOrder) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "drain order"))
+		panic(errs.Wrap(err, errs.Internal, "encode drain order"))
 	}
 	return raw
 }
--- a/internal/config/listchange.go
+++ b/internal/config/listchange.go
@@ -35,7 +35,7 @@
 	if u.buckets[pool] == nil {
 		u.buckets[pool] = map[string]bucket{}
 	}
-	if _, isNoted := change.previous[c.Key]; !isNoted {
+	if _, isRecorded := change.previous[c.Key]; !isRecorded {
 		change.previous[c.Key] = u.buckets[pool][c.Key]
 	}
 	if c.Gone {
@@ -97,29 +97,29 @@
 // applyBucketChanges returns a pool's workers after the keys of before have changed to what they are in
 // now. No worker may be in two keys.
 func applyBucketChanges(workers Table[Worker], before, now map[string]bucket) Table[Worker] {
-	change := workers.builder()
+	builder := workers.builder()
 	for _, key := range slices.Sorted(maps.Keys(before)) {
 		for _, w := range before[key].workers {
-			change.remove(w.Name)
+			builder.remove(w.Name)
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(before)) {
 		for _, w := range now[key].workers {
-			change.set(w.Name, w)
+			builder.set(w.Name, w)
 		}
 	}
-	return change.build()
+	return builder.build()
 }
 
 // mergeBuckets returns the workers of all keys of a pool. For a worker in two keys, the newer key counts.
-func mergeBuckets(keys map[string]bucket) Table[Worker] {
-	lists := slices.Collect(maps.Values(keys))
-	slices.SortFunc(lists, func(a, b bucket) int { return int(a.revision - b.revision) })
-	change := Table[Worker]{}.builder()
-	for _, l := range lists {
+func mergeBuckets(buckets map[string]bucket) Table[Worker] {
+	sorted := slices.Collect(maps.Values(buckets))
+	slices.SortFunc(sorted, func(a, b bucket) int { return int(a.revision - b.revision) })
+	builder := Table[Worker]{}.builder()
+	for _, l := range sorted {
 		for _, w := range l.workers {
-			change.set(w.Name, w)
+			builder.set(w.Name, w)
 		}
 	}
-	return change.build()
+	return builder.build()
 }
--- a/internal/config/merge.go
+++ b/internal/config/merge.go
@@ -13,16 +13,16 @@
 func Merge(doc, patch []byte) ([]byte, error) {
 	var base, change any
 	if err := json.Unmarshal(doc, &base); err != nil {
-		return nil, errs.Wrap(err, errs.Corrupt, "stored configuration")
+		return nil, errs.Wrap(err, errs.Corrupt, "decode stored configuration")
 	}
 	if err := json.Unmarshal(patch, &change); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "patch")
+		return nil, errs.Wrap(err, errs.Invalid, "decode patch as JSON")
 	}
 	if _, isObject := change.(map[string]any); !isObject {
 		return nil, errs.New(errs.Invalid, "a patch must be a JSON object")
 	}
 	out, err := json.Marshal(merge(base, change))
-	return out, errs.Wrap(err, errs.Internal, "merged configuration")
+	return out, errs.Wrap(err, errs.Internal, "encode merged configuration")
 }
 
 // merge returns base with a decoded patch applied; it may change base.
@@ -54,14 +54,14 @@
 func Redact(doc []byte) ([]byte, error) {
 	var root map[string]json.RawMessage
 	if err := json.Unmarshal(doc, &root); err != nil {
-		return nil, errs.Wrap(err, errs.Corrupt, "configuration to redact")
+		return nil, errs.Wrap(err, errs.Corrupt, "decode configuration to redact")
 	}
 	if root[originKey] == nil {
 		return doc, nil
 	}
 	root[originKey] = json.RawMessage(`"left out: it may hold keys"`)
 	out, err := json.MarshalIndent(root, "", "  ")
-	return append(out, '\n'), errs.Wrap(err, errs.Internal, "configuration")
+	return append(out, '\n'), errs.Wrap(err, errs.Internal, "encode redacted configuration")
 }
 
 // Difference is a path whose value differs between two documents. The values of an origin are left out.
@@ -75,10 +75,10 @@
 func Diff(from, to []byte) ([]Difference, error) {
 	var a, b any
 	if err := json.Unmarshal(from, &a); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "first document")
+		return nil, errs.Wrap(err, errs.Invalid, "decode first document to compare")
 	}
 	if err := json.Unmarshal(to, &b); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "second document")
+		return nil, errs.Wrap(err, errs.Invalid, "decode second document to compare")
 	}
 	return appendDifferences("", a, b, nil), nil
 }
--- a/internal/config/retirements.go
+++ b/internal/config/retirements.go
@@ -20,7 +20,7 @@
 		return r, nil
 	}
 	err := json.Unmarshal(raw, &r)
-	return r, errs.Wrap(err, errs.Corrupt, "retirements")
+	return r, errs.Wrap(err, errs.Corrupt, "decode stored list of retirements")
 }
 
 // Has reports whether a store's retirement was admitted.
@@ -40,7 +40,7 @@
 func (r Retirements) Encode() []byte {
 	raw, err := json.Marshal(r)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "retirements"))
+		panic(errs.Wrap(err, errs.Internal, "encode list of retirements"))
 	}
 	return raw
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -47,7 +47,7 @@
 }
 
 // RunTimeoutMs returns the timeout, in milliseconds, of one run of a lane in a pool.
-func (r *Rules) RunTimeoutMs(lane, pool string) (bound int64) {
+func (r *Rules) RunTimeoutMs(lane, pool string) (timeout int64) {
 	if l := r.Lanes[lane]; l.RunTimeout > 0 {
 		return l.RunTimeout.Milliseconds()
 	}
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -13,7 +13,7 @@
 	d := json.NewDecoder(bytes.NewReader(doc))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return errs.Wrap(err, errs.Invalid, "the text cannot be decoded as JSON of the expected form")
+		return errs.Wrap(err, errs.Invalid, "decode JSON")
 	}
 	if _, err := d.Token(); err != io.EOF {
 		return errs.New(errs.Invalid, "text follows after the JSON value")
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -45,7 +45,7 @@
 func (t Table[V]) Get(name string) (V, bool) {
 	if t.size > 0 {
 		shard := t.shards[shardOf(name, len(t.shards))]
-		if at, isThere := findRow(shard, name); isThere {
+		if at, isFound := findRow(shard, name); isFound {
 			return shard[at].value, true
 		}
 	}
@@ -120,8 +120,8 @@
 		c.reshard(shardCount(c.size + 1))
 	}
 	number := shardOf(name, len(c.shards))
-	at, isThere := findRow(c.writableShard(number), name)
-	if isThere {
+	at, isFound := findRow(c.writableShard(number), name)
+	if isFound {
 		c.shards[number][at].value = value
 		return
 	}
@@ -134,7 +134,7 @@
 		return
 	}
 	number := shardOf(name, len(c.shards))
-	if at, isThere := findRow(c.shards[number], name); isThere {
+	if at, isFound := findRow(c.shards[number], name); isFound {
 		c.shards[number] = slices.Delete(c.writableShard(number), at, at+1)
 		c.size--
 	}
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -79,21 +79,21 @@
 var tenantFields = map[string]field[Tenant]{
 	"rate":  {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Rate = r.Num }},
 	"burst": {gjson.Number, numberBetween(0, maxTenantRate), func(t *Tenant, r gjson.Result) { t.Burst = r.Num }},
-	"keys":  {gjson.JSON, keyHashes, func(*Tenant, gjson.Result) {}}, // read by addKeys
+	"keys":  {gjson.JSON, checkKeyHashes, func(*Tenant, gjson.Result) {}}, // read by addKeys
 }
 
-// keyHashes checks a list of API key hashes, which may be empty.
-func keyHashes(r gjson.Result) string {
-	count, isRight := 0, true
+// checkKeyHashes checks a list of API key hashes, which may be empty.
+func checkKeyHashes(r gjson.Result) string {
+	count, isValid := 0, true
 	r.ForEach(func(_, item gjson.Result) bool {
 		count++
-		_, isRight = readHash(item)
-		return isRight && count <= MaxKeysPerTenant
+		_, isValid = readHash(item)
+		return isValid && count <= MaxKeysPerTenant
 	})
 	switch {
 	case !r.IsArray() || count > MaxKeysPerTenant:
 		return "must be a list of at most 100 key hashes"
-	case !isRight:
+	case !isValid:
 		return "must hold SHA-256 hashes of keys, as 64 hexadecimal digits each"
 	}
 	return ""
@@ -136,8 +136,8 @@
 		c.addFault(path, "must be an object without children")
 		return
 	}
-	tenant, isRight := readFields(c, path, r, Tenant{Name: name}, tenantFields)
-	if !isRight {
+	tenant, isValid := readFields(c, path, r, Tenant{Name: name}, tenantFields)
+	if !isValid {
 		return
 	}
 	if tenant.Rate > 0 && tenant.Burst < 1 {
--- a/internal/config/workers.go
+++ b/internal/config/workers.go
@@ -89,7 +89,7 @@
 func (w Workers) Encode() []byte {
 	out, err := json.Marshal(w)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "workers"))
+		panic(errs.Wrap(err, errs.Internal, "encode worker list"))
 	}
 	return out
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -52,7 +52,7 @@
 
 // Adapters is a planner's view of the adapters.
 type Adapters struct {
-	Members      []wire.Who      // members
+	Members      []wire.Who      // adapters that are members of the deployment
 	Leaving      map[string]bool // by name: it was asked to stop
 	Unresponsive map[string]bool // by name: not heard from for a while; it gets a duty only if no other can
 
@@ -80,8 +80,8 @@
 	shared := chooseSharedHolders(pool, compiled, usable, responsive, candidates)
 	for name, worker := range compiled.Workers[pool].All() {
 		assigned, isAssigned := compiled.Duties[pool].Get(name)
-		holder, isHere := usable[assigned.Holder]
-		isHeld := isAssigned && isHere && holder.Boot == assigned.Boot
+		holder, isUsable := usable[assigned.Holder]
+		isHeld := isAssigned && isUsable && holder.Boot == assigned.Boot
 		isPlaced := worker.Zone == "" || holder.Zone == worker.Zone || !hasAdapterIn(usable, worker.Zone)
 		sharedHolder, isShared := shared.holderOf(name)
 		if isShared {
@@ -103,7 +103,7 @@
 		if !isShared {
 			next = chooseHolder(pool+"/"+name, worker.Zone, candidates, load)
 		}
-		isRestarted := isAssigned && isHere && holder.Boot != assigned.Boot
+		isRestarted := isAssigned && isUsable && holder.Boot != assigned.Boot
 		if isRestarted && isPlaced {
 			next = holder // its previous process has ended: no other can act, so no fencing
 		}
@@ -119,7 +119,7 @@
 		keepsHolder := isRestarted && next == holder
 		out = append(out, Change{Pool: pool, Worker: name, IfRevision: ifRevision, IsHolderRestarted: keepsHolder,
 			Next:              config.Duty{Holder: next.Name, Boot: next.Boot, PreviousBoot: before, IsReleased: keepsHolder || leaving[assigned.Holder]},
-			IsHolderSuspected: isAssigned && !isHere && !leaving[assigned.Holder] && !isInDrainedZone(compiled, adapters.Members, assigned.Holder)})
+			IsHolderSuspected: isAssigned && !isUsable && !leaving[assigned.Holder] && !isInDrainedZone(compiled, adapters.Members, assigned.Holder)})
 	}
 	for name, assigned := range compiled.Duties[pool].All() {
 		_, isListed := compiled.Workers[pool].Get(name)
--- a/internal/duty/sharedrate.go
+++ b/internal/duty/sharedrate.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// maxRunsPerSecondPerHolder is the largest part of a shared rate that one adapter enforces.
+// holderRunsPerSecondLimit is the largest part of a shared rate that one adapter enforces.
 const holderRunsPerSecondLimit = 500
 
 // sharedHolders are the adapters that hold all duties of a pool whose workers share a rate limit. They
@@ -43,10 +43,10 @@
 	}
 	for at := range out {
 		out[at] = responsive[HighestRanked("rate/"+pool+"/"+strconv.Itoa(at), names)]
-		most := 0
+		maxCount := 0
 		for name, count := range counts[at] {
-			if who, isUsable := usable[name]; isUsable && (count > most || count == most && name < out[at].Name) {
-				out[at], most = who, count
+			if who, isUsable := usable[name]; isUsable && (count > maxCount || count == maxCount && name < out[at].Name) {
+				out[at], maxCount = who, count
 			}
 		}
 	}
--- a/internal/manager/api.go
+++ b/internal/manager/api.go
@@ -152,7 +152,7 @@
 	}
 	var past []wire.Change
 	if err := json.Unmarshal(c.Value, &past); err != nil {
-		web.WriteError(w, errs.Wrap(err, errs.Corrupt, "stored history of the configuration"))
+		web.WriteError(w, errs.Wrap(err, errs.Corrupt, "decode stored history of the configuration"))
 		return
 	}
 	out := []map[string]any{}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -12,19 +12,19 @@
 
 // Check validates the settings for a kind of daemon. Its error lists all faults, each with its key.
 func (s Settings) Check(kind string) error {
-	wrong := []string{}
-	must := func(isRight bool, key, text string) {
-		if !isRight {
-			wrong = append(wrong, key+": "+text)
+	faults := []string{}
+	must := func(isValid bool, key, text string) {
+		if !isValid {
+			faults = append(faults, key+": "+text)
 		}
 	}
-	addr := func(key, value string, isNeeded bool) {
+	addr := func(key, value string, isRequired bool) {
 		if value == "" {
-			must(!isNeeded, key, "must be given")
+			must(!isRequired, key, "must be given")
 			return
 		}
 		if text := config.CheckAddress(strings.TrimSuffix(value, ":0") + map[bool]string{true: ":1"}[strings.HasSuffix(value, ":0")]); text != "" {
-			wrong = append(wrong, key+": "+text)
+			faults = append(faults, key+": "+text)
 		}
 	}
 	must(s.Name != "" && !strings.ContainsAny(s.Name, "/~ "), "name", "must be given, without / ~ or spaces")
@@ -66,8 +66,8 @@
 	if host, _, err := net.SplitHostPort(s.Advertise); err == nil {
 		must(!net.ParseIP(host).IsUnspecified(), "advertise", "must be an address that others can reach")
 	}
-	if len(wrong) > 0 {
-		return errs.New(errs.Invalid, "settings: %s", strings.Join(wrong, "; "))
+	if len(faults) > 0 {
+		return errs.New(errs.Invalid, "settings: %s", strings.Join(faults, "; "))
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -25,7 +25,7 @@
 func (d *Duration) UnmarshalText(raw []byte) error {
 	got, err := time.ParseDuration(string(raw))
 	d.Duration = got
-	return errs.Wrap(err, errs.Invalid, "duration %q", raw)
+	return errs.Wrap(err, errs.Invalid, "parse duration %q", raw)
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -146,14 +146,14 @@
 	}
 	parser, err := arg.NewParser(arg.Config{Program: kind}, &s)
 	if err != nil {
-		return s, errs.Wrap(err, errs.Internal, "flags")
+		return s, errs.Wrap(err, errs.Internal, "define command-line flags")
 	}
 	if err := parser.Parse(args); err != nil {
 		if err == arg.ErrHelp {
 			parser.WriteHelp(os.Stdout)
 			os.Exit(0)
 		}
-		return s, errs.Wrap(err, errs.Invalid, "flags")
+		return s, errs.Wrap(err, errs.Invalid, "parse command-line flags")
 	}
 	if s.Advertise == "" {
 		s.Advertise = s.Listen
@@ -165,11 +165,11 @@
 func (s *Settings) readFile() error {
 	raw, err := os.ReadFile(s.File)
 	if err != nil {
-		return errs.Wrap(err, errs.Invalid, "settings file %s", s.File)
+		return errs.Wrap(err, errs.Invalid, "read settings file %s", s.File)
 	}
 	if s.source != nil {
 		if raw, err = s.source.Read(raw); err != nil {
-			return errs.Wrap(err, errs.Invalid, "settings file %s", s.File)
+			return errs.Wrap(err, errs.Invalid, "convert settings file %s", s.File)
 		}
 	}
 	return s.merge(raw)
@@ -182,20 +182,20 @@
 		return errs.New(errs.Invalid, "settings file %s: not a JSON object", s.File)
 	}
 	known := gjson.Parse(string(s.encode()))
-	wrong := []string{}
+	faults := []string{}
 	gjson.ParseBytes(raw).ForEach(func(key, value gjson.Result) bool {
-		is := known.Get(key.Str)
-		if !is.Exists() {
-			wrong = append(wrong, key.Str+": is not known")
-		} else if is.Type != value.Type && !(is.IsBool() && value.IsBool()) {
-			wrong = append(wrong, key.Str+": is of the wrong kind")
+		standard := known.Get(key.Str)
+		if !standard.Exists() {
+			faults = append(faults, key.Str+": is not known")
+		} else if standard.Type != value.Type && !(standard.IsBool() && value.IsBool()) {
+			faults = append(faults, key.Str+": is of the wrong kind")
 		}
 		return true
 	})
-	if len(wrong) > 0 {
-		return errs.New(errs.Invalid, "settings file %s: %s", s.File, strings.Join(wrong, "; "))
+	if len(faults) > 0 {
+		return errs.New(errs.Invalid, "settings file %s: %s", s.File, strings.Join(faults, "; "))
 	}
-	return errs.Wrap(json.Unmarshal(raw, s), errs.Invalid, "settings file %s", s.File)
+	return errs.Wrap(json.Unmarshal(raw, s), errs.Invalid, "decode settings file %s", s.File)
 }
 
 // NonDefaultJson returns the content of a settings file with only the settings that differ from the
@@ -210,7 +210,7 @@
 	})
 	raw, err := json.Marshal(out)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "settings"))
+		panic(errs.Wrap(err, errs.Internal, "encode settings"))
 	}
 	return raw
 }
@@ -222,7 +222,7 @@
 	}
 	raw, err := json.Marshal(s)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "settings"))
+		panic(errs.Wrap(err, errs.Internal, "encode settings"))
 	}
 	return raw
 }
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -20,7 +20,7 @@
 }
 
 // Reload reads the file again and returns the new settings. Only the settings of withReloadable may
-// change while a daemon runs. Changes of MayFound and IsFirstStart, which only count at the start, are
+// change while a daemon runs. Changes of MayBootstrap and IsFirstStart, which only count at the start, are
 // ignored. If any other setting has changed, or anything is invalid, Reload returns an error and the
 // old settings.
 func Reload(kind string, old Settings) (Settings, error) {
