--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -133,7 +133,7 @@
 		isGuess bool
 		term    int64
 		at      time.Duration
-		isKept  bool
+		moves  bool
 	}{
 		{"a suspicion about a duty that has not moved for a while", true, 1, 20 * time.Second, true},
 		{"no suspicion about a duty that has just moved", true, 2, 21 * time.Second, false},
@@ -143,7 +143,7 @@
 	}
 	Convey("A holder's absence is certain for a planner that has seen it as a member since it last moved the duty", t, func() {
 		const second = time.Second
-		guess := func(s *HoldDown, term int64, boot string, at time.Duration) bool {
+		moves := func(s *HoldDown, term int64, boot string, at time.Duration) bool {
 			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: term, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: boot}}}, at)
 			for _, change := range kept {
 				s.RecordMove(change, at)
@@ -153,12 +153,12 @@
 		a, b := wire.Who{Name: "a", Boot: "a.1"}, wire.Who{Name: "b", Boot: "b.1"}
 		s := &HoldDown{Period: 6 * second}
 		s.ObserveMembers([]wire.Who{a, b}, 10*second)
-		So(guess(s, 1, a.Boot, 13*second), ShouldBeTrue) // to b, which it sees as a member
+		So(moves(s, 1, a.Boot, 13*second), ShouldBeTrue) // to b, which it sees as a member
 		s.ObserveMembers([]wire.Who{b}, 13*second)
-		Convey("so the next holder's duty moves at once", func() { So(guess(s, 2, b.Boot, 15*second), ShouldBeTrue) })
+		Convey("so the next holder's duty moves at once", func() { So(moves(s, 2, b.Boot, 15*second), ShouldBeTrue) })
 		Convey("but not the duty of a holder that another planner chose and that was last a member before the move", func() {
-			So(guess(s, 2, a.Boot, 15*second), ShouldBeFalse)
-			So(guess(s, 2, a.Boot, 21*second), ShouldBeTrue)
+			So(moves(s, 2, a.Boot, 15*second), ShouldBeFalse)
+			So(moves(s, 2, a.Boot, 21*second), ShouldBeTrue)
 		})
 		Convey("and a move that was planned and deferred happens in a later round", func() {
 			left := []Change{{Pool: "p", Worker: "w", IfRevision: 2, IsHolderSuspected: true, Next: config.Duty{PreviousBoot: b.Boot}}}
@@ -167,7 +167,7 @@
 			s.RecordMove(left[0], 16*second)
 			So(s.Filter(left, 17*second), ShouldBeEmpty)
 		})
-		Convey("nor the duty of a process that it has never seen", func() { So(guess(s, 2, "b.2", 15*second), ShouldBeFalse) })
+		Convey("nor the duty of a process that it has never seen", func() { So(moves(s, 2, "b.2", 15*second), ShouldBeFalse) })
 		Convey("and departed processes are forgotten", func() {
 			s.ObserveMembers(nil, 100*second)
 			So(s.lastSeen, ShouldBeEmpty)
@@ -177,7 +177,7 @@
 		s := HoldDown{Period: 6 * time.Second}
 		for _, c := range cases {
 			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: c.term, IsHolderSuspected: c.isGuess}}, c.at)
-			So(c.name+": "+fmt.Sprint(len(kept) == 1), ShouldEqual, c.name+": "+fmt.Sprint(c.isKept))
+			So(c.name+": "+fmt.Sprint(len(kept) == 1), ShouldEqual, c.name+": "+fmt.Sprint(c.moves))
 		}
 	})
 }
--- a/internal/duty/sharedrate_test.go
+++ b/internal/duty/sharedrate_test.go
@@ -24,9 +24,9 @@
 	// settle plans until nothing changes, and returns the duties and how many each adapter holds.
 	settle := func(rate float64, duties map[string]config.AssignedDuty, here []wire.Who) (map[string]config.AssignedDuty, map[string]int) {
 		for range 5 {
-			world := compiled(workers, duties)
-			world.Rules = &config.Rules{Pools: map[string]config.Pool{"p": {Rate: rate}}}
-			plan := Plan("p", world, Adapters{Members: here}, func(string) (int64, bool) { return 7, true })
+			state := compiled(workers, duties)
+			state.Rules = &config.Rules{Pools: map[string]config.Pool{"p": {Rate: rate}}}
+			plan := Plan("p", state, Adapters{Members: here}, func(string) (int64, bool) { return 7, true })
 			next := map[string]config.AssignedDuty{}
 			for name, held := range duties {
 				next[name] = held
@@ -49,21 +49,21 @@
 		duties, counts := settle(5, nil, adapters)
 		So(len(duties), ShouldEqual, 30)
 		So(len(counts), ShouldEqual, 1)
-		keeper := duties["w0"].Holder
+		holder := duties["w0"].Holder
 		others := []wire.Who{}
 		for _, who := range adapters {
-			if who.Name != keeper {
+			if who.Name != holder {
 				others = append(others, who)
 			}
 		}
 		Convey("stay with their holder while it is a member, even if an adapter is added", func() {
 			_, counts := settle(5, duties, append(adapters, wire.Who{Name: "a", Boot: "1", Zone: "a"}))
-			So(counts[keeper], ShouldEqual, 30)
+			So(counts[holder], ShouldEqual, 30)
 		})
 		Convey("go to one other adapter when the holder is gone", func() {
 			_, counts := settle(5, duties, others)
 			So(len(counts), ShouldEqual, 1)
-			So(counts[keeper], ShouldEqual, 0)
+			So(counts[holder], ShouldEqual, 0)
 		})
 		Convey("are moved to one holder if many adapters hold them", func() {
 			spread, counts := settle(0, nil, adapters)
--- a/internal/manager/drainorder_test.go
+++ b/internal/manager/drainorder_test.go
@@ -12,9 +12,9 @@
 // TestMarks checks the value of a zone's key after operators' calls.
 func TestMarks(t *testing.T) {
 	ctx := context.Background()
-	whole := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", false) }
-	only := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", true) }
-	back := func(m *Manager) (int64, error) { return m.operators.RestoreZone(ctx, "x", "a") }
+	drainZone := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", false) }
+	drainWorkers := func(m *Manager) (int64, error) { return m.operators.DrainZone(ctx, "x", "a", true) }
+	restore := func(m *Manager) (int64, error) { return m.operators.RestoreZone(ctx, "x", "a") }
 	var parts *fakeParts
 	later := func(m *Manager) (int64, error) { // no earlier order can be retried any more
 		parts.now += (m.resendWindow + m.d.Bounds.ConfigApply).Milliseconds()
@@ -27,20 +27,20 @@
 		calls     calls
 		want      string // "" for none
 	}{
-		{"a drained zone", false, calls{whole}, `{}`},
-		{"a drain of its workers only", false, calls{only}, `{"only":"workers"}`},
-		{"a drained zone whose workers are drained stays drained as a whole", false, calls{whole, only}, `{}`},
-		{"a drain of the workers, then of the whole zone", false, calls{only, whole}, `{}`},
-		{"restored without a source", false, calls{only, back}, ""},
-		{"restored with a source: cold at first", true, calls{only, back}, `{"only":"cold"}`},
-		{"restored twice", true, calls{only, back, back}, `{"only":"cold"}`},
-		{"restored without a drain", true, calls{back}, ""},
-		{"a drain that is repeated at once: a retry", true, calls{only, only, back}, `{"only":"cold"}`},
-		{"two drains, one restored", true, calls{only, later, only, back}, `{"only":"workers","back":true}`},
-		{"two drains, one restored with a retry", true, calls{only, later, only, back, back}, `{"only":"workers","back":true}`},
-		{"two drains, both restored", true, calls{only, later, only, back, later, back}, `{"only":"cold"}`},
-		{"a third drain while the first is restored", true, calls{only, later, only, back, only, later, back}, `{"only":"workers","back":true}`},
-		{"drained again while cold", true, calls{only, back, only}, `{"only":"workers","back_ago":1}`},
+		{"a drained zone", false, calls{drainZone}, `{}`},
+		{"a drain of its workers only", false, calls{drainWorkers}, `{"only":"workers"}`},
+		{"a drained zone whose workers are drained stays drained as a whole", false, calls{drainZone, drainWorkers}, `{}`},
+		{"a drain of the workers, then of the whole zone", false, calls{drainWorkers, drainZone}, `{}`},
+		{"restored without a source", false, calls{drainWorkers, restore}, ""},
+		{"restored with a source: cold at first", true, calls{drainWorkers, restore}, `{"only":"cold"}`},
+		{"restored twice", true, calls{drainWorkers, restore, restore}, `{"only":"cold"}`},
+		{"restored without a drain", true, calls{restore}, ""},
+		{"a drain that is repeated at once: a retry", true, calls{drainWorkers, drainWorkers, restore}, `{"only":"cold"}`},
+		{"two drains, one restored", true, calls{drainWorkers, later, drainWorkers, restore}, `{"only":"workers","back":true}`},
+		{"two drains, one restored with a retry", true, calls{drainWorkers, later, drainWorkers, restore, restore}, `{"only":"workers","back":true}`},
+		{"two drains, both restored", true, calls{drainWorkers, later, drainWorkers, restore, later, restore}, `{"only":"cold"}`},
+		{"a third drain while the first is restored", true, calls{drainWorkers, later, drainWorkers, restore, drainWorkers, later, restore}, `{"only":"workers","back":true}`},
+		{"drained again while cold", true, calls{drainWorkers, restore, drainWorkers}, `{"only":"workers","back_ago":1}`},
 	}
 	Convey("The zone's key has the expected value after", t, func() {
 		for _, c := range cases {
@@ -54,9 +54,9 @@
 					_, err := call(m)
 					So(err, ShouldBeNil)
 				}
-				got, isStanding := f.part(0).Get(config.ZoneKey + "a")
-				So(isStanding, ShouldEqual, c.want != "")
-				if isStanding {
+				got, isFound := f.part(0).Get(config.ZoneKey + "a")
+				So(isFound, ShouldEqual, c.want != "")
+				if isFound {
 					So(string(got.Value), ShouldEqual, c.want)
 				}
 			})
--- a/internal/manager/duties.go
+++ b/internal/manager/duties.go
@@ -135,8 +135,8 @@
 	for _, name := range m.managedPools(pools) {
 		part := feed.PartOf(name, m.d.Settings.Parts)
 		revision := func(key string) (int64, bool) {
-			c, isStanding := m.d.View.Get(part, key)
-			if !isStanding {
+			c, exists := m.d.View.Get(part, key)
+			if !exists {
 				return 0, c.Revision > 0
 			}
 			return c.Revision, true
--- a/internal/manager/edit_test.go
+++ b/internal/manager/edit_test.go
@@ -44,15 +44,15 @@
 				m, _ := newFakeManager()
 				m.d.Bounds.ConfigApply = 50 * time.Millisecond
 				m.ownerClient.Bounds = m.d.Bounds
-				turn, orders := 0, map[string]bool{}
+				attempt, operationIds := 0, map[string]bool{}
 				m.ownerClient.SendFunc = func(_ context.Context, _ string, ask any) (any, error) {
 					e, isEdit := ask.(*wire.Edit)
 					if !isEdit {
 						return &wire.Pulled{Kind: string(errs.Unknown)}, nil
 					}
-					orders[e.OperationId] = true
-					answer := c.answers[min(turn, len(c.answers)-1)]
-					turn++
+					operationIds[e.OperationId] = true
+					answer := c.answers[min(attempt, len(c.answers)-1)]
+					attempt++
 					if err, isErr := answer.(error); isErr {
 						return nil, err
 					}
@@ -64,7 +64,7 @@
 					So(errs.KindOf(err), ShouldEqual, c.kind)
 				}
 				So(revision, ShouldEqual, map[bool]int64{true: 7}[c.kind == ""])
-				So(len(orders), ShouldEqual, 1) // all retries have the same operation ID
+				So(len(operationIds), ShouldEqual, 1) // all retries have the same operation ID
 			})
 		}
 	})
--- a/internal/manager/histories_test.go
+++ b/internal/manager/histories_test.go
@@ -84,15 +84,15 @@
 // runOperator sends proposals of one operator to random managers, some of them again, and returns the
 // operations with their outcomes. The clock advances with each start and end of an operation.
 func runOperator(client int, seed uint64, managers []*Manager, clock *atomic.Int64) (out []linearize.Operation) {
-	draw := rand.New(rand.NewPCG(seed, uint64(client)))
+	random := rand.New(rand.NewPCG(seed, uint64(client)))
 	now := func() time.Duration { return time.Duration(clock.Add(1)) }
 	version, sent := int64(0), []linearize.Operation{}
 	for i := range 40 {
-		m := managers[draw.IntN(len(managers))]
-		o := linearize.Operation{Client: client, Kind: linearize.Replace, Base: version, Version: version + 1 + draw.Int64N(2), Outcome: linearize.Unclear,
+		m := managers[random.IntN(len(managers))]
+		o := linearize.Operation{Client: client, Kind: linearize.Replace, Base: version, Version: version + 1 + random.Int64N(2), Outcome: linearize.Unclear,
 			Digest: fmt.Sprint(client, ".", i)}
-		if len(sent) > 0 && draw.IntN(3) == 0 {
-			o = sent[draw.IntN(len(sent))]
+		if len(sent) > 0 && random.IntN(3) == 0 {
+			o = sent[random.IntN(len(sent))]
 		}
 		o.Call = now()
 		_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: o.Digest, BaseVersion: o.Base, IsVersionBased: true,
@@ -136,12 +136,12 @@
 	}
 	var group sync.WaitGroup
 	var clock atomic.Int64
-	told := make([][]linearize.Operation, 8)
-	for client := range told {
-		group.Go(func() { told[client] = runOperator(client, seed, managers, &clock) })
+	histories := make([][]linearize.Operation, 8)
+	for client := range histories {
+		group.Go(func() { histories[client] = runOperator(client, seed, managers, &clock) })
 	}
 	group.Wait()
-	for _, part := range told {
+	for _, part := range histories {
 		out = append(out, part...)
 	}
 	return out
@@ -158,8 +158,8 @@
 		}
 	})
 	guards := []struct {
-		name string
-		out  func(e *wire.Edit)
+		name       string
+		mutateEdit func(e *wire.Edit)
 	}{
 		{"deduplication", func(e *wire.Edit) { e.OperationId = "" }},
 		{"compare and set", func(e *wire.Edit) { e.IfRevision = -1 }},
@@ -169,7 +169,7 @@
 			Convey(g.name+" a history that is not linearizable is found", func() {
 				isFound := false
 				for seed := uint64(0); seed < 10 && !isFound; seed++ {
-					ok, _ := linearize.Check(randomHistory(seed, 0, g.out))
+					ok, _ := linearize.Check(randomHistory(seed, 0, g.mutateEdit))
 					isFound = !ok
 				}
 				So(isFound, ShouldBeTrue)
--- a/internal/manager/interleavings_simulation_test.go
+++ b/internal/manager/interleavings_simulation_test.go
@@ -72,11 +72,11 @@
 // the manager gives up.
 type fakeClock struct {
 	context.Context
-	of *operatorRun
+	operator *operatorRun
 }
 
 func (c *fakeClock) Err() error {
-	if c.of.isTimedOut {
+	if c.operator.isTimedOut {
 		return context.DeadlineExceeded
 	}
 	return nil
@@ -88,7 +88,8 @@
 
 func (c *fakeClock) Wait(context.Context, time.Duration) {}
 
-// newSimulation starts two operators, each up to its first call. mutateEdit changes each edit before it arrives.
+// newSimulation starts two operators, each up to its first call. mutateEdit changes each edit before it
+// arrives.
 func newSimulation(mutateEdit func(e *wire.Edit)) *simulation {
 	p := &simulation{part: feed.NewPart(), mutateEdit: mutateEdit}
 	for i := range 2 {
--- a/internal/manager/list_test.go
+++ b/internal/manager/list_test.go
@@ -17,8 +17,8 @@
 // TestList checks what is written of a short list after each read.
 func TestList(t *testing.T) {
 	w1, w2, left := listedWorker("w1", "live", false), listedWorker("w2", "live", true), listedWorker("w1", "leaving", false)
-	bad, untold := listedWorker("no name", "live", false), listedWorker("w3", "live", false)
-	untold.Identifier = strings.Repeat("i", config.MaxIdentifierBytes+1)
+	bad, oversized := listedWorker("no name", "live", false), listedWorker("w3", "live", false)
+	oversized.Identifier = strings.Repeat("i", config.MaxIdentifierBytes+1)
 	type turn struct {
 		read  []config.Worker
 		err   error
@@ -38,23 +38,23 @@
 		{"the removal of a worker that two reads lack", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both},
 			{[]config.Worker{w1}, nil, 2, []config.Worker{w1}}}},
 		{"nothing when one read lacks a worker", []turn{{both, nil, 1, both}, {[]config.Worker{w1}, nil, 1, both}, {both, nil, 1, both}}},
-		{"no worker with an invalid entry", []turn{{[]config.Worker{w1, bad, untold}, nil, 1, []config.Worker{w1}}}},
+		{"no worker with an invalid entry", []turn{{[]config.Worker{w1, bad, oversized}, nil, 1, []config.Worker{w1}}}},
 	}
-	for _, isBlind := range []bool{false, true} {
-		name := map[bool]string{false: "The list controller writes", true: "The list controller writes, while its view lags,"}[isBlind]
+	for _, isViewFrozen := range []bool{false, true} {
+		name := map[bool]string{false: "The list controller writes", true: "The list controller writes, while its view lags,"}[isViewFrozen]
 		Convey(name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					s := newListFixture(100, 0)
 					var now turn
 					s.fail = func(string, string) error { return now.err }
-					s.f.isViewFrozen = isBlind
+					s.f.isViewFrozen = isViewFrozen
 					for _, now = range c.turns {
 						s.workers = now.read
-						s.turn()
+						s.advanceInterval()
 						So(len(s.f.edits)-1, ShouldEqual, now.edits)
-						stands, _ := s.f.part(1).Get(config.WorkersKey + "p")
-						got, faults := config.ReadWorkers(stands.Value)
+						stored, _ := s.f.part(1).Get(config.WorkersKey + "p")
+						got, faults := config.ReadWorkers(stored.Value)
 						So(faults, ShouldBeEmpty)
 						So(got.Workers, ShouldResemble, now.want)
 					}
@@ -82,14 +82,14 @@
 			s.workers = s.workers[:10]
 			s.advance(10 * time.Second)
 			So(s.written(), ShouldHaveLength, 10)
-			cut := 0
+			keys := 0
 			news, _ := s.f.part(1).News(1, 0)
 			for _, c := range news.Changes {
 				if strings.HasPrefix(c.Key, config.WorkersKey) && !c.Gone {
-					cut++
+					keys++
 				}
 			}
-			So(cut, ShouldEqual, 1)
+			So(keys, ShouldEqual, 1)
 		})
 		Convey("the list of a pool that a new configuration adds is written at once", func() {
 			s.propose(`{"pools":{"p":{},"other":{}}}`)
@@ -97,8 +97,8 @@
 				page.Workers["other"] = []config.Worker{listedWorker("o", "live", false)}
 			}
 			s.advance(5 * time.Second)
-			stands, _ := s.f.part(1).Get(config.WorkersKey + "other")
-			So(string(stands.Value), ShouldContainSubstring, `"o"`)
+			stored, _ := s.f.part(1).Get(config.WorkersKey + "other")
+			So(string(stored.Value), ShouldContainSubstring, `"o"`)
 		})
 	})
 }
@@ -133,14 +133,14 @@
 	Convey("The workers of a restored zone are cold for as long as the list may be outdated", t, func() {
 		s := newListFixture(100, 0)
 		s.workers = []config.Worker{{Name: "w", Address: "127.0.0.1:80", Zone: "a", State: "live"}}
-		s.turn()
-		look := func() (isServed, isCold bool) {
+		s.advanceInterval()
+		state := func() (isServed, isCold bool) {
 			w, isServed := s.m.configs.Current().CanServe("p", "w")
 			return isServed, w.IsCold
 		}
 		_, err := s.m.operators.DrainZone(context.Background(), "x", "a", true)
 		So(err, ShouldBeNil)
-		isServed, _ := look()
+		isServed, _ := state()
 		So(isServed, ShouldBeFalse)
 		So(s.m.configs.Current().MayStartWork("a"), ShouldBeTrue)
 		_, err = s.m.operators.RestoreZone(context.Background(), "x", "a")
@@ -158,7 +158,7 @@
 		}
 		for _, step := range steps {
 			s.advance(step.passed)
-			isServed, isCold := look()
+			isServed, isCold := state()
 			So(isServed, ShouldBeTrue)
 			So(step.name, ShouldEqual, map[bool]string{true: step.name}[isCold == step.isCold])
 		}
--- a/internal/manager/listfixture_test.go
+++ b/internal/manager/listfixture_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// turn advances the clock by one list interval: at most one read of a list of one page, and its write.
-func (s *listFixture) turn() { s.advance(s.m.d.Bounds.Of(timing.ListInterval)) }
+// advanceInterval advances the clock by one list interval: at most one read of a list of one page, and its write.
+func (s *listFixture) advanceInterval() { s.advance(s.m.d.Bounds.Of(timing.ListInterval)) }
 
 // written returns the stored workers of the pool, by name.
 func (s *listFixture) written() map[string]config.Worker {
--- a/internal/manager/listwrite.go
+++ b/internal/manager/listwrite.go
@@ -176,7 +176,7 @@
 
 // baseList returns a key's list as the view has it, or as this manager last wrote it if that is newer.
 func (l *listController) baseList(pool, key string) listVersion {
-	c, isStanding := l.m.d.View.Get(feed.PartOf(pool, l.m.d.Settings.Parts), key)
+	c, exists := l.m.d.View.Get(feed.PartOf(pool, l.m.d.Settings.Parts), key)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if was, isWritten := l.written[key]; isWritten && was.revision >= c.Revision {
@@ -185,7 +185,7 @@
 		}
 		return was
 	}
-	if !isStanding {
+	if !exists {
 		return listVersion{}
 	}
 	list, _ := config.ReadWorkers(c.Value)
--- a/internal/manager/operators_test.go
+++ b/internal/manager/operators_test.go
@@ -56,9 +56,9 @@
 	defer f.mu.Unlock()
 	switch a := ask.(type) {
 	case *wire.Pull:
-		if pulled := f.duringPull; pulled != nil {
+		if callback := f.duringPull; callback != nil {
 			f.duringPull = nil
-			pulled()
+			callback()
 		}
 		got := f.part(a.Part).Read(a.Key, f.now)
 		return &got, nil
@@ -178,7 +178,7 @@
 		{"one that met a conflict is not applied after hundreds of newer ones", append(newer(300),
 			step{digest: "lost", on: 1, version: 2, kind: errs.Conflict, wantsVersion: 300})},
 	}
-	Convey("Of proposals", t, func() {
+	Convey("Each proposal in a sequence has the expected result:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m, f := newFakeManager()
--- a/internal/manager/peers_test.go
+++ b/internal/manager/peers_test.go
@@ -18,16 +18,16 @@
 // period, in their share and again in the answer to the peer's share.
 func TestAnswersToPeers(t *testing.T) {
 	peer := wire.Who{Name: "manager-2", Kind: "manager", Boot: "1"}
-	beatOf := timing.Default.Of(timing.Poll)
+	period := timing.Default.Of(timing.Poll)
 	cases := []struct {
 		name    string
 		prepare func(m *Manager, now time.Duration)
 		isWhole bool
 	}{
-		{"a peer that acknowledges our shares gets only our own session", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-2*beatOf) }, false},
+		{"a peer that acknowledges our shares gets only our own session", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-2*period) }, false},
 		{"an unknown peer gets all our sessions", func(*Manager, time.Duration) {}, true},
 		{"so does a peer that has restarted since its acknowledgement", func(m *Manager, now time.Duration) { m.peers.recordTaken("0", now) }, true},
-		{"so does a peer that has acknowledged none for a while", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-5*beatOf) }, true},
+		{"so does a peer that has acknowledged none for a while", func(m *Manager, now time.Duration) { m.peers.recordTaken("1", now-5*period) }, true},
 	}
 	Convey("In the answer to a peer's share,", t, func() {
 		for _, c := range cases {
@@ -41,17 +41,17 @@
 						m.registry.Renew(wire.Member{Who: wire.Who{Name: fmt.Sprint("agent-", i), Boot: "a"}}, now, true)
 					}
 					c.prepare(m, now)
-					var told *wire.Share
-					m.onPeer(peer, &wire.Share{Who: peer}, func(reply any) { told = reply.(*wire.Share) })
+					var reply *wire.Share
+					m.onPeer(peer, &wire.Share{Who: peer}, func(answer any) { reply = answer.(*wire.Share) })
 					want := 1
 					if c.isWhole {
 						want += daemons + 1 // and the known managers: the peer
 					}
-					So(len(told.Members), ShouldEqual, want)
-					So(told.Who, ShouldResemble, m.d.Who)
+					So(len(reply.Members), ShouldEqual, want)
+					So(reply.Who, ShouldResemble, m.d.Who)
 					Convey("and does not treat us as stale", func() {
 						other := &Manager{d: &daemon.Daemon{Started: time.Now().Add(-time.Minute)}, registry: session.NewRegistry(time.Hour)}
-						other.applyShare(told)
+						other.applyShare(reply)
 						_, members := other.registry.Members(other.d.Now())
 						at := slices.IndexFunc(members, func(member wire.Member) bool { return member.Who.Name == "manager-1" })
 						So(at, ShouldBeGreaterThanOrEqualTo, 0)
--- a/internal/manager/retire.go
+++ b/internal/manager/retire.go
@@ -64,10 +64,10 @@
 // publishRetirement writes the store's key, through which all daemons learn of an admitted retirement.
 // An existing key is left as it is, so that a retried order does not make the retirement look new.
 func (o *Operators) publishRetirement(ctx context.Context, by, name string) (int64, error) {
-	standing, err := o.m.readKey(ctx, feed.ConfigPart, config.StoreKey+name)
+	stored, err := o.m.readKey(ctx, feed.ConfigPart, config.StoreKey+name)
 	switch {
 	case err == nil:
-		return standing.Revision, nil
+		return stored.Revision, nil
 	case !errs.Is(err, errs.Unknown):
 		return 0, err
 	}
--- a/internal/manager/weights.go
+++ b/internal/manager/weights.go
@@ -107,7 +107,7 @@
 	}
 	part := feed.PartOf(name, m.d.Settings.Parts)
 	revision := int64(0)
-	if c, isStanding := m.d.View.Get(part, prefix+name); isStanding {
+	if c, exists := m.d.View.Get(part, prefix+name); exists {
 		revision = c.Revision
 	}
 	ctx, cancel := context.WithTimeout(ctx, m.d.Bounds.ConfigApply)
--- a/internal/manager/zonedrain_test.go
+++ b/internal/manager/zonedrain_test.go
@@ -25,7 +25,7 @@
 	cases := []struct {
 		name   string
 		orders []order
-		stands int // drains in force at the end
+		drains int // drains in force at the end
 	}{
 		{"one", []order{{"start", 0, false}}, 1},
 		{"one, restored", []order{{"start", 0, false}, {"finish", 9 * s, false}}, 0},
@@ -65,13 +65,13 @@
 					_, err := ask()
 					So(err, ShouldBeNil)
 				}
-				last, isStanding := f.part(0).Get(config.ZoneKey + "a")
-				So(isStanding, ShouldBeTrue)
+				last, isFound := f.part(0).Get(config.ZoneKey + "a")
+				So(isFound, ShouldBeTrue)
 				got := 0
 				if order := config.ParseDrainOrder(last.Value); order.Only == config.OnlyWorkers {
 					got = int(order.OtherDrains) + 1
 				}
-				So(got, ShouldEqual, c.stands)
+				So(got, ShouldEqual, c.drains)
 			})
 		}
 	})
@@ -81,9 +81,9 @@
 // lost or another order overtakes it.
 func TestOrdersWithoutNumberInTrouble(t *testing.T) {
 	ctx, key := context.Background(), config.ZoneKey+"a"
-	standing := func(f *fakeParts) config.DrainOrder {
-		c, isStanding := f.part(0).Get(key)
-		So(isStanding, ShouldBeTrue)
+	stored := func(f *fakeParts) config.DrainOrder {
+		c, isFound := f.part(0).Get(key)
+		So(isFound, ShouldBeTrue)
 		return config.ParseDrainOrder(c.Value)
 	}
 	empty := func(m *Manager) error {
@@ -98,7 +98,7 @@
 		Convey("whose answers are lost counts once", func() {
 			f.lostReplies = 3
 			So(empty(m), ShouldBeNil)
-			So(standing(f).OtherDrains, ShouldEqual, 1)
+			So(stored(f).OtherDrains, ShouldEqual, 1)
 		})
 		Convey("whose answer is lost and which another one follows counts once", func() {
 			f.beforeEdit = func(e *wire.Edit) {
@@ -106,14 +106,14 @@
 				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 2}.Encode(), IfRevision: held.Revision})
 			}
 			So(empty(m), ShouldBeNil)
-			So(standing(f).OtherDrains, ShouldEqual, 2)
+			So(stored(f).OtherDrains, ShouldEqual, 2)
 		})
 		Convey("that another one overtakes counts in addition to it", func() {
 			f.beforeEdit = func(e *wire.Edit) {
 				f.part(0).Apply(wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers, OtherDrains: 1}.Encode(), IfRevision: e.IfRevision})
 			}
 			So(empty(m), ShouldBeNil)
-			So(standing(f).OtherDrains, ShouldEqual, 2)
+			So(stored(f).OtherDrains, ShouldEqual, 2)
 		})
 		Convey("after a restore of the zone is not ended by a delayed attempt of that restore", func() {
 			m.source = nil
@@ -123,7 +123,7 @@
 			So(err, ShouldBeNil)
 			So(empty(m), ShouldBeNil)
 			So(f.part(0).Apply(late).IsRepeat, ShouldBeTrue)
-			So(standing(f).Only, ShouldEqual, config.OnlyWorkers)
+			So(stored(f).Only, ShouldEqual, config.OnlyWorkers)
 		})
 	})
 }
