--- a/internal/config/cache_test.go
+++ b/internal/config/cache_test.go
@@ -124,7 +124,7 @@
 		{"… and when it has become short", workersPerBucket, 8, 1},
 		{"the bucket count is bounded", 1 << 30, 1, maxBuckets},
 	}
-	Convey("Of a pool's list", t, func() {
+	Convey("A pool's list is split into buckets:", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() { So(BucketCount(c.workers, c.now), ShouldEqual, c.want) })
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -125,7 +125,7 @@
 
 // TestOriginIsConcealed checks that the origin of a configuration, which may hold keys, is not shown.
 func TestOriginIsConcealed(t *testing.T) {
-	Convey("Of documents with origins", t, func() {
+	Convey("Given documents with origins", t, func() {
 		one, two := `{"origin":{"api_keys":["secret-1"]},"note":"a"}`, `{"origin":{"api_keys":["secret-2"]},"note":"a"}`
 		Convey("the difference has no values", func() {
 			d, err := Diff([]byte(one), []byte(two))
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -133,7 +133,7 @@
 		isGuess bool
 		term    int64
 		at      time.Duration
-		moves  bool
+		moves   bool
 	}{
 		{"a suspicion about a duty that has not moved for a while", true, 1, 20 * time.Second, true},
 		{"no suspicion about a duty that has just moved", true, 2, 21 * time.Second, false},
--- a/internal/manager/retire_test.go
+++ b/internal/manager/retire_test.go
@@ -122,7 +122,7 @@
 			})
 		}
 	})
-	Convey("Of two reports on one group that of the newer term counts", t, func() {
+	Convey("Of two reports on one group, the one with the newer term counts", t, func() {
 		s := retirementReports{map[int64]wire.Standing{}, true}
 		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 5, UpToDateStores: 2}}})
 		s.add(&wire.Retired{IsKnown: true, Groups: []wire.Standing{{Group: 1, Term: 4, UpToDateStores: 3}}})
