--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -133,7 +133,7 @@
 		isGuess bool
 		term    int64
 		at      time.Duration
-		moves   bool
+		isKept  bool
 	}{
 		{"a suspicion about a duty that has not moved for a while", true, 1, 20 * time.Second, true},
 		{"no suspicion about a duty that has just moved", true, 2, 21 * time.Second, false},
@@ -177,7 +177,7 @@
 		s := HoldDown{Period: 6 * time.Second}
 		for _, c := range cases {
 			kept := s.Filter([]Change{{Pool: "p", Worker: "w", IfRevision: c.term, IsHolderSuspected: c.isGuess}}, c.at)
-			So(c.name+": "+fmt.Sprint(len(kept) == 1), ShouldEqual, c.name+": "+fmt.Sprint(c.moves))
+			So(c.name+": "+fmt.Sprint(len(kept) == 1), ShouldEqual, c.name+": "+fmt.Sprint(c.isKept))
 		}
 	})
 }
