--- a/internal/deliver/adapter.go
+++ b/internal/deliver/adapter.go
@@ -1,3 +1,8 @@
+// Package deliver is the part of the adapter daemon that dispatches messages. It grants concurrency slots on the
+// workers whose duties the adapter holds, runs the messages that stores send for granted slots over HTTP, reports each
+// result to the owner of the message's place until it is durable, and sends completion notifications. It holds the open
+// runs, the state of each worker and the queues of waiting requests, all in memory. The adapter daemon (cmd/adapter)
+// and the simulation (internal/sim) call it.
 package deliver
 
 import (
@@ -20,7 +25,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Adapter is the delivering half of the adapter daemon.
+// Adapter is the dispatching half of the adapter daemon.
 type Adapter struct {
 	d                   *daemon.Daemon
 	configs             *config.Cache
@@ -32,8 +37,8 @@
 	actions             pipeline.Actions[*delivery]
 	programs            pipeline.Programs
 	runs                *RunRegistry
-	times               groupclock.Cache // of the places' groups
-	// Once it is set no run is begun, and no slot granted.
+	times               groupclock.Cache // of the places' groups, reported back to new owners
+	// Once it is set, no run is accepted and no slot is granted.
 	isLeaving atomic.Bool
 }
 
@@ -45,15 +50,15 @@
 
 func init() { prometheus.MustRegister(runsTotal, answersNotKept) }
 
-// New readies the delivering half; codec is how requests that came as they are
-// are put to workers.
+// New returns the dispatching half of a daemon; its work ends with ctx. codec translates passthrough requests to what
+// workers expect.
 func New(ctx context.Context, d *daemon.Daemon, configs *config.Cache, codec Codec) *Adapter {
 	a := NewWithEnvironment(d, configs, codec, daemonEnvironment(ctx, d))
 	d.AddMetrics(a.measure)
 	return a
 }
 
-// NewWithEnvironment readies the delivering half on given ports.
+// NewWithEnvironment is New with the given environment and without metrics.
 func NewWithEnvironment(d *daemon.Daemon, configs *config.Cache, codec Codec, environment Environment) *Adapter {
 	a := &Adapter{d: d, configs: configs, environment: environment, runs: NewRunRegistry(d.Settings.MaxInFlight), codec: codec}
 	a.slots = newSlotAllocator(a)
@@ -61,15 +66,15 @@
 	return a
 }
 
-// UseNode gives the node, once it is open, to send results with.
+// UseNode makes results travel over the daemon's node; to be called once the node is open.
 func (a *Adapter) UseNode() {
 	a.SetOwnerClient(&ownerclient.Client{Node: a.d.Node, Membership: a.d.Membership, Bounds: a.d.Bounds, Link: wire.PlaceLink})
 }
 
-// SetOwnerClient gives what brings results to the owners of places.
+// SetOwnerClient sets the client by which results reach the owners of places.
 func (a *Adapter) SetOwnerClient(r *ownerclient.Client) { a.ownerClient = r }
 
-// Serve answers stores.
+// Serve handles messages from stores on the run link.
 func (a *Adapter) Serve(_ wire.Who, body any, answer func(any)) {
 	switch m := body.(type) {
 	case *wire.Want:
@@ -93,9 +98,9 @@
 	}
 }
 
-// askAgent looks whether the agent keeps the result of a run that an earlier
-// life of this adapter had. Only the agent's own word that it keeps none makes
-// the run a lost one; while it cannot tell, the owner asks again.
+// askAgent asks the agent on this machine whether it keeps the result of a run of an earlier boot of this adapter. Only
+// the agent's explicit answer that it keeps none makes the run a lost one; on any failure the store is told that the
+// run's fate is unknown and asks again.
 func (a *Adapter) askAgent(m *wire.Open, answer func(any)) {
 	unknown := &wire.OpenAck{Kind: string(errs.Lost)}
 	ask := &wire.Outcome{Place: m.Place, Id: m.Id, Step: repair.StepHas, Proof: wire.Proof{Attempt: m.Attempt, Answer: []byte{}}}
@@ -122,10 +127,11 @@
 	timing.Every(ctx, a.d.Bounds.Of(timing.AnswerTimeout), a.ExpireRefusals)
 }
 
-// ExpireRefusals forgets promises that nobody can come back to.
+// ExpireRefusals removes refusals of runs that no delayed request can refer to any more.
 func (a *Adapter) ExpireRefusals() { a.runs.ExpireRefusals(a.d.Now(), 20*a.d.Bounds.ConfigApply) }
 
-// AddCounts adds to what the adapter tells of itself in its session.
+// AddCounts adds the adapter's load, its draining state and its observations of workers to the counts that its session
+// reports to the managers.
 func (a *Adapter) AddCounts(counts map[string]int64) {
 	counts["runs"] = int64(a.OpenRunCount())
 	if a.isLeaving.Load() {
@@ -134,17 +140,17 @@
 	a.slots.addObservations(counts)
 }
 
-// OpenRunCount reports how many runs are in hand.
+// OpenRunCount returns the number of runs whose result is not durable yet.
 func (a *Adapter) OpenRunCount() int { return a.runs.Count() }
 
-// DrainingCount is the count by which an adapter tells that it is going: others take
-// its duties.
+// DrainingCount is the session count by which an adapter announces its shutdown, so that managers assign its duties to
+// other adapters.
 const DrainingCount = session.DrainingCount
 
-// IsLeaving reports whether it was asked to stop.
+// IsLeaving reports whether the adapter is shutting down.
 func (a *Adapter) IsLeaving() bool { return a.isLeaving.Load() }
 
-// holdsAnyDuty reports whether a duty still names this life of the adapter.
+// holdsAnyDuty reports whether any duty is still assigned to this boot of the adapter.
 func (a *Adapter) holdsAnyDuty() bool {
 	compiled := a.configs.Current()
 	for pool, duties := range compiled.Duties {
@@ -157,11 +163,11 @@
 	return false
 }
 
-// Leave has the adapter begin nothing more.
+// Leave makes the adapter accept no more runs and grant no more slots.
 func (a *Adapter) Leave() { a.isLeaving.Store(true) }
 
-// Drain begins nothing more and waits until no run is in hand, and for a while
-// until its duties have been taken over, or ctx ends.
+// Drain stops accepting work and waits until no run is open and, for at most a session timeout, until the adapter's
+// duties have been assigned to others. It returns early when ctx ends.
 func (a *Adapter) Drain(ctx context.Context) {
 	a.Leave()
 	handOver := a.d.Now() + a.d.Bounds.Of(timing.SessionTimeout)
@@ -172,6 +178,6 @@
 		}
 	}
 	if inHand := a.OpenRunCount(); inHand > 0 {
-		klog.Warningf("deliver: %d runs are in hand still, though the time to end them is over.", inHand)
+		klog.Warningf("deliver: drain timed out with %d runs still open; stopping anyway", inHand)
 	}
 }
--- a/internal/deliver/askagent_test.go
+++ b/internal/deliver/askagent_test.go
@@ -12,22 +12,21 @@
 	"caperwheel/internal/wire"
 )
 
-// TestAskAgent is the table of what an owner is told of a run of an earlier life
-// of the adapter. While the agent was away it was told nothing: the asks waited
-// for ever, one more each time, until the link took no other ask either.
+// TestAskAgent checks what an owner is told of a run of an earlier boot of the adapter. It guards against requests that
+// are never answered while the agent is unreachable: one more stayed pending each time, until the link was full.
 func TestAskAgent(t *testing.T) {
 	cases := []struct {
 		name  string
-		agent func(answer func(any)) // nil: it is away
+		agent func(answer func(any)) // nil: it is unreachable
 		want  wire.OpenAck
 	}{
-		{"keeps its result", func(answer func(any)) { answer(&wire.OutcomeAck{}) }, wire.OpenAck{State: "open"}},
-		{"keeps none", func(answer func(any)) { answer(&wire.OutcomeAck{Kind: string(errs.Unknown)}) }, wire.OpenAck{State: "gone"}},
-		{"cannot tell", func(answer func(any)) { answer(&wire.OutcomeAck{Kind: string(errs.Full)}) }, wire.OpenAck{Kind: "lost"}},
-		{"answers something else", func(answer func(any)) { answer(&wire.Taken{}) }, wire.OpenAck{Kind: "lost"}},
-		{"is away", nil, wire.OpenAck{Kind: "lost"}},
+		{"has its result", func(answer func(any)) { answer(&wire.OutcomeAck{}) }, wire.OpenAck{State: "open"}},
+		{"has no result", func(answer func(any)) { answer(&wire.OutcomeAck{Kind: string(errs.Unknown)}) }, wire.OpenAck{State: "gone"}},
+		{"answers with an error", func(answer func(any)) { answer(&wire.OutcomeAck{Kind: string(errs.Full)}) }, wire.OpenAck{Kind: "lost"}},
+		{"answers with another type", func(answer func(any)) { answer(&wire.Taken{}) }, wire.OpenAck{Kind: "lost"}},
+		{"is unreachable", nil, wire.OpenAck{Kind: "lost"}},
 	}
-	Convey("Of a run of an earlier life, when the agent", t, func() {
+	Convey("Asked about a run of an earlier boot, when the agent", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				a, seed := newTestAdapter("127.0.0.1:1"), closedPort()
@@ -53,7 +52,7 @@
 				got := wire.OpenAck{State: "no answer"}
 				select {
 				case got = <-told:
-				case <-time.After(5 * time.Second): // only for a case that fails
+				case <-time.After(5 * time.Second): // reached only if the test fails
 				}
 				So(got, ShouldResemble, c.want)
 			})
--- a/internal/deliver/codec.go
+++ b/internal/deliver/codec.go
@@ -11,50 +11,49 @@
 	"caperwheel/internal/wire"
 )
 
-// RunRequest is one run that is about to be put to a worker.
+// RunRequest is a passthrough run that is about to be sent to a worker.
 type RunRequest struct {
 	Id         string
 	Head       []byte
 	Body       []byte
 	Address    string
-	Worker     string        // its name; empty for an outside endpoint
-	Identifier string        // what the worker calls itself, where its name does not say so
-	Bound      time.Duration // how long it may take
+	Worker     string        // its name; empty for an external endpoint
+	Identifier string        // the worker's own identifier, if its name is not that
+	Bound      time.Duration // time limit
 }
 
-// RunResult is what a worker's whole answer says. Kind is empty for a success.
+// RunResult is the meaning of a worker's complete reply. Kind is empty for a success.
 //
 // Invariant: IsBegun is false only if the worker has not run the message.
 type RunResult struct {
 	Kind       errs.Kind
 	Text       string
-	Answer     []byte // what proves a success
+	Answer     []byte // kept as proof of a success
 	IsBegun    bool
-	IsFinal    bool // it can never succeed
-	IsHealthy  bool // the worker is well, whatever it answered
+	IsFinal    bool // no retry can succeed
+	IsHealthy  bool // the worker itself works, whatever it answered
 	RetryDelay time.Duration
 }
 
-// Codec is one way to put requests to workers that came as they are, and to
-// tell callers of ends. Names tells whose an answer of a worker says that it is;
-// one that is another run's is not judged.
+// Codec is a protocol by which passthrough requests are sent to workers, and completion notifications to callers.
+// MatchReply tells which request a worker's reply belongs to; a reply to another request is not interpreted.
 type Codec struct {
-	// Ask gives the request; errs.Unhealthy where it may not be put to this worker, any other error
-	// where it can be put to none.
+	// NewRequest builds the request. It returns errs.Unhealthy if the request may not go to this worker, and any other
+	// error if it can go to none.
 	NewRequest func(a RunRequest) (*http.Request, error)
 	MatchReply func(a RunRequest, answer *http.Response) ReplyMatch
-	// Judge reads a whole answer. body is nil where it has more than MaxAnswerBytes bytes: what the
-	// answer means must not depend on it.
+	// Interpret evaluates a complete reply. body is nil if it is longer than MaxAnswerBytes: the meaning of a reply
+	// must not depend on such a body.
 	Interpret      func(a RunRequest, answer *http.Response, body []byte) RunResult
-	MaxAnswerBytes int64 // bytes of an answer's body that are kept for Judge
+	MaxAnswerBytes int64 // bytes of a reply's body that are kept for Interpret
 
 	NewNotification func(t *wire.Tell) (*http.Request, error)
-	// MatchNotificationReply is Names for the answer to a word. Where it is not given, whoever
-	// is told of ends answers each word once.
+	// MatchNotificationReply is MatchReply for the reply to a notification. If it is nil, receivers are trusted to
+	// answer each notification once.
 	MatchNotificationReply func(t *wire.Tell, answer *http.Response) ReplyMatch
 }
 
-// sendPassthrough puts a request to its worker as it came.
+// sendPassthrough sends a passthrough request to its worker.
 func (a *Adapter) sendPassthrough(e *delivery) error {
 	r := e.run
 	bound := time.Duration(r.Bound) * time.Millisecond
@@ -84,8 +83,8 @@
 	return nil
 }
 
-// withBody lets the client take the bytes again from the start, should a kept
-// connection have gone before it wrote any.
+// withBody lets the client read the body again from the start if a kept connection was closed before any of the request
+// was written.
 func withBody(req *http.Request, body []byte) *http.Request {
 	if req.GetBody == nil && len(body) > 0 {
 		req.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(body)), nil }
--- a/internal/deliver/concurrency_test.go
+++ b/internal/deliver/concurrency_test.go
@@ -11,13 +11,12 @@
 	"caperwheel/internal/wire"
 )
 
-// For how long a worker is played before its runs are counted, and after that.
+// Simulated time before runs are counted, and for which they are counted.
 const warmUp, counted = time.Second, 3 * time.Second
 
-// busyWorker plays a worker for which there are always more runs. Each arrives some time
-// after its slot was granted, its lead, waits in line until it may begin, and takes as long
-// as all do. It returns how many have ended after a second, counted from a warm-up of as
-// long, and the most that were at work at once and in the line.
+// busyWorker simulates a worker with an unlimited supply of runs. Each run arrives lead after its slot was granted, is
+// queued until it may begin, and takes took. It returns the number of runs that ended after the warm-up, and the
+// maximum numbers of concurrent and of queued runs.
 func busyWorker(w *WorkerState, lead, took time.Duration) (ended, maxRunning, maxQueued int) {
 	arrivals, ends, line := []time.Duration{}, []time.Duration{}, 0
 	for now := time.Duration(0); now < warmUp+counted; now += time.Millisecond {
@@ -45,24 +44,24 @@
 	return ended, maxRunning, maxQueued
 }
 
-// TestGrantedAhead: a slot was once held from its grant until the answer. A worker with short
-// runs stood idle while runs for granted slots were committed and on their way: it ended half
-// of what it could, and a backlog behind an outage was never worked off.
+// TestGrantedAhead guards against slots that are held from their grant until the answer. A worker with short runs then
+// idled while the runs for granted slots were being committed and sent: it ended half of the runs that it could, and
+// the backlog after an outage was never worked off.
 func TestGrantedAhead(t *testing.T) {
 	const millisecond = time.Millisecond
 	cases := []struct {
 		name             string
 		slots            int64
 		lead, took       time.Duration
-		leastShare       float64 // of what the worker could end
+		leastShare       float64 // of the runs that the worker could end
 		mostWaitingShare float64 // of its slots
 	}{
-		{"short runs that are long on their way", 4, 15 * millisecond, 15 * millisecond, 0.95, 1},
-		{"runs that are on their way for longer than they take", 4, 30 * millisecond, 15 * millisecond, 0.65, 1},
+		{"short runs that take as long to arrive", 4, 15 * millisecond, 15 * millisecond, 0.95, 1},
+		{"runs that take longer to arrive than to end", 4, 30 * millisecond, 15 * millisecond, 0.65, 1},
 		{"long runs", 12, 15 * millisecond, 300 * millisecond, 0.93, 0.2},
-		{"runs that are here at once", 4, 0, 15 * millisecond, 0.95, 0},
+		{"runs that arrive at once", 4, 0, 15 * millisecond, 0.95, 0},
 	}
-	Convey("A worker whose slots are all wanted ends what it can", t, func() {
+	Convey("A worker with an unlimited supply of runs is kept busy", t, func() {
 		for _, c := range cases {
 			Convey("with "+c.name, func() {
 				w := NewWorkerState(config.Pool{Concurrency: c.slots}, 0, 0)
@@ -73,7 +72,7 @@
 			})
 		}
 	})
-	Convey("No slot is granted ahead where a rate decides, nor on a worker that fails", t, func() {
+	Convey("No slot is granted ahead under a rate limit, nor on an unhealthy worker", t, func() {
 		for _, pool := range []config.Pool{{Concurrency: 4, Rate: 1000}, {Concurrency: 4}} {
 			w := NewWorkerState(pool, 0, 0)
 			w.Grant(0)
@@ -86,7 +85,7 @@
 			So(w.slotsAhead(4, 0), ShouldEqual, 0)
 		}
 	})
-	Convey("A worker with as many slots as its pool has runs at once gets as many waiting there as others", t, func() {
+	Convey("Half as many runs again as a worker has slots may queue there, also if the slots equal the pool's concurrency", t, func() {
 		for _, slots := range []int64{3, 4, 5} {
 			w := NewWorkerState(config.Pool{Concurrency: 4}, 0, 0)
 			w.Configure(config.Pool{Concurrency: 4}, config.Worker{Slots: slots})
@@ -95,8 +94,8 @@
 	})
 }
 
-// queueSecondRun has a run wait for its worker, which has one at work, and returns where its turn is
-// told. The run's permit lapses at the step given.
+// queueSecondRun queues a run behind the first one, which is running, and returns the channel that gets its turn. The
+// run's permit expires at the given time.
 func queueSecondRun(h *dutyHolder, first *permit, lapsesAt time.Duration) (turns chan error) {
 	turns = make(chan error, 2)
 	h.slots.startWhenFree(first, func(err error) { turns <- err })
@@ -107,7 +106,7 @@
 	return turns
 }
 
-// TestLine is the table of what may become of a run that waits for its worker.
+// TestLine checks how a queued run ends its wait.
 func TestLine(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -116,14 +115,14 @@
 	}{
 		{"the run before it ends", func(h *dutyHolder, first *permit) { h.slots.finish(first, true, time.Millisecond) }, ""},
 		{"the run before it is not sent", func(h *dutyHolder, first *permit) { h.slots.withdraw(first) }, ""},
-		{"its permit lapses", func(h *dutyHolder, _ *permit) { h.clock.Store(int64(2 * time.Second)); h.slots.serve() }, errs.DeadlineExceeded},
-		{"the worker fails", func(h *dutyHolder, first *permit) {
+		{"its permit expires", func(h *dutyHolder, _ *permit) { h.clock.Store(int64(2 * time.Second)); h.slots.serve() }, errs.DeadlineExceeded},
+		{"the worker becomes unhealthy", func(h *dutyHolder, first *permit) {
 			first.held.worker.setHealth(Unhealthy, 0)
 			h.slots.serve()
 		}, errs.Full},
-		{"the duty moves on", func(h *dutyHolder, _ *permit) { h.slots.drop("p/w") }, errs.NotOwner},
+		{"the duty moves to another holder", func(h *dutyHolder, _ *permit) { h.slots.drop("p/w") }, errs.NotOwner},
 	}
-	Convey("A run waits while its worker has as many as it may, until", t, func() {
+	Convey("A run is queued while its worker has no capacity, until", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				h := newDutyHolder("a")
@@ -146,9 +145,9 @@
 	})
 }
 
-// TestArrivedTooLate: a run whose duty has moved on since its slot was granted does not wait.
+// TestArrivedTooLate checks that a run is rejected, not queued, if the duty has moved since its slot was granted.
 func TestArrivedTooLate(t *testing.T) {
-	Convey("Given a run for a slot on a worker that is served elsewhere now", t, func() {
+	Convey("Given a run for a slot on a worker that is no longer held", t, func() {
 		h := newDutyHolder("a")
 		late := &permit{key: "p/w", held: &heldWorker{worker: NewWorkerState(config.Pool{Concurrency: 1}, 0, 0)}, deadline: time.Second}
 		var turned error
@@ -157,23 +156,23 @@
 	})
 }
 
-// TestAskedDuringAnOutage: asks behind others that waited were once told to come again at
-// once, thousands a second, however long the worker was to be left alone.
+// TestAskedDuringAnOutage guards against slot requests that are told to retry at once because they stand behind others:
+// there were thousands per second, although the worker was not to be probed for a while.
 func TestAskedDuringAnOutage(t *testing.T) {
-	Convey("Given a worker that fails, on which an ask waits", t, func() {
+	Convey("Given an unhealthy worker with a waiting slot request", t, func() {
 		h := newDutyHolder("a")
 		h.receiveUpdate(0, 0)
 		w, err := h.slots.workerFor(h.configs.Current(), "p", "w")
 		So(err, ShouldBeNil)
 		w.worker.setHealth(Unhealthy, 0)
 		w.requests = []slotRequest{{time.Second, func(any) {}}}
-		Convey("the next one is told when the worker is probed", func() {
+		Convey("the next request is told to retry when the worker is probed", func() {
 			So(askFor(h, 0).Retry, ShouldEqual, initialProbeInterval.Milliseconds())
 		})
 	})
 }
 
-// askFor asks for a slot that may be waited for so long, and returns the answer.
+// askFor requests a slot, with the time for which the request may wait, and returns the answer.
 func askFor(h *dutyHolder, hold time.Duration) *wire.Grant {
 	grant := &wire.Grant{}
 	h.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: hold.Milliseconds()}, func(reply any) { grant = reply.(*wire.Grant) })
--- a/internal/deliver/defaultcodec.go
+++ b/internal/deliver/defaultcodec.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// DefaultCodec is the product's own codec for requests that are given on as they came.
+// DefaultCodec is the product's own codec for passthrough requests.
 var DefaultCodec = Codec{
 	NewRequest: func(a RunRequest) (*http.Request, error) {
 		kept, err := requesthead.Decode(a.Head)
@@ -36,11 +36,11 @@
 	NewNotification: func(t *wire.Tell) (*http.Request, error) {
 		raw, err := json.Marshal(map[string]any{"id": t.Id, "state": t.State, "answer": t.Answer})
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Internal, "word")
+			return nil, errs.Wrap(err, errs.Internal, "encode notification")
 		}
 		out, err := http.NewRequest(http.MethodPost, t.Url, bytes.NewReader(raw))
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Invalid, "URL of %s", t.Id)
+			return nil, errs.Wrap(err, errs.Invalid, "notification URL of message %s", t.Id)
 		}
 		out.Header.Set("Content-Type", "application/json")
 		out.Header.Set(messageId, t.Id)
--- a/internal/deliver/deliver_test.go
+++ b/internal/deliver/deliver_test.go
@@ -20,7 +20,7 @@
 	"caperwheel/internal/wire"
 )
 
-// newTestAdapter is an adapter with a fresh view of one pool, one worker and one lane.
+// newTestAdapter returns an adapter with a fresh view of one pool, one worker and one lane.
 func newTestAdapter(address string) *Adapter {
 	view := feed.NewView(0)
 	changes := []wire.Change{
@@ -33,6 +33,7 @@
 	return NewWithEnvironment(d, &config.Cache{View: view}, DefaultCodec, daemonEnvironment(context.Background(), d))
 }
 
+// closedPort returns an address on which nothing listens.
 func closedPort() string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -40,7 +41,7 @@
 	return listener.Addr().String()
 }
 
-// rawReply answers with bytes as they are and hangs up.
+// rawReply returns a handler that writes raw bytes and closes the connection.
 func rawReply(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -51,39 +52,38 @@
 	}
 }
 
-// TestDeliver is the table of what a worker may do with a run, and what is made
-// of it. A short answer never counts as a success, and a worker that cannot be
-// reached once counted as sound, and was flooded when it came back.
+// TestDeliver checks how each behaviour of a worker is classified. An incomplete reply must never count as a success.
+// It also guards against an unreachable worker that counts as healthy: it was flooded when it came back.
 func TestDeliver(t *testing.T) {
 	slow := make(chan struct{})
 	cases := []struct {
 		name    string
-		worker  http.HandlerFunc // nil: nobody listens
+		worker  http.HandlerFunc // nil: nothing listens
 		hurt    func(a *Adapter, r *run)
 		kind    string
 		isBegun bool
 		isFinal bool
-		isWait  bool // on an ordered lane: it may still go on
-		misses  int  // of the worker
+		isWait  bool // on an ordered lane: the run may still be in progress
+		misses  int  // failures recorded for the worker
 	}{
-		{"a whole answer", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") }, nil, "", true, false, false, 0},
+		{"a complete reply", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") }, nil, "", true, false, false, 0},
 		{"a failure", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) }, nil, "unsound", true, false, false, 1},
-		{"an answer that blames the message", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(422) }, nil, "rejected", true, true, false, 0},
-		{"a body shorter than it says", rawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, "cut_short", true, false, true, 1},
-		{"chunks without an end", rawReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), nil, "cut_short", true, false, true, 1},
-		{"an answer that tells no length", rawReply("HTTP/1.1 200 OK\r\n\r\nall"), nil, "cut_short", true, false, true, 1},
-		{"half a head", rawReply("HTTP/1.1 200 OK\r\nContent-"), nil, "lost", true, false, true, 1},
-		{"no answer at all", rawReply(""), nil, "lost", true, false, true, 1},
-		{"no end within the bound", func(http.ResponseWriter, *http.Request) { <-slow }, nil, "late", true, false, false, 1},
-		{"nobody there", nil, nil, "lost", false, false, false, 1},
-		{"altered bytes", nil, func(_ *Adapter, r *run) { r.Checksum = "other" }, "broken", false, false, false, 0},
+		{"a status that blames the message", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(422) }, nil, "rejected", true, true, false, 0},
+		{"a body shorter than its Content-Length", rawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), nil, "cut_short", true, false, true, 1},
+		{"chunks without the last one", rawReply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"), nil, "cut_short", true, false, true, 1},
+		{"a reply without a length", rawReply("HTTP/1.1 200 OK\r\n\r\nall"), nil, "cut_short", true, false, true, 1},
+		{"an incomplete head", rawReply("HTTP/1.1 200 OK\r\nContent-"), nil, "lost", true, false, true, 1},
+		{"a connection closed without a reply", rawReply(""), nil, "lost", true, false, true, 1},
+		{"no reply within the bound", func(http.ResponseWriter, *http.Request) { <-slow }, nil, "late", true, false, false, 1},
+		{"no listener", nil, nil, "lost", false, false, false, 1},
+		{"a body that does not match its checksum", nil, func(_ *Adapter, r *run) { r.Checksum = "other" }, "broken", false, false, false, 0},
 		{"a pool that the lane may not use", nil, func(_ *Adapter, r *run) { r.Pool = "q" }, "rejected", false, false, false, 0},
-		{"a bound that has grown since an ordered run was begun", nil, func(_ *Adapter, r *run) { r.Key, r.Bound = "k", 49 }, "stale", false, false, false, 0},
-		{"a bound that has grown, without an order", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") },
+		{"a bound that has grown since an ordered run was started", nil, func(_ *Adapter, r *run) { r.Key, r.Bound = "k", 49 }, "stale", false, false, false, 0},
+		{"a bound that has grown, on a lane without order", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") },
 			func(_ *Adapter, r *run) { r.Bound = 49 }, "", true, false, false, 0},
 		{"a bound that has been lowered", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "well") },
 			func(_ *Adapter, r *run) { r.Key, r.Bound = "k", 51 }, "", true, false, false, 0},
-		{"a duty that has moved on", nil, func(a *Adapter, _ *run) { a.d.Who.Boot = "2" }, "not_owner", false, false, false, 0},
+		{"a duty that has moved to another boot", nil, func(a *Adapter, _ *run) { a.d.Who.Boot = "2" }, "not_owner", false, false, false, 0},
 	}
 	Convey("A run that meets", t, func() {
 		for _, c := range cases {
@@ -123,11 +123,10 @@
 	})
 }
 
-// TestMovedDuty: asks that waited for a slot when the duty moved on once never
-// had an answer; the store that had asked counted them as under way for ever,
-// and after enough of them asked no more.
+// TestMovedDuty guards against slot requests without an answer when the duty moves while they wait: the store counted
+// them as pending for ever, and after enough of them requested no more slots.
 func TestMovedDuty(t *testing.T) {
-	Convey("Given asks that wait for a busy worker", t, func() {
+	Convey("Given slot requests that wait for a busy worker", t, func() {
 		a, granted, waiting := newTestAdapter("127.0.0.1:1"), 0, 0
 		ask := func() {
 			waiting++
@@ -143,7 +142,7 @@
 		}
 		So(granted, ShouldEqual, 4)
 		So(waiting, ShouldEqual, 3)
-		Convey("all are answered when the duty has moved on", func() {
+		Convey("all are answered when the duty has moved", func() {
 			a.d.View.Update([]wire.PartNews{{From: 3, To: 4, Changes: []wire.Change{{Key: config.DutyKey + "p/w", Revision: 4,
 				Value: config.Duty{Holder: "b", Boot: "1"}.Encode()}}}}, a.d.Now())
 			ask()
@@ -160,10 +159,10 @@
 	})
 }
 
-// TestOneTimer: each look at the slots once had two more follow it, and a busy
-// adapter drowned in them.
+// TestOneTimer guards against timers that multiply: each call of serve scheduled two more, which overloaded a busy
+// adapter.
 func TestOneTimer(t *testing.T) {
-	Convey("However often slots are looked at, one look more is due", t, func() {
+	Convey("However often serve is called, exactly one further call is scheduled", t, func() {
 		a, due := newTestAdapter("127.0.0.1:1"), []func(){}
 		a.environment.After = func(_ time.Duration, look func()) { due = append(due, look) }
 		for range 9 {
@@ -183,10 +182,9 @@
 	})
 }
 
-// TestLeaving: an adapter that was asked to stop once went on beginning runs,
-// and took what it knew of them with it.
+// TestLeaving guards against an adapter that begins runs while it shuts down: what it knew of them was lost.
 func TestLeaving(t *testing.T) {
-	Convey("Given an adapter that was asked to stop", t, func() {
+	Convey("Given an adapter that is shutting down", t, func() {
 		a := newTestAdapter("127.0.0.1:1")
 		granted := &wire.Grant{}
 		ask := func() {
@@ -197,13 +195,13 @@
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
 		a.Drain(gone)
-		Convey("a run in a slot granted before is told never to start, and is not in hand", func() {
+		Convey("a run in a slot granted before is refused, and is not open", func() {
 			ack := &wire.RunAck{}
 			a.handleRun(&wire.Run{Id: "0-x", Attempt: 1, Pool: "p", Worker: "w", Permit: granted.Permit}, func(reply any) { ack = reply.(*wire.RunAck) })
 			So(ack.Kind, ShouldEqual, "not_owner")
 			So(a.OpenRunCount(), ShouldEqual, 0)
 		})
-		Convey("no slot is granted, and it tells that it leaves", func() {
+		Convey("no slot is granted, and its session counts announce the shutdown", func() {
 			ask()
 			So(granted.Kind, ShouldNotBeEmpty)
 			counts := map[string]int64{}
@@ -213,8 +211,8 @@
 	})
 }
 
-// TestThawed: steps compiled from an older configuration do nothing once a newer one
-// is known, however lately the view was confirmed.
+// TestThawed checks that steps compiled from an older configuration do nothing once a newer one is known, however
+// recently the view was confirmed.
 func TestThawed(t *testing.T) {
 	Convey("A run whose steps were compiled before a freeze is not sent after it", t, func() {
 		a := newTestAdapter("127.0.0.1:1")
--- a/internal/deliver/drain_test.go
+++ b/internal/deliver/drain_test.go
@@ -12,9 +12,9 @@
 	"caperwheel/internal/place"
 )
 
-// The service that is played: an ordered one of a few workers with short runs, which is away
-// for a while and comes back cold. What is committed takes commitTime; a run's way from its
-// slot's grant, its start's commit included, takes wayTime.
+// Parameters of the simulated service: an ordered service of a few workers with short runs, which has an outage and
+// comes back cold. A commit takes commitTime; from a slot's grant to the arrival of its run, the commit of its start
+// included, it takes wayTime.
 const (
 	drainWorkers   = 4
 	drainSlots     = 4
@@ -31,8 +31,8 @@
 	drainEnd       = 40 * time.Second
 )
 
-// outageSimulation plays the service on simulated time: the place's own state machine, which orders
-// messages, and the holders' own workers, which grant slots.
+// outageSimulation runs the service on simulated time with the state machine of a place, which orders messages, and the
+// worker states of the duty holders, which grant slots.
 type outageSimulation struct {
 	now      time.Duration
 	random   *rand.Rand
@@ -41,7 +41,7 @@
 	lines    [][]func()
 	events   map[time.Duration][]func()
 	taken    int
-	lateRuns []time.Duration // when runs began later than they were wanted
+	lateRuns []time.Duration // when runs began after the time that their message should have begun
 }
 
 func newOutageSimulation() *outageSimulation {
@@ -64,7 +64,7 @@
 	d.machine.Apply(c)
 }
 
-// take has messages come whose keys are skewed: the least have most.
+// take adds the messages that are due. Their keys are skewed: the lowest numbers are the most frequent.
 func (d *outageSimulation) take() {
 	for float64(d.taken) < drainPerSecond*d.now.Seconds() {
 		d.taken++
@@ -74,8 +74,8 @@
 	}
 }
 
-// grant gives every slot that is free to the message that is next; with isAhead false as it
-// was, when a slot was held from its grant on and none waited at the worker.
+// grant grants every free slot to the next message. If isAhead is false, a slot is held from its grant on and no run
+// queues at the worker.
 func (d *outageSimulation) grant(isAhead bool) {
 	if d.now >= awayFrom && d.now < awayUntil {
 		return
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleRun has a message run in a granted slot of a worker.
+// start starts a message's run in a granted slot of a worker.
 func (d *outageSimulation) start(i int, e *place.Message) {
 	w, at, id := d.workers[i], d.now, e.Id
 	if e.StartBy < d.now.Milliseconds() {
@@ -106,6 +106,7 @@
 	})
 }
 
+// run simulates a run on its worker and the commit of its result.
 func (d *outageSimulation) run(w *WorkerState, id string) {
 	took := runTime
 	if d.now >= awayUntil && d.now < awayUntil+coldTime {
@@ -121,7 +122,7 @@
 	})
 }
 
-// play returns how long after the service is back the last run began that was late.
+// play returns the time from the end of the outage to the last late start of a run.
 func (d *outageSimulation) play(isAhead bool) time.Duration {
 	for ; d.now < drainEnd; d.now += time.Millisecond {
 		for _, happen := range d.events[d.now] {
@@ -141,12 +142,12 @@
 	return d.lateRuns[len(d.lateRuns)-1] - awayUntil
 }
 
-// TestDrainAfterAnOutage: when a whole ordered service had been away for eight seconds, what
-// had come meanwhile was never worked off, and nearly every run was late until the day's end.
+// TestDrainAfterAnOutage guards against a backlog that is never worked off: after a whole ordered service had been away
+// for eight seconds, nearly every later run was late.
 func TestDrainAfterAnOutage(t *testing.T) {
-	Convey("An ordered service that was away has worked its backlog off soon after it is back", t, func() {
+	Convey("An ordered service has worked off its backlog soon after an outage", t, func() {
 		So(newOutageSimulation().play(true), ShouldBeLessThan, 10*time.Second)
-		Convey("which it had not with slots held from their grant on", func() {
+		Convey("which it does not if slots are held from their grant on", func() {
 			So(newOutageSimulation().play(false), ShouldBeGreaterThan, drainEnd-awayUntil-time.Second)
 		})
 	})
--- a/internal/deliver/environment.go
+++ b/internal/deliver/environment.go
@@ -13,22 +13,23 @@
 	"caperwheel/internal/wire"
 )
 
-// Environment are an adapter's ways to time and to the world around it. The simulation has others,
-// and all between them is the same code there.
+// Environment is an adapter's access to timers, goroutines and the network. The simulation substitutes its own; the
+// rest of the code is the same there.
 type Environment struct {
-	After           func(span time.Duration, work func())                    // does work once a time has passed
-	Run             func(work func(ctx context.Context))                     // does a run's work, which may wait; ctx ends with the daemon
-	RunNotification func(work func(ctx context.Context))                     // does the same for a word to whoever is told of an end
-	Send            func(*http.Request, web.SendOptions) (*web.Reply, error) // puts a request to a worker or receiver, once
-	Post            func(link *wire.Link, addr string, ask any, done func(reply any, err error)) error
-	FirstPermitId   func() int64 // where the numbers of permits begin
+	After           func(span time.Duration, work func())                    // calls work after a delay
+	Run             func(work func(ctx context.Context))                     // runs a delivery, which may block; ctx ends with the daemon
+	RunNotification func(work func(ctx context.Context))                     // runs a notification, which may block; ctx ends with the daemon
+	Send            func(*http.Request, web.SendOptions) (*web.Reply, error) // sends a request to a worker or receiver, at most once
+	// Post sends a message to a daemon and calls done with the reply; done may be nil.
+	Post          func(link *wire.Link, addr string, ask any, done func(reply any, err error)) error
+	FirstPermitId func() int64 // start of the permit numbers
 }
 
-// notificationPoolDivisor is the share of a daemon's goroutines for words about ends: receivers that hang must
-// not hold runs up.
+// notificationPoolDivisor sizes the goroutine pool for notifications relative to the one for runs. The pools are
+// separate so that receivers that hang do not delay runs.
 const notificationPoolDivisor = 4
 
-// daemonEnvironment are those of a daemon whose work ends with ctx.
+// daemonEnvironment returns the environment of a daemon whose work ends with ctx.
 func daemonEnvironment(ctx context.Context, d *daemon.Daemon) Environment {
 	runs, words := pond.NewPool(max(1, d.Settings.MaxInFlight)), pond.NewPool(max(1, d.Settings.MaxInFlight/notificationPoolDivisor))
 	client := newClient(d.Bounds)
@@ -40,6 +41,6 @@
 		Post: func(link *wire.Link, addr string, ask any, done func(any, error)) error {
 			return d.Node.Peer(link, addr).Post(ask, done)
 		},
-		FirstPermitId: func() int64 { return rand.Int64N(1 << 62) }, // no permit of an earlier life is taken for one of this
+		FirstPermitId: func() int64 { return rand.Int64N(1 << 62) }, // random, so that no permit of an earlier boot is valid in this one
 	}
 }
--- a/internal/deliver/fence_test.go
+++ b/internal/deliver/fence_test.go
@@ -16,23 +16,25 @@
 	"caperwheel/internal/wire"
 )
 
-// The grid on which a duty's move is explored: stepsPerBound steps of time make a
-// bound, and news are up to maxUpdateAge steps old as they come.
+// The grid of times on which the move of a duty is explored. A bound has stepsPerBound steps; updates are up to
+// maxUpdateAge steps old when they arrive.
 const (
 	stepsPerBound = 8
-	movedAt       = stepsPerBound     // the step at which the duty moves
-	lastStep      = 4 * stepsPerBound // until when is looked
+	movedAt       = stepsPerBound     // when the duty moves
+	lastStep      = 4 * stepsPerBound // end of the exploration
 	maxUpdateAge  = 4
 )
 
+// step is the length of a step.
 const step = 3 * time.Second / stepsPerBound
 
-// dutyHolder is an adapter whose clock and news the test gives.
+// dutyHolder is an adapter whose clock and updates the test controls.
 type dutyHolder struct {
 	*Adapter
 	clock atomic.Int64
 }
 
+// newDutyHolder returns an adapter without an update.
 func newDutyHolder(name string) *dutyHolder {
 	h := &dutyHolder{}
 	view := feed.NewView(0)
@@ -43,8 +45,7 @@
 	return h
 }
 
-// hear gives the adapter news that were confirmed some steps ago, with the duty as it
-// stood then.
+// receiveUpdate gives the adapter a view that was confirmed age steps ago, with the duty as it was then.
 func (h *dutyHolder) receiveUpdate(now, age int) {
 	changes := []wire.Change{
 		{Key: config.DocumentKey, Revision: 1, Value: []byte(`{"pools":{"p":{"rate":1000,"ease":"0s"}},"lanes":{"l":{"pools":["p"]}}}`)},
@@ -71,11 +72,11 @@
 	return true
 }
 
-// actsUntil and actsFrom are the last and the first step at which an adapter acts whose
-// last, or first, news come at a step; -1 for never.
+// actsUntil returns the last step at which the old holder grants slots, if its last update arrives at heardAt and is
+// age steps old; -1 for never.
 func actsUntil(heardAt, age int) (last int) {
 	h, last := newDutyHolder("a"), -1
-	for now := range heardAt + 1 { // asked all along: a share of a rate counts a fence after its duty was seen
+	for now := range heardAt + 1 { // asked at every step, since a rate share counts one fence after its duty was first seen
 		h.receiveUpdate(now, min(age, now))
 		h.grantsSlot(now)
 	}
@@ -87,6 +88,8 @@
 	return last
 }
 
+// actsFrom returns the first step at which the new holder grants slots, if its first update arrives at heardAt and is
+// age steps old; -1 for never.
 func actsFrom(heardAt, age int) int {
 	h := newDutyHolder("b")
 	for now := heardAt; now <= lastStep; now++ {
@@ -98,9 +101,9 @@
 	return -1
 }
 
-// TestOneHolderAtATime explores every way in which news of a moved duty may reach its
-// two holders, on a grid: whenever the old one heard last and the new one first, and
-// however old their news were, the old one has stopped before the new one begins.
+// TestOneHolderAtATime explores on a grid every way in which updates of a moved duty may reach its two holders:
+// whenever the old one was last updated and the new one first, and however old these updates were, the old one must
+// have stopped before the new one begins.
 func TestOneHolderAtATime(t *testing.T) {
 	latest, earliest, acted := map[string]int{}, map[string]int{}, 0
 	for age := range maxUpdateAge + 1 {
@@ -115,11 +118,11 @@
 			}
 		}
 	}
-	Convey("Of two holders of a duty with a rate", t, func() {
-		Convey("the new one acts at last wherever it hears in time", func() {
-			So(acted, ShouldEqual, (lastStep-movedAt-stepsPerBound)*(maxUpdateAge+1)) // the fence takes a bound
+	Convey("Of two holders of a duty with a rate limit", t, func() {
+		Convey("the new one acts if it is updated in time", func() {
+			So(acted, ShouldEqual, (lastStep-movedAt-stepsPerBound)*(maxUpdateAge+1)) // the fence takes a whole bound
 		})
-		Convey("the old one acts beyond the move if it has not heard of it", func() {
+		Convey("the old one acts beyond the move if it was not updated", func() {
 			So(latest["heard last at 7, 0 old"], ShouldBeGreaterThan, movedAt)
 		})
 		Convey("the old one has stopped before the new one begins", func() {
--- a/internal/deliver/helpers_test.go
+++ b/internal/deliver/helpers_test.go
@@ -9,8 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// DeliverOnce puts a request that came as it is to a worker in a codec, for tables
-// from outside of the package.
+// DeliverOnce delivers a passthrough request to a worker in a codec, for tests outside of the package.
 func DeliverOnce(codec Codec, address string, kept requesthead.Head) *wire.Outcome {
 	a := newTestAdapter(address)
 	a.codec = codec
@@ -19,7 +18,7 @@
 		RequestHead: kept.Encode(), Bound: 50}, permit: &permit{held: &heldWorker{worker: NewWorkerState(config.Pool{Concurrency: 8}, 0, 0)}}})
 }
 
-// Tell tells a URL of an end in a codec, while others are under way to it.
+// SendNotification sends a notification in a codec while others are in flight to the same address.
 func SendNotification(codec Codec, word *wire.Tell, others int) *wire.Told {
 	a, tell := newNotificationAdapter(codec)
 	if u, err := url.Parse(word.Url); err == nil {
@@ -30,12 +29,13 @@
 	return tell(word)
 }
 
-// NotificationSender gives what tells one end after another in a codec.
+// NotificationSender returns a function that sends one notification after another in a codec.
 func NotificationSender(codec Codec) func(word *wire.Tell) *wire.Told {
 	_, tell := newNotificationAdapter(codec)
 	return tell
 }
 
+// newNotificationAdapter returns an adapter and a function that sends a notification with it.
 func newNotificationAdapter(codec Codec) (*Adapter, func(word *wire.Tell) *wire.Told) {
 	a, told := newTestAdapter("127.0.0.1:1"), make(chan *wire.Told, 1)
 	a.codec = codec
@@ -45,17 +45,17 @@
 	}
 }
 
-// MaxNotificationsInFlight is how many words may be under way to one address.
+// MaxNotificationsInFlight is the number of notifications that may be in flight to one address.
 const MaxNotificationsInFlight = maxNotificationsInFlight
 
-// MaxNotifications is how many words may be under way to one address or wait for that.
+// MaxNotifications is the number of notifications that may be in flight to one address or wait.
 const MaxNotifications = maxNotificationsInFlight + maxNotificationsWaiting
 
-// RawReply answers with bytes as they are and hangs up.
+// RawReply returns a handler that writes raw bytes and closes the connection.
 var RawReply = rawReply
 
-// Deliverer gives what puts one run after another to a worker, as a lane's own
-// request or as one that came with a head.
+// Deliverer returns a function that delivers one run after another to a worker, either as a lane's own request or as a
+// passthrough request.
 func Deliverer(codec Codec, address string) func(id string, kept requesthead.Head, isLane bool) *wire.Outcome {
 	a := newTestAdapter(address)
 	a.codec = codec
@@ -72,10 +72,10 @@
 	}
 }
 
-// MaxAnswerBytes is how many bytes of an answer are kept as proof.
+// MaxAnswerBytes is the number of bytes of a reply that are kept as proof.
 const MaxAnswerBytes = maxAnswerBytes
 
-// DeliverToWorker puts a request that came as it is to a listed worker.
+// DeliverToWorker delivers a passthrough request to a listed worker.
 func DeliverToWorker(codec Codec, listed config.Worker, kept requesthead.Head) *wire.Outcome {
 	a := newTestAdapter(listed.Address)
 	a.codec = codec
--- a/internal/deliver/holdings.go
+++ b/internal/deliver/holdings.go
@@ -7,28 +7,28 @@
 	"caperwheel/internal/web"
 )
 
-// ServeRuns serves the runs of a message that this adapter has in hand.
+// ServeRuns serves the status of a message's open runs on this adapter.
 func (a *Adapter) ServeRuns(w http.ResponseWriter, r *http.Request) {
 	runs := a.runs.RunsOf(r.PathValue("id"), a.d.Now())
 	if len(runs) == 0 {
-		web.WriteError(w, errs.New(errs.Unknown, "no run of %s is in hand", r.PathValue("id")))
+		web.WriteError(w, errs.New(errs.Unknown, "message %s has no open run on this adapter", r.PathValue("id")))
 		return
 	}
 	web.WriteJson(w, http.StatusOK, map[string]any{"adapter": a.d.Who.Name, "boot": a.d.Who.Boot, "runs": runs})
 }
 
-// Holdings count what an adapter holds for others: each of it is given back, told or ended in time.
+// Holdings counts what an adapter holds on behalf of others. All counts return to 0 when traffic ends.
 type Holdings struct {
-	Runs         int // admitted, whose result is not durable yet
-	Permits      int // granted slots not used yet
-	Slots        int // slots given on workers
+	Runs         int // admitted, result not durable yet
+	Permits      int // granted slots without a run yet
+	Slots        int // granted slots, with a run or not
 	AtWork       int // runs that have begun on workers
-	Queued       int // runs that wait for workers to end others
-	SlotRequests int // asks for a slot that wait
-	Words        int // words about ends, under way or waiting
+	Queued       int // runs that wait for capacity on their workers
+	SlotRequests int // slot requests that wait
+	Words        int // notifications in flight or waiting
 }
 
-// Holdings returns what the adapter holds now.
+// Holdings returns the adapter's current holdings.
 func (a *Adapter) Holdings() Holdings {
 	out := Holdings{Runs: a.OpenRunCount(), Words: a.notificationLimiter.count()}
 	a.slots.mu.Lock()
@@ -43,7 +43,7 @@
 	return out
 }
 
-// inFlight returns how many words are under way or wait.
+// count returns how many notifications are in flight or wait.
 func (t *notificationLimiter) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/deliver/large_test.go
+++ b/internal/deliver/large_test.go
@@ -17,8 +17,8 @@
 	"caperwheel/internal/wire"
 )
 
-// bodyOf answers with a status, a seal and a body of so many bytes, which comes with its
-// length or in chunks.
+// bodyOf returns a handler that answers with a status, a seal and a body of the given size, with its length or in
+// chunks.
 func bodyOf(code, size int, isChunked, isNotRun bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -34,16 +34,16 @@
 	}
 }
 
-// endless gives the letter q for ever.
+// endless is a reader that never ends.
 type endless struct{}
 
 func (endless) Read(p []byte) (int, error) { return copy(p, strings.Repeat("q", len(p))), nil }
 
-// sizes are the bytes of an answer's body: none, as many as are kept, one more, and many more.
+// sizes are the tested sizes of a reply's body: empty, the kept maximum, one more, and many more.
 var sizes = []int{0, deliver.MaxAnswerBytes, deliver.MaxAnswerBytes + 1, 12 * deliver.MaxAnswerBytes}
 
-// TestLargeAnswers guards against a worker's whole answer that is taken for a run of unknown fate, or for a refusal,
-// because its body is large: its message ran again after a success, and its failures spent no attempt.
+// TestLargeAnswers guards against a complete reply that is classified as a run of unknown fate, or as a refusal,
+// because its body is large: its message ran again after a success, and its failures did not count as attempts.
 func TestLargeAnswers(t *testing.T) {
 	answers := []struct {
 		name     string
@@ -51,7 +51,7 @@
 		isNotRun bool
 	}{{"a success", 200, false}, {"a failure", 500, false}, {"a refusal for good", 422, false}, {"a full worker", 503, true}}
 	for _, way := range deliveryModes {
-		Convey("To "+way.name+", the answer of", t, func() {
+		Convey("To "+way.name+", the reply of", t, func() {
 			for _, a := range answers {
 				for _, isChunked := range []bool{false, true} {
 					Convey(fmt.Sprintf("%s means the same whatever its size; in chunks: %t", a.name, isChunked), func() {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestLargeProof guards against a part of an answer that is kept as if it were the whole.
+// TestLargeProof guards against a part of a reply that is kept as if it were the whole.
 func TestLargeProof(t *testing.T) {
-	Convey("The proof of a success has the whole answer, or none and the whole one's checksum", t, func() {
+	Convey("The proof of a success has the complete reply, or no reply and the checksum of the complete one", t, func() {
 		for _, size := range sizes {
 			whole := strings.Repeat("q", size)
 			for _, way := range deliveryModes[:2] {
@@ -89,9 +89,10 @@
 	})
 }
 
-// TestLargeWord guards against a call-back that is told again and again since its receiver accepts it with a large body.
+// TestLargeWord guards against a notification that is sent again and again because its receiver accepts it with a large
+// body.
 func TestLargeWord(t *testing.T) {
-	Convey("A receiver that accepts a word has accepted it, whatever the size of its answer", t, func() {
+	Convey("A notification counts as accepted whatever the size of the reply", t, func() {
 		for _, m := range codecs {
 			for _, size := range sizes {
 				receiver := httptest.NewServer(bodyOf(200, size, size%2 == 1, false))
@@ -103,11 +104,12 @@
 	})
 }
 
+// newHead returns the head of a passthrough request with an id.
 func newHead(id string) requesthead.Head {
 	return requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
 }
 
-// deliverOnce puts one run to a worker.
+// deliverOnce delivers one run to a worker.
 func deliverOnce(codec deliver.Codec, isLane bool, worker http.HandlerFunc) *wire.Outcome {
 	server := httptest.NewServer(worker)
 	defer server.Close()
--- a/internal/deliver/metrics.go
+++ b/internal/deliver/metrics.go
@@ -2,7 +2,7 @@
 
 import "caperwheel/internal/daemon"
 
-// measure reports what the adapter holds and how its workers stand.
+// measure emits the gauges of the adapter and its workers.
 func (a *Adapter) measure(emit daemon.Emit) {
 	emit("deliver_in_hand", "Runs whose result is not durable yet.", float64(a.OpenRunCount()))
 	for stage, span := range a.runs.OldestByStage(a.d.Now()) {
--- a/internal/deliver/notification.go
+++ b/internal/deliver/notification.go
@@ -11,31 +11,32 @@
 	"caperwheel/internal/wire"
 )
 
-// notificationLimiter bound how many words are under way to one address: receivers accept few
-// connections. Words beyond that wait here for a while, since all places of a store look for
-// ends at the same moments.
+// notificationLimiter bounds the notifications in flight per address, since receivers accept few connections. Further
+// notifications queue here for a while, because all places of a store look for ended messages at the same moments.
 //
-// Invariant: only addresses with words under way have an entry, and words wait only where
-// as many are under way as may be: maxNotificationsInFlight, or one to a receiver that is silent.
+// Invariant: only addresses with notifications in flight have an entry, and notifications queue only while as many are
+// in flight as allowed: maxNotificationsInFlight, or one to an unresponsive receiver.
 type notificationLimiter struct {
 	mu     sync.Mutex
 	queues map[string]*notificationQueue
 }
 
-// notificationQueue is what one address is told.
+// notificationQueue is the state of one receiver address.
 type notificationQueue struct {
-	inFlight   int // under way
-	unanswered int // words in turn that had no answer
+	inFlight   int
+	unanswered int // consecutive notifications without a reply
 	waiting    []func()
 }
 
+// Limits per receiver address.
 const (
 	maxNotificationsInFlight = 12
 	maxNotificationsWaiting  = 256
-	unansweredLimit          = 3 // unanswered words in turn
+	unansweredLimit          = 3 // consecutive notifications without a reply after which a receiver counts as unresponsive
 )
 
-// most returns how many words may be under way: a silent receiver must not hold up the goroutines that others' words need.
+// maxInFlight returns how many notifications may be in flight. An unresponsive receiver must not occupy the goroutines
+// that notifications to other receivers need.
 func (q *notificationQueue) maxInFlight() int {
 	if q.unanswered >= unansweredLimit {
 		return 1
@@ -43,7 +44,7 @@
 	return maxNotificationsInFlight
 }
 
-// enter has work done now, or once a word before it has left, or reports that too many wait.
+// start calls work now, or once an earlier notification has finished. It returns false if too many wait.
 func (t *notificationLimiter) start(address string, work func()) bool {
 	t.mu.Lock()
 	if t.queues == nil {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// leave notes that a word is no longer under way; those that have waited longest go out.
+// finish records that a notification is no longer in flight, and starts those that have waited longest.
 func (t *notificationLimiter) finish(address string) {
 	t.mu.Lock()
 	q := t.queues[address]
@@ -84,7 +85,7 @@
 	}
 }
 
-// hear notes whether a word that is under way had an answer.
+// recordReply records whether a notification in flight was answered.
 func (t *notificationLimiter) recordReply(address string, isAnswered bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 }
 
-// handleTell tells a URL of an end, once; whether again is for the place's owner.
+// handleTell sends a completion notification, at most once; the place's owner decides on retries.
 func (a *Adapter) handleTell(m *wire.Tell, answer func(any)) {
 	req, err := a.codec.NewNotification(m)
 	if err != nil {
@@ -108,7 +109,7 @@
 		a.environment.RunNotification(func(ctx context.Context) {
 			defer a.notificationLimiter.finish(address)
 			if a.d.Now()-arrived > a.d.Bounds.Of(timing.CallbackTimeout) {
-				answer(full) // its turn has come too late: whoever waits for the answer may have given it up
+				answer(full) // too late: the store may have stopped waiting for the answer
 				return
 			}
 			told := a.sendNotification(ctx, m, req)
@@ -121,7 +122,7 @@
 	}
 }
 
-// sendNotification puts a word to its receiver.
+// sendNotification sends a notification to its receiver and returns whether it was accepted.
 func (a *Adapter) sendNotification(ctx context.Context, m *wire.Tell, req *http.Request) *wire.Told {
 	ctx, cancel := timing.Within(ctx, a.d.Bounds.Of(timing.CallbackTimeout))
 	defer cancel()
@@ -139,7 +140,7 @@
 	return &wire.Told{}
 }
 
-// notificationReplyCheck gives what judges whose the answer to a word is.
+// notificationReplyCheck returns the checks that tell whether a reply belongs to a notification; see replyChecks.
 func (a *Adapter) notificationReplyCheck(m *wire.Tell) (mayKeep func(*web.Reply) bool, check func(*web.Reply) error) {
 	if a.codec.MatchNotificationReply == nil {
 		return web.AlwaysReuse, func(*web.Reply) error { return nil }
--- a/internal/deliver/notification_test.go
+++ b/internal/deliver/notification_test.go
@@ -14,27 +14,27 @@
 	"caperwheel/internal/wire"
 )
 
-// TestTell is the table of when a word of an end counts as accepted, in every
-// codec: by 200 alone, and whole.
+// TestTell checks when a completion notification counts as accepted, in every codec: only by a complete reply with
+// status 200.
 func TestTell(t *testing.T) {
 	cases := []struct {
 		name     string
 		receiver http.HandlerFunc
-		url      string // in place of the receiver's
+		url      string // replaces the receiver's
 		others   int
 		kind     errs.Kind
 	}{
 		{"accepts", answer(200), "", 0, ""},
-		{"accepts, the last that may come at a time", answer(200), "", deliver.MaxNotificationsInFlight - 1, ""},
-		{"has as many as may come at a time and wait", answer(200), "", deliver.MaxNotifications, errs.Full},
+		{"accepts, with all but one notification in flight", answer(200), "", deliver.MaxNotificationsInFlight - 1, ""},
+		{"has as many in flight and waiting as allowed", answer(200), "", deliver.MaxNotifications, errs.Full},
 		{"answers with another success", answer(202), "", 0, errs.Rejected},
-		{"does not know the message", answer(400), "", 0, errs.Rejected},
-		{"fails", answer(500), "", 0, errs.Rejected},
-		{"points elsewhere", answer(302, "Location", "http://127.0.0.1:1/"), "", 0, errs.Rejected},
-		{"answers half", deliver.RawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), "", 0, errs.Truncated},
-		{"hangs up", deliver.RawReply(""), "", 0, errs.Lost},
-		{"is not there", answer(200), "http://127.0.0.1:1/x", 0, errs.Lost},
-		{"is no URL", answer(200), "http://a b/", 0, errs.Invalid},
+		{"answers with 400", answer(400), "", 0, errs.Rejected},
+		{"answers with 500", answer(500), "", 0, errs.Rejected},
+		{"redirects", answer(302, "Location", "http://127.0.0.1:1/"), "", 0, errs.Rejected},
+		{"sends an incomplete body", deliver.RawReply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"), "", 0, errs.Truncated},
+		{"closes the connection without a reply", deliver.RawReply(""), "", 0, errs.Lost},
+		{"is unreachable", answer(200), "http://127.0.0.1:1/x", 0, errs.Lost},
+		{"has an invalid URL", answer(200), "http://a b/", 0, errs.Invalid},
 	}
 	kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "m-1"}}}
 	for _, m := range codecs {
--- a/internal/deliver/notificationqueue_test.go
+++ b/internal/deliver/notificationqueue_test.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// burst has words go to an address at once, and returns those that went out so far, in turn.
+// burst starts notifications to one address and returns the numbers of those that went out, in order.
 func burst(t *notificationLimiter, words int) (out *[]int, refused int) {
 	out = &[]int{}
 	for i := range words {
@@ -22,18 +22,19 @@
 	return out, refused
 }
 
-// TestTellBurst: all places of a store look for ends at the same moments, and a burst of more
-// than twelve words to a receiver was refused in part. Each refusal doubled a word's rest, and
-// thousands were told more than 5 s late though the receiver was idle nine tenths of the time.
+// TestTellBurst guards against notifications that are refused in a burst: all places of a store look for ended messages
+// at the same moments, and of a burst of more than twelve notifications to one receiver a part was refused. Each
+// refusal doubled a notification's backoff, so thousands were sent more than 5 s late although the receiver was idle
+// nine tenths of the time.
 func TestTellBurst(t *testing.T) {
-	Convey("When five times as many words come at once as may be under way to an address", t, func() {
+	Convey("When five times as many notifications arrive at once as may be in flight to an address", t, func() {
 		tellers := &notificationLimiter{}
 		out, refused := burst(tellers, 5*maxNotificationsInFlight)
-		Convey("none is refused, and no more are under way than may be", func() {
+		Convey("none is refused, and no more are in flight than allowed", func() {
 			So(refused, ShouldEqual, 0)
 			So(len(*out), ShouldEqual, maxNotificationsInFlight)
 		})
-		Convey("each that leaves lets the one go that has waited longest, and all are forgotten in the end", func() {
+		Convey("each that finishes starts the one that has waited longest, and the entry is removed in the end", func() {
 			for left := range 5 * maxNotificationsInFlight {
 				tellers.finish("a")
 				So(len(*out), ShouldEqual, min(5*maxNotificationsInFlight, maxNotificationsInFlight+left+1))
@@ -43,17 +44,17 @@
 			}
 			So(len(tellers.queues), ShouldEqual, 0)
 		})
-		Convey("another address has none of it", func() {
+		Convey("another address is not affected", func() {
 			isOut := false
 			So(tellers.start("b", func() { isOut = true }), ShouldBeTrue)
 			So(isOut, ShouldBeTrue)
 		})
 	})
-	Convey("No more wait than are under way and may wait", t, func() {
+	Convey("No more notifications are accepted than may be in flight and wait", t, func() {
 		_, refused := burst(&notificationLimiter{}, maxNotificationsInFlight+maxNotificationsWaiting+3)
 		So(refused, ShouldEqual, 3)
 	})
-	Convey("A word whose turn comes later than a receiver may take to answer is not told", t, func() {
+	Convey("A notification that has waited for longer than the notification time-out is not sent", t, func() {
 		h := newDutyHolder("a")
 		for range maxNotificationsInFlight {
 			h.notificationLimiter.start("127.0.0.1:1", func() {})
@@ -67,13 +68,14 @@
 	})
 }
 
-// TestTellSilent guards against words that wait for a silent receiver's: each of them held a goroutine until it was given up.
+// TestTellSilent guards against notifications to an unresponsive receiver that each hold a goroutine until their
+// time-out.
 func TestTellSilent(t *testing.T) {
-	Convey("To a receiver that let three words go without an answer one goes at a time, and twelve once it answers", t, func() {
+	Convey("To a receiver that left three notifications unanswered one is sent at a time, and twelve once it answers", t, func() {
 		tellers := &notificationLimiter{}
 		out, _ := burst(tellers, 3*maxNotificationsInFlight)
 		So(len(*out), ShouldEqual, maxNotificationsInFlight)
-		for range maxNotificationsInFlight + unansweredLimit - 1 { // as many have gone out by the time that three had no answer
+		for range maxNotificationsInFlight + unansweredLimit - 1 { // as many have been sent by the time that three are unanswered
 			tellers.recordReply("a", false)
 			tellers.finish("a")
 		}
--- a/internal/deliver/rateshare.go
+++ b/internal/deliver/rateshare.go
@@ -6,40 +6,41 @@
 	"caperwheel/internal/config"
 )
 
-// RateShare is the share of a service's rate that one adapter may use for the service's listed workers
-// whose duties it holds. All adapters' shares together are never above the rate: a duty counts once whoever
-// held it before must have stopped, and a list that has become shorter counts once all must have seen it. It is pure.
+// RateShare is the part of a service's rate limit that one adapter may use, in proportion to the service's listed
+// workers whose duties it holds. The shares of all adapters together never exceed the rate: a duty counts only once its
+// previous holder must have stopped, and a shorter list only once every adapter must have seen it. It does no I/O and
+// reads no clock.
 //
-// Invariants: listed is at least the number of workers in any list by which another adapter may still act;
-// tokens never pass burst.
+// Invariants: listed is at least the number of workers in any list by which another adapter may still act; tokens never
+// exceed burst.
 type RateShare struct {
-	rate          float64             // of the service, a second
-	fence         time.Duration       // after which others act by what is seen now
-	held          map[string]heldTerm // by worker
-	listed        int                 // workers that count
-	newestListed  int                 // workers of the newest list
-	pendingListed int                 // workers that count once pendingAt has come; listed where no shorter list is waited for
+	rate          float64             // of the service, per second
+	fence         time.Duration       // time after which every adapter acts by what is visible now
+	held          map[string]heldTerm // duties held here, by worker
+	listed        int                 // number of workers that the rate is divided by
+	newestListed  int                 // number of workers in the newest list
+	pendingListed int                 // replaces listed at pendingAt; equal to listed if no shorter list is pending
 	pendingAt     time.Duration
 
 	tokens     float64
 	refilledAt time.Duration
-	refillRate float64       // starts a second when tokens were last filled
-	lastStart  time.Duration // the newest start
+	refillRate float64       // starts per second at the last refill
+	lastStart  time.Duration // of the most recent start
 }
 
-// heldTerm is a duty that is held.
+// heldTerm is a duty held by this adapter.
 type heldTerm struct {
 	term int64
-	from time.Duration // it counts from then on
+	from time.Duration // when it starts to count
 }
 
-// NewRateShare gives an allowance of nothing.
+// NewRateShare returns a share of nothing.
 func NewRateShare(fence, now time.Duration) *RateShare {
 	return &RateShare{fence: fence, held: map[string]heldTerm{}, refilledAt: now}
 }
 
-// Update takes in the service's rate, the terms of the duties held here and the number of its workers. In a term that is
-// free nobody else can act any more.
+// Update applies the service's rate, the terms of the duties held here and the number of listed workers. Of a duty
+// whose term is free, no other adapter can be acting any more, so it counts at once.
 func (a *RateShare) Update(rate float64, terms map[string]config.AssignedDuty, listed int, now time.Duration) {
 	a.refill(now)
 	a.rate = rate
@@ -62,20 +63,20 @@
 	a.tokens = min(a.tokens, a.burst(now))
 }
 
-// setListed takes a longer list at once, and a shorter one once the fence has passed.
+// setListed applies a longer list at once, and a shorter one after the fence.
 func (a *RateShare) setListed(listed int, now time.Duration) {
 	a.newestListed = listed
 	switch {
 	case listed >= a.listed:
 		a.listed, a.pendingListed = listed, listed
-	case a.pendingListed >= a.listed: // the first that is shorter
+	case a.pendingListed >= a.listed: // the first shorter list
 		a.pendingListed, a.pendingAt = listed, now+a.fence
 	default:
 		a.pendingListed = max(a.pendingListed, listed)
 	}
 }
 
-// perSecond is how many starts a second are allowed here now.
+// perSecond returns how many starts per second this adapter is allowed now.
 func (a *RateShare) perSecond(now time.Duration) float64 {
 	if a.pendingListed < a.listed && now >= a.pendingAt {
 		a.listed = a.pendingListed
@@ -90,26 +91,28 @@
 	return a.rate * float64(counted) / float64(max(1, a.listed, counted))
 }
 
-// minBurst is the least burst, in starts: more than one, so that nothing is lost while a start waits for its turn.
+// minBurst is the smallest burst, in starts. It is above one, so that no tokens are lost while a start is paced.
 const minBurst = 1.5
 
+// burst returns the capacity of the token bucket.
 func (a *RateShare) burst(now time.Duration) float64 {
 	return max(minBurst, a.perSecond(now)/10)
 }
 
+// refill adds the tokens earned since the last refill.
 func (a *RateShare) refill(now time.Duration) {
 	if now <= a.refilledAt {
 		return
 	}
 	rate := a.perSecond(now)
-	a.tokens = min(a.burst(now), a.tokens+min(rate, a.refillRate)*(now-a.refilledAt).Seconds()) // it may have risen only just now
+	a.tokens = min(a.burst(now), a.tokens+min(rate, a.refillRate)*(now-a.refilledAt).Seconds()) // the rate may have risen only just now
 	a.refilledAt, a.refillRate = now, rate
 }
 
-// noShareRetry is how long an adapter without a share waits before it looks again.
+// noShareRetry is the retry delay of an adapter without a share.
 const noShareRetry = 100 * time.Millisecond
 
-// RetryDelay returns how long it is, as far as is known, until a run may start; 0 for now.
+// Wait returns an estimate of how long it is until a run may start; 0 means now.
 func (a *RateShare) Wait(now time.Duration) time.Duration {
 	a.refill(now)
 	rate := a.perSecond(now)
@@ -122,14 +125,14 @@
 	return max(1, time.Duration((1-a.tokens)/rate*float64(time.Second)))
 }
 
-// TakeToken takes what a start costs.
+// TakeToken consumes the token of one start.
 func (a *RateShare) TakeToken() { a.tokens-- }
 
-// ReturnToken gives back what a start that did not come about has cost.
+// ReturnToken gives back the token of a start that did not happen.
 func (a *RateShare) ReturnToken(now time.Duration) { a.tokens = min(a.tokens+1, a.burst(now)) }
 
-// PacingDelay reports how long a granted start must still wait, so that starts granted earlier and used late do
-// not bunch up.
+// PacingDelay returns how long a granted start must still wait, so that starts granted earlier and used late do not
+// become a burst.
 func (a *RateShare) PacingDelay(now time.Duration) time.Duration {
 	rate := a.perSecond(now)
 	if rate <= 0 {
@@ -140,19 +143,19 @@
 	return at - now
 }
 
-// paceGap is the least time between two starts at a rate.
+// paceGap returns the minimum time between two starts at a rate.
 func paceGap(rate float64) time.Duration { return time.Duration(0.8 / rate * float64(time.Second)) }
 
-// isShared reports whether a pool's rate is one that its listed workers share.
+// isShared reports whether a pool's rate limit is shared by its listed workers.
 func isShared(pool config.Pool) bool { return pool.Rate > 0 && !pool.IsEndpoint }
 
-// poolRateShare is an allowance with the configuration that it has seen.
+// poolRateShare is a rate share with the configuration that it was last updated to.
 type poolRateShare struct {
 	*RateShare
 	lastConfig *config.Compiled
 }
 
-// rateShareOf returns what the workers of a pool share here; nil where they share nothing. Called with mu held.
+// rateShareOf returns the rate share of a pool, or nil if its workers share no rate limit. s.mu is held.
 func (s *slotAllocator) rateShareOf(compiled *config.Compiled, name string, now time.Duration) *RateShare {
 	pool := compiled.Rules.Pools[name]
 	if !isShared(pool) {
@@ -171,8 +174,8 @@
 	return shared.RateShare
 }
 
-// updateShares takes in what the newest view says of all pools whose workers share a rate: a share counts from when its duty was
-// seen, not from when it is first asked for. Called with mu held.
+// updateShares updates the rate shares of all pools to the newest configuration: a share counts from the time that its
+// duty was seen, not from its first slot request. s.mu is held.
 func (s *slotAllocator) updateShares() {
 	compiled, now := s.adapter.configs.Current(), s.adapter.d.Now()
 	if compiled == s.lastConfig {
@@ -187,7 +190,7 @@
 	}
 }
 
-// heldDuties returns the duties of a pool that this life of the adapter holds, by listed worker.
+// heldDuties returns a pool's duties that this boot of the adapter holds, by listed worker.
 func (s *slotAllocator) heldDuties(compiled *config.Compiled, pool string) map[string]config.AssignedDuty {
 	out := map[string]config.AssignedDuty{}
 	for worker, duty := range compiled.Duties[pool].All() {
--- a/internal/deliver/rateshare_test.go
+++ b/internal/deliver/rateshare_test.go
@@ -11,23 +11,23 @@
 	"caperwheel/internal/config"
 )
 
-// The world of allowances: adapters that see a service's workers and duties late, by less than a fence, while the duties move
-// from one adapter to another, one worker after the other, and workers come and go.
+// Parameters of the simulation: adapters see a service's workers and duties with a delay of less than a fence, while
+// the duties move from one adapter to another, one worker at a time, and workers are added and removed.
 const (
-	rateShareSeeds    = 40 // more are played by hand
+	rateShareSeeds    = 40 // longer runs are started by hand
 	rateShareSpan     = 60 * time.Second
 	rateShareStep     = 10 * time.Millisecond
 	rateShareFence    = 3 * time.Second
 	rateShareAdapters = 3
 )
 
-// dutyVersion is what stands at some moment: who holds which worker's duty, in which term.
+// dutyVersion is the set of duties from a moment on: the holder and term for each worker.
 type dutyVersion struct {
 	at     time.Duration
 	duties map[string]config.AssignedDuty
 }
 
-// rateShareSimulation plays one seed.
+// rateShareSimulation is the state of one seed's simulation.
 type rateShareSimulation struct {
 	random   *rand.Rand
 	versions []dutyVersion
@@ -37,7 +37,7 @@
 	starts   []time.Duration
 }
 
-// change gives the next version: a worker comes or goes, a keeper takes over, or one more duty moves to it.
+// change adds a version: a worker is added or removed, another adapter takes over, or one more duty moves to it.
 func (p *rateShareSimulation) change(now time.Duration) {
 	was, next := p.versions[len(p.versions)-1], map[string]config.AssignedDuty{}
 	for worker, duty := range was.duties {
@@ -68,13 +68,13 @@
 	p.versions = append(p.versions, dutyVersion{now, next})
 }
 
-// rateShareMutant takes a guard out.
+// rateShareMutant removes a guard.
 type rateShareMutant struct {
-	fence          time.Duration // shorter than others may act on what is old
+	fence          time.Duration // possibly shorter than the time that others may act on outdated views
 	takesWholeRate bool          // each holder takes the whole rate for any worker
 }
 
-// play returns the most runs of any window beyond what is allowed, and the share of the rate that was used.
+// simulateRateShares returns by how many starts any window exceeded the bound, and the share of the rate that was used.
 func simulateRateShares(seed uint64, mutant rateShareMutant) (over float64, used float64) {
 	p := &rateShareSimulation{random: rand.New(rand.NewPCG(seed, 0)), versions: []dutyVersion{{0, map[string]config.AssignedDuty{}}}}
 	rate := []float64{2, 5, 20, 100}[p.random.IntN(4)]
@@ -94,7 +94,7 @@
 				seen[i]++
 			}
 			if seen[i]+1 < len(p.versions) && p.versions[seen[i]+1].at <= now-rateShareFence {
-				continue // its view is too old to act on
+				continue // its view is stale
 			}
 			p.act(a, i, seen[i], rate, now, mutant)
 		}
@@ -109,7 +109,7 @@
 	return over, float64(len(p.starts)) / (rate * rateShareSpan.Seconds())
 }
 
-// act has an adapter start all that it may.
+// act makes an adapter start as many runs as it may.
 func (p *rateShareSimulation) act(a *RateShare, adapter, version int, rate float64, now time.Duration, mutant rateShareMutant) {
 	held, world := map[string]config.AssignedDuty{}, p.versions[version]
 	for worker, duty := range world.duties {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestCeiling guards against a service that gets a multiple of its rate_per_s: the rate was given to each of its listed workers
-// by itself, and no day or soak has a listed service with a rate.
+// TestCeiling guards against a service that gets a multiple of its rate_per_s because each of its listed workers is
+// given the whole rate. No simulated day and no soak test has a listed service with a rate.
 func TestCeiling(t *testing.T) {
 	most := func(mutant rateShareMutant) (over, used float64) {
 		for seed := range uint64(rateShareSeeds) {
@@ -138,18 +138,18 @@
 		}
 		return over, used
 	}
-	Convey("While duties move and workers come and go, no window has more starts than the pages allow", t, func() {
+	Convey("While duties move and workers come and go, no window has more starts than the documented bound", t, func() {
 		over, used := most(rateShareMutant{fence: rateShareFence})
 		So(over, ShouldBeLessThanOrEqualTo, 0)
 		So(used, ShouldBeGreaterThan, 0.1) // duties move all the time here
 	})
-	Convey("It has where a share begins before an older one must have lapsed, or each holder takes the whole rate", t, func() {
+	Convey("Some window has more if a share counts before an older one must have ended, or each holder takes the whole rate", t, func() {
 		for _, mutant := range []rateShareMutant{{fence: 0}, {fence: rateShareFence, takesWholeRate: true}} {
 			over, _ := most(mutant)
 			So(over, ShouldBeGreaterThan, 0)
 		}
 	})
-	Convey("One that holds all duties in peace uses nearly the whole rate, and what is not used does not pile up", t, func() {
+	Convey("An adapter that holds all duties steadily uses nearly the whole rate, and unused tokens do not accumulate", t, func() {
 		a, duties := NewRateShare(rateShareFence, 0), map[string]config.AssignedDuty{}
 		for i := range 6 {
 			duties[fmt.Sprint("w", i)] = config.AssignedDuty{Term: 1}
@@ -169,7 +169,7 @@
 		So(count(time.Hour, time.Hour+time.Second), ShouldBeLessThanOrEqualTo, 7)
 		So(a.Wait(time.Hour+time.Second), ShouldBeGreaterThan, 0)
 	})
-	Convey("A list that becomes shorter in steps raises the shares only once each step must be seen everywhere", t, func() {
+	Convey("A list that becomes shorter in steps raises the shares only when every adapter must have seen each step", t, func() {
 		a, duties := NewRateShare(rateShareFence, 0), map[string]config.AssignedDuty{"w": {Duty: config.Duty{IsReleased: true}, Term: 1}}
 		for _, step := range []struct {
 			at     time.Duration
--- a/internal/deliver/recheck_test.go
+++ b/internal/deliver/recheck_test.go
@@ -15,17 +15,17 @@
 	"caperwheel/internal/wire"
 )
 
-// TestMovedMeanwhile is the table of what may come to be known while a run's
-// connection is made, over which a process may freeze: then the run is not sent.
+// TestMovedMeanwhile checks that a run is not sent if the adapter learns of a relevant change while the run's
+// connection is being made; the process may freeze during that.
 func TestMovedMeanwhile(t *testing.T) {
 	cases := []struct{ name, key, value, kind string }{
 		{"nothing", config.DutyKey + "p/v", string(config.Duty{Holder: "a", Boot: "1"}.Encode()), ""},
 		{"another holder of the duty", config.DutyKey + "p/w", string(config.Duty{Holder: "b", Boot: "1"}.Encode()), "not_owner"},
-		{"another charter", config.DocumentKey, `{}`, "stale"},
+		{"another configuration", config.DocumentKey, `{}`, "stale"},
 		{"another address of the worker", config.WorkersKey + "p", `{"workers":[{"name":"w","address":"127.0.0.1:2","cell":"c"}]}`, "rejected"},
-		{"a worker that is gone", config.WorkersKey + "p", `{"workers":[]}`, "rejected"},
+		{"a worker that is no longer listed", config.WorkersKey + "p", `{"workers":[]}`, "rejected"},
 	}
-	Convey("A run that has passed its checks, and then meets", t, func() {
+	Convey("A run that has passed its checks, followed by a change to", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				asked := &atomic.Int64{}
@@ -45,7 +45,7 @@
 				So(kind, ShouldEqual, c.kind)
 				So(asked.Load() == 1, ShouldEqual, c.kind == "")
 				So(r.isSent.Load(), ShouldEqual, c.kind == "")
-				So(r.isAttempted.Load(), ShouldEqual, c.kind == "") // it says nothing of the worker
+				So(r.isAttempted.Load(), ShouldEqual, c.kind == "") // the worker's health is not affected
 			})
 		}
 	})
--- a/internal/deliver/replymatch.go
+++ b/internal/deliver/replymatch.go
@@ -8,18 +8,18 @@
 	"caperwheel/internal/web"
 )
 
-// ReplyMatch is what an answer says of the request that it belongs to.
+// ReplyMatch tells whether a reply belongs to the request that it was read for.
 type ReplyMatch int
 
-// The namings. A worker may send a second answer late, when the next request is
-// on the connection already; only its id then tells whose it is.
+// The possible matches. A worker may send a second reply late, when the next request is already on the connection; only
+// the repeated id then tells which request it belongs to.
 const (
 	ReplyUnidentified ReplyMatch = iota
 	ReplyMatches
 	ReplyMismatch
 )
 
-// MatchHeader reads a field by which an answer repeats an id.
+// MatchHeader compares the header field by which a reply repeats the request's id.
 func MatchHeader(answer *http.Response, field, id string) ReplyMatch {
 	values := answer.Header.Values(field)
 	for _, value := range values {
@@ -33,8 +33,8 @@
 	return ReplyMatches
 }
 
-// matchOwnHeaders reads the fields that our own interface asks workers to repeat. The
-// attempt, which tells two runs of one message apart, may be left out.
+// matchOwnHeaders compares the header fields that workers of the product's own interface repeat. The attempt number,
+// which tells two runs of one message apart, is optional.
 func matchOwnHeaders(answer *http.Response, id string, attempt int64) ReplyMatch {
 	naming := MatchHeader(answer, messageId, id)
 	if naming == ReplyMatches && MatchHeader(answer, attemptNumber, strconv.FormatInt(attempt, 10)) == ReplyMismatch {
@@ -43,17 +43,16 @@
 	return naming
 }
 
-// The fields of our own interface that tell runs apart.
+// The header fields of the product's own interface that identify a run.
 const (
 	messageId     = "X-Message-Id"
 	attemptNumber = "X-Attempt"
 )
 
-// replyChecks returns a judge of answers by what they name. An answer that names nothing
-// can be told to be this request's only if no other went over the connection
-// before, so that connection carries no other after it. Nor does that of a failure:
-// its message runs again under the same id, and a second copy of the failure, come
-// late, would be taken for the next attempt's.
+// replyChecks returns whether a connection may be reused after a reply, and a check of the reply itself. A reply
+// without an id can be attributed only if it is the first on its connection, so that connection is not reused. Nor is
+// it after a failure: the message is retried under the same id, and a late second copy of the failure would be taken
+// for the reply to the retry.
 func replyChecks(naming func(*http.Response) ReplyMatch) (mayKeep func(*web.Reply) bool, check func(*web.Reply) error) {
 	mayKeep = func(reply *web.Reply) bool {
 		return naming(reply.Response) == ReplyMatches && !isFailure(reply.StatusCode)
@@ -61,17 +60,16 @@
 	check = func(reply *web.Reply) error {
 		switch found := naming(reply.Response); {
 		case found == ReplyMismatch:
-			return errs.New(errs.Truncated, "the answer belongs to another message")
+			return errs.New(errs.Truncated, "reply rejected: it carries the id of another message")
 		case found == ReplyUnidentified && !reply.IsFirstOnConnection:
-			return errs.New(errs.Truncated, "an answer that names no message, on a connection that had another")
+			return errs.New(errs.Truncated, "reply rejected: it carries no message id, on a connection that was used before")
 		}
 		return nil
 	}
 	return mayKeep, check
 }
 
-// isFailure reports whether a status says that an attempt failed. A worker that is
-// full has not begun one.
+// isFailure reports whether a status means that an attempt failed. A worker that answers 503 has not begun one.
 func isFailure(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusServiceUnavailable
 }
--- a/internal/deliver/replymatch_test.go
+++ b/internal/deliver/replymatch_test.go
@@ -19,7 +19,7 @@
 	"caperwheel/platform"
 )
 
-// answerOf is a worker's answer with a body, and with the fields given.
+// answerOf returns a worker's raw reply with a body and header fields.
 func answerOf(code int, body string, fields ...string) string {
 	out := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\nX-Server-Seal: %s\r\n", code, len(body), body)
 	for _, field := range fields {
@@ -28,8 +28,8 @@
 	return out + "\r\n" + body
 }
 
-// deliveryModes are the ways in which a run is put to a worker, each with the field by
-// which an answer repeats the run's id.
+// deliveryModes are the ways in which a run is sent to a worker, each with the header field by which a reply repeats
+// the run's id.
 var deliveryModes = []struct {
 	name   string
 	codec  deliver.Codec
@@ -37,21 +37,20 @@
 	field  string
 }{
 	{"a lane's own request", deliver.DefaultCodec, true, "X-Message-Id"},
-	{"a request as it came, in our own codec", deliver.DefaultCodec, false, "X-Message-Id"},
-	{"a request as it came, in the platform's codec", platform.Deliveries, false, "X-Attempt-Id"},
+	{"a passthrough request in the default codec", deliver.DefaultCodec, false, "X-Message-Id"},
+	{"a passthrough request in the platform's codec", platform.Deliveries, false, "X-Attempt-Id"},
 }
 
-// TestWrongRun is the table of answers that come when the next run has already
-// been written on a kept connection. A second answer that came late was once
-// the next run's success.
+// TestWrongRun checks replies that arrive when the next run has already been written on a kept connection. It guards
+// against a late second reply to one run that counts as the success of the next.
 func TestWrongRun(t *testing.T) {
-	type exchange struct{ first, second string } // templates; ID1 and ID2 are the runs' fields
+	type exchange struct{ first, second string } // templates of replies; ID1 and ID2 stand for the runs' id fields
 	cases := []struct {
 		name string
 		exchange
 		kinds [2]errs.Kind // of the runs
-		proof string       // of the second run, if it is a success
-		conns int64        // used by three runs
+		proof string       // of the second run, if it succeeds
+		conns int64        // connections used by three runs
 	}{
 		{"each repeats its run's id", exchange{answerOf(200, "one", "ID1"), answerOf(200, "two", "ID2")}, [2]errs.Kind{}, "two", 1},
 		{"the first one's comes again", exchange{answerOf(200, "one", "ID1"), answerOf(200, "one", "ID1")}, [2]errs.Kind{"", "cut_short"}, "", 2},
@@ -68,7 +67,7 @@
 		{"the first is another run's", exchange{answerOf(200, "one", "ID2"), answerOf(200, "two", "ID2")}, [2]errs.Kind{"cut_short", ""}, "two", 2},
 	}
 	for _, way := range deliveryModes {
-		Convey("Of the answers to "+way.name, t, func() {
+		Convey("Of the replies to "+way.name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					name := strings.NewReplacer("ID1", way.field+": 0-1", "ID2", way.field+": 0-2")
@@ -92,8 +91,8 @@
 	}
 }
 
-// TestFailureComesAgain: a message that failed runs again under its id, so a second
-// copy of the failure could be taken for the next attempt's.
+// TestFailureComesAgain guards against a second copy of a failure that is taken for the reply to the retry: a failed
+// message is retried under the same id.
 func TestFailureComesAgain(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -106,7 +105,7 @@
 		{"a success: the message does not run again", 200, 1},
 	}
 	for _, way := range deliveryModes {
-		Convey("Of "+way.name+", two runs of one message, the first answered by", t, func() {
+		Convey("For "+way.name+", two runs of one message, the first answered by", t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					field := way.field + ": 0-1"
@@ -122,20 +121,20 @@
 	}
 }
 
-// TestWrongWord is the same table for whoever is told of ends: the acceptance of
-// one word, sent a second time, was once that of the next.
+// TestWrongWord is the same check for notification receivers: a second copy of the reply to one notification must not
+// count as the acceptance of the next.
 func TestWrongWord(t *testing.T) {
 	cases := []struct {
 		name, first, second string
-		kind                errs.Kind // of the second word
-		conns               int64     // used by three words
+		kind                errs.Kind // of the second notification
+		conns               int64     // connections used by three notifications
 	}{
 		{"each repeats its word's id", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-2"), "", 1},
 		{"the first one's comes again", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-1"), errs.Truncated, 2},
 		{"one comes that repeats no id, after one that did", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, ""), errs.Truncated, 2},
 		{"none repeats an id", answerOf(200, ""), answerOf(200, ""), "", 3},
 	}
-	Convey("Of the answers to words of ends", t, func() {
+	Convey("Of the replies to notifications", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				address, accepted := scripted(c.first, c.second, answerOf(200, "", "X-Message-Id: 0-2"))
@@ -152,8 +151,8 @@
 	})
 }
 
-// scripted is a worker that answers the first request that it reads with one
-// text, the second with another, and later ones with the third.
+// scripted starts a worker that answers the first request with the first text, the second with the second, and further
+// ones with the last.
 func scripted(texts ...string) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
--- a/internal/deliver/result_test.go
+++ b/internal/deliver/result_test.go
@@ -16,11 +16,11 @@
 	"caperwheel/internal/wire"
 )
 
-// TestResultIsToldUntilAcknowledged: an owner brings a run back that its adapter has forgotten, which makes
-// up for an adapter that tells once, at the price of a second run. So the adapter goes on.
+// TestResultIsToldUntilAcknowledged checks that an adapter reports a result until it is acknowledged. An owner also
+// recovers a run that its adapter has forgotten, but at the price of a second run.
 func TestResultIsToldUntilAcknowledged(t *testing.T) {
-	const silent = 4 // asks that nobody answers within the time to settle
-	Convey("A result whose owner is out of reach for longer than the time to settle", t, func() {
+	const silent = 4 // attempts that get no answer within the settle time-out
+	Convey("A result whose owner is unreachable for longer than the settle time-out", t, func() {
 		view := feed.NewView(0)
 		d := &daemon.Daemon{Bounds: timing.Bounds{ConfigApply: 40 * time.Millisecond}, View: view, Who: wire.Who{Name: "a", Boot: "1"},
 			Membership: session.NewMembership(), Started: time.Now()}
@@ -50,7 +50,7 @@
 		r := &run{Run: wire.Run{Place: 3, Id: "3-x", Lane: "l", Attempt: 1}}
 		So(a.runs.Admit(&r.Run, 0), ShouldBeNil)
 		a.reportToOwner(context.Background(), r, a.newOutcome(r))
-		Convey("is told until an owner has acknowledged it, and in hand until then", func() {
+		Convey("is reported until an owner has acknowledged it, and stays open until then", func() {
 			So(told, ShouldHaveLength, silent+1)
 			So(told[silent].Id, ShouldEqual, "3-x")
 			So(a.OpenRunCount(), ShouldEqual, 0)
--- a/internal/deliver/runqueue.go
+++ b/internal/deliver/runqueue.go
@@ -7,24 +7,24 @@
 	"caperwheel/internal/timing"
 )
 
-// queuedRun is a run that has arrived while its worker has as many at once as it may.
+// queuedRun is a run that has arrived while its worker has as many concurrent runs as it may.
 //
-// Invariant: turn is called once, with nil when the run may begin.
+// Invariant: onTurn is called once, with nil when the run may begin.
 type queuedRun struct {
-	deadline time.Duration // its permit lapses then
+	deadline time.Duration // when its permit expires
 	onTurn   func(error)
 }
 
-// startWhenFree has turn called, which must not wait, once the worker may have one more run at once. An
-// error means that the run must not begin: the worker fails, its duty has moved on, or the permit
-// has lapsed first. Whoever waits in line holds no goroutine.
+// startWhenFree calls turn, which must not block, once the worker may have one more concurrent run. An error means that
+// the run must not begin: the worker fails, its duty has moved to another holder, or the permit expired first. A queued
+// run holds no goroutine.
 func (s *slotAllocator) startWhenFree(p *permit, turn func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.adapter.d.Now()
 	switch {
-	case s.workers[p.key] != p.held: // nobody would tell it its turn
-		turn(errs.New(errs.NotOwner, "the duty of %s has moved on", p.key))
+	case s.workers[p.key] != p.held: // a dropped worker's queue is never served
+		turn(errs.New(errs.NotOwner, "run on %s refused: the worker's duty has moved to another holder", p.key))
 	case len(p.held.queue) == 0 && p.held.worker.TryBegin(now):
 		turn(nil)
 	default:
@@ -34,16 +34,15 @@
 	}
 }
 
-// startQueued lets those at the head of the line begin that may, and sends back those that
-// must not any more.
+// startQueued starts the runs at the head of the queue that may begin, and rejects those that no longer may.
 func (h *heldWorker) startQueued(now time.Duration) {
 	for len(h.queue) > 0 {
 		run := h.queue[0]
 		switch {
 		case now > run.deadline:
-			run.onTurn(errs.New(errs.DeadlineExceeded, "the permit has lapsed"))
+			run.onTurn(errs.New(errs.DeadlineExceeded, "queued run refused: its slot permit expired before the worker was free"))
 		case h.worker.Health() == Unhealthy && h.worker.running > 0:
-			run.onTurn(errs.New(errs.Full, "the worker fails"))
+			run.onTurn(errs.New(errs.Full, "queued run refused: its worker is unhealthy"))
 		case h.worker.TryBegin(now):
 			run.onTurn(nil)
 		default:
@@ -53,7 +52,7 @@
 	}
 }
 
-// withdraw gives a slot back whose run had begun and was not sent after all.
+// withdraw gives back the slot of a run that had begun and was not sent after all.
 func (s *slotAllocator) withdraw(p *permit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,7 +60,7 @@
 	s.serveWaiting(p)
 }
 
-// finish takes in how a run that was sent has ended.
+// finish records how a run that was sent has ended.
 func (s *slotAllocator) finish(p *permit, isHealthy bool, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +68,7 @@
 	s.serveWaiting(p)
 }
 
-// serveWaiting lets runs and asks of a worker go on after one has left it. Called with mu held.
+// serveWaiting starts queued runs and answers slot requests of a worker after a run has left it. s.mu is held.
 func (s *slotAllocator) serveWaiting(p *permit) {
 	now := s.adapter.d.Now()
 	p.held.startQueued(now)
--- a/internal/deliver/runregistry.go
+++ b/internal/deliver/runregistry.go
@@ -10,47 +10,47 @@
 	"caperwheel/internal/wire"
 )
 
-// runKey names one run of one message.
+// runKey identifies one run (delivery attempt) of one message.
 type runKey struct {
 	id      string
 	attempt int64
 }
 
-// Book is what an adapter has promised the owners of places. It does no I/O.
-//
-// Stage is how far a run in hand has come.
+// Stage is the progress of an open run.
 type Stage string
 
-// The stages of a run.
+// The stages of a run, in order.
 const (
-	StageQueued Stage = "line"  // it waits for its worker to end others
-	StagePace   Stage = "pace"  // it waits for its turn under the pool's rate
-	StageWork   Stage = "work"  // it is put to its worker
-	StageOwner  Stage = "owner" // its result is on its way to its place's owner
+	StageQueued Stage = "line"  // waits until its worker has capacity
+	StagePace   Stage = "pace"  // waits under the pool's rate limit
+	StageWork   Stage = "work"  // was sent to its worker
+	StageOwner  Stage = "owner" // its result is being reported to the place's owner
 )
 
-// openRun is a run in hand: how far it has come, and since when.
+// openRun is an open run, its stage and when it entered that.
 type openRun struct {
 	run   *wire.Run
 	stage Stage
 	since time.Duration
 }
 
-// RunStatus is a run of a message that an adapter has in hand.
+// RunStatus is the JSON status of an open run.
 type RunStatus struct {
 	Attempt int64  `json:"attempt"`
 	Place   int64  `json:"place"`
-	Term    int64  `json:"term"` // of the owner that sent it
+	Term    int64  `json:"term"` // of the owner that sent the run
 	Pool    string `json:"pool"`
 	Worker  string `json:"worker"`
 	Stage   Stage  `json:"stage"`
 	SinceMs int64  `json:"since_ms"`
 }
 
-// Invariants: a run is open from its admission until its result is durable;
-// terms has the newest term heard of each place, and nothing older is obeyed;
-// never keeps each run that was told never to start, for as long as a stray
-// order for it could still arrive.
+// RunRegistry is an adapter's record of its commitments to the owners of places: the runs that it must report, and the
+// runs that it has refused for good. It does no I/O.
+//
+// Invariants: a run is open from its admission until its result is durable; terms has the newest term seen of each
+// place, and requests of older terms are rejected; refused keeps each run that an owner was told will never start, for
+// as long as a delayed order for it could still arrive.
 type RunRegistry struct {
 	maxRuns int
 
@@ -60,13 +60,13 @@
 	terms   map[int64]int64
 }
 
-// NewRunRegistry gives an empty book for at most so many open runs.
+// NewRunRegistry returns an empty registry for at most the given number of open runs.
 func NewRunRegistry(most int) *RunRegistry {
 	return &RunRegistry{maxRuns: most, runs: map[runKey]openRun{}, refused: map[runKey]time.Duration{}, terms: map[int64]int64{}}
 }
 
-// Admit refuses what an older term sends, and what a newer owner was told
-// would never run.
+// Admit opens a run. It rejects runs of an older term, runs that were refused for good, duplicates, and runs beyond the
+// maximum.
 func (b *RunRegistry) Admit(r *wire.Run, now time.Duration) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,20 +74,20 @@
 	_, isOpen := b.runs[key]
 	switch {
 	case r.Term < b.terms[r.Place]:
-		return errs.New(errs.Stale, "term %d of place %d is over", r.Term, r.Place)
+		return errs.New(errs.Stale, "run refused: term %d of place %d has been superseded", r.Term, r.Place)
 	case isOpen:
-		return errs.New(errs.Conflict, "the run is in hand already")
+		return errs.New(errs.Conflict, "run refused: it is already open on this adapter")
 	case b.refused[key] != 0:
-		return errs.New(errs.Rejected, "the run was given up")
+		return errs.New(errs.Rejected, "run refused: the place's owner was told that it will never start")
 	case len(b.runs) >= b.maxRuns:
-		return errs.New(errs.Full, "%d runs are in hand", len(b.runs))
+		return errs.New(errs.Full, "run refused: %d runs are open, the maximum", len(b.runs))
 	}
 	b.terms[r.Place] = r.Term
 	b.runs[key] = openRun{r, StageQueued, now}
 	return nil
 }
 
-// SetStage notes that a run has come to a stage.
+// SetStage records the stage that an open run has entered.
 func (b *RunRegistry) SetStage(r *wire.Run, stage Stage, now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// RunsOf lists the runs of a message that are in hand.
+// RunsOf lists the open runs of a message.
 func (b *RunRegistry) RunsOf(id string, now time.Duration) []RunStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,7 +111,7 @@
 	return out
 }
 
-// OldestByStage tells for how long the run has been in each stage that has been there longest.
+// OldestByStage returns, for each stage, how long the oldest run in it has been there.
 func (b *RunRegistry) OldestByStage(now time.Duration) map[Stage]time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,15 +122,15 @@
 	return out
 }
 
-// Remove closes a run: its result is durable, or it will never start.
+// Remove closes a run whose result is durable or that will never start.
 func (b *RunRegistry) Remove(r *wire.Run) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.runs, runKey{r.Id, r.Attempt})
 }
 
-// ResolveOpen tells a new owner what became of a run. A run that is not in hand here
-// never will be: the word given is kept.
+// ResolveOpen tells a new owner of a place whether a run is open. A run that is not is refused from then on, so that
+// the answer remains true.
 func (b *RunRegistry) ResolveOpen(m *wire.Open, now time.Duration) *wire.OpenAck {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -142,11 +142,11 @@
 	if _, isOpen := b.runs[key]; isOpen {
 		return &wire.OpenAck{State: "open"}
 	}
-	b.refused[key] = now + 1 // never 0, which would mean unknown
+	b.refused[key] = now + 1 // never 0, the zero value of a missing entry
 	return &wire.OpenAck{State: "never"}
 }
 
-// ExpireRefusals drops promises older than keep.
+// ExpireRefusals removes refusals older than keep.
 func (b *RunRegistry) ExpireRefusals(now, keep time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +157,7 @@
 	}
 }
 
-// Count reports how many runs are open.
+// Count returns the number of open runs.
 func (b *RunRegistry) Count() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/deliver/runs.go
+++ b/internal/deliver/runs.go
@@ -16,21 +16,21 @@
 	"caperwheel/internal/wire"
 )
 
-// run is a run in hand.
+// run is an open run.
 //
-// Invariant: it stays in hand from its acknowledgement until its result is
-// durable at the place's owner, whoever that becomes.
+// Invariant: it stays open from its acknowledgement until its result is durable at the place's owner, whichever store
+// that becomes.
 type run struct {
 	wire.Run
 	permit      *permit
 	address     string
-	identifier  string      // of the worker, where its name does not say it
-	isAttempted atomic.Bool // the worker was asked, or could not be
-	isSent      atomic.Bool // the worker may have seen it
-	isHealthy   atomic.Bool // the worker is well, whatever it answered
+	identifier  string      // of the worker, if its name is not that
+	isAttempted atomic.Bool // the worker was sent the request, or could not be reached
+	isSent      atomic.Bool // the worker may have received the request
+	isHealthy   atomic.Bool // the worker itself works, whatever it answered
 }
 
-// handleRun takes a run from a store into hand, or tells that it never starts.
+// handleRun admits a run that a store sends, or refuses it.
 func (a *Adapter) handleRun(m *wire.Run, answer func(any)) {
 	r := &run{Run: *m}
 	err := a.runs.Admit(m, a.d.Now())
@@ -39,10 +39,10 @@
 			a.runs.Remove(m)
 		}
 	}
-	if err == nil && a.isLeaving.Load() { // looked at after the book has it: Drain counts it or we see that we leave
+	if err == nil && a.isLeaving.Load() { // after Admit: either Drain counts the run, or isLeaving is seen here
 		a.slots.releaseUnused(r.permit)
 		a.runs.Remove(m)
-		err = errs.New(errs.NotOwner, "this adapter is leaving")
+		err = errs.New(errs.NotOwner, "run refused: this adapter is shutting down")
 	}
 	if err != nil {
 		answer(&wire.RunAck{Kind: string(errs.KindOf(err))})
@@ -54,8 +54,7 @@
 	})
 }
 
-// execute brings a run whose turn has come through delivery and its result to the owner; err is why
-// it must not begin.
+// execute delivers a run and reports its result to the owner. err is the reason why the run must not begin, if any.
 func (a *Adapter) execute(ctx context.Context, r *run, err error) {
 	if err != nil {
 		a.slots.releaseUnused(r.permit)
@@ -68,21 +67,21 @@
 	a.reportToOwner(ctx, r, a.deliver(ctx, r))
 }
 
-// newOutcome gives the result of a run, of which nothing is known yet.
+// newOutcome returns the result of a run before anything is known of it.
 func (a *Adapter) newOutcome(r *run) *wire.Outcome {
 	return &wire.Outcome{Place: r.Place, Id: r.Id, Boot: a.d.Who.Boot, Proof: wire.Proof{Attempt: r.Attempt,
 		Worker: r.Worker, Adapter: a.d.Who.Name, Answer: []byte{}}}
 }
 
-// notStartedOutcome is the result of a run that its worker never saw.
+// notStartedOutcome returns the result of a run that was not sent to its worker.
 func (a *Adapter) notStartedOutcome(r *run, cause error) *wire.Outcome {
 	o := a.newOutcome(r)
 	o.Kind, o.Wait = string(errs.KindOf(cause)), a.d.Bounds.Of(timing.SlotRequestHold).Milliseconds()
 	return o
 }
 
-// deliver runs it and tells what came of it, also to whoever watches the worker:
-// one that cannot be reached is as unhealthy as one that fails.
+// deliver sends a run to its worker and returns its result. It also records the result in the worker's health, where an
+// unreachable worker counts as a failing one.
 func (a *Adapter) deliver(ctx context.Context, r *run) *wire.Outcome {
 	o := a.newOutcome(r)
 	rules, began := a.configs.Current().Rules, a.d.Now()
@@ -106,17 +105,15 @@
 	return o
 }
 
-// isWorkerHealthy: an answer that blames the message says nothing bad of the
-// worker.
+// isWorkerHealthy reports whether a run says that its worker is healthy. An answer that blames the message does not
+// count against the worker.
 func isWorkerHealthy(err error, r *run, o *wire.Outcome) bool {
 	return err == nil || o.Final || r.isHealthy.Load()
 }
 
-// reportToOwner sends the result to the place's owner until one has made it
-// durable. Before that it leaves the result with the agent beside it, which
-// lives on should this process be killed, and with a store of another zone,
-// which lives on should this one be lost whole; when no owner is found it
-// leaves it with every store.
+// reportToOwner sends the result to the place's owner until one has made it durable. Before that it leaves a backup
+// copy with the agent on this machine, which survives if this process is killed, and with a store of another zone,
+// which survives the loss of this zone. If the first attempt finds no owner, every store gets a copy.
 func (a *Adapter) reportToOwner(ctx context.Context, r *run, o *wire.Outcome) {
 	a.runs.SetStage(&r.Run, StageOwner, a.d.Now())
 	backups := a.d.Settings.Seeds
@@ -147,8 +144,8 @@
 	a.runs.Remove(&r.Run)
 }
 
-// backUpInOtherZone leaves the result with the first store of another zone that can be
-// told, in the order of their claims to its id, and gives that store's address.
+// backUpInOtherZone leaves a copy of the result with the first reachable store of another zone, in the rank order of
+// the message id, and returns that store's address.
 func (a *Adapter) backUpInOtherZone(o *wire.Outcome) []string {
 	stores := slices.DeleteFunc(a.d.Membership.OfKind("store"), func(who wire.Who) bool { return who.Zone == a.d.Who.Zone })
 	slices.SortFunc(stores, func(x, y wire.Who) int { return cmp.Compare(duty.Rank(o.Id, x.Name), duty.Rank(o.Id, y.Name)) })
@@ -160,8 +157,8 @@
 	return nil
 }
 
-// leave gives a result into keeping, or takes it out again, and tells whether
-// all could be told. What is lost on the way costs nothing but the safety net.
+// sendBackup stores or removes backup copies of a result, and reports whether the request could be sent to all
+// addresses. Replies are not awaited: a lost copy only weakens the protection against a crash of this adapter.
 func (a *Adapter) sendBackup(addrs []string, o *wire.Outcome, step string) bool {
 	kept, isTold := *o, true
 	kept.Step = step
--- a/internal/deliver/send.go
+++ b/internal/deliver/send.go
@@ -20,10 +20,10 @@
 	"caperwheel/internal/wire"
 )
 
-// delivery is one run on its way out, with its result.
+// delivery is one run being sent, and its result.
 //
-// Invariant: rules are those that its steps were compiled from; once the first
-// step has passed, configuration has the same ones and was fresh.
+// Invariant: rules are those that its steps were compiled from; once the first step has passed, compiled has the same
+// rules and was fresh.
 type delivery struct {
 	ctx      context.Context // ends with the daemon
 	run      *run
@@ -32,60 +32,60 @@
 	compiled *config.Compiled
 }
 
-// maxAnswerBytes bounds what is kept of a worker's answer as proof, in bytes. A longer
-// answer means the same, and only its checksum is kept.
+// maxAnswerBytes bounds the bytes of a worker's reply that are kept as proof. A longer reply has the same meaning; only
+// its checksum is kept.
 const maxAnswerBytes = 256 << 10
 
-// workerKeepAlive finds a worker's machine gone that can no longer say so itself.
+// workerKeepAlive detects a worker's machine that has gone without closing its connections.
 var workerKeepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 3}
 
-// newClient gives the adapter's way out to workers and to whoever is told of
-// ends. What it sends is sent once: whether it is run again is for the place's
-// owner to say.
+// newClient returns the HTTP client for workers and notification receivers. It never resends a request: retries are
+// decided by the place's owner.
 func newClient(bounds timing.Bounds) *web.Client {
 	return web.NewClient(web.ClientOptions{DialTimeout: bounds.Of(timing.DialTimeout), IdleTimeout: bounds.ConfigApply, MaxIdlePerAddress: 64, KeepAlive: workerKeepAlive})
 }
 
+// buildActions returns the implementation of each delivery step.
 func (a *Adapter) buildActions() pipeline.Actions[*delivery] {
 	return pipeline.Actions[*delivery]{
 		pipeline.RequireFreshView: func(_ pipeline.Step, e *delivery) error {
-			if !a.d.IsFresh() { // also what a thawed daemon meets before its next act
-				return errs.New(errs.Stale, "the view is too old to act on")
+			if !a.d.IsFresh() { // also the first check of a process that resumes after a freeze
+				return errs.New(errs.Stale, "run not sent: the adapter's configuration view is stale")
 			}
-			if e.compiled = a.configs.Current(); e.compiled.Rules != e.rules { // the steps are those of an older configuration
-				return errs.New(errs.Stale, "the configuration has changed since")
+			if e.compiled = a.configs.Current(); e.compiled.Rules != e.rules { // the steps are of an older configuration
+				return errs.New(errs.Stale, "run not sent: the configuration has changed since its steps were compiled")
 			}
 			return nil
 		},
 		pipeline.RequireAllowedPool: func(s pipeline.Step, e *delivery) error {
 			if !slices.Contains(s.Names, e.run.Pool) {
-				return errs.New(errs.Rejected, "lane %s may not use pool %s", e.run.Lane, e.run.Pool)
+				return errs.New(errs.Rejected, "run not sent: lane %s may not use pool %s", e.run.Lane, e.run.Pool)
 			}
 			return nil
 		},
 		pipeline.RequireLiveWorker: func(_ pipeline.Step, e *delivery) error {
 			w, isLive := e.compiled.CanServe(e.run.Pool, e.run.Worker)
-			bound := e.rules.RunTimeoutMs(e.run.Lane, e.run.Pool) // by the configuration that is acted on
+			bound := e.rules.RunTimeoutMs(e.run.Lane, e.run.Pool) // of the current configuration
 			if e.run.Key != "" && bound > e.run.Bound {
-				// The place's owner waits for a lost run by the bound that it was begun with.
-				return errs.New(errs.Stale, "the bound has grown from %d ms to %d ms since the run was begun", e.run.Bound, bound)
+				// For an ordered message, the place's owner waits out a lost run by the bound that it was started with.
+				return errs.New(errs.Stale, "run not sent: its bound has grown from %d ms to %d ms since it was started", e.run.Bound, bound)
 			}
 			e.run.Bound = bound
 			if !isLive || !e.compiled.MayStartWork(a.d.Who.Zone) {
-				return errs.New(errs.Rejected, "%s/%s is not live", e.run.Pool, e.run.Worker)
+				return errs.New(errs.Rejected, "run not sent: worker %s/%s is not live, or this adapter's zone is being drained", e.run.Pool, e.run.Worker)
 			}
 			e.run.address, e.run.identifier = w.Address, w.Identifier
 			return nil
 		},
 		pipeline.RequireHolder: func(_ pipeline.Step, e *delivery) error {
 			if !e.compiled.IsHolder(e.run.Pool, e.run.Worker, a.d.Who.Name, a.d.Who.Boot) {
-				return errs.New(errs.NotOwner, "the duty of %s/%s has moved on", e.run.Pool, e.run.Worker)
+				return errs.New(errs.NotOwner, "run not sent: the duty of worker %s/%s has moved to another holder", e.run.Pool, e.run.Worker)
 			}
 			return nil
 		},
 		pipeline.VerifyBody: func(_ pipeline.Step, e *delivery) error {
 			if wire.Checksum(e.run.Body) != e.run.Checksum {
-				return errs.New(errs.Corrupt, "the bytes do not match their checksum")
+				return errs.New(errs.Corrupt, "run not sent: the message body does not match its checksum")
 			}
 			return nil
 		},
@@ -101,8 +101,7 @@
 	}
 }
 
-// send runs the message on its worker. Only an answer that is whole and a
-// success is a success.
+// send sends the run to its worker. Only a complete 2xx reply is a success.
 func (a *Adapter) send(e *delivery) error {
 	r := e.run
 	r.isAttempted.Store(true)
@@ -130,7 +129,7 @@
 	return nil
 }
 
-// recordProof notes a success and what of its answer proves it; nil for nothing.
+// recordProof records a success and the bytes of the reply that prove it; nil for none.
 func (e *delivery) recordProof(reply *web.Reply, proof []byte) {
 	p := &e.outcome.Proof
 	p.Status, p.Checksum = int64(reply.StatusCode), reply.Checksum
@@ -139,12 +138,12 @@
 	}
 }
 
-// buildRequest gives the request that a run is to its worker.
+// buildRequest returns the request by which a run of a lane's own message is sent to its worker.
 func (a *Adapter) buildRequest(e *delivery, path string) (*http.Request, error) {
 	r := e.run
 	req, err := http.NewRequest(http.MethodPost, "http://"+r.address+path, bytes.NewReader(r.Body))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "request to %s", r.address)
+		return nil, errs.Wrap(err, errs.Invalid, "build request to worker at %s", r.address)
 	}
 	fields := map[string]string{messageId: r.Id, attemptNumber: strconv.FormatInt(r.Attempt, 10), "X-Lane": r.Lane,
 		"Idempotency-Key": r.Id, "X-Content-SHA256": r.Checksum, "User-Agent": "caperwheel/" + a.d.Who.Name,
@@ -158,8 +157,8 @@
 	return req, nil
 }
 
-// ask puts a request to a worker, once, and names what came of it. An answer
-// that may be another run's is none. At most most bytes of its body are kept.
+// sendToWorker sends a request to a worker, at most once, and classifies the result. A reply that may belong to another
+// run is an error. At most maxBytes of the reply's body are kept.
 func (a *Adapter) sendToWorker(ctx context.Context, e *delivery, req *http.Request, maxBytes int64, naming func(*http.Response) ReplyMatch) (*web.Reply, error) {
 	mayKeep, check := replyChecks(naming)
 	terms := web.SendOptions{MaxBodyBytes: maxBytes, WantsChecksum: maxBytes > 0, CanReuse: mayKeep, BeforeSend: func() error {
@@ -171,7 +170,7 @@
 	e.run.isSent.Store(!web.IsUnsent(err))
 	switch {
 	case err != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-		return nil, errs.Wrap(err, errs.DeadlineExceeded, "the worker did not answer in time")
+		return nil, errs.Wrap(err, errs.DeadlineExceeded, "the worker did not answer within the run's bound")
 	case err != nil:
 		return nil, err
 	case maxBytes > 0 && !reply.HasWholeBody():
@@ -180,27 +179,27 @@
 	return reply, check(reply)
 }
 
-// recheckBeforeSend looks at what may have changed while the run's connection was
-// made, over which the process may have stood still.
+// recheckBeforeSend repeats the checks whose result may have changed while the run's connection was being made; the
+// process may have been frozen meanwhile.
 func (a *Adapter) recheckBeforeSend(e *delivery) error {
-	isFresh := a.d.IsFresh() // asked before the configuration, so that what is missing from it is missing
+	isFresh := a.d.IsFresh() // asked before the configuration, so that an entry missing from it is really missing
 	compiled, r := a.configs.Current(), e.run
 	w, isLive := compiled.CanServe(r.Pool, r.Worker)
 	switch {
 	case !isFresh:
-		return errs.New(errs.Stale, "the view is too old to act on")
+		return errs.New(errs.Stale, "run not sent: the adapter's configuration view is stale")
 	case compiled.Rules != e.rules:
-		return errs.New(errs.Stale, "the configuration has changed since")
+		return errs.New(errs.Stale, "run not sent: the configuration has changed since its steps were compiled")
 	case !isLive || w.Address != r.address || w.Identifier != r.identifier || !compiled.MayStartWork(a.d.Who.Zone):
-		return errs.New(errs.Rejected, "%s/%s is not live", r.Pool, r.Worker)
+		return errs.New(errs.Rejected, "run not sent: worker %s/%s is not live, has moved, or this adapter's zone is being drained", r.Pool, r.Worker)
 	case !compiled.IsHolder(r.Pool, r.Worker, a.d.Who.Name, a.d.Who.Boot):
-		return errs.New(errs.NotOwner, "the duty of %s/%s has moved on", r.Pool, r.Worker)
+		return errs.New(errs.NotOwner, "run not sent: the duty of worker %s/%s has moved to another holder", r.Pool, r.Worker)
 	}
 	return nil
 }
 
-// statusError names an answer that is no success. Most 4xx blame the message: it
-// can never succeed, so it is not run again.
+// statusError returns the error for a status that is not a success. Most 4xx statuses blame the message: no retry can
+// succeed, so the result is final.
 func statusError(o *wire.Outcome, raw *http.Response) error {
 	code := raw.StatusCode
 	if seconds, err := strconv.Atoi(raw.Header.Get("Retry-After")); err == nil && seconds > 0 {
@@ -208,7 +207,7 @@
 	}
 	if code >= 400 && code < 500 && !slices.Contains([]int{408, 409, 421, 425, 429}, code) {
 		o.Final = true
-		return errs.New(errs.Rejected, "the worker answered %d", code)
+		return errs.New(errs.Rejected, "the worker rejected the message with status %d", code)
 	}
-	return errs.New(errs.Unhealthy, "the worker answered %d", code)
+	return errs.New(errs.Unhealthy, "the worker failed with status %d", code)
 }
--- a/internal/deliver/sendonce_test.go
+++ b/internal/deliver/sendonce_test.go
@@ -19,18 +19,18 @@
 	"caperwheel/internal/web"
 )
 
-// rawWorker is a bare TCP listener. It answers the first request, and does with
-// later ones what moment says; got has the bytes of these as they came.
+// rawWorker is a bare TCP server. It answers the first request; for later ones it calls onLaterRequest. got has the
+// bytes of the later requests.
 type rawWorker struct {
 	listener        net.Listener
 	onLaterRequest  func(conn net.Conn)
-	afterFirstReply func(conn net.Conn) // done to a connection once its first answer is out, if given
+	afterFirstReply func(conn net.Conn) // called with the connection after its first reply, if set
 
 	mu      sync.Mutex
 	isWarm  bool
 	got     []string
-	settled chan struct{} // closed once unasked was done
-	arrived chan struct{} // gets one for each later request
+	settled chan struct{} // closed once afterFirstReply has returned
+	arrived chan struct{} // receives one value for each later request
 }
 
 func newRawWorker(moment, unasked func(net.Conn)) *rawWorker {
@@ -92,12 +92,11 @@
 
 func (w *rawWorker) close() { _ = w.listener.Close() }
 
-// withReset makes a close of the connection a reset.
+// withReset makes a later close of the connection a reset.
 func withReset(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
 
-// TestSentOnce is the table of what may be sent again by the library below us:
-// nothing. A request without a body, or with an Idempotency-Key, was once sent a
-// second time when its kept connection closed over it.
+// TestSentOnce checks that the HTTP library never resends a request. It guards against requests without a body, or with
+// an Idempotency-Key, that were sent again when their kept connection closed during the exchange.
 func TestSentOnce(t *testing.T) {
 	bodies := []struct {
 		name string
@@ -116,15 +115,15 @@
 		moment, unasked func(net.Conn)
 		isAnswered      bool
 	}{
-		{"closes over it", func(net.Conn) {}, nil, false},
-		{"resets it", withReset, nil, false},
-		{"is silent", func(net.Conn) { <-hang }, nil, false},
+		{"closes the connection without a reply", func(net.Conn) {}, nil, false},
+		{"resets the connection", withReset, nil, false},
+		{"does not reply", func(net.Conn) { <-hang }, nil, false},
 		{"answers 408 and closes", func(conn net.Conn) {
 			_, _ = conn.Write([]byte("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
 		}, nil, true},
-		{"closed after the answer before", nil, func(net.Conn) {}, true},
-		{"reset after the answer before", nil, withReset, true},
-		{"sent 408 after the answer before", nil, func(conn net.Conn) {
+		{"closed after the previous reply", nil, func(net.Conn) {}, true},
+		{"reset after the previous reply", nil, withReset, true},
+		{"sent an unsolicited 408 after the previous reply", nil, func(conn net.Conn) {
 			_, _ = conn.Write([]byte("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"))
 		}, true},
 	}
@@ -152,7 +151,7 @@
 							settle(client)
 						}
 						ctx, cancel = context.WithTimeout(context.Background(), time.Minute)
-						if m.name == "is silent" { // given up once it has arrived, and not before
+						if m.name == "does not reply" { // cancelled only once the request has arrived
 							go func() { <-w.arrived; cancel() }()
 						}
 						code, err := send(request().WithContext(ctx))
@@ -175,7 +174,7 @@
 	}
 }
 
-// newSender returns what sends one request after another as runs are sent.
+// newSender returns a function that sends requests as runs are sent, and its client.
 func newSender() (send func(r *http.Request) (code int, err error), client *web.Client) {
 	client = newClient(timing.Default)
 	return func(r *http.Request) (int, error) {
@@ -187,8 +186,7 @@
 	}, client
 }
 
-// settle waits until the client has noticed what came on the connections that
-// it keeps.
+// settle waits until the client has noticed what arrived on its kept connections.
 func settle(client *web.Client) {
 	for until := time.Now().Add(time.Minute); client.IdleCount() > 0 && time.Now().Before(until); {
 		runtime.Gosched()
--- a/internal/deliver/slots.go
+++ b/internal/deliver/slots.go
@@ -12,11 +12,11 @@
 	"caperwheel/internal/wire"
 )
 
-// slotAllocator grants slots on the workers whose duty this adapter holds.
+// slotAllocator grants slots on the workers whose duties this adapter holds.
 //
-// Invariants: a permit is used or lapses once; asks are bounded by maxSlotRequests a
-// worker and answered by their deadline; a worker's state lives as long as its
-// duty stays with this boot and its address is the same.
+// Invariants: a permit is redeemed, released or expires, and only once; at most maxSlotRequests requests wait per
+// worker, and each is answered by its deadline; a worker's state is dropped when its duty moves to another boot or its
+// address changes.
 type slotAllocator struct {
 	adapter *Adapter
 
@@ -24,14 +24,14 @@
 	nextPermit int64
 	workers    map[string]*heldWorker
 	permits    map[int64]*permit
-	// By pool, where its listed workers share a rate.
+	// By pool, for pools whose listed workers share a rate limit.
 	rateShares map[string]*poolRateShare
-	lastConfig *config.Compiled // that all allowances have seen
-	timerAt    time.Duration    // when serve is called next; 0 for not at all
+	lastConfig *config.Compiled // configuration that all rate shares have been updated to
+	timerAt    time.Duration    // when serve is called next; 0 if it is not scheduled
 }
 
-// heldWorker is a worker whose duty is held here. Asks wait for a slot on it, and the line is of
-// runs that have arrived for theirs and wait for the worker to end others.
+// heldWorker is a worker whose duty this adapter holds, with the requests that wait for a slot on it and the queue of
+// runs that have arrived and wait for the worker to end others.
 type heldWorker struct {
 	worker   *WorkerState
 	term     int64
@@ -40,37 +40,40 @@
 	queue    []queuedRun
 }
 
+// slotRequest is a store's request that waits for a slot.
 type slotRequest struct {
 	deadline time.Duration
 	answer   func(any)
 }
 
+// permit is a granted slot that its run has not redeemed yet, or the slot of a run.
 type permit struct {
 	key       string
 	held      *heldWorker
-	grantedAt time.Duration // when it was granted
+	grantedAt time.Duration
 	deadline  time.Duration
 }
 
+// maxSlotRequests bounds the requests that wait per worker; further ones are told to retry.
 const maxSlotRequests = 256
 
+// newSlotAllocator returns an allocator without workers.
 func newSlotAllocator(a *Adapter) *slotAllocator {
 	return &slotAllocator{adapter: a, nextPermit: a.environment.FirstPermitId(), workers: map[string]*heldWorker{}, permits: map[int64]*permit{},
 		rateShares: map[string]*poolRateShare{}}
 }
 
-// workerFor returns the state of a worker that this adapter may serve now. Called
-// with mu held.
+// workerFor returns the state of a worker that this adapter may serve now. s.mu is held.
 func (s *slotAllocator) workerFor(compiled *config.Compiled, pool, worker string) (*heldWorker, error) {
 	key := pool + "/" + worker
 	duty, _ := compiled.Duties[pool].Get(worker)
 	if !compiled.IsHolder(pool, worker, s.adapter.d.Who.Name, s.adapter.d.Who.Boot) {
 		s.drop(key)
-		return nil, errs.New(errs.NotOwner, "the duty of %s is not held here", key)
+		return nil, errs.New(errs.NotOwner, "worker %s refused: this adapter does not hold its duty", key)
 	}
 	w, isLive := compiled.CanServe(pool, worker)
 	if !isLive || !compiled.MayStartWork(s.adapter.d.Who.Zone) {
-		return nil, errs.New(errs.Rejected, "%s is not live", key)
+		return nil, errs.New(errs.Rejected, "worker %s refused: it is not live, or this adapter's zone is being drained", key)
 	}
 	h, now := s.workers[key], s.adapter.d.Now()
 	if h == nil || h.address != w.Address || h.term != duty.Term {
@@ -87,24 +90,25 @@
 	return h, nil
 }
 
+// fence returns how long a new holder waits until the previous one must have stopped acting.
 func (s *slotAllocator) fence() time.Duration { return s.adapter.d.Bounds.Of(timing.Fence) }
 
-// drop forgets a worker that is not ours any more, or not as it was. Whoever
-// waits for a slot on it is told: an ask without an answer is missed for ever.
+// drop forgets a worker whose duty has moved or whose address has changed. Every waiting request is answered: a store
+// counts a request without an answer as pending for ever.
 func (s *slotAllocator) drop(key string) {
 	if h := s.workers[key]; h != nil {
 		for _, waiting := range h.requests {
 			waiting.answer(busyGrant(0))
 		}
 		for _, run := range h.queue {
-			run.onTurn(errs.New(errs.NotOwner, "the duty of %s has moved on", key))
+			run.onTurn(errs.New(errs.NotOwner, "run on %s refused: the worker's duty has moved to another holder", key))
 		}
 		h.queue = nil
 		delete(s.workers, key)
 	}
 }
 
-// requestSlot answers an ask for a slot, at once or when one comes free in time.
+// requestSlot answers a request for a slot, either at once or when one becomes free before the request's deadline.
 func (s *slotAllocator) requestSlot(m *wire.Want, answer func(any)) {
 	if !s.adapter.d.IsFresh() || s.adapter.isLeaving.Load() {
 		answer(&wire.Grant{Kind: string(errs.Stale), Retry: 200})
@@ -135,10 +139,12 @@
 	}
 }
 
+// busyGrant is the answer to a slot request that is not granted: retry after wait.
 func busyGrant(wait time.Duration) *wire.Grant {
 	return &wire.Grant{Kind: string(errs.Full), Retry: int64(max(wait, 2*time.Millisecond) / time.Millisecond)}
 }
 
+// grant issues a permit that expires if its run does not arrive. s.mu is held.
 func (s *slotAllocator) grant(key string, h *heldWorker, now time.Duration) *wire.Grant {
 	s.nextPermit++
 	s.permits[s.nextPermit] = &permit{key, h, now, now + s.adapter.d.Bounds.Of(timing.Permit)}
@@ -146,7 +152,7 @@
 	return &wire.Grant{Permit: s.nextPermit}
 }
 
-// scheduleServe has serve called for as long as something waits. Called with mu held.
+// scheduleServe schedules a call of serve after span, unless one is due earlier. s.mu is held.
 func (s *slotAllocator) scheduleServe(span time.Duration) {
 	at := s.adapter.d.Now() + span
 	if s.timerAt != 0 && s.timerAt <= at {
@@ -156,7 +162,7 @@
 	s.adapter.environment.After(span, func() { s.onTimer(at) })
 }
 
-// onTimer serves, if it is for this moment that it was armed last.
+// onTimer calls serve if its timer is the one that was scheduled last.
 func (s *slotAllocator) onTimer(at time.Duration) {
 	s.mu.Lock()
 	isArmed := s.timerAt == at
@@ -166,7 +172,8 @@
 	}
 }
 
-// serve answers waiting asks as slots come free, and takes lapsed permits back.
+// serve takes expired permits back, starts queued runs and answers waiting requests, and reschedules itself as long as
+// anything waits.
 func (s *slotAllocator) serve() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,6 +203,8 @@
 	}
 }
 
+// answerRequests grants free slots to the requests waiting for a worker in order of arrival, and tells those past their
+// deadline to retry. s.mu is held.
 func (s *slotAllocator) answerRequests(key string, h *heldWorker, now time.Duration) {
 	for len(h.requests) > 0 {
 		if now >= h.requests[0].deadline {
@@ -212,8 +221,8 @@
 	}
 }
 
-// addObservations tells managers what this adapter sees of its workers: by worker,
-// microseconds of a run, failed runs in thousands, and 1 if it is only probed.
+// addObservations adds what this adapter observes of its workers, for the managers: per worker the microseconds of a
+// run, failed runs per thousand, and 1 if it gets only probes.
 func (s *slotAllocator) addObservations(into map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/deliver/slotwalk_test.go
+++ b/internal/deliver/slotwalk_test.go
@@ -15,14 +15,15 @@
 	"caperwheel/internal/wire"
 )
 
+// Parameters of the random walk.
 const (
 	walkSeeds = 60
 	walkSteps = 300
 	walkKey   = "p/w"
 )
 
-// slotWalk uses the slots of a worker in any order, while its duty moves to and fro, its
-// address and its pool change, and it fails.
+// slotWalk is a random walk over the slots of a worker whose duty moves back and forth, whose address and pool change,
+// and which fails.
 type slotWalk struct {
 	a        *Adapter
 	draws    *rand.Rand
@@ -30,12 +31,12 @@
 	revision int64
 	asked    int
 
-	mu       sync.Mutex // asks are answered on a timer's goroutine, too
+	mu       sync.Mutex // answers also arrive on a timer's goroutine
 	answered int
 	granted  []int64
 
-	pendingTurns []chan error // of runs that wait for their turn
-	inLine       []*permit    // theirs
+	pendingTurns []chan error // of runs that are queued
+	inLine       []*permit    // their permits
 	working      []*permit
 }
 
@@ -47,20 +48,24 @@
 	return w
 }
 
+// time is the adapter's clock.
 func (w *slotWalk) time() time.Duration { return time.Duration(w.now.Load()) }
 
+// pass advances the clock.
 func (w *slotWalk) pass(span time.Duration) { w.now.Add(int64(span)) }
 
+// walkPool returns a configuration whose pool has the given concurrency.
 func walkPool(concurrency int) string {
 	return fmt.Sprintf(`{"pools":{"p":{"bound":"50ms","ease":"0s","concurrency":%d}},"lanes":{"l":{"pools":["p"]}}}`, concurrency)
 }
 
-// update has the adapter learn of a change.
+// update applies a change to the adapter's view.
 func (w *slotWalk) update(key, value string) {
 	w.revision++
 	w.a.d.View.Update([]wire.PartNews{{From: w.revision - 1, To: w.revision, Changes: []wire.Change{{Key: key, Revision: w.revision, Value: []byte(value)}}}}, w.time())
 }
 
+// ask requests a slot.
 func (w *slotWalk) ask() {
 	w.asked++
 	w.a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: 90}, func(reply any) {
@@ -73,6 +78,7 @@
 	})
 }
 
+// nextGranted returns the permit of the oldest granted slot without a run.
 func (w *slotWalk) nextGranted() (id int64, isGranted bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -83,7 +89,7 @@
 	return id, true
 }
 
-// arrive has a run come for a granted slot, or gives the slot back.
+// arrive makes a run arrive for a granted slot, or gives the slot back, or does neither.
 func (w *slotWalk) arrive() {
 	id, isGranted := w.nextGranted()
 	if !isGranted {
@@ -91,7 +97,7 @@
 	}
 	switch w.draws.IntN(5) {
 	case 0:
-		return // lost on its way: the permit lapses
+		return // the run is lost, so that the permit expires
 	case 1:
 		w.a.slots.release(id)
 		return
@@ -105,7 +111,7 @@
 	w.a.slots.startWhenFree(p, func(err error) { turn <- err })
 }
 
-// turns takes in which runs may begin or must not.
+// turns moves queued runs on that may begin or must not.
 func (w *slotWalk) turns() {
 	for i := len(w.pendingTurns) - 1; i >= 0; i-- {
 		select {
@@ -121,6 +127,7 @@
 	}
 }
 
+// end ends the oldest running run, or withdraws it.
 func (w *slotWalk) end() {
 	if len(w.working) == 0 {
 		return
@@ -134,6 +141,7 @@
 	w.a.slots.finish(p, w.draws.IntN(5) > 0, 10*time.Millisecond)
 }
 
+// change makes a random change to the duty, the worker's list entry or the pool.
 func (w *slotWalk) change() {
 	duty := func(holder string) string { return string(config.Duty{Holder: holder, Boot: "1"}.Encode()) }
 	switch w.draws.IntN(6) {
@@ -150,6 +158,7 @@
 	}
 }
 
+// step makes one random step.
 func (w *slotWalk) step() {
 	w.pass(time.Duration(w.draws.IntN(30)) * time.Millisecond)
 	switch w.draws.IntN(8) {
@@ -170,7 +179,7 @@
 	w.turns()
 }
 
-// settle lets all that is under way come to its end.
+// settle lets everything in progress end.
 func (w *slotWalk) settle() {
 	w.update(config.WorkersKey+"p", `{"workers":[{"name":"w","address":"127.0.0.1:9","cell":"c"}]}`)
 	w.update(config.DutyKey+walkKey, string(config.Duty{Holder: "a", Boot: "1"}.Encode()))
@@ -186,9 +195,8 @@
 	w.a.slots.serve()
 }
 
-// TestSlotsComeBack: whatever happens to a worker and its duty, each ask is answered, and
-// each slot that was granted is given back in the end: one that is not is room that nobody
-// may use.
+// TestSlotsComeBack guards against leaked slots: whatever happens to a worker and its duty, each slot request must be
+// answered and each granted slot given back, since a leaked slot reduces the worker's capacity for ever.
 func TestSlotsComeBack(t *testing.T) {
 	Convey("Of a worker whose duty, address and pool change", t, func() {
 		for seed := uint64(1); seed <= walkSeeds; seed++ {
--- a/internal/deliver/stages_test.go
+++ b/internal/deliver/stages_test.go
@@ -13,23 +13,23 @@
 	"caperwheel/internal/wire"
 )
 
-// TestStages: what an adapter has in hand tells how far it has come, and since when.
+// TestStages checks that the status of open runs shows their stage and since when they are in it.
 func TestStages(t *testing.T) {
-	Convey("A run in hand", t, func() {
+	Convey("An open run", t, func() {
 		b, run := NewRunRegistry(9), &wire.Run{Place: 3, Term: 7, Id: "3-x", Attempt: 2, Pool: "p", Worker: "w"}
 		So(b.Admit(run, time.Second), ShouldBeNil)
 		So(b.RunsOf("3-x", 3*time.Second), ShouldResemble, []RunStatus{{2, 3, 7, "p", "w", StageQueued, 2000}})
 		b.SetStage(run, StageWork, 4*time.Second)
 		So(b.RunsOf("3-x", 5*time.Second), ShouldResemble, []RunStatus{{2, 3, 7, "p", "w", StageWork, 1000}})
 		So(b.OldestByStage(5*time.Second), ShouldResemble, map[Stage]time.Duration{StageWork: time.Second})
-		Convey("is no more once its result is durable, whatever is noted later", func() {
+		Convey("is not listed once its result is durable, whatever stage is set later", func() {
 			b.Remove(run)
 			b.SetStage(run, StageOwner, 6*time.Second)
 			So(b.RunsOf("3-x", 7*time.Second), ShouldBeEmpty)
 			So(b.Count(), ShouldEqual, 0)
 		})
 	})
-	Convey("An adapter tells of the runs of a message", t, func() {
+	Convey("An adapter serves the open runs of a message", t, func() {
 		a, stage := newTestAdapter("127.0.0.1:1"), ""
 		a.environment.Run = func(work func(context.Context)) {}
 		story := func(id string) *httptest.ResponseRecorder {
--- a/internal/deliver/worker.go
+++ b/internal/deliver/worker.go
@@ -1,6 +1,3 @@
-// Package deliver is an adapter's side towards workers and outside endpoints:
-// it grants slots on the workers whose duty it holds, runs what stores send in
-// granted slots, and brings results back until they are durable.
 package deliver
 
 import (
@@ -11,63 +8,63 @@
 	"caperwheel/internal/config"
 )
 
-// Health is the explicit state of a worker.
+// Health is the health state of a worker.
 type Health string
 
-// The states. A worker is easing while cold, and probed while unhealthy.
+// The health states. A worker is in slow start while cold, and gets only probes while unhealthy.
 const (
 	SlowStart Health = "easing"
 	Healthy   Health = "sound"
 	Unhealthy Health = "unsound"
 )
 
-// WorkerState is what the holder of a worker's duty knows of it. It is pure: the
-// same calls at the same times give the same answers.
+// WorkerState is what the holder of a worker's duty tracks of it: health, granted slots, rate limit and observed
+// latency. It does no I/O and reads no clock: the same calls at the same times give the same results.
 //
-// Invariants: inUse counts granted slots not yet given back, and running those whose run
-// has begun; no run begins that takes running past limit; tokens never pass burst, so an endpoint gets at most 5·rate+burst starts in any 5 s; since is
-// when the state was entered.
+// Invariants: inUse counts granted slots not yet given back, running those whose run has begun; no run begins that
+// takes running past runLimit; tokens never exceed burst, so an endpoint gets at most 5·rate+burst starts in any 5 s;
+// since is when the health state was entered.
 type WorkerState struct {
 	pool                config.Pool
 	health              Health
 	since               time.Duration
-	fencedUntil         time.Duration // no slot before: the fence of a duty that changed hands
+	fencedUntil         time.Duration // no slot is granted before: end of the fence after a duty changed hands
 	inUse               int64
 	running             int64
 	tokens              float64
 	refilledAt          time.Duration
-	consecutiveFailures int // runs that failed one after another
+	consecutiveFailures int // failed runs in a row
 	probeAt             time.Duration
-	probeInterval       time.Duration // pause between probes; doubles
-	lastStart           time.Duration // the newest start
-	adaptiveLimit       float64       // runs at once, as the worker seems to bear
-	runMicros           float64       // smoothed time of a sound run
+	probeInterval       time.Duration // pause between probes; doubles up to a maximum
+	lastStart           time.Duration // of the most recent run
+	adaptiveLimit       float64       // concurrent runs that the worker seems to sustain
+	runMicros           float64       // smoothed time of a successful run
 	leadMicros          float64       // smoothed microseconds from a slot's grant to its run's arrival
 	failureShare        float64       // smoothed share of failed runs
-	isCold              bool          // the list says that it has just begun
-	// What it shares with its service's other workers, whose rate its pool then does not have; nil for nothing.
+	isCold              bool          // the list says that it has just started
+	// The rate share of the service, if its workers share one rate limit; pool.Rate is then 0. Otherwise nil.
 	rateShare *RateShare
 }
 
-// Constants of a worker's health.
+// Parameters of health checking and slow start.
 const (
 	failuresToUnhealthy  = 3
 	initialProbeInterval = 250 * time.Millisecond
-	maxProbeInterval     = 4 * time.Second // where the pool does not say
-	slowStartDoublings   = 8.0             // the start rate doubles so often while easing
-	slowStartRate        = 2.0             // starts a second of a worker that is stone cold
-	smoothing            = 0.1             // share of the newest observation in a smoothed one
+	maxProbeInterval     = 4 * time.Second // unless the pool sets one
+	slowStartDoublings   = 8.0             // how often the start rate doubles during slow start
+	slowStartRate        = 2.0             // starts per second of a fully cold worker
+	smoothing            = 0.1             // weight of the newest observation in an exponential moving average
 )
 
-// NewWorkerState takes a duty up. An endpoint's holder waits out the fence, during
-// which the holder before may still act, and starts with an empty bucket.
+// NewWorkerState returns the state of a worker whose duty was just taken over. For an endpoint, no slot is granted
+// during the fence, in which the previous holder may still act, and the token bucket starts empty.
 func NewWorkerState(pool config.Pool, fence, now time.Duration) *WorkerState {
 	w := &WorkerState{pool: pool, fencedUntil: now + fence, refilledAt: now + fence, adaptiveLimit: float64(pool.Concurrency)}
 	w.setHealth(SlowStart, now+fence)
 	return w
 }
 
-// enter is the one place where a worker changes its state.
+// setHealth is the only place where the health state changes.
 func (w *WorkerState) setHealth(state Health, now time.Duration) {
 	if w.health == Unhealthy && state != Unhealthy {
 		w.probeInterval = 0
@@ -82,18 +79,18 @@
 	}
 }
 
-// Configure takes the pool's settings and what the list says of the worker.
+// Configure applies the pool's settings and the worker's list entry.
 func (w *WorkerState) Configure(pool config.Pool, listed config.Worker) {
 	if listed.Slots > 0 {
-		pool.Concurrency = listed.Slots + (listed.Slots+1)/2 // some wait there, so that no slot stands idle between two runs
+		pool.Concurrency = listed.Slots + (listed.Slots+1)/2 // half as many again may queue at the worker, so that no slot idles between two runs
 	}
-	if w.adaptiveLimit == float64(w.pool.Concurrency) { // nothing has lowered it
+	if w.adaptiveLimit == float64(w.pool.Concurrency) { // no failure has lowered it
 		w.adaptiveLimit = float64(pool.Concurrency)
 	}
 	w.pool, w.isCold = pool, listed.IsCold
 }
 
-// SetRateShare has the worker's starts count against an allowance; nil for none.
+// SetRateShare makes the worker's starts count against a rate share; nil for none.
 func (w *WorkerState) SetRateShare(allowance *RateShare) {
 	w.rateShare = allowance
 	if allowance != nil {
@@ -101,13 +98,13 @@
 	}
 }
 
-// Health tells the worker's health.
+// Health returns the worker's health state.
 func (w *WorkerState) Health() Health { return w.health }
 
-// InUse reports how many slots are given.
+// InUse returns the number of granted slots.
 func (w *WorkerState) InUse() int64 { return w.inUse }
 
-// slowStartProgress goes from 0 for a cold worker to 1 once it has been eased in.
+// slowStartProgress rises from 0 for a cold worker to 1 at the end of slow start.
 func (w *WorkerState) slowStartProgress(now time.Duration) float64 {
 	if w.health == Healthy || w.pool.SlowStart <= 0 {
 		return 1
@@ -115,8 +112,8 @@
 	return min(1, max(0, float64(now-w.since)/float64(w.pool.SlowStart)))
 }
 
-// recordRun moves the ceiling: down by half when the worker fails, up by one for
-// each ceiling's worth of sound runs. It also smooths what is reported.
+// recordRun adjusts adaptiveLimit: it is halved when the worker fails and raised by one per adaptiveLimit successful
+// runs. It also updates the reported averages.
 func (w *WorkerState) recordRun(isHealthy bool, took time.Duration) {
 	if isHealthy {
 		w.adaptiveLimit = min(float64(w.pool.Concurrency), w.adaptiveLimit+1/max(1, w.adaptiveLimit))
@@ -131,13 +128,13 @@
 	w.failureShare += (1 - w.failureShare) * smoothing
 }
 
-// Observations tells the smoothed time of a run, the share that failed, and
-// whether the worker is only probed.
+// Observations returns the smoothed time of a run, the smoothed share of failed runs, and whether the worker gets only
+// probes.
 func (w *WorkerState) Observations() (micros, failureShare float64, isProbe bool) {
 	return w.runMicros, w.failureShare, w.health == Unhealthy
 }
 
-// rate is how many starts a second it gets now; 0 means no cap.
+// rate returns how many starts per second the worker may get now; 0 means no limit.
 func (w *WorkerState) rate(now time.Duration) float64 {
 	rate := w.pool.Rate
 	if w.health == SlowStart && w.slowStartProgress(now) < 1 {
@@ -152,6 +149,7 @@
 	return rate
 }
 
+// refill adds the tokens earned since the last refill.
 func (w *WorkerState) refill(now time.Duration) {
 	rate := w.rate(now)
 	if now > w.refilledAt {
@@ -160,9 +158,10 @@
 	}
 }
 
+// burst returns the capacity of the token bucket.
 func (w *WorkerState) burst(rate float64) float64 { return max(1, rate/10) }
 
-// Grant gives a slot, or tells how long to wait before asking again.
+// Grant grants a slot, or returns how long to wait before the next attempt.
 func (w *WorkerState) Grant(now time.Duration) (isGranted bool, wait time.Duration) {
 	if wait := w.Wait(now); wait > 0 {
 		return false, wait
@@ -177,10 +176,10 @@
 	return true, 0
 }
 
-// fullRetryDelay is how long is waited for a slot of a worker that has as many runs as it may.
+// fullRetryDelay is the retry delay when a worker has as many runs as it may.
 const fullRetryDelay = 5 * time.Millisecond
 
-// RetryDelay returns how long it is, as far as is known, until a slot may be granted; 0 for now.
+// Wait returns an estimate of how long it is until a slot may be granted; 0 means now.
 func (w *WorkerState) Wait(now time.Duration) time.Duration {
 	if now < w.fencedUntil {
 		return w.fencedUntil - now
@@ -205,7 +204,7 @@
 	return 0
 }
 
-// Release gives a slot back that was never used; its token too.
+// Release gives back a slot that was never used, and its token.
 func (w *WorkerState) Release(now time.Duration) {
 	w.inUse = max(0, w.inUse-1)
 	w.tokens = min(w.tokens+1, w.burst(w.pool.Rate))
@@ -214,8 +213,8 @@
 	}
 }
 
-// PacingDelay reports how long a run with a granted slot must still wait, so that slots
-// granted earlier and used late do not bunch up at a capped endpoint.
+// PacingDelay returns how long a run with a granted slot must still wait before it starts, so that slots granted
+// earlier and used late do not become a burst at a rate-limited endpoint.
 func (w *WorkerState) PacingDelay(now time.Duration) time.Duration {
 	if w.rateShare != nil {
 		return w.rateShare.PacingDelay(now)
@@ -228,15 +227,15 @@
 	return at - now
 }
 
-// RunEnded takes a run's end in. isHealthy is false when the worker failed, not when
-// it answered that the message is at fault.
+// RunEnded records the end of a run. isHealthy is false if the worker failed, and true if it answered that the message
+// is at fault.
 func (w *WorkerState) RunEnded(isHealthy bool, took, now time.Duration) {
 	w.inUse, w.running = max(0, w.inUse-1), max(0, w.running-1)
 	w.recordRun(isHealthy, took)
 	if isHealthy {
 		w.consecutiveFailures = 0
 		if w.health == Unhealthy {
-			w.setHealth(SlowStart, now) // back, but cold
+			w.setHealth(SlowStart, now) // it is back, but cold
 		}
 		return
 	}
--- a/internal/deliver/worker_test.go
+++ b/internal/deliver/worker_test.go
@@ -11,8 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// starts grants slots every 10 ms for a while, each run taking work, and gives
-// the times of the starts.
+// starts requests slots every 10 ms for a while, with runs of the length work, and returns the times of the starts.
 func starts(w *WorkerState, from, length, work time.Duration, isHealthy func(now time.Duration) bool) []time.Duration {
 	out, ends := []time.Duration{}, []time.Duration{}
 	for now := from; now < from+length; now += 10 * time.Millisecond {
@@ -32,8 +31,10 @@
 	return out
 }
 
+// always is the health of a worker that never fails.
 func always(time.Duration) bool { return true }
 
+// within counts the times from from up to until.
 func within(list []time.Duration, from, until time.Duration) int {
 	n := 0
 	for _, at := range list {
@@ -44,7 +45,7 @@
 	return n
 }
 
-// TestRate: an endpoint never gets much more than its rate over any 5 s.
+// TestRate checks that an endpoint never gets much more than its rate over any 5 s.
 func TestRate(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -55,8 +56,8 @@
 		{"a slow endpoint", 1, 0, 0},
 		{"a usual endpoint", 6, 0, 0},
 		{"a fast endpoint", 200, 0, 0},
-		{"one that is eased in", 6, 0, 5 * time.Second},
-		{"one taken over under a fence", 6, 3 * time.Second, 0},
+		{"an endpoint in slow start", 6, 0, 5 * time.Second},
+		{"an endpoint taken over, during its fence", 6, 3 * time.Second, 0},
 	}
 	Convey("Over any five seconds", t, func() {
 		for _, c := range cases {
@@ -75,13 +76,13 @@
 
 func TestSoundness(t *testing.T) {
 	pool := config.Pool{Concurrency: 8, SlowStart: 10 * time.Second}
-	Convey("A cold worker is eased in", t, func() {
+	Convey("A cold worker gets a slow start", t, func() {
 		list := starts(NewWorkerState(pool, 0, 0), 0, 20*time.Second, 50*time.Millisecond, always)
 		So(within(list, 0, time.Second), ShouldBeLessThan, 8)
 		So(within(list, 4*time.Second, 5*time.Second), ShouldBeGreaterThan, within(list, 1*time.Second, 2*time.Second))
 		So(within(list, 15*time.Second, 16*time.Second), ShouldBeGreaterThan, 80)
 	})
-	Convey("A worker that fails is only probed, and comes back cold", t, func() {
+	Convey("A worker that fails gets only probes, and comes back cold", t, func() {
 		w := NewWorkerState(pool, 0, 0)
 		isHealthy := func(now time.Duration) bool { return now < 20*time.Second || now > 40*time.Second }
 		list := starts(w, 0, 42*time.Second, 50*time.Millisecond, isHealthy)
@@ -91,12 +92,12 @@
 	Convey("Given a warm worker", t, func() {
 		w := NewWorkerState(config.Pool{Concurrency: 2}, 0, 0)
 		grant := func() bool { isGranted, _ := w.Grant(0); return isGranted }
-		Convey("its slots are bounded, and come back when they lapse", func() {
+		Convey("its slots are bounded, and can be granted again when they are released", func() {
 			So([]bool{grant(), grant(), grant()}, ShouldResemble, []bool{true, true, false})
 			w.Release(0)
 			So(grant(), ShouldBeTrue)
 		})
-		Convey("its ceiling halves on failure and grows back", func() {
+		Convey("its adaptive limit halves on failure and grows back", func() {
 			grant()
 			w.RunEnded(false, 0, 0)
 			So([]bool{grant(), grant()}, ShouldResemble, []bool{true, false})
@@ -106,11 +107,11 @@
 	})
 }
 
-// TestBook is the table of what an adapter promises to owners.
+// TestBook checks the commitments of an adapter to owners.
 func TestBook(t *testing.T) {
 	run := func(term int64) *wire.Run { return &wire.Run{Place: 1, Term: term, Id: "x", Attempt: 1} }
 	open := func(term int64) *wire.Open { return &wire.Open{Place: 1, Term: term, Id: "x", Attempt: 1} }
-	Convey("Given an adapter's book", t, func() {
+	Convey("Given an adapter's run registry", t, func() {
 		b := NewRunRegistry(2)
 		kind := func(err error) errs.Kind {
 			if err == nil {
@@ -118,11 +119,11 @@
 			}
 			return errs.KindOf(err)
 		}
-		Convey("a run in hand is told to be open, also in a later term", func() {
+		Convey("an open run is reported as open, also in a later term", func() {
 			So(b.Admit(run(3), 0), ShouldBeNil)
 			So(b.ResolveOpen(open(4), 0).State, ShouldEqual, "open")
 		})
-		Convey("a run told never to start never starts, whatever arrives later", func() {
+		Convey("a run reported as never started is refused, whatever arrives later", func() {
 			So(b.ResolveOpen(open(4), 0).State, ShouldEqual, "never")
 			So(kind(b.Admit(run(4), 0)), ShouldEqual, errs.Rejected)
 		})
@@ -131,7 +132,7 @@
 			So(kind(b.Admit(run(4), 0)), ShouldEqual, errs.Stale)
 			So(b.ResolveOpen(open(4), 0).Kind, ShouldEqual, "stale")
 		})
-		Convey("the same run is not taken twice, nor more than it can carry", func() {
+		Convey("the same run is not admitted twice, nor more runs than the maximum", func() {
 			So(b.Admit(run(3), 0), ShouldBeNil)
 			So(kind(b.Admit(run(3), 0)), ShouldEqual, errs.Conflict)
 			So(b.Admit(&wire.Run{Id: "y"}, 0), ShouldBeNil)
--- a/internal/deliver/workeridentity_test.go
+++ b/internal/deliver/workeridentity_test.go
@@ -13,20 +13,20 @@
 	"caperwheel/platform"
 )
 
-// TestExpectedWorker guards against a message that goes to an address without the identifier of the worker that it is for:
-// whoever has the address by then runs it.
+// TestExpectedWorker guards against a message that is sent without the identifier of the worker that it is for:
+// whichever worker has the address by then runs it.
 func TestExpectedWorker(t *testing.T) {
 	long := strings.Repeat("zone/rack/", 9) + "i-4"
 	cases := []struct{ name, worker, identifier, expects string }{
 		{"a worker whose identifier is its name", "i-4", "", "i-4"},
-		{"one with a long identifier", platform.NameOf(long), long, long},
-		{"one with an identifier as long as any may be", platform.NameOf(long), strings.Repeat("i", config.MaxIdentifierBytes), strings.Repeat("i", config.MaxIdentifierBytes)},
-		{"one of which only a hash is known", platform.NameOf(long), "", ""},
-		{"a listed worker that is called as endpoints are", config.EndpointWorker, "", config.EndpointWorker},
+		{"a worker with a long identifier", platform.NameOf(long), long, long},
+		{"a worker with an identifier of the maximum length", platform.NameOf(long), strings.Repeat("i", config.MaxIdentifierBytes), strings.Repeat("i", config.MaxIdentifierBytes)},
+		{"a worker of which only the identifier's hash is known", platform.NameOf(long), "", ""},
+		{"a listed worker with the name reserved for endpoints", config.EndpointWorker, "", config.EndpointWorker},
 	}
 	Convey("A message for", t, func() {
 		for _, c := range cases {
-			Convey(c.name+" tells whom it is for, or does not go out", func() {
+			Convey(c.name+" carries the worker's identifier, or is not sent", func() {
 				got := make(chan string, 1)
 				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					got <- r.Header.Get("X-Expect-Instance")
--- a/internal/intake/codec.go
+++ b/internal/intake/codec.go
@@ -12,38 +12,38 @@
 	"caperwheel/internal/wire"
 )
 
-// PassthroughRequest is what a request that comes as it is says besides its bytes.
+// PassthroughRequest is a passthrough request without its body. A passthrough request is forwarded to the worker
+// unchanged, with its method, path and selected header fields.
 type PassthroughRequest struct {
 	Head     requesthead.Head
 	Key      string        // ordering key
 	ApiKey   string        // of the caller's tenant
-	Name     string        // operation key: all sends of a tenant's with one name are one message
-	Notify   string        // URL to be told of the end
-	Delay    time.Duration // it must not run before
-	Deadline time.Duration // how long the caller waits; 0 if it does not say
+	Name     string        // operation key: all requests of a tenant with the same one are the same message
+	Notify   string        // URL for the completion notification
+	Delay    time.Duration // earliest start, counted from now
+	Deadline time.Duration // how long the caller waits; 0 if unknown
 }
 
-// CallerReply is what a caller is told of a message that came as it is. Kind is empty
-// when the message is held.
+// CallerReply is the answer to a passthrough request. Kind is empty if the message was accepted.
 //
-// Invariant: IsUndecided is false only if the message is held or never will run.
+// Invariant: IsUndecided is false only if the message was accepted or will never run.
 type CallerReply struct {
 	Id          string
 	Kind        errs.Kind
 	Text        string
 	IsUndecided bool
-	RetryAfter  time.Duration // when to come back; 0 for at once or never
+	RetryAfter  time.Duration // when to retry; 0 for at once or never
 }
 
-// Codec is one way to speak with callers whose requests are taken as they are. Tenant is the header field
-// that tells workers whose message it is.
+// Codec is a protocol between the adapter and callers of passthrough requests. TenantHeader is the header field by
+// which workers learn the message's tenant.
 type Codec struct {
 	ReadRequest  func(r *http.Request) (PassthroughRequest, error)
 	WriteReply   func(w http.ResponseWriter, word CallerReply)
 	TenantHeader string
 }
 
-// PassthroughHandler takes requests as they are: the lane follows from host and path.
+// PassthroughHandler accepts passthrough requests; host and path select the lane.
 func (in *Intake) PassthroughHandler(codec Codec) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e := &request{ctx: r.Context()}
@@ -62,10 +62,11 @@
 	}
 }
 
+// takePassthrough reads a passthrough request and has its message held.
 func (in *Intake) takePassthrough(r *http.Request, e *request, codec Codec) error {
 	if n := in.inFlight.Add(1); n > int64(in.d.Settings.MaxInFlight) {
 		in.inFlight.Add(-1)
-		return errs.New(errs.Full, "the adapter has %d messages in hand", n-1)
+		return errs.New(errs.Full, "request refused: %d requests are in progress on this adapter, the maximum", n-1)
 	}
 	defer in.inFlight.Add(-1)
 	if err := in.findRoute(e, r); err != nil {
@@ -82,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	if err := in.findRoute(e, r); err != nil { // a body may take long to come
+	if err := in.findRoute(e, r); err != nil { // again, since the body may have taken long to arrive
 		return err
 	}
 	if err := in.findTenant(e, arrival.ApiKey); err != nil {
@@ -101,7 +102,8 @@
 	return in.admit(e)
 }
 
-// admit has a message held that counts against its tenant's limit.
+// admit takes a token of the tenant's limit and runs the intake steps. The token is returned if the message does not
+// count against the limit.
 func (in *Intake) admit(e *request) (err error) {
 	permit, err := in.limiter.Admit(e.ctx, e.tenant)
 	if err != nil {
@@ -111,10 +113,9 @@
 	return pipeline.Run(in.programs.Intake(e.compiled.Rules, e.lane.Name), in.actions, e)
 }
 
-// findRoute takes the lane that the request's host and path lead to, as the
-// configuration is now.
+// findRoute sets the lane that the request's host and path select in the current configuration.
 func (in *Intake) findRoute(e *request, r *http.Request) error {
-	e.isFresh = in.d.IsFresh() // asked before the configuration, so that a way missing from it is missing
+	e.isFresh = in.d.IsFresh() // checked before the configuration is read, so that a route missing from it is really missing
 	e.compiled = in.configs.Current()
 	lane, isFound := config.Lane{}, false
 	if e.isFresh {
@@ -124,25 +125,25 @@
 	case !e.isFresh:
 		return errStale()
 	case !isFound:
-		return errs.New(errs.Unknown, "no lane takes %s", r.URL.Path)
+		return errs.New(errs.Unknown, "no lane serves path %s", r.URL.Path)
 	}
 	e.lane = lane
 	return nil
 }
 
-// DefaultCodec is the product's own codec for requests that are taken as they are.
+// DefaultCodec is the product's own codec for passthrough requests.
 var DefaultCodec = Codec{
 	TenantHeader: "Tenant",
 	ReadRequest: func(r *http.Request) (PassthroughRequest, error) {
 		out := PassthroughRequest{Head: requesthead.FromRequest(r, "Content-Type", "Ordering-Key"), Key: r.Header.Get("Ordering-Key"), Notify: r.Header.Get("Notify-Url"),
 			ApiKey: BearerToken(r), Name: r.Header.Get("Idempotency-Key")}
 		if len(out.Key) > maxKeyBytes || len(out.Name) > maxKeyBytes {
-			return out, errs.New(errs.Invalid, "keys may have %d bytes at most", maxKeyBytes)
+			return out, errs.New(errs.Invalid, "Ordering-Key and Idempotency-Key may have %d bytes at most", maxKeyBytes)
 		}
 		if text := r.Header.Get("Not-Before"); text != "" {
 			delay, err := time.ParseDuration(text)
 			if err != nil || delay < 0 {
-				return out, errs.New(errs.Invalid, "Not-Before must be a duration")
+				return out, errs.New(errs.Invalid, "header Not-Before must be a duration, 0 or more")
 			}
 			out.Delay = delay
 		}
--- a/internal/intake/hold.go
+++ b/internal/intake/hold.go
@@ -11,17 +11,16 @@
 	"caperwheel/internal/wire"
 )
 
-// holdPercent is the part of its caller's time, in hundredths, after which a
-// message is given up: the caller can then come back, to another adapter.
+// holdPercent is the share of the caller's deadline after which the adapter gives up, so that the caller has time to
+// retry through another adapter.
 const holdPercent = 45
 
-// maxPlacesTried is how many places are asked to hold a message that may go to any.
+// maxPlacesTried bounds the places that are tried for a message that may go to any.
 const maxPlacesTried = 4
 
-// hold gives the message to its place's owner. What is not known to be held
-// after a while is settled: held, or never. One that has an idempotency key is
-// not settled against its caller, who is going to send it again; nor one whose
-// caller does not wait; nor any once the daemon is about to stop.
+// hold has the message held by its place's owner. If the outcome is unknown after a while, the message is settled: the
+// owner decides that it is held, or that it never will be. Messages with an idempotency or operation key are not
+// settled, since their caller sends them again; nor those with a short deadline; nor any while the daemon is stopping.
 func (in *Intake) hold(e *request) error {
 	if e.deadline > 0 {
 		return in.holdWithinDeadline(e)
@@ -33,7 +32,7 @@
 		return cause
 	}
 	if e.take.IdempotencyKey == "" && e.operationKey == "" && !errors.Is(context.Cause(e.ctx), web.ErrStopping) {
-		// The caller may have gone; the message's fate is settled all the same.
+		// Settled even if the caller has gone.
 		ctx, cancel = context.WithTimeout(context.WithoutCancel(e.ctx), in.d.Bounds.Of(timing.SettleTimeout)*2)
 		defer cancel()
 		ask := &wire.Settle{Place: e.take.Place, Id: e.take.Id, Lane: e.lane.Name}
@@ -49,8 +48,8 @@
 	return in.undecided(e)
 }
 
-// holdWithinDeadline does it within a part of the caller's time. As long as no store
-// can have a message that may go to any place, other places are tried.
+// holdWithinDeadline is hold for callers with a deadline; it uses a part of that. As long as no store can have the
+// message and it may go to any place, it tries other places.
 func (in *Intake) holdWithinDeadline(e *request) error {
 	ctx, cancel := context.WithTimeout(e.ctx, e.deadline*holdPercent/100)
 	defer cancel()
@@ -62,7 +61,7 @@
 		}
 		isHeld, isOpen, cause := in.askOwner(asking, in.quickOwners, e)
 		stop()
-		if isOpen && !isLast { // this place may have it: no other may, and its next owner can tell
+		if isOpen && !isLast { // this place may hold it, so no other may be tried; its next owner can tell
 			isHeld, _, _ = in.askOwner(ctx, in.quickOwners, e)
 		}
 		switch {
@@ -77,26 +76,27 @@
 	}
 }
 
-// askOwner brings the take to its owner. Without a cause the owner has answered, and
-// taken has its word.
+// askOwner sends the message to the owner of its place. If cause is nil, the owner has answered and e.taken is its
+// answer. isOpen means that the message may be held although that is not confirmed.
 func (in *Intake) askOwner(ctx context.Context, owners ownerClient, e *request) (isHeld, isOpen bool, cause error) {
 	e.taken = nil
 	reply, isOpen, err := owners.CallOwnerTracked(ctx, wire.FirstPlaceGroup+e.take.Place, &e.take, isOwner)
 	e.mayBeHeldEarlier = e.mayBeHeldEarlier || isOpen
 	if err != nil {
-		return false, isOpen, errs.New(errs.NotOwner, "the message's place cannot be reached")
+		return false, isOpen, errs.New(errs.NotOwner, "hold message: no owner of its place answered")
 	}
 	e.taken = reply.(*wire.Taken)
-	if e.operationKey != "" && e.taken.Kind == string(errs.Conflict) { // held since an earlier send, which had other bytes
+	if e.operationKey != "" && e.taken.Kind == string(errs.Conflict) { // an earlier request with the same key and another body is held
 		e.taken = &wire.Taken{Id: e.take.Id, State: string(place.Held), IsRepeat: true}
 	}
 	if e.taken.Kind == "" || !isOpen || e.taken.Kind == string(errs.Rejected) {
 		return e.taken.Kind == "", false, nil
 	}
-	return false, true, errs.New(errs.Kind(e.taken.Kind), "%s", e.taken.Text) // but an earlier ask may be held yet
+	return false, true, errs.New(errs.Kind(e.taken.Kind), "%s", e.taken.Text) // an earlier attempt may still be held
 }
 
+// undecided returns the error for a message that may be held.
 func (in *Intake) undecided(e *request) error {
 	e.mayBeHeld = true
-	return errs.New(errs.Undecided, "whether the message is held is not known yet; ask for it by id")
+	return errs.New(errs.Undecided, "hold message: the outcome is not known yet; look the message up by its id")
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,7 @@
-// Package intake is an adapter's HTTP side towards callers: it takes messages
-// in, and answers for any message by following its place.
+// Package intake is the HTTP side of an adapter towards callers. It authenticates the tenant, applies the tenant's
+// limit, has each message held by the owner of its place, and serves the status and body of messages. It holds the
+// requests in progress and the observed weights of the stores, nothing durable. The adapter daemon (cmd/adapter) and
+// the package platform call it.
 package intake
 
 import (
@@ -21,47 +23,49 @@
 	"caperwheel/internal/wire"
 )
 
-// Intake of one adapter. Invariant: at most Most requests are in hand.
+// Intake is the intake of one adapter. Invariant: at most Settings.MaxInFlight requests that send a message are in
+// progress.
 type Intake struct {
 	d             *daemon.Daemon
 	configs       *config.Cache
 	owners        ownerClient
-	quickOwners   ownerClient // for callers that do not wait long
+	quickOwners   ownerClient // with a time limit per attempt, for callers with a deadline
 	unresponsive  unresponsiveStores
 	inFlight      atomic.Int64
-	openWaits     atomic.Int64 // waits for an end
-	peers         weight.Peers // stores, as this adapter sees them
+	openWaits     atomic.Int64 // requests waiting for a message to end
+	peers         weight.Peers // weights of the stores, as observed here
 	tenantAnswers tenantAnswers
 	limiter       Limiter
 	actions       pipeline.Actions[*request]
 	programs      pipeline.Programs
 }
 
-// ownerClient brings asks to the owners of places; internal/reach does.
+// ownerClient calls the owners of places; ownerclient.Client implements it.
 type ownerClient interface {
 	CallOwnerTracked(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (reply any, isOpen bool, err error)
 	CallOwner(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (any, error)
 }
 
-// request is one request on its way in.
+// request is a message being accepted.
 type request struct {
 	ctx              context.Context
-	compiled         *config.Compiled // the lane's rules are of its configuration
-	isFresh          bool             // the view was, just before its configuration was taken
+	compiled         *config.Compiled // configuration that the lane's rules come from
+	isFresh          bool             // whether the view was fresh just before compiled was read
 	lane             config.Lane
-	tenant           config.Tenant // whose message it is; none where the lane is public and no key was given
-	operationKey     string        // operation key: the tenant's sends with one name are one message
-	orderingKey      string        // ordering key that the request carries, whether its lane is ordered or not
-	deadline         time.Duration // how long its caller waits; 0 if that is not known
+	tenant           config.Tenant // the zero value on a public lane without a valid key
+	operationKey     string        // all requests of the tenant with the same one are the same message
+	orderingKey      string        // ordering key of the request, also if the lane is not ordered
+	deadline         time.Duration // how long the caller waits; 0 if unknown
 	take             wire.Take
 	taken            *wire.Taken
-	mayBeHeld        bool // a store may have it, or may have had it of an earlier send
-	mayBeHeldEarlier bool // an ask of this request's may have been held before the one that was answered
+	mayBeHeld        bool // a store may hold it, from this or an earlier request
+	mayBeHeldEarlier bool // an attempt of this request before the answered one may have been held
 }
 
+// maxKeyBytes bounds keys, ids and the content type.
 const maxKeyBytes = 200
 
-// New readies the intake and its HTTP paths.
+// New returns an intake that serves its HTTP paths on the daemon's mux.
 func New(d *daemon.Daemon, configs *config.Cache) *Intake {
 	in := &Intake{d: d, configs: configs, limiter: Unlimited{}}
 	in.owners = &ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink}
@@ -78,30 +82,30 @@
 				return errStale()
 			}
 			if configs.Current().Rules != e.compiled.Rules {
-				return errs.New(errs.Stale, "the configuration has changed meanwhile")
+				return errs.New(errs.Stale, "message not accepted: the configuration has changed since the request arrived")
 			}
 			return nil
 		},
 		pipeline.LimitBodySize: func(s pipeline.Step, e *request) error {
 			if int64(len(e.take.Body)) > s.Number {
-				return errs.New(errs.TooLarge, "body of %d bytes, limit %d", len(e.take.Body), s.Number)
+				return errs.New(errs.TooLarge, "message body has %d bytes, the lane's limit is %d", len(e.take.Body), s.Number)
 			}
 			return nil
 		},
 		pipeline.RequireKey: func(_ pipeline.Step, e *request) error {
 			if e.take.Key == "" {
-				return errs.New(errs.Invalid, "lane %s is ordered and needs an Ordering-Key", e.lane.Name)
+				return errs.New(errs.Invalid, "lane %s is ordered: the request needs an Ordering-Key", e.lane.Name)
 			}
 			return nil
 		},
 		pipeline.ForbidKey: func(_ pipeline.Step, e *request) error {
 			if e.take.Key != "" {
-				return errs.New(errs.Invalid, "lane %s is not ordered and takes no Ordering-Key", e.lane.Name)
+				return errs.New(errs.Invalid, "lane %s is not ordered: the request may not have an Ordering-Key", e.lane.Name)
 			}
 			return nil
 		},
 		pipeline.Place: func(_ pipeline.Step, e *request) error {
-			if e.take.Id == "" { // one with an idempotency key has had its place since it was read
+			if e.take.Id == "" { // with an idempotency key it was assigned when the request was read
 				in.assignPlace(e)
 			}
 			return nil
@@ -115,12 +119,11 @@
 	return in
 }
 
-// assignPlace gives the message its place and id. An ordering key names the place,
-// an idempotency or operation key the id: whoever sends the message again, through any
-// adapter, asks for the same one.
+// assignPlace sets the message's place and id. An ordering key determines the place, and an idempotency or operation
+// key the id, so that a repeated request gets the same ones through any adapter.
 //
-// Invariant: the place and id of a tenant's message with an operation key follow from the request and its
-// tenant alone. The lane, which a change of the configuration may replace between two sends, has no part in them.
+// Invariant: the place and id of a tenant's message with an operation key follow from the request and its tenant alone.
+// They do not depend on the lane, which a configuration change may replace between two sends of the message.
 func (in *Intake) assignPlace(e *request) {
 	t := &e.take
 	switch {
@@ -142,13 +145,14 @@
 	t.Id = strconv.FormatInt(t.Place, 10) + "-" + tokenOf(e)
 }
 
+// hashToPlace returns the place that a key of a lane or tenant hashes to.
 func (in *Intake) hashToPlace(lane, key string) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(lane + "\x00" + key))
 	return int64(h.Sum64() % uint64(in.d.Settings.Places))
 }
 
-// Run moves the weights of the stores until ctx ends.
+// Run keeps connections to the stores open and updates their weights, until ctx ends.
 func (in *Intake) Run(ctx context.Context) {
 	timing.Every(ctx, in.d.Bounds.Of(timing.AnswerTimeout), func() {
 		for _, who := range in.d.Membership.OfKind("store") {
@@ -158,8 +162,8 @@
 	})
 }
 
-// isOwner tells owners' answers from those of stores that name another. An
-// undecided answer is asked again: a take is known by its id.
+// isOwner reports whether a reply comes from the owner of the place, and otherwise which store it names. A reply that
+// says undecided is treated as not the owner's, so that the request is repeated: the owner recognises it by its id.
 func isOwner(reply any) (bool, string) {
 	switch m := reply.(type) {
 	case *wire.Taken:
--- a/internal/intake/lookup.go
+++ b/internal/intake/lookup.go
@@ -15,14 +15,14 @@
 	"caperwheel/internal/wire"
 )
 
-// Message is what a caller is told of a message.
+// Message is the JSON status of a message for its caller.
 type Message struct {
 	Id       string `json:"id"`
 	Lane     string `json:"lane,omitempty"`
 	Key      string `json:"ordering_key,omitempty"`
 	State    string `json:"state"`
 	Attempts int64  `json:"attempts"`
-	Cause    string `json:"cause,omitempty"` // of the newest error
+	Cause    string `json:"cause,omitempty"` // kind of the most recent error
 	Sum      string `json:"sha256,omitempty"`
 	Parent   string `json:"parent,omitempty"`
 	Callback string `json:"callback,omitempty"`
@@ -30,21 +30,23 @@
 	Taken    any    `json:"taken,omitempty"`
 }
 
-// Proof is the record of the run that succeeded.
+// Proof is the JSON record of the run that succeeded.
 type Proof struct {
 	Attempt int64  `json:"attempt"`
 	Worker  string `json:"worker"`
 	Adapter string `json:"adapter"`
 	Status  int64  `json:"status"`
 	Ctype   string `json:"content_type,omitempty"`
-	Answer  []byte `json:"answer"` // base64
+	Answer  []byte `json:"answer"` // encoded as base64
 	Sum     string `json:"answer_sha256"`
 }
 
+// maxWait bounds the wait parameter of a request.
 const maxWait = 30 * time.Second
 
 func isJson(body []byte) bool { return json.Valid(body) }
 
+// waitOf parses the wait parameter; 0 if it is absent.
 func waitOf(r *http.Request) (time.Duration, error) {
 	text := r.URL.Query().Get("wait")
 	if text == "" {
@@ -52,32 +54,32 @@
 	}
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait < 0 || wait > maxWait {
-		return 0, errs.New(errs.Invalid, "wait must be a duration up to %v", maxWait)
+		return 0, errs.New(errs.Invalid, "parameter wait must be a duration from 0 to %v", maxWait)
 	}
 	return wait, nil
 }
 
-// Lookup returns what is known of a message, with its bytes or without.
+// Lookup returns the state of a message from its place's owner, with the body if isWithBody is set.
 func (in *Intake) Lookup(ctx context.Context, id string, isWithBody bool) (*wire.Sight, error) {
 	s, err := in.lookup(ctx, id, isWithBody, 0)
 	if err == nil && isWithBody && isBodyDropped(s) {
-		return nil, errs.New(errs.Unknown, "the bytes went with the success")
+		return nil, errs.New(errs.Unknown, "the message's body was dropped when it succeeded")
 	}
 	if err == nil && isWithBody && s.State == string(place.Tombstone) {
-		return nil, errs.New(errs.Unknown, "the message was not taken")
+		return nil, errs.New(errs.Unknown, "the message was never accepted, so it has no body")
 	}
 	if err == nil && isWithBody && wire.Checksum(s.Body) != s.Checksum {
-		return nil, errs.New(errs.Corrupt, "the bytes do not match their checksum")
+		return nil, errs.New(errs.Corrupt, "the stored message body does not match its checksum")
 	}
 	return s, err
 }
 
-// isBodyDropped: the lane does not keep the bytes of what succeeded.
+// isBodyDropped reports whether a message has succeeded on a lane that does not keep the bodies of such messages.
 func isBodyDropped(s *wire.Sight) bool {
 	return s.State == string(place.Ended) && len(s.Body) == 0 && s.Checksum != wire.Checksum(nil)
 }
 
-// lookup asks the owner of the message's place.
+// lookup asks the owner of the message's place; wait is how long the owner may hold the request until the message ends.
 func (in *Intake) lookup(ctx context.Context, id string, isWithBody bool, wait time.Duration) (*wire.Sight, error) {
 	number, err := in.parsePlace(id)
 	if err != nil {
@@ -88,24 +90,25 @@
 	reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+number, &wire.Look{Place: number, Id: id, Body: isWithBody,
 		Wait: int64(wait / time.Millisecond)}, isOwner)
 	if err != nil {
-		return nil, errs.New(errs.Lost, "the message's place cannot be reached")
+		return nil, errs.New(errs.Lost, "look up message: the owner of its place did not answer")
 	}
 	s := reply.(*wire.Sight)
 	if s.Kind != "" {
-		return nil, errs.New(errs.Kind(s.Kind), "message %s", id)
+		return nil, errs.New(errs.Kind(s.Kind), "look up message %s", id)
 	}
 	return s, nil
 }
 
+// isOver reports whether a message in this state will not run any more.
 func isOver(state string) bool { return place.State(state).IsOver() }
 
-// maxOpenWaits is how many waits of one adapter owners may hold at a time, so that
-// they leave room on the links for messages. Those beyond do not wait.
+// maxOpenWaits bounds the waiting requests that one adapter holds open at owners, so that room for messages remains on
+// the links. Requests beyond it are answered without waiting.
 const maxOpenWaits = 1024
 
-// await asks the owner to answer when the message is over, and again until the
-// wait has passed; an owner of an older version answers at once. A daemon that
-// stops does not wait, and tells what is known: its connections are cut in the end.
+// await asks the owner to answer when the message has ended, and repeats that until the wait has passed; an owner of an
+// older version answers at once. A daemon that is stopping does not wait but answers with the current state, since its
+// connections will be closed.
 func (in *Intake) await(ctx context.Context, id string, wait time.Duration) (*wire.Sight, error) {
 	if in.openWaits.Add(1) > maxOpenWaits {
 		wait = 0
@@ -125,6 +128,7 @@
 	}
 }
 
+// messageOf converts an owner's answer to the JSON status.
 func messageOf(s *wire.Sight) Message {
 	m := Message{Id: s.Id, Lane: s.Lane, Key: wire.CallerKey(s.Key), State: s.State, Attempts: s.Attempts, Cause: s.Cause, Sum: s.Checksum,
 		Parent: s.Parent, Callback: s.Child}
@@ -138,6 +142,7 @@
 	return m
 }
 
+// replyAccepted answers a request whose message was accepted, after the wait that the request asks for.
 func (in *Intake) replyAccepted(w http.ResponseWriter, r *http.Request, id, state string) {
 	w.Header().Set("Location", "/v1/messages/"+id)
 	wait, _ := waitOf(r)
@@ -155,6 +160,7 @@
 	web.WriteJson(w, code, m)
 }
 
+// get serves the status of a message.
 func (in *Intake) get(w http.ResponseWriter, r *http.Request) {
 	wait, err := waitOf(r)
 	if err != nil {
@@ -176,8 +182,8 @@
 	web.WriteJson(w, 200, messageOf(s))
 }
 
-// settleById makes the fate of an undecided message definite: if its place has
-// not held it by now, it never will.
+// settleById makes the fate of an undecided message definite: if its place does not hold it by now, the place will
+// refuse it from then on.
 func (in *Intake) settleById(ctx context.Context, id string) (*wire.Sight, error) {
 	number, err := in.parsePlace(id)
 	if err != nil {
@@ -187,24 +193,25 @@
 	defer cancel()
 	reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+number, &wire.Settle{Place: number, Id: id}, isOwner)
 	if err != nil {
-		return nil, errs.New(errs.Lost, "the message's place cannot be reached")
+		return nil, errs.New(errs.Lost, "settle message: the owner of its place did not answer")
 	}
 	if kind := errs.Kind(reply.(*wire.Taken).Kind); kind != "" && kind != errs.Rejected {
-		return nil, errs.New(kind, "the message cannot be settled now")
+		return nil, errs.New(kind, "settle message: the owner of its place could not decide now")
 	}
 	return in.lookup(ctx, id, false, 0)
 }
 
-// parsePlace reads the place out of an id, which is place, dash, token.
+// parsePlace returns the place in a message id, which has the form place-token.
 func (in *Intake) parsePlace(id string) (int64, error) {
 	text, rest, isWhole := strings.Cut(id, "-")
 	number, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || !isWhole || rest == "" || len(id) > maxKeyBytes || number < 0 || number >= int64(in.d.Settings.Places) {
-		return 0, errs.New(errs.Unknown, "no message has such an id")
+		return 0, errs.New(errs.Unknown, "no message can have this id: it is malformed or names no place")
 	}
 	return number, nil
 }
 
+// getBody serves the body of a message.
 func (in *Intake) getBody(w http.ResponseWriter, r *http.Request) {
 	s, err := in.Lookup(r.Context(), r.PathValue("id"), true)
 	if err != nil {
@@ -217,5 +224,5 @@
 	w.Header().Set("X-Content-SHA256", s.Checksum)
 	w.Header().Set("Content-Length", strconv.Itoa(len(s.Body)))
 	w.WriteHeader(200)
-	_, _ = w.Write(s.Body) // a broken write breaks the connection, never closes it neatly
+	_, _ = w.Write(s.Body) // if the write fails, the connection is reset, so that the caller does not take a part for the whole
 }
--- a/internal/intake/metrics.go
+++ b/internal/intake/metrics.go
@@ -15,24 +15,25 @@
 
 func init() { prometheus.MustRegister(answersTotal) }
 
-// resultTaken is what is counted of a message that is held; all others are counted by their kind of error.
+// resultTaken is the label value for accepted messages; all others are counted by their kind of error.
 const resultTaken = "taken"
 
-// count counts by lane and by tenant; names that are no lane's would grow without bound.
+// count counts an answer by lane and by tenant. Unknown lane names are not used as labels, since their number is
+// unbounded.
 func (in *Intake) count(e *request, told string) {
 	answersTotal.WithLabelValues(e.lane.Name, told).Inc()
 	in.tenantAnswers.add(e.tenant.Name, told)
 }
 
-// tenantAnswers counts what tenants were told.
+// tenantAnswers counts answers per tenant.
 //
-// Invariant: after a reading it has tenants of the configuration alone, so it is bounded as that is.
+// Invariant: after each scrape it has only tenants of the configuration, which bounds its size.
 type tenantAnswers struct {
 	mu     sync.Mutex
-	counts map[string]map[string]float64 // by tenant and what was told
+	counts map[string]map[string]float64 // by tenant and result
 }
 
-// add counts one answer; those to callers who are no tenant's are not counted here.
+// add counts one answer; answers to callers without a tenant are ignored.
 func (c *tenantAnswers) add(tenant, told string) {
 	if tenant == "" {
 		return
@@ -48,7 +49,7 @@
 	c.counts[tenant][told]++
 }
 
-// measure forgets tenants that are no longer there, and tells of the others.
+// measure drops tenants that have left the configuration, and emits the counts of the others.
 func (c *tenantAnswers) measure(rules *config.Rules, emit daemon.Emit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/intake/placement.go
+++ b/internal/intake/placement.go
@@ -10,16 +10,17 @@
 	"caperwheel/internal/wire"
 )
 
-// placeDrawAttempts is how often a place is drawn again whose owner has a low weight.
+// placeDrawAttempts bounds the draws of a place: a drawn place is rejected with a probability that falls with its
+// owner's weight.
 const placeDrawAttempts = 4
 
-// quiet has the stores that did not answer lately, and since when.
+// unresponsiveStores has the stores whose last request went unanswered, and since when.
 type unresponsiveStores struct {
 	mu    sync.Mutex
 	since map[string]time.Duration
 }
 
-// recordAttempt notes how a try to have a message held went.
+// recordAttempt records whether and how fast a store answered a request to hold a message.
 func (in *Intake) recordAttempt(name string, micros float64, isAnswered bool) {
 	in.peers.Record(name, micros, isAnswered)
 	q := &in.unresponsive
@@ -35,7 +36,7 @@
 	q.since[name] = in.d.Now()
 }
 
-// isUnresponsive: the store did not answer a moment ago. After that it is tried again.
+// isUnresponsive reports whether a store did not answer a moment ago. After that it is tried again.
 func (in *Intake) isUnresponsive(name string) bool {
 	q := &in.unresponsive
 	q.mu.Lock()
@@ -44,9 +45,8 @@
 	return isKnown && in.d.Now()-at < in.d.Bounds.Of(timing.Permit)
 }
 
-// choosePlace draws a place for a message that may go to any, as the paper draws
-// targets: of those whose owner is known and answers, one in our own zone if
-// there is one, since each byte between zones costs; by the owners' weights.
+// choosePlace draws a place for a message that may go to any: among places whose owner is known and responsive, those
+// owned in this adapter's zone if there are any, since traffic between zones costs; at random by the owners' weights.
 func (in *Intake) choosePlace() int64 {
 	all := int64(in.d.Settings.Places)
 	own, others := []int64{}, []int64{}
--- a/internal/intake/tenant.go
+++ b/internal/intake/tenant.go
@@ -13,35 +13,37 @@
 	"caperwheel/internal/wire"
 )
 
-// Limiter admits messages of tenants, so that the whole fleet accepts no more of one than its limit allows.
+// Limiter enforces the tenants' rate limits, which apply to all adapters together.
 type Limiter interface {
-	// Admit returns a permit for one message, or an error of kind errs.OverQuota, or errs.Lost if whether
-	// the tenant is within its limit cannot be found out now. A tenant without a limit is always admitted.
+	// Admit returns a permit for one message. It returns errs.OverQuota if the limit is exhausted, and errs.Lost if
+	// that cannot be determined now. A tenant without a limit is always admitted.
 	Admit(ctx context.Context, tenant config.Tenant) (Permit, error)
 }
 
-// Permit is the right to have one message of a tenant accepted. End is called once.
+// Permit is the right to accept one message of a tenant. End is called exactly once.
 type Permit interface {
 	End(isCounted bool)
 }
 
-// Unlimited admits everything.
+// Unlimited is a Limiter that admits everything.
 type Unlimited struct{}
 
+// noopPermit is the permit of Unlimited.
 type noopPermit struct{}
 
-// Admit implements Limits.
+// Admit implements Limiter.
 func (Unlimited) Admit(context.Context, config.Tenant) (Permit, error) { return noopPermit{}, nil }
 
+// End implements Permit.
 func (noopPermit) End(bool) {}
 
-// SetLimiter has messages admitted by limits; called once, before anything is served.
+// SetLimiter sets the limiter; to be called once, before anything is served.
 func (in *Intake) SetLimiter(limits Limiter) { in.limiter = limits }
 
-// bearerPrefix is how a header field begins that holds an API key.
+// bearerPrefix is the start of an Authorization header with an API key.
 const bearerPrefix = web.AuthScheme + " "
 
-// BearerToken returns the API key that a request carries, or an empty string without one.
+// BearerToken returns the API key of a request, or an empty string if there is none.
 func BearerToken(r *http.Request) string {
 	text := r.Header.Get("Authorization")
 	if len(text) < len(bearerPrefix) || !strings.EqualFold(text[:len(bearerPrefix)], bearerPrefix) {
@@ -50,31 +52,31 @@
 	return strings.TrimSpace(text[len(bearerPrefix):])
 }
 
-// findTenant takes the tenant that holds the caller's key, by the rules that the request's lane is of.
+// findTenant sets the tenant of an API key by the same configuration as the request's lane.
 func (in *Intake) findTenant(e *request, key string) error {
 	tenant, err := tenantFor(e.compiled.Rules, e.lane, key)
-	if err != nil && !e.isFresh { // a newer configuration may hold the key
+	if err != nil && !e.isFresh { // a newer configuration may have the key
 		return errStale()
 	}
 	e.tenant = tenant
 	return err
 }
 
-// tenantFor returns the tenant that a key's caller may send as on a lane. A public lane takes callers
-// without a key, or with one that nobody holds, as nobody's.
+// tenantFor returns the tenant of an API key for a lane. On a public lane, requests with an unknown key or none are
+// accepted without a tenant.
 func tenantFor(rules *config.Rules, lane config.Lane, key string) (config.Tenant, error) {
 	if !rules.HasTenants() {
 		return config.Tenant{}, nil
 	}
 	tenant, isHeld := rules.TenantOf(key)
 	if !isHeld && !lane.IsPublic {
-		return tenant, errs.New(errs.Unauthorized, "no tenant holds the API key")
+		return tenant, errs.New(errs.Unauthorized, "the API key is missing or belongs to no tenant")
 	}
 	return tenant, nil
 }
 
-// assignKeys gives the message what it is known by: the name that its tenant gave it, and the ordering key
-// of the tenant's. One without a key is about nothing that others are about.
+// assignKeys sets the operation key and the ordering key. On an ordered lane, a message without an ordering key gets
+// one of its own, so that it is ordered with no other message.
 func (e *request) assignKeys(name, key string) {
 	e.operationKey, e.orderingKey = name, key
 	if !e.lane.IsOrdered {
@@ -89,22 +91,22 @@
 	e.take.Key = wire.ScopedKey(e.tenant.Name, key)
 }
 
-// scopeKeys makes the keys of a message those of its tenant.
+// scopeKeys prefixes the keys of a message with its tenant.
 func (e *request) scopeKeys() {
 	e.take.Key = wire.ScopedKey(e.tenant.Name, e.take.Key)
 	e.take.IdempotencyKey = wire.ScopedKey(e.tenant.Name, e.take.IdempotencyKey)
 }
 
-// Parts of a message's token.
+// Parts of the token in a message id.
 const (
-	tenantPrefix    = "t" // begins the token of a message that is a tenant's; no other token begins so
-	tenantDigits    = 16  // hexadecimal digits of the tenant's name that follow
-	operationDigits = 32  // hexadecimal digits that a name is known by: 128 bits
+	tenantPrefix    = "t" // first character of the token if the message has a tenant; no other token starts with it
+	tenantDigits    = 16  // hexadecimal digits of the hash of the tenant's name
+	operationDigits = 32  // hexadecimal digits of the hash of the operation key: 128 bits
 	idemDigits      = 24
 	randomBytes     = 12
 )
 
-// tokenOf returns what follows the place in a message's id.
+// tokenOf returns the part of a message's id after the place.
 func tokenOf(e *request) string {
 	t := &e.take
 	switch {
@@ -116,12 +118,12 @@
 	return tenantTokenPrefix(e.tenant.Name) + daemon.RandomId(randomBytes)
 }
 
-// OperationToken returns what follows the place in the id of all sends of a tenant with one operation key.
+// OperationToken returns the part of a message's id after the place for a tenant's operation key.
 func OperationToken(tenant, operation string) string {
 	return tenantTokenPrefix(tenant) + "n" + wire.Checksum([]byte(tenant + "\x00" + operation))[:operationDigits]
 }
 
-// tenantTokenPrefix returns what marks the messages of a tenant, nothing for none.
+// tenantTokenPrefix returns the start of the tokens of a tenant's messages; empty without a tenant.
 func tenantTokenPrefix(tenant string) string {
 	if tenant == "" {
 		return ""
@@ -129,40 +131,40 @@
 	return tenantPrefix + wire.Checksum([]byte(tenant))[:tenantDigits]
 }
 
-// hasTenant reports whether a message is a tenant's, by its id.
+// hasTenant reports whether the message with this id has a tenant.
 func hasTenant(id string) bool {
 	_, token, _ := strings.Cut(id, "-")
 	return strings.HasPrefix(token, tenantPrefix)
 }
 
-// belongsTo reports whether a message is one of a tenant.
+// belongsTo reports whether the message with this id belongs to a tenant.
 func belongsTo(id, tenant string) bool {
 	_, token, _ := strings.Cut(id, "-")
 	tag := tenantTokenPrefix(tenant)
 	return tag != "" && len(token) >= len(tag) && subtle.ConstantTimeCompare([]byte(token[:len(tag)]), []byte(tag)) == 1
 }
 
-// CheckAccess returns an error of kind errs.Unauthorized, errs.Unknown or errs.Stale if the caller of a
-// request may not ask for a message. A tenant's is the tenant's alone, whatever became of the
-// configuration; anybody may ask for one that is nobody's.
+// CheckAccess returns an error of kind errs.Unauthorized, errs.Unknown or errs.Stale if the caller of a request may not
+// access a message. A tenant's message is accessible to that tenant only, whatever the configuration has become; a
+// message without a tenant is accessible to everyone.
 func (in *Intake) CheckAccess(r *http.Request, id string) error {
 	if !hasTenant(id) {
 		return nil
 	}
-	isFresh := in.d.IsFresh() // before the configuration, so that a key missing from it is missing
+	isFresh := in.d.IsFresh() // checked before the configuration is read, so that a key missing from it is really missing
 	tenant, isHeld := in.configs.Current().Rules.TenantOf(BearerToken(r))
 	switch {
 	case !isFresh:
 		return errStale()
 	case !isHeld:
-		return errs.New(errs.Unauthorized, "no tenant holds the API key")
+		return errs.New(errs.Unauthorized, "the API key is missing or belongs to no tenant")
 	case !belongsTo(id, tenant.Name):
-		return errs.New(errs.Unknown, "no message has such an id")
+		return errs.New(errs.Unknown, "the tenant of the API key has no message with this id")
 	}
 	return nil
 }
 
-// RequireAccess serves callers who may ask for the message that the path's id names, and refuses others.
+// RequireAccess wraps a handler so that it serves only callers who may access the message named in the path.
 func (in *Intake) RequireAccess(serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := in.CheckAccess(r, r.PathValue("id")); err != nil {
@@ -173,12 +175,12 @@
 	}
 }
 
-// countsAgainstLimit reports whether a message that was admitted counts against its tenant's limit: not one that is
-// known not to be held, nor a repeat of one that was counted.
+// countsAgainstLimit reports whether an admitted message counts against its tenant's limit. It does not if it is known
+// not to be held, or repeats a message that was counted.
 func (e *request) countsAgainstLimit(err error) bool {
 	if err != nil || e.taken == nil {
 		return errs.Is(err, errs.Undecided)
 	}
-	isRepeat := e.taken.IsRepeat && !e.mayBeHeldEarlier // else it may be this request's own ask that is repeated
+	isRepeat := e.taken.IsRepeat && !e.mayBeHeldEarlier // otherwise the repeat may be of an earlier attempt of this request
 	return e.taken.Kind == "" && !isRepeat
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,5 +1,6 @@
-// Package limit admits messages of tenants at an adapter, with tokens that places grant it. What is decided
-// is package quota's; this package keeps its wallet, brings its asks to the places' owners, and has messages wait.
+// Package limit enforces tenants' rate limits at an adapter, with tokens that the owners of places grant to it. The
+// decisions are those of package quota; this package holds the adapter's wallet of tokens, sends its requests for
+// tokens and makes messages wait for them. The adapter daemon (cmd/adapter) calls it, through package intake.
 package limit
 
 import (
@@ -16,21 +17,21 @@
 	"caperwheel/internal/wire"
 )
 
-// TokenClient brings an ask to the owner of a place.
+// TokenClient sends a token request to the owner of a place.
 type TokenClient func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error)
 
-// Options are what the limits of an adapter work with.
+// Options configure a Limiter.
 type Options struct {
-	Holder        string // life of the adapter
-	Places        int    // of the deployment
+	Holder        string // boot of the adapter, to which tokens are leased
+	Places        int    // number of places in the deployment
 	Bounds        timing.Bounds
-	Now           func() time.Duration // a steady clock
+	Now           func() time.Duration // a monotonic clock
 	RequestTokens TokenClient
 }
 
-// Limiter admit messages at one adapter. They implement intake.Limits.
+// Limiter admits messages at one adapter. It implements intake.Limiter.
 //
-// Invariant: waits has a channel, with room for one decision, for each message that waits in the wallet.
+// Invariant: waits has a channel with room for one decision for each message that waits in the wallet.
 type Limiter struct {
 	options Options
 
@@ -39,7 +40,7 @@
 	waits  map[int64]chan quota.Decision
 }
 
-// New returns limits that hold no tokens yet.
+// New returns a limiter that holds no tokens yet.
 func New(o Options) *Limiter {
 	times := quota.Times{Lease: o.Bounds.Of(timing.QuotaLease), Pause: o.Bounds.Of(timing.QuotaMinInterval), Answer: o.Bounds.Of(timing.QuotaAnswerTimeout),
 		Horizon: o.Bounds.Of(timing.QuotaHorizon)}
@@ -53,12 +54,12 @@
 	return int64(h.Sum64() % uint64(places))
 }
 
-// Run looks at intervals for what to tell and ask, until ctx ends.
+// Run sends due requests at intervals until ctx ends.
 func (l *Limiter) Run(ctx context.Context) {
 	timing.Every(ctx, l.options.Bounds.Of(timing.QuotaPollInterval), l.RequestDue)
 }
 
-// Admit implements intake.Limits.
+// Admit implements intake.Limiter.
 func (l *Limiter) Admit(ctx context.Context, tenant config.Tenant) (intake.Permit, error) {
 	if tenant.Rate <= 0 {
 		return intake.Unlimited{}.Admit(ctx, tenant)
@@ -72,11 +73,12 @@
 	case "":
 		return &permit{l, tenant.Name, decision.Epoch}, nil
 	case errs.OverQuota:
-		return nil, errs.New(errs.OverQuota, "the tenant's limit is used up")
+		return nil, errs.New(errs.OverQuota, "message refused: the tenant's rate limit is exhausted")
 	}
-	return nil, errs.New(errs.Lost, "whether the tenant is within its limit is not known")
+	return nil, errs.New(errs.Lost, "message refused: no decision on the tenant's rate limit in time")
 }
 
+// take asks the wallet for a token. If the message must wait, it also returns the channel for the decision.
 func (l *Limiter) take(tenant string) (quota.Decision, chan quota.Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +93,7 @@
 	return decision, wait
 }
 
-// await waits for the decision on a message, but not for long.
+// await waits for the decision on a message, up to timing.QuotaWait.
 func (l *Limiter) await(ctx context.Context, tenant string, number int64, wait chan quota.Decision) quota.Decision {
 	ctx, cancel := timing.Within(ctx, l.options.Bounds.Of(timing.QuotaWaitTimeout))
 	defer cancel()
@@ -103,7 +105,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case decision := <-wait: // it came meanwhile
+	case decision := <-wait: // it arrived meanwhile
 		return decision
 	default:
 	}
@@ -112,7 +114,7 @@
 	return quota.Decision{Refusal: errs.Lost}
 }
 
-// resolve tells messages that wait what was decided. l.mu is held.
+// resolve delivers decisions to the messages that wait for them. l.mu is held.
 func (l *Limiter) resolve(all []quota.Settled) {
 	for _, s := range all {
 		l.waits[s.Number] <- s.Decision
@@ -120,7 +122,7 @@
 	}
 }
 
-// permit is a token that a message was admitted with.
+// permit is the token that a message was admitted with.
 type permit struct {
 	limits *Limiter
 	tenant string
