--- a/internal/limit/metrics.go
+++ b/internal/limit/metrics.go
@@ -18,6 +18,7 @@
 
 func init() { prometheus.MustRegister(admissionsTotal, requestsTotal) }
 
+// countAdmission counts a decision on a message.
 func countAdmission(d quota.Decision, isWaited bool) {
 	told, waited := "admitted", "no"
 	if d.Refusal != "" {
@@ -29,6 +30,7 @@
 	admissionsTotal.WithLabelValues(told, waited).Inc()
 }
 
+// countRequest counts a token request by its result.
 func countRequest(err error) {
 	told := "answered"
 	if err != nil {
@@ -37,7 +39,7 @@
 	requestsTotal.WithLabelValues(told).Inc()
 }
 
-// Measure tells how many tokens are held, and of how many tenants.
+// Measure emits how many tokens are held and how many tenants have an account.
 func (l *Limiter) Measure(emit daemon.Emit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/limit/request.go
+++ b/internal/limit/request.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// RequestDue asks what is due.
+// RequestDue sends the token requests that are due.
 func (l *Limiter) RequestDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -18,7 +18,7 @@
 	l.requestFor(now, l.wallet.Tenants(now)...)
 }
 
-// requestFor sends what is due for tenants, those that one place counts in one message. l.mu is held.
+// requestFor sends the due requests for tenants, one message per place. l.mu is held.
 func (l *Limiter) requestFor(now time.Duration, tenants ...string) {
 	counts := map[int64][]wire.QuotaCount(nil)
 	for _, tenant := range tenants {
@@ -37,7 +37,8 @@
 	}
 }
 
-// request brings one ask to its place and takes the answer in.
+// request sends one request to the owner of its place and applies the answer. A tenant without a grant in the answer
+// counts as failed.
 func (l *Limiter) request(sentAt time.Duration, ask *wire.QuotaAsk) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.options.Bounds.Of(timing.AnswerTimeout))
 	defer cancel()
@@ -61,7 +62,7 @@
 	}
 }
 
-// ClientFor returns an Asker that finds owners through a reach.
+// ClientFor returns a TokenClient that finds owners by an ownerclient.Client.
 func ClientFor(r *ownerclient.Client) TokenClient {
 	return func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error) {
 		reply, err := r.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
@@ -71,15 +72,15 @@
 		grants, isGrants := reply.(*wire.QuotaGrants)
 		switch {
 		case !isGrants:
-			return nil, errs.New(errs.Internal, "a %T answered an ask for tokens", reply)
+			return nil, errs.New(errs.Internal, "request tokens: unexpected reply of type %T", reply)
 		case grants.Kind != "":
-			return nil, errs.New(errs.Kind(grants.Kind), "the place did not grant tokens")
+			return nil, errs.New(errs.Kind(grants.Kind), "request tokens: the place's owner refused")
 		}
 		return grants, nil
 	}
 }
 
-// isOwner tells owners' answers from those of stores that name another.
+// isOwner reports whether a reply comes from the owner of the place, and otherwise which store it names.
 func isOwner(reply any) (bool, string) {
 	grants, isGrants := reply.(*wire.QuotaGrants)
 	if !isGrants {
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,6 +1,6 @@
-// Package manifest reads routes in the manner of the Gateway API and translates
-// them into edits of the configuration. What has no like in a configuration is refused, each
-// thing with its path: a route is taken whole or not at all.
+// Package manifest translates HTTPRoute manifests of the Kubernetes Gateway API into changes of the configuration. It
+// holds no state; the command-line tool (internal/cli) calls it. Whatever has no equivalent in the configuration is
+// reported with its path, and then the whole manifest is refused.
 package manifest
 
 import (
@@ -18,19 +18,20 @@
 	"caperwheel/internal/errs"
 )
 
-// ParentName is the name that a route's parentRefs must give.
+// ParentName is the only name that a route's parentRefs may have.
 const ParentName = "caperwheel"
 
+// The form of a route's path, and the bound on a manifest's size in bytes.
 const (
 	lanePathPrefix, lanePathSuffix = "/v1/lanes/", "/messages"
 	maxManifestBytes               = 1 << 20
 )
 
-// Translate returns the configuration with the routes of a manifest merged in.
+// Translate returns the configuration with the routes of a manifest merged in, or the faults of the manifest.
 func Translate(doc, manifest []byte) ([]byte, []config.Fault) {
 	faults := []config.Fault{}
 	if len(manifest) > maxManifestBytes {
-		return nil, []config.Fault{{Path: "", Text: "is larger than a manifest may be"}}
+		return nil, []config.Fault{{Path: "", Text: "the manifest is too large"}}
 	}
 	for i, part := range bytes.Split(manifest, []byte("\n---")) {
 		if len(bytes.TrimSpace(bytes.TrimPrefix(part, []byte("---")))) == 0 {
@@ -52,11 +53,13 @@
 	return doc, nil
 }
 
+// translator translates one document of a manifest and collects its faults.
 type translator struct {
 	at     string
 	faults []config.Fault
 }
 
+// fault records what is wrong at a path.
 func (t *translator) fault(path, text string) {
 	t.faults = append(t.faults, config.Fault{Path: strings.TrimSuffix(t.at+"."+path, "."), Text: text})
 }
@@ -65,7 +68,7 @@
 func (t *translator) route(raw []byte) ([]byte, error) {
 	var r gateway.HTTPRoute
 	if err := yaml.UnmarshalStrict(raw, &r); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "not a route")
+		return nil, errs.Wrap(err, errs.Invalid, "parse manifest document as HTTPRoute")
 	}
 	if r.Kind != "HTTPRoute" || r.APIVersion != gateway.GroupVersion.String() {
 		t.fault("kind", "must be HTTPRoute of "+gateway.GroupVersion.String())
@@ -85,11 +88,11 @@
 	r.Kind, r.APIVersion = "", ""
 	t.rejectUntranslated(r)
 	out, err := json.Marshal(map[string]any{"lanes": patch})
-	return out, errs.Wrap(err, errs.Internal, "patch")
+	return out, errs.Wrap(err, errs.Internal, "encode configuration patch")
 }
 
-// rule translates one rule: its paths name lanes, its back ends pools. What is
-// translated is taken out of it, so that what is left can be told.
+// rule translates one rule: its paths name lanes, its back ends pools. Translated fields are cleared, so that
+// rejectUntranslated finds the rest.
 func (t *translator) rule(at string, r *gateway.HTTPRouteRule, patch map[string]any) {
 	set := map[string]any{}
 	pools := []string{}
@@ -106,7 +109,7 @@
 		r.Timeouts.Request = nil
 	}
 	if r.Retry != nil && r.Retry.Attempts != nil {
-		set["attempts"] = *r.Retry.Attempts + 1 // a configuration counts the first run too
+		set["attempts"] = *r.Retry.Attempts + 1 // the configuration counts the first attempt too
 		r.Retry.Attempts = nil
 	}
 	if r.Retry != nil && r.Retry.Backoff != nil {
@@ -128,6 +131,7 @@
 	}
 }
 
+// laneOf returns the lane that a path match names.
 func laneOf(m *gateway.HTTPPathMatch) (string, bool) {
 	if m == nil || m.Type == nil || *m.Type != gateway.PathMatchExact || m.Value == nil {
 		return "", false
@@ -137,7 +141,7 @@
 	return lane, isBefore && isBehind && lane != "" && !strings.Contains(lane, "/")
 }
 
-// setLane sets a lane within the tree of lanes.
+// setLane adds a lane's settings to the tree of lanes.
 func setLane(tree map[string]any, names []string, set map[string]any) {
 	node, isKnown := tree[names[0]].(map[string]any)
 	if !isKnown {
@@ -156,7 +160,7 @@
 	setLane(children, names[1:], set)
 }
 
-// rejectUntranslated refuses whatever nobody has translated.
+// rejectUntranslated records a fault for each field that is left.
 func (t *translator) rejectUntranslated(r gateway.HTTPRoute) {
 	raw, err := json.Marshal(r)
 	var rest any
@@ -170,6 +174,7 @@
 	t.walk("", rest)
 }
 
+// walk records a fault for each non-empty value below a path.
 func (t *translator) walk(path string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
@@ -183,9 +188,9 @@
 	case nil:
 	case string:
 		if v != "" {
-			t.fault(path, "has no like in a configuration")
+			t.fault(path, "has no equivalent in the configuration")
 		}
 	default:
-		t.fault(path, "has no like in a configuration")
+		t.fault(path, "has no equivalent in the configuration")
 	}
 }
--- a/internal/ownerclient/client.go
+++ b/internal/ownerclient/client.go
@@ -1,5 +1,6 @@
-// Package ownerclient brings an ask to the owner of a place: by hint, then by what
-// the asked store says, then by trying the others.
+// Package ownerclient calls the owner of a place or partition: the owner known from the membership first, then the
+// store that an answer names, then every store in turn. It holds no state. Adapters, agents, managers and stores call
+// it.
 package ownerclient
 
 import (
@@ -15,36 +16,36 @@
 	"caperwheel/internal/wire"
 )
 
-// Client of a daemon.
+// Client calls the owners of a daemon's groups.
 type Client struct {
 	Node           *transport.Node
 	Membership     *session.Membership
 	Bounds         timing.Bounds
 	Link           *wire.Link
-	SendFunc       func(ctx context.Context, addr string, ask any) (any, error) // the transport's, if not given
-	OnAttempt      func(peer string, micros float64, isAnswered bool)           // told of each try of Ask, if given
-	AttemptTimeout timing.Ratio                                                 // how long one try waits; 0 for Settle
+	SendFunc       func(ctx context.Context, addr string, ask any) (any, error) // replaces the transport if set
+	OnAttempt      func(peer string, micros float64, isAnswered bool)           // called after each attempt of CallOwnerTracked if set
+	AttemptTimeout timing.Ratio                                                 // time limit of one attempt; 0 for timing.SettleTimeout
 }
 
-// immediateHops is how often an ask follows a named owner without a pause.
+// immediateHops bounds how often a named owner is tried without a pause.
 const immediateHops = 3
 
-// CallOwner asks the owner of a group until it answers or ctx ends. owned tells
-// whether an answer came from the owner, and else whom it named. The error
-// says whether the ask may have had an effect: NotOwner and Full mean no,
-// Undecided means that it may.
+// CallOwner sends a request to the owner of a group until the owner answers or ctx ends. owned reports whether an
+// answer came from the owner, and otherwise which store it names. The error tells whether the request may have taken
+// effect: NotOwner and Full mean no, Undecided means that it may.
 func (r *Client) CallOwner(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (any, error) {
 	reply, _, err := r.ask(ctx, id, ask, owned, nil)
 	return reply, err
 }
 
-// CallOwnerTracked is Group for asks that must not be said to have had no effect when they
-// may: isOpen tells, also with an owner's answer, that the same ask went out
-// before and nobody knows what became of it.
+// CallOwnerTracked is CallOwner for requests that must not be reported as without effect if they may have taken effect.
+// isOpen reports, also along with an owner's answer, that an earlier attempt of the same request went out and its
+// outcome is unknown.
 func (r *Client) CallOwnerTracked(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (reply any, isOpen bool, err error) {
 	return r.ask(ctx, id, ask, owned, r.OnAttempt)
 }
 
+// ask is the retry loop of CallOwner and CallOwnerTracked.
 func (r *Client) ask(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string),
 	saw func(string, float64, bool)) (reply any, isOpen bool, err error) {
 	hint, turn, hops := "", 0, 0
@@ -71,8 +72,8 @@
 			switch {
 			case err == nil:
 				isOwner, named := owned(reply)
-				// Whoever was owner when the ask came has lost its place over it: the
-				// next owner may have what it began.
+				// The store that was owner when the request arrived lost the group meanwhile: its successor may have
+				// what it began.
 				isOpen = isOpen || wire.ErrorKindOf(reply) == string(errs.Undecided)
 				if isOwner {
 					return reply, isOpen, nil
@@ -89,19 +90,19 @@
 			if hops++; hops < immediateHops {
 				continue // the owner was named: no need to wait
 			}
-			wait /= immediateHops // two name each other while ownership moves
+			wait /= immediateHops // two stores may name each other while ownership moves
 		}
 		timing.Wait(ctx, wait)
 		if ctx.Err() != nil {
 			if isOpen {
-				return nil, true, errs.New(errs.Undecided, "group %d did not answer", id)
+				return nil, true, errs.New(errs.Undecided, "call owner of group %d: a request was sent and not answered in time", id)
 			}
-			return nil, false, errs.New(errs.NotOwner, "no owner of group %d was found", id)
+			return nil, false, errs.New(errs.NotOwner, "call owner of group %d: no owner was found in time", id)
 		}
 	}
 }
 
-// CallMember asks one daemon, once.
+// CallMember sends a request to one daemon, once.
 func (r *Client) CallMember(ctx context.Context, who wire.Who, ask any) (any, error) {
 	ctx, cancel := timing.Within(ctx, r.Bounds.Of(cmp.Or(r.AttemptTimeout, timing.SettleTimeout)))
 	defer cancel()
@@ -111,8 +112,8 @@
 	return r.Node.Peer(r.Link, who.Addr).Call(ctx, ask)
 }
 
-// CallMembers asks several daemons at once and gives the answers of those that answered.
-// Where Call is given they are asked one after another, on the caller's goroutine.
+// CallMembers sends a request to several daemons at once and returns the answers of those that answered. If SendFunc is
+// set, they are called one after another on the caller's goroutine.
 func (r *Client) CallMembers(ctx context.Context, whom []wire.Who, ask any) []any {
 	answers := make(chan any, len(whom))
 	for _, who := range whom {
--- a/internal/requesthead/body.go
+++ b/internal/requesthead/body.go
@@ -5,6 +5,5 @@
 	"io"
 )
 
-// bodyReader gives bytes as a request's body. Nothing can be read twice of it, so
-// no library sends a request again by itself.
+// bodyReader returns a request body that can be read only once, so that no library resends the request by itself.
 func bodyReader(body []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(body)) }
--- a/internal/weight/peers.go
+++ b/internal/weight/peers.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// Peers weighs the peer daemons among which this one is free to choose, from
-// its own asks alone. It is safe for many goroutines.
+// Peers weighs the peer daemons that this one may choose among, by its own requests alone. It is safe for concurrent
+// use.
 //
-// Invariant: only peers that were asked since they were last seen here have an
-// entry, so their number is bounded by the members.
+// Invariant: only peers that were sent a request and are still members have an entry after Update, so their number is
+// bounded by the members.
 type Peers struct {
 	mu           sync.Mutex
 	observations map[string]Observation
 	weights      map[string]float64
 }
 
-const smoothing = 0.1 // share of the newest observation
+const smoothing = 0.1 // weight of the newest observation in an exponential moving average
 
-// Record records one request to a peer, whether it was answered, and how fast.
+// Record records one request to a peer: whether it was answered, and after how many microseconds.
 func (p *Peers) Record(name string, micros float64, isAnswered bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +38,7 @@
 	p.observations[name] = s
 }
 
-// Turn moves the weights one step and forgets peers that are gone.
+// Update moves the weights one step and forgets peers that have gone.
 func (p *Peers) Update(isHere func(name string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,14 +46,14 @@
 	p.weights = UpdateWeights(p.weights, p.observations)
 }
 
-// Weight returns a peer's weight, from Least to 1.
+// Weight returns a peer's weight, from WeightFloor to 1.
 func (p *Peers) Weight(name string) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return weightOf(p.weights, name)
 }
 
-// All returns a copy of all weights, by peer.
+// All returns a copy of the weights by peer.
 func (p *Peers) All() map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/weight/weight.go
+++ b/internal/weight/weight.go
@@ -1,6 +1,6 @@
-// Package weight holds the small controllers that decide how much of a pool's
-// traffic each zone and each worker gets, from what adapters observe. It is
-// pure.
+// Package weight has the controllers that set how much of a pool's traffic each zone and each worker gets, from the
+// latency and failures that adapters observe. It holds no state but Peers, and does no I/O. Managers compute the
+// published weights with it; adapters weigh the stores, and stores draw workers by the published weights.
 package weight
 
 import (
@@ -9,32 +9,31 @@
 	"slices"
 )
 
-// Observation is what the holder of a worker's duty has observed lately.
+// Observation is what was observed of a worker, pool or peer lately.
 type Observation struct {
 	Zone    string
-	Micros  float64 // smoothed time of a run
-	Failed  float64 // smoothed share of runs that failed, 0 to 1
-	IsProbe bool    // unhealthy: only probes go there
+	Micros  float64 // smoothed microseconds of a run
+	Failed  float64 // smoothed share of failed runs, 0 to 1
+	IsProbe bool    // unhealthy: it gets only probes
 }
 
-// Weights of a pool, as published. A worker's draw is its own weight times its
-// zone's.
+// Weights are the published weights of a pool. A worker is drawn by its own weight times that of its zone.
 type Weights struct {
 	Zones   map[string]float64 `json:"cells"`
 	Workers map[string]float64 `json:"workers"`
 }
 
-// Constants of the controllers. Invariants: a weight stays from Least to 1, so
-// that every worker is tried now and then; one turn moves it by at most Step
-// of its value (or Least, if that is more), so that two controllers or late observations cannot swing it.
+// Parameters of the controllers. Invariants: a weight stays between WeightFloor and 1, so that every worker is tried
+// now and then; one step moves it by at most StepLimit of its value, or WeightFloor if that is more, so that two
+// controllers or late observations do not make it oscillate.
 const (
 	WeightFloor     = 0.05
 	StepLimit       = 0.25
-	Damping         = 0.5  // share of the way to the target that one turn goes
-	ChangeThreshold = 0.05 // smaller changes are not worth publishing
+	Damping         = 0.5  // share of the distance to the target that one step covers
+	ChangeThreshold = 0.05 // relative; smaller changes are not published
 )
 
-// NextWeights returns the weights after one turn of the controller.
+// NextWeights returns the weights after one step of the controller.
 func NextWeights(old Weights, seen map[string]Observation) Weights {
 	out := Weights{Zones: map[string]float64{}, Workers: UpdateWeights(old.Workers, seen)}
 	zones := map[string][]float64{}
@@ -51,8 +50,8 @@
 	return out
 }
 
-// Turn is one turn of the controller that the workers of a pool, the pools of
-// a lane and the stores that an adapter may choose among have alike.
+// UpdateWeights is one step of the controller. It is the same for the workers of a pool, the pools of a lane and the
+// stores that an adapter may choose among.
 func UpdateWeights(old map[string]float64, seen map[string]Observation) map[string]float64 {
 	out, usual := map[string]float64{}, median(seen)
 	for name, s := range seen {
@@ -61,7 +60,7 @@
 	return out
 }
 
-// target: a worker gets less the slower it is than usual and the more it fails.
+// target returns the weight to approach: lower the slower a worker is than the median and the more it fails.
 func target(s Observation, usual float64) float64 {
 	if s.IsProbe {
 		return WeightFloor
@@ -73,6 +72,7 @@
 	return max(WeightFloor, share*(1-s.Failed))
 }
 
+// stepToward moves a weight one step towards its target.
 func stepToward(from, to float64) float64 {
 	step := (to - from) * Damping
 	most := max(from*StepLimit, WeightFloor)
@@ -80,6 +80,7 @@
 	return math.Max(WeightFloor, math.Min(1, from+step))
 }
 
+// weightOf returns a weight by name; unknown names have full weight.
 func weightOf(m map[string]float64, name string) float64 {
 	if w, isKnown := m[name]; isKnown {
 		return w
@@ -87,6 +88,7 @@
 	return 1
 }
 
+// median returns the median time of a run over the workers that get more than probes; 0 if there are none.
 func median(seen map[string]Observation) float64 {
 	times := []float64{}
 	for _, s := range seen {
@@ -98,15 +100,15 @@
 		return 0
 	}
 	slices.Sort(times)
-	return times[(len(times)-1)/2] // of two the quicker: the slower one is the odd one
+	return times[(len(times)-1)/2] // of two, the faster one counts as normal
 }
 
-// IsWorthPublishing reports whether the change is worth publishing.
+// IsWorthPublishing reports whether any weight of a pool has changed enough to be published.
 func IsWorthPublishing(old, next Weights) bool {
 	return HasChanged(old.Zones, next.Zones) || HasChanged(old.Workers, next.Workers)
 }
 
-// HasChanged reports whether any weight has changed enough to matter.
+// HasChanged reports whether any weight has changed by more than ChangeThreshold, or the set of names has changed.
 func HasChanged(old, next map[string]float64) bool {
 	if !slices.Equal(slices.Sorted(maps.Keys(old)), slices.Sorted(maps.Keys(next))) {
 		return true
@@ -119,7 +121,7 @@
 	return false
 }
 
-// Aggregate sums up what was observed of a pool's workers as if they were one.
+// Aggregate combines the observations of a pool's workers into one.
 func Aggregate(seen map[string]Observation) Observation {
 	out, timed, probes := Observation{}, 0.0, 0
 	for _, s := range seen {
--- a/internal/workerlist/plan.go
+++ b/internal/workerlist/plan.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Shares of the list's rate.
+// Shares of the rate of calls.
 const (
-	ownRateShare  = 0.75  // the rest is left for the calls of others
-	fullReadShare = 0.125 // of ours, for the read of all zones while each zone is read by itself
+	ownRateShare  = 0.75  // the rest is left to other clients of the list
+	fullReadShare = 0.125 // of our share, for the read of all zones while each zone is also read by itself
 )
 
-// Plan is which lists are read side by side. A short list is read whole. One whose read takes
-// longer than its interval is read by zone, so that a zone whose pages are slow or fail holds up
-// no other; a slower read of everything goes on beside, and finds workers of zones that had none.
+// Plan decides which lists are read concurrently. A short list is read as a whole. If that takes longer than the
+// interval, each zone is read by itself, so that a zone whose pages are slow or fail delays no other; a slower read of
+// the whole list continues beside them and finds workers of new zones.
 //
-// Invariant: cursors has one without a zone, the first.
+// Invariant: the first cursor, and no other, has an empty zone.
 type Plan struct {
-	interval time.Duration // between the beginnings of two reads, where the rate allows that
+	interval time.Duration // between the starts of two reads, if the rate allows
 	cursors  []*Cursor
 }
 
-// NewPlan returns a plan that reads the whole list.
+// NewPlan returns a plan that reads the list as a whole.
 func NewPlan(interval time.Duration) *Plan {
 	return &Plan{interval: interval, cursors: []*Cursor{{}}}
 }
 
-// Cursors returns the lists that are read now. The slice must not be changed.
+// Cursors returns the cursors in use. The slice must not be changed.
 func (p *Plan) Cursors() []*Cursor { return p.cursors }
 
-// Interval returns the time between the beginnings of two reads of one list.
+// Interval returns the time between the starts of two reads of one list.
 func (p *Plan) Interval() time.Duration { return p.interval }
 
-// Period returns the least time between two calls of a cursor. rate is how many calls a second
-// the list takes from all; 0 for no bound.
+// Period returns the minimum time between two calls of a cursor. rate is the total number of calls per second that the
+// list allows; 0 means no limit.
 func (p *Plan) Period(c *Cursor, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -51,8 +51,8 @@
 	return time.Duration(float64(time.Second) / ours)
 }
 
-// Replan decides anew which lists are read, from the newest complete read of everything and the
-// zones of the workers that are known.
+// Replan decides which lists are read from now on, by the size of the most recent complete read and the zones of the
+// known workers.
 func (p *Plan) Replan(zones map[string]bool, rate float64) {
 	whole := p.cursors[0]
 	if !whole.HasRead {
@@ -72,7 +72,7 @@
 	p.cursors = append([]*Cursor{whole}, kept...)
 }
 
-// readTime returns how long a read of so many pages takes where nothing else is read.
+// readTime returns how long a read of the given number of pages takes if nothing else is read.
 func (p *Plan) readTime(pages int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/internal/workerlist/roster.go
+++ b/internal/workerlist/roster.go
@@ -9,19 +9,20 @@
 	"caperwheel/internal/config"
 )
 
-// missesToRemove is how many complete reads in a row must leave a worker out before it is taken for
-// gone: an entry may move to a page that was read before while the rest is read.
+// missesToRemove is the number of consecutive complete reads without a worker after which it is removed. It is more
+// than one, since an entry may move to a page that was already read while the read is in progress.
 const missesToRemove = 2
 
-// Roster is what reads have told of workers, by pool and name.
+// Roster is the set of listed workers, by pool and name.
 //
-// Invariants: a worker is taken out only by complete reads that began after it was last seen and
-// that cover its zone; changed has the pools of which something has changed since Changed.
+// Invariants: a worker is removed only by complete reads that began after it was last seen and that cover its zone;
+// changed has the workers that have changed since the last call of Changed.
 type Roster struct {
 	pools   map[string]map[string]*entry
-	changed map[string]map[string]bool // pool -> names, and whether the worker was told of before
+	changed map[string]map[string]bool // by pool and name: whether the worker was known before
 }
 
+// entry is one listed worker.
 type entry struct {
 	worker config.Worker
 	seenAt time.Duration
@@ -33,7 +34,7 @@
 	return &Roster{pools: map[string]map[string]*entry{}, changed: map[string]map[string]bool{}}
 }
 
-// Record takes in that a page told of a worker. asked is when the page was asked for.
+// Record records a worker's entry on a page; asked is when the page was requested.
 func (r *Roster) Record(pool string, w config.Worker, asked time.Duration) {
 	if r.pools[pool] == nil {
 		r.pools[pool] = map[string]*entry{}
@@ -43,7 +44,7 @@
 		e = &entry{}
 		r.pools[pool][w.Name] = e
 	}
-	if asked < e.seenAt { // a slower call: what it tells may be older
+	if asked < e.seenAt { // an older call, whose answer may be outdated
 		return
 	}
 	if e.worker != w {
@@ -52,6 +53,7 @@
 	e.worker, e.seenAt, e.misses = w, asked, 0
 }
 
+// markChanged records that a worker has changed.
 func (r *Roster) markChanged(pool, name string, isKnown bool) {
 	if r.changed[pool] == nil {
 		r.changed[pool] = map[string]bool{}
@@ -59,8 +61,7 @@
 	r.changed[pool][name] = r.changed[pool][name] || isKnown
 }
 
-// ReadCompleted takes in that a read of a zone's workers, or of all where the zone is empty, is
-// complete, and when it began.
+// ReadCompleted records a complete read that started at began, of the workers of a zone, or of all if zone is empty.
 func (r *Roster) ReadCompleted(zone string, began time.Duration) {
 	for pool, entries := range r.pools {
 		for name, e := range entries {
@@ -75,15 +76,15 @@
 	}
 }
 
-// Changed returns the names of the workers that have changed since the last call, by pool, and
-// whether each was told of before: false for one that is new.
+// Changed returns the names of the workers that have changed since the last call, by pool, and whether each was known
+// before: false for a new one.
 func (r *Roster) Changed() map[string]map[string]bool {
 	out := r.changed
 	r.changed = map[string]map[string]bool{}
 	return out
 }
 
-// Requeue has workers change again that could not be written.
+// Requeue marks workers as changed again whose change could not be written.
 func (r *Roster) Requeue(pool string, names map[string]bool) {
 	for name, isKnown := range names {
 		r.markChanged(pool, name, isKnown)
@@ -100,10 +101,10 @@
 	return out
 }
 
-// PoolNames returns the names of all pools that workers were told of, in order.
+// PoolNames returns the names of all pools with listed workers, past ones included, in order.
 func (r *Roster) PoolNames() []string { return slices.Sorted(maps.Keys(r.pools)) }
 
-// Zones returns the zones of all workers.
+// Zones returns the zones of all listed workers.
 func (r *Roster) Zones() map[string]bool {
 	out := map[string]bool{}
 	for _, entries := range r.pools {
