--- a/internal/intake/access_test.go
+++ b/internal/intake/access_test.go
@@ -18,7 +18,8 @@
 	"caperwheel/platform"
 )
 
-// ownTenants is a configuration with a lane for tenants, an open one and an ordered one. Each tenant has one key.
+// ownTenants returns a configuration with a lane for tenants, a public lane and an ordered one. Each tenant has one
+// key.
 func ownTenants(keys map[string]string) string {
 	tenants := []string{}
 	for name, key := range keys {
@@ -28,9 +29,10 @@
 		"o":{"pools":["p"],"ordering":"key"}},"tenants":{` + strings.Join(tenants, ",") + `}}`
 }
 
+// twoTenants is a configuration with two tenants.
 var twoTenants = ownTenants(map[string]string{"halls": "key-1", "growers": "key-3"})
 
-// call has a request served by all that an adapter serves, for callers of ours and of the platform's.
+// call serves a request with all routes of an adapter, those of the platform's callers included.
 func call(in *intake.Intake, method, target, key string, body io.Reader) *httptest.ResponseRecorder {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", intake.Handler(in))
@@ -46,15 +48,15 @@
 	return w
 }
 
-// idOf sends a message and gives the id that it got.
+// idOf sends a message and returns the id that it got.
 func idOf(lane, key string) string {
 	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
 	So(call(in, "POST", "/v1/lanes/"+lane+"/messages", key, strings.NewReader("b")).Code, ShouldEqual, 202)
 	return takes()[0].Id
 }
 
-// TestAskersOfTenants is the table of who may ask for a message. It guards against a message that another
-// tenant reads, also from an adapter that knows no configuration yet.
+// TestAskersOfTenants checks who may access a message. It guards against a message that another tenant reads, also from
+// an adapter that has no configuration yet.
 func TestAskersOfTenants(t *testing.T) {
 	sight := &wire.Sight{State: "held", Body: []byte("b"), Checksum: wire.Checksum([]byte("b"))}
 	known, stale := intake.TestSetup{Sight: sight, Most: 9, Rules: twoTenants}, intake.TestSetup{Sight: sight, Most: 9, Rules: twoTenants, IsStale: true}
@@ -62,28 +64,28 @@
 	gone := intake.TestSetup{Sight: sight, Most: 9, Rules: ownTenants(map[string]string{"growers": "key-3"})}
 	cases := []struct {
 		name      string
-		lane, own string // where the message came in, and with which key
-		key       string // of the asker
+		lane, own string // lane and key by which the message was sent
+		key       string // of the request for it
 		s         intake.TestSetup
 		code      int
 	}{
 		{"with a key of its tenant", "l", "key-1", "key-1", known, 200},
 		{"with a key of another tenant", "l", "key-1", "key-3", known, 404},
-		{"with a key that nobody holds", "l", "key-1", "key-9", known, 401},
+		{"with an unknown key", "l", "key-1", "key-9", known, 401},
 		{"without a key", "l", "key-1", "", known, 401},
-		{"without a key, of an open lane's, which came with one", "open", "key-1", "", known, 401},
-		{"without a key, of one that is nobody's", "open", "", "", known, 200},
-		{"with a key, of one that is nobody's", "open", "", "key-3", known, 200},
-		{"with a key of its tenant, where the view is stale", "l", "key-1", "key-1", stale, 503},
-		{"with a key of another tenant, where the view is stale", "l", "key-1", "key-3", stale, 503},
-		{"without a key, where the view is stale", "l", "key-1", "", stale, 503},
-		{"without a key, of one that is nobody's, where the view is stale", "open", "", "", stale, 200},
-		{"without a key, where no configuration is known yet", "l", "key-1", "", blank, 503},
-		{"without a key, where tenants are no more", "l", "key-1", "", none, 401},
-		{"with the key that its tenant had, which is gone", "l", "key-1", "key-1", gone, 401},
-		{"with a key of another tenant, where its own is gone", "l", "key-1", "key-3", gone, 404},
+		{"without a key, for a message sent with one on a public lane", "open", "key-1", "", known, 401},
+		{"without a key, for a message without a tenant", "open", "", "", known, 200},
+		{"with a key, for a message without a tenant", "open", "", "key-3", known, 200},
+		{"with a key of its tenant, while the view is stale", "l", "key-1", "key-1", stale, 503},
+		{"with a key of another tenant, while the view is stale", "l", "key-1", "key-3", stale, 503},
+		{"without a key, while the view is stale", "l", "key-1", "", stale, 503},
+		{"without a key, for a message without a tenant, while the view is stale", "open", "", "", stale, 200},
+		{"without a key, before a configuration is known", "l", "key-1", "", blank, 503},
+		{"without a key, after all tenants were removed", "l", "key-1", "", none, 401},
+		{"with the former key of its tenant, which was removed", "l", "key-1", "key-1", gone, 401},
+		{"with a key of another tenant, after its own was removed", "l", "key-1", "key-3", gone, 404},
 	}
-	Convey("Whoever asks for a message", t, func() {
+	Convey("A request for a message", t, func() {
 		for _, c := range cases {
 			for _, form := range []string{"/v1/messages/%s", "/v1/messages/%s/body", "/v1/messages/%s/story", "/v1/message/%s", "/v1/message-body/%s"} {
 				Convey(c.name+", at "+form, func() {
@@ -97,8 +99,8 @@
 	})
 }
 
-// TestOwnSenders is the table of who may send on a lane. Once, an adapter that had lost touch refused a key
-// that it had not heard of yet.
+// TestOwnSenders checks who may send on a lane. It guards against an adapter without contact to the control plane that
+// refuses a key because it has not been updated yet.
 func TestOwnSenders(t *testing.T) {
 	stale := intake.TestSetup{Take: held, Most: 9, Rules: twoTenants, IsStale: true}
 	known := intake.TestSetup{Take: held, Most: 9, Rules: twoTenants}
@@ -108,14 +110,14 @@
 		code            int
 	}{
 		{"a key", "l", "key-1", known, 202},
-		{"a key that nobody holds", "l", "key-9", known, 401},
+		{"an unknown key", "l", "key-9", known, 401},
 		{"no key", "l", "", known, 401},
-		{"no key, on an open lane", "open", "", known, 202},
-		{"no key, on no lane", "x", "", known, 404},
-		{"a key, where the view is stale", "l", "key-1", stale, 503},
-		{"a key that nobody holds, where the view is stale", "l", "key-9", stale, 503},
-		{"no key, where there are no tenants", "l", "", intake.TestSetup{Take: held, Most: 9}, 202},
-		{"a key, where there are no tenants", "l", "key-1", intake.TestSetup{Take: held, Most: 9}, 202},
+		{"no key, on a public lane", "open", "", known, 202},
+		{"no key, on an unknown lane", "x", "", known, 404},
+		{"a key, while the view is stale", "l", "key-1", stale, 503},
+		{"an unknown key, while the view is stale", "l", "key-9", stale, 503},
+		{"no key, without tenants in the configuration", "l", "", intake.TestSetup{Take: held, Most: 9}, 202},
+		{"a key, without tenants in the configuration", "l", "key-1", intake.TestSetup{Take: held, Most: 9}, 202},
 	}
 	Convey("A caller with", t, func() {
 		for _, c := range cases {
@@ -131,7 +133,7 @@
 	})
 }
 
-// changingBody is a body whose reader first does what happens meanwhile.
+// changingBody is a body that calls meanwhile when it is first read.
 type changingBody struct {
 	meanwhile func()
 	io.Reader
@@ -145,36 +147,36 @@
 	return l.Reader.Read(into)
 }
 
-// TestKeysThatChange guards against CONFIG: a key that was taken away was let in, or one that was given was
-// refused, by an adapter that knew better.
+// TestKeysThatChange guards against rule CONFIG: an adapter that knew the newer configuration accepted a removed key or
+// refused an added one.
 func TestKeysThatChange(t *testing.T) {
 	without, moved := ownTenants(map[string]string{"growers": "key-3"}), ownTenants(map[string]string{"growers": "key-1"})
 	for _, target := range []string{"/v1/lanes/l/messages", "/a/b"} {
-		Convey("On an adapter that hears of a change, at "+target, t, func() {
+		Convey("On an adapter that receives a change, at "+target, t, func() {
 			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
 			send := func(key string, meanwhile func()) int {
 				return call(in, "POST", target, key, &changingBody{meanwhile, strings.NewReader("b")}).Code
 			}
-			Convey("a key that is taken away is refused from then on", func() {
+			Convey("a removed key is refused from then on", func() {
 				So(send("key-1", nil), ShouldEqual, 202)
 				intake.UpdateConfig(in, without)
 				So(send("key-1", nil), ShouldEqual, 401)
 				So(len(takes()), ShouldEqual, 1)
 			})
-			Convey("a key that is given, and one that stays, are taken from then on", func() {
+			Convey("an added key, and one that stays, are accepted from then on", func() {
 				intake.UpdateConfig(in, without)
 				intake.UpdateConfig(in, twoTenants)
 				So(send("key-1", nil), ShouldEqual, 202)
 				So(send("key-3", nil), ShouldEqual, 202)
 			})
-			Convey("a key that is taken away while the body comes is refused", func() {
+			Convey("a key that is removed while the body is read is refused", func() {
 				So(send("key-1", func() { intake.UpdateConfig(in, without) }), ShouldEqual, 401)
 				So(takes(), ShouldBeEmpty)
 			})
-			Convey("a key that stays while the body and a change come is taken", func() {
+			Convey("a key that stays is accepted, although a change arrives while the body is read", func() {
 				So(send("key-3", func() { intake.UpdateConfig(in, without) }), ShouldEqual, 202)
 			})
-			Convey("a key that passes to another tenant while the body comes is the other's, or the message is not taken", func() {
+			Convey("a key that passes to another tenant while the body is read counts as the other's, or the message is refused", func() {
 				code := send("key-1", func() { intake.UpdateConfig(in, moved) })
 				if code == 202 {
 					So(takes()[0].Id, ShouldContainSubstring, "-t"+wire.Checksum([]byte("growers"))[:16])
@@ -187,9 +189,9 @@
 	}
 }
 
-// TestOpenConnections: what a connection was once served does not bind what comes on it later.
+// TestOpenConnections checks that an earlier answer on a connection has no effect on later requests on it.
 func TestOpenConnections(t *testing.T) {
-	Convey("On one connection that stays open", t, func() {
+	Convey("On one kept connection", t, func() {
 		in, _ := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
 		connections := atomic.Int64{}
 		server := httptest.NewUnstartedServer(intake.Handler(in))
--- a/internal/intake/codecs_test.go
+++ b/internal/intake/codecs_test.go
@@ -16,16 +16,17 @@
 	"caperwheel/platform"
 )
 
+// codecs are the codecs under test.
 var codecs = []struct {
 	name  string
 	codec intake.Codec
 }{{"our own codec", intake.DefaultCodec}, {"the platform's codec", platform.Callers}}
 
-// chunks is a body that does not tell its length.
+// chunks is a body without a known length.
 type chunks struct{ io.Reader }
 
-// TestCodecs is the table of what every codec must have in common: only what
-// never runs is told with a promise (408, 421, 429, 503), and at once.
+// TestCodecs checks what every codec must have in common: a status that promises that the message never runs (408, 421,
+// 429, 503) is sent only for such messages, and at once.
 func TestCodecs(t *testing.T) {
 	kind := func(k errs.Kind) *wire.Taken { return &wire.Taken{Kind: string(k), Retry: 7000} }
 	held := &wire.Taken{State: "held", Id: "1-x"}
@@ -37,20 +38,20 @@
 		codes  [2]int
 	}{
 		{"a message that is held", "/a/b?c=%2Fd", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
-		{"one without a body", "/a/", "", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
-		{"a path that no lane takes", "/b/", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{404, 404}},
+		{"a message without a body", "/a/", "", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
+		{"a path without a lane", "/b/", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{404, 404}},
 		{"too large a body", "/a/b", "0123456789", intake.TestSetup{Take: held, Most: 9}, [2]int{413, 413}},
 		{"a stale adapter", "/a/b", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
-		{"a stale adapter, on a path that it does not know", "/b/", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
+		{"a stale adapter, on a path without a lane", "/b/", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
 		{"a full adapter", "/a/b", "body", intake.TestSetup{Take: held}, [2]int{429, 429}},
 		{"a full place", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), Most: 9}, [2]int{429, 429}},
 		{"a full disk", "/a/b", "body", intake.TestSetup{Take: kind(errs.DiskFull), Most: 9}, [2]int{507, 503}},
 		{"no owner", "/a/b", "body", intake.TestSetup{Most: 9}, [2]int{503, 503}},
-		{"a full place after an ask that may be held, settled as never", "/a/b", "body",
+		{"a full place after an attempt that may be held, settled as never held", "/a/b", "body",
 			intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{429, 429}},
 		{"… settled as held", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: held, Most: 9}, [2]int{202, 202}},
 		{"… not settled", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Most: 9}, [2]int{504, 504}},
-		{"a lost answer, settled as never", "/a/b", "body", intake.TestSetup{IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{503, 503}},
+		{"a lost answer, settled as never held", "/a/b", "body", intake.TestSetup{IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{503, 503}},
 		{"a lost answer, not settled", "/a/b", "body", intake.TestSetup{IsOpen: true, Most: 9}, [2]int{504, 504}},
 	}
 	for i, m := range codecs {
@@ -82,7 +83,7 @@
 				}
 			}
 		})
-		Convey("In "+m.name+" a message of an ordered lane without a key is about nothing that others are about", t, func() {
+		Convey("In "+m.name+" messages of an ordered lane without an ordering key get different ones", t, func() {
 			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9})
 			for range 2 {
 				in.PassthroughHandler(m.codec)(httptest.NewRecorder(), httptest.NewRequest("POST", "/o/x", nil))
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestAskers is the table of what the platform's askers hear of a message.
+// TestAskers checks what the platform's callers are told of a message.
 func TestAskers(t *testing.T) {
 	body, sum := []byte("body"), wire.Checksum([]byte("body"))
 	cases := []struct {
@@ -108,17 +109,17 @@
 		{"ended", "/v1/message/1-x", wire.Sight{State: "ended", Proof: wire.Proof{Answer: []byte("seal.7")}}, 200, `{"state":"completed","stamp":"seal.7"}`},
 		{"failed", "/v1/message/1-x", wire.Sight{State: "failed"}, 200, `{"state":"dead_letter"}`},
 		{"expired", "/v1/message/1-x", wire.Sight{State: "expired"}, 200, `{"state":"dead_letter"}`},
-		{"settled as never", "/v1/message/1-x", wire.Sight{State: "rejected"}, 404, ""},
-		{"not known", "/v1/message/1-x", wire.Sight{Kind: "unknown"}, 404, ""},
-		{"out of reach", "/v1/message/1-x", wire.Sight{Kind: "undecided"}, 503, ""},
-		{"no id of ours", "/v1/message/x", wire.Sight{State: "held"}, 404, ""},
-		{"held, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Body: body, Checksum: sum}, 200, "body"},
-		{"held, without bytes", "/v1/message-body/1-x", wire.Sight{State: "held", Checksum: wire.Checksum(nil)}, 200, ""},
-		{"failed, for its bytes", "/v1/message-body/1-x", wire.Sight{State: "failed", Body: body, Checksum: sum}, 200, "body"},
-		{"held, and its bytes are broken", "/v1/message-body/1-x", wire.Sight{State: "held", Body: []byte("bodY"), Checksum: sum}, 503, ""},
-		{"ended, and its bytes have gone", "/v1/message-body/1-x", wire.Sight{State: "ended", Checksum: sum}, 404, ""},
+		{"settled as never held", "/v1/message/1-x", wire.Sight{State: "rejected"}, 404, ""},
+		{"unknown", "/v1/message/1-x", wire.Sight{Kind: "unknown"}, 404, ""},
+		{"unreachable", "/v1/message/1-x", wire.Sight{Kind: "undecided"}, 503, ""},
+		{"without a valid id", "/v1/message/x", wire.Sight{State: "held"}, 404, ""},
+		{"held, for its body", "/v1/message-body/1-x", wire.Sight{State: "held", Body: body, Checksum: sum}, 200, "body"},
+		{"held, without a body", "/v1/message-body/1-x", wire.Sight{State: "held", Checksum: wire.Checksum(nil)}, 200, ""},
+		{"failed, for its body", "/v1/message-body/1-x", wire.Sight{State: "failed", Body: body, Checksum: sum}, 200, "body"},
+		{"held, with a corrupt body", "/v1/message-body/1-x", wire.Sight{State: "held", Body: []byte("bodY"), Checksum: sum}, 503, ""},
+		{"ended, with its body dropped", "/v1/message-body/1-x", wire.Sight{State: "ended", Checksum: sum}, 404, ""},
 	}
-	Convey("Whoever asks of a message that is", t, func() {
+	Convey("A request for a message that is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				in, _ := intake.NewTestIntake(intake.TestSetup{Sight: &c.sight, Most: 9})
--- a/internal/intake/helpers_test.go
+++ b/internal/intake/helpers_test.go
@@ -16,23 +16,23 @@
 	"caperwheel/internal/wire"
 )
 
-// TestSetup is what tables from outside of the package say of an intake's
-// surroundings.
+// TestSetup configures an intake for tests outside of the package.
 type TestSetup struct {
 	Take, Settle *wire.Taken // nil: no owner answers
-	IsOpen       bool        // an earlier ask may have been held
-	Sight        *wire.Sight // what an owner knows of a message
+	IsOpen       bool        // an earlier attempt may be held
+	Sight        *wire.Sight // the owner's answer about a message
 	IsStale      bool
 	Most         int
-	Rules        string // the configuration; empty for a plain one
+	Rules        string // the configuration; empty for passthroughConfig
 }
 
-// fakeLookupOwners also answers those who ask of a message.
+// fakeLookupOwners is fakeOwners that also answers lookups.
 type fakeLookupOwners struct {
 	fakeOwners
 	sight *wire.Sight
 }
 
+// CallOwner implements ownerClient.
 func (s *fakeLookupOwners) CallOwner(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (any, error) {
 	if _, isLook := ask.(*wire.Look); isLook && s.sight != nil {
 		return s.sight, nil
@@ -40,10 +40,11 @@
 	return s.fakeOwners.CallOwner(ctx, id, ask, owned)
 }
 
+// passthroughConfig is the default configuration of TestSetup.
 const passthroughConfig = `{"pools":{"p":{}},"lanes":{"l":{"pools":["p"],"size":9,"host":"x.example","prefix":"/a/","notify":true},
 	"o":{"pools":["p"],"prefix":"/o/","ordering":"key"}}}`
 
-// Refused returns what is wrong with a configuration, if anything is.
+// Refused returns the faults of a configuration as an error, or nil.
 func Refused(doc []byte) error {
 	if _, faults := config.Compile(doc); len(faults) > 0 {
 		return errs.New(errs.Invalid, "%v", faults)
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// NewTestIntake builds an intake in these surroundings; takes gives what was put to owners.
+// NewTestIntake returns an intake for a setup, and a function that returns the messages that were sent to owners.
 func NewTestIntake(s TestSetup) (in *Intake, takes func() []*wire.Take) {
 	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isOpen: s.IsOpen}, sight: s.Sight}
 	view := feed.NewView(0)
@@ -68,10 +69,10 @@
 	return in, func() []*wire.Take { return owners.takes }
 }
 
-// Handler returns all that the intake serves on the adapter's own address.
+// Handler returns the handler of the adapter's own address.
 func Handler(in *Intake) http.Handler { return in.d.Mux }
 
-// UpdateConfig has the intake's view hear of a newer configuration.
+// UpdateConfig applies a newer configuration to the intake's view.
 func UpdateConfig(in *Intake, rules string) {
 	at := in.d.View.Revision(feed.ConfigPart)
 	change := wire.Change{Key: config.DocumentKey, Revision: at + 1, Value: []byte(rules)}
--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -11,17 +11,18 @@
 	"caperwheel/internal/wire"
 )
 
-// scriptedOwners answers each ask in turn: a kind of error, "held", "" for no owner, or
-// "open" for an ask of which nobody knows what became.
+// scriptedOwners answers each request by the next reply: a kind of error, "held", "" for no owner, or "open" for a
+// request whose outcome is unknown.
 type scriptedOwners struct {
 	replies []string
 	places  []int64
 }
 
+// CallOwnerTracked implements ownerClient.
 func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
 	t := ask.(*wire.Take)
 	s.places = append(s.places, t.Place)
-	say := "" // no owner from here on
+	say := "" // no owner after the last reply
 	if len(s.replies) > 0 {
 		say, s.replies = s.replies[0], s.replies[1:]
 	}
@@ -36,31 +37,32 @@
 	return &wire.Taken{Id: t.Id, Kind: say}, false, nil
 }
 
+// CallOwner implements ownerClient.
 func (s *scriptedOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	return nil, errs.New(errs.Undecided, "not asked in these cases")
 }
 
-// TestHoldQuickly: callers were once held to the end of their time for a place
-// without an owner, while others would have taken their message.
+// TestHoldQuickly guards against callers who wait until their deadline for a place without an owner, although other
+// places would have accepted their message.
 func TestHoldQuickly(t *testing.T) {
 	cases := []struct {
 		name   string
 		key    string
 		say    []string
-		kind   errs.Kind // of the word; empty: held
+		kind   errs.Kind // of the answer; empty if the message is held
 		isOpen bool
 		asks   int
 	}{
 		{"the first place holds it", "", []string{"held"}, "", false, 1},
-		{"a place without an owner is passed over", "", []string{"", "held"}, "", false, 2},
-		{"a full place is passed over", "", []string{"full", "held"}, "", false, 2},
-		{"no place has an owner: it never will run", "", nil, errs.NotOwner, false, maxPlacesTried},
-		{"a keyed message has one place", "k", []string{"", "held"}, errs.NotOwner, false, 1},
-		{"an ask in the dark is asked again at its own place, and no other", "", []string{"open", "held"}, "", false, 2},
-		{"one that stays in the dark is no promise", "", []string{"open", "open"}, errs.Undecided, true, 2},
-		{"a lane that is gone is the last word", "", []string{"unknown"}, errs.Unknown, false, 1},
+		{"a place without an owner is skipped", "", []string{"", "held"}, "", false, 2},
+		{"a full place is skipped", "", []string{"full", "held"}, "", false, 2},
+		{"no place has an owner: the message will never run", "", nil, errs.NotOwner, false, maxPlacesTried},
+		{"a message with an ordering key has only one place", "k", []string{"", "held"}, errs.NotOwner, false, 1},
+		{"a request with an unknown outcome is repeated at the same place, and no other", "", []string{"open", "held"}, "", false, 2},
+		{"one whose outcome stays unknown is undecided", "", []string{"open", "open"}, errs.Undecided, true, 2},
+		{"an unknown lane is final", "", []string{"unknown"}, errs.Unknown, false, 1},
 	}
-	Convey("Of a caller that does not wait long,", t, func() {
+	Convey("For a caller with a deadline,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				s := &scriptedOwners{replies: c.say}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -22,14 +22,15 @@
 	"caperwheel/internal/wire"
 )
 
-// fakeOwners answers asks to owners as a test says.
+// fakeOwners answers requests to owners with fixed replies.
 type fakeOwners struct {
 	take, settle       *wire.Taken // nil: no owner answers
-	isOpen             bool        // an earlier ask may have been held
+	isOpen             bool        // an earlier attempt may have been held
 	takes              []*wire.Take
 	settles, takeCalls int
 }
 
+// CallOwnerTracked implements ownerClient.
 func (s *fakeOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
 	s.takeCalls++
 	s.takes = append(s.takes, ask.(*wire.Take))
@@ -42,6 +43,7 @@
 	return nil, false, errs.New(errs.NotOwner, "no owner")
 }
 
+// CallOwner implements ownerClient.
 func (s *fakeOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	s.settles++
 	if s.settle == nil {
@@ -50,6 +52,7 @@
 	return s.settle, nil
 }
 
+// newTestIntake returns an intake with a plain lane and an ordered one.
 func newTestIntake(s *fakeOwners) *Intake {
 	view := feed.NewView(0)
 	d := &daemon.Daemon{Started: time.Now(), Bounds: timing.Default, View: view, Membership: session.NewMembership(), Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: 9}}
@@ -60,9 +63,9 @@
 	return in
 }
 
-// TestRetold is the table of what a caller is told. "Not taken" must never be
-// said of a message that some send of it may have had held: once, a repeated
-// idempotency key met a stale adapter and was told so while its message ran.
+// TestRetold checks the answers to senders. A message must never be reported as not taken if some send of it may have
+// been held. It guards against a repeated idempotency key that was reported as not taken by a stale adapter while its
+// message ran.
 func TestRetold(t *testing.T) {
 	kind := func(k errs.Kind) *wire.Taken { return &wire.Taken{Kind: string(k), Retry: 7000} }
 	held := &wire.Taken{State: "held", Id: "1-x"}
@@ -78,25 +81,25 @@
 		settles int
 	}{
 		{"a message that is held", "l", "", "b", fakeOwners{take: held}, 202, true, "", 0},
-		{"one that the owner rejects", "l", "", "b", fakeOwners{take: kind(errs.Full)}, 429, false, "7", 0},
-		{"one that the owner rejects after an ask that may have been held, settled as never", "l", "", "b",
+		{"a message that the owner rejects", "l", "", "b", fakeOwners{take: kind(errs.Full)}, 429, false, "7", 0},
+		{"a message that the owner rejects after an attempt that may have been held, settled as never held", "l", "", "b",
 			fakeOwners{take: kind(errs.Full), isOpen: true, settle: kind(errs.Rejected)}, 429, false, "7", 1},
 		{"… settled as held", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true, settle: held}, 202, true, "", 1},
 		{"… not settled", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true}, 504, "undecided", "", 1},
-		{"one that met no owner", "l", "", "b", fakeOwners{}, 503, false, "1", 0},
-		{"one whose answer was lost, settled as never", "l", "", "b", fakeOwners{isOpen: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
+		{"a message without an owner", "l", "", "b", fakeOwners{}, 503, false, "1", 0},
+		{"a message whose answer was lost, settled as never held", "l", "", "b", fakeOwners{isOpen: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
 		{"too large a body", "l", "", "0123456789", fakeOwners{}, 413, false, "", 0},
 		{"no such lane", "x", "", "b", fakeOwners{}, 404, false, "", 0},
 		{"a key whose message is held", "l", "i", "b", fakeOwners{take: held}, 202, true, "", 0},
 		{"a key that the owner rejects", "l", "i", "b", fakeOwners{take: kind(errs.Full)}, 429, "undecided", "7", 0},
-		{"a key that met no owner", "l", "i", "b", fakeOwners{}, 503, "undecided", "1", 0},
+		{"a key without an owner", "l", "i", "b", fakeOwners{}, 503, "undecided", "1", 0},
 		{"a key whose answer was lost", "l", "i", "b", fakeOwners{isOpen: true}, 504, "undecided", "2", 0},
-		{"a key settled as never", "l", "i", "b", fakeOwners{take: kind(errs.Rejected)}, 409, false, "7", 0},
-		{"a key with other bytes", "l", "i", "b", fakeOwners{take: kind(errs.Conflict)}, 409, false, "7", 0},
+		{"a key settled as never held", "l", "i", "b", fakeOwners{take: kind(errs.Rejected)}, 409, false, "7", 0},
+		{"a key with another body", "l", "i", "b", fakeOwners{take: kind(errs.Conflict)}, 409, false, "7", 0},
 		{"a key with too large a body", "l", "i", "0123456789", fakeOwners{}, 413, "undecided", "", 0},
-		{"a key on a lane that is gone", "x", "i", "b", fakeOwners{}, 404, "undecided", "", 0},
+		{"a key on an unknown lane", "x", "i", "b", fakeOwners{}, 404, "undecided", "", 0},
 	}
-	Convey("A caller is told of", t, func() {
+	Convey("A caller gets the right answer to", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				in := newTestIntake(&c.s)
@@ -123,7 +126,7 @@
 				}
 			})
 		}
-		Convey("the same id for the same key, whichever adapter it came to", func() {
+		Convey("the same key with the same id, through any adapter", func() {
 			a, b := &fakeOwners{}, &fakeOwners{}
 			for _, s := range []*fakeOwners{a, a, b} {
 				r := httptest.NewRequest("POST", "/v1/lanes/l/messages", strings.NewReader("b"))
@@ -137,10 +140,10 @@
 	})
 }
 
-// TestSlowBody: a request whose lane's rules were read before a newer configuration
-// came is not taken under the older one.
+// TestSlowBody checks that a request is not accepted under the lane's rules of an older configuration once a newer one
+// is known.
 func TestSlowBody(t *testing.T) {
-	Convey("A request read under an older charter is stale once a newer one is known", t, func() {
+	Convey("A request read under an older configuration is stale once a newer one is known", t, func() {
 		in := newTestIntake(&fakeOwners{})
 		e := &request{compiled: in.configs.Current()}
 		in.d.View.Update([]wire.PartNews{{From: 7, To: 8, Changes: []wire.Change{{Key: config.DocumentKey, Revision: 8, Value: []byte(`{}`)}}}}, in.d.Now())
--- a/internal/intake/keychange_test.go
+++ b/internal/intake/keychange_test.go
@@ -16,7 +16,7 @@
 	"caperwheel/platform"
 )
 
-// slowBody is a body before the end of which something happens.
+// slowBody is a body that calls meanwhile before it is first read.
 type slowBody struct {
 	io.Reader
 	once      sync.Once
@@ -28,7 +28,7 @@
 	return b.Reader.Read(p)
 }
 
-// sendMeanwhile sends a message with key-3, and has the configuration change while its body comes.
+// sendMeanwhile sends a message with key-3 and changes the configuration while the body is read.
 func sendMeanwhile(from, to string) (code int, tenant string, count int) {
 	doc, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 	So(err, ShouldBeNil)
@@ -50,20 +50,20 @@
 	return w.Code, tenant, len(takes())
 }
 
-// TestKeysThatChangeMeanwhile guards against CONFIG and UNASKED: a key was taken away, or passed to another tenant,
-// while a body came, and the message was taken by what held before.
+// TestKeysThatChangeMeanwhile guards against rules CONFIG and UNASKED: a key was removed, or passed to another tenant,
+// while a body was read, and the message was accepted by the earlier state.
 func TestKeysThatChangeMeanwhile(t *testing.T) {
-	Convey("While a body comes", t, func() {
-		Convey("its key is taken away: 401", func() {
+	Convey("While a body is read", t, func() {
+		Convey("its key is removed: 401", func() {
 			code, _, count := sendMeanwhile(`"api_keys":["key-3"]`, `"api_keys":[]`)
 			So([]int{code, count}, ShouldResemble, []int{401, 0})
 		})
-		Convey("its key passes to another tenant: it is that one's", func() {
+		Convey("its key passes to another tenant: the message is the other's", func() {
 			code, tenant, count := sendMeanwhile(`"growers","api_keys":["key-3"]`, `"others","api_keys":["key-3"]`)
 			So([]int{code, count}, ShouldResemble, []int{202, 1})
 			So(tenant, ShouldEqual, "others")
 		})
-		Convey("the tenant gets a further key: nothing is lost", func() {
+		Convey("the tenant gets another key: the message is accepted", func() {
 			code, tenant, _ := sendMeanwhile(`["key-3"]`, `["key-4","key-3"]`)
 			So(code, ShouldEqual, 202)
 			So(tenant, ShouldEqual, "growers")
--- a/internal/intake/leaving_test.go
+++ b/internal/intake/leaving_test.go
@@ -12,25 +12,26 @@
 	"caperwheel/internal/wire"
 )
 
-// countingOwners answers that a message is held, and counts how often it was asked.
+// countingOwners answers that a message is held, and counts the lookups.
 type countingOwners struct {
 	fakeOwners
 	count int
 }
 
+// CallOwner implements ownerClient.
 func (c *countingOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	c.count++
 	return &wire.Sight{Id: "1-x", State: "held"}, nil
 }
 
-// TestWaitsEndWithTheDaemon: who waits for a message's end at a daemon that stops is told
-// what is known, and not left until connections are cut.
+// TestWaitsEndWithTheDaemon checks that a request waiting for a message's end is answered with the current state when
+// the daemon stops, and does not wait until its connection is closed.
 func TestWaitsEndWithTheDaemon(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		isLeaving bool
 	}{{"goes on while the daemon serves", false}, {"ends once it stops", true}} {
-		Convey("A wait for a message that is held "+c.name, t, func() {
+		Convey("A request that waits for a held message "+c.name, t, func() {
 			in, looks := newTestIntake(&fakeOwners{}), &countingOwners{}
 			in.owners = looks
 			if c.isLeaving {
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestUndecidedAsItStops: a message that may be held is told as undecided at once when the
-// daemon is about to stop; settling it would take longer than its connection has.
+// TestUndecidedAsItStops checks that a message that may be held is reported as undecided at once when the daemon is
+// about to stop: settling it would take longer than the connection has.
 func TestUndecidedAsItStops(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/internal/intake/limits_test.go
+++ b/internal/intake/limits_test.go
@@ -12,12 +12,13 @@
 	"caperwheel/internal/wire"
 )
 
-// countingLimiter counts permits by what became of them.
+// countingLimiter counts permits by how they ended.
 type countingLimiter struct {
 	counted, returned int
 	refusal           error
 }
 
+// Admit implements Limiter.
 func (t *countingLimiter) Admit(context.Context, config.Tenant) (Permit, error) {
 	if t.refusal != nil {
 		return nil, t.refusal
@@ -25,6 +26,7 @@
 	return t, nil
 }
 
+// End implements Permit.
 func (t *countingLimiter) End(isCounted bool) {
 	if isCounted {
 		t.counted++
@@ -33,7 +35,7 @@
 	t.returned++
 }
 
-// TestWhatCountsAgainstALimit is the table of what becomes of a message's token.
+// TestWhatCountsAgainstALimit checks which messages consume a token.
 func TestWhatCountsAgainstALimit(t *testing.T) {
 	refused := errs.New(errs.NotOwner, "no owner")
 	cases := []struct {
@@ -44,11 +46,11 @@
 	}{
 		{"held", request{taken: &wire.Taken{}}, nil, true},
 		{"held before by an earlier request", request{taken: &wire.Taken{IsRepeat: true}}, nil, false},
-		{"held before, perhaps by an ask of this request", request{taken: &wire.Taken{IsRepeat: true}, mayBeHeldEarlier: true}, nil, true},
-		{"refused by its place", request{taken: &wire.Taken{Kind: string(errs.Full)}}, nil, false},
-		{"not put to any place", request{}, refused, false},
-		{"not put to any place, with a key of its caller's", request{mayBeHeld: true}, refused, false},
-		{"of a fate that is not known", request{mayBeHeld: true, mayBeHeldEarlier: true}, errs.New(errs.Undecided, "not known yet"), true},
+		{"held before, perhaps by an attempt of this request", request{taken: &wire.Taken{IsRepeat: true}, mayBeHeldEarlier: true}, nil, true},
+		{"refused by its place's owner", request{taken: &wire.Taken{Kind: string(errs.Full)}}, nil, false},
+		{"sent to no place", request{}, refused, false},
+		{"sent to no place, with an idempotency key", request{mayBeHeld: true}, refused, false},
+		{"with an unknown outcome", request{mayBeHeld: true, mayBeHeldEarlier: true}, errs.New(errs.Undecided, "not known yet"), true},
 	}
 	Convey("A message", t, func() {
 		for _, c := range cases {
@@ -57,7 +59,7 @@
 			})
 		}
 	})
-	Convey("A message over its tenant's limit is put to no place", t, func() {
+	Convey("A message over its tenant's limit is sent to no place", t, func() {
 		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{}, Most: 9})
 		limits := &countingLimiter{refusal: errs.New(errs.OverQuota, "used up")}
 		in.SetLimiter(limits)
@@ -66,7 +68,7 @@
 		So(takes(), ShouldBeEmpty)
 		So([]int{limits.counted, limits.returned}, ShouldResemble, []int{0, 0})
 	})
-	Convey("A permit ends once", t, func() {
+	Convey("A permit is ended exactly once", t, func() {
 		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{State: "held"}, Most: 9})
 		limits := &countingLimiter{}
 		in.SetLimiter(limits)
--- a/internal/intake/metrics_test.go
+++ b/internal/intake/metrics_test.go
@@ -10,9 +10,9 @@
 	"caperwheel/internal/config"
 )
 
-// TestTenantCounts: tenants are counted by what they were told, as long as the configuration has them.
+// TestTenantCounts checks that answers are counted per tenant, for tenants of the configuration only.
 func TestTenantCounts(t *testing.T) {
-	Convey("Given answers to two tenants and to callers who are nobody's", t, func() {
+	Convey("Given answers to two tenants and to callers without a tenant", t, func() {
 		c := &tenantAnswers{}
 		for _, a := range [][2]string{{"a", resultTaken}, {"a", resultTaken}, {"a", "over_quota"}, {"b", resultTaken}, {"", "unauthorized"}} {
 			c.add(a[0], a[1])
@@ -29,15 +29,15 @@
 			return out
 		}
 		const name = "intake_tenant_answers_total "
-		Convey("each tenant's are told", func() {
+		Convey("each tenant's counts are emitted", func() {
 			So(read("a", "b", "c"), ShouldResemble, []string{name + "1 [tenant a told over_quota]", name + "1 [tenant b told taken]", name + "2 [tenant a told taken]"})
 		})
-		Convey("those of a tenant that is gone are forgotten, also when it comes back", func() {
+		Convey("the counts of a removed tenant are dropped, also when it comes back", func() {
 			So(read("b"), ShouldResemble, []string{name + "1 [tenant b told taken]"})
 			So(read("a", "b"), ShouldResemble, []string{name + "1 [tenant b told taken]"})
 			So(len(c.counts), ShouldEqual, 1)
 		})
-		Convey("where there are no tenants, none is kept", func() {
+		Convey("without tenants in the configuration, none is kept", func() {
 			So(read(), ShouldBeEmpty)
 			So(c.counts, ShouldBeEmpty)
 		})
--- a/internal/intake/mutants_test.go
+++ b/internal/intake/mutants_test.go
@@ -12,13 +12,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// mutantVariable names the guard that a child goes without.
+// mutantVariable is the environment variable that names the guard a child process runs without.
 const mutantVariable = "CAPERWHEEL_INTAKE_MUTANT"
 
-// tenancyMutant is the product with one guard of tenants and keys taken out. In is, MUTANT stands for whether the
-// child goes without it.
+// tenancyMutant is the program with one guard of tenants and keys removed. In is, MUTANT stands for the condition that
+// the guard is off.
 type tenancyMutant struct{ name, file, was, is, test string }
 
+// tenancyMutants are the guards, with the test that must fail without each.
 var tenancyMutants = []tenancyMutant{
 	{"the id of an operation key has its tenant", "internal/intake/tenant.go",
 		`	return tenantTokenPrefix(tenant) + "n"`, "	if MUTANT {\n		return \"n\" + wire.Checksum([]byte(operation))[:operationDigits]\n	}\n" +
@@ -55,7 +56,7 @@
 		"isHeld && other.tenant != name {", "isHeld && other.tenant != name && !MUTANT {", "TestTenantsWithOneKeyAreInvalid"},
 }
 
-// buildTenancyMutants builds these tests with all guards made optional.
+// buildTenancyMutants builds this package's tests with every guard made optional.
 func buildTenancyMutants(t *testing.T) string {
 	dir, texts, replace := t.TempDir(), map[string]string{}, map[string]string{}
 	root, err := filepath.Abs("../..")
@@ -71,7 +72,7 @@
 			texts[m.file] = string(raw)
 		}
 		if n := strings.Count(texts[m.file], m.was); n != 1 {
-			t.Fatalf("%s: the guard's text is %d times in %s; the table must follow the sources", m.name, n, m.file)
+			t.Fatalf("%s: the guard's text occurs %d times in %s, want 1; update the table to the source", m.name, n, m.file)
 		}
 		gone := "(os.Getenv(" + strconv.Quote(mutantVariable) + ") == " + strconv.Quote(m.name) + ")"
 		texts[m.file] = strings.Replace(texts[m.file], m.was, strings.ReplaceAll(m.is, "MUTANT", gone), 1)
@@ -101,7 +102,7 @@
 	return bin
 }
 
-// TestTenancyMutants: each guard of tenants and keys that is taken out is found by the test of its rule.
+// TestTenancyMutants checks that a test fails for each removed guard.
 func TestTenancyMutants(t *testing.T) {
 	bin := buildTenancyMutants(t)
 	run := func(mutant, test string) error {
@@ -113,7 +114,7 @@
 	for _, m := range tenancyMutants {
 		whole[m.name], without[m.name] = run("", m.test), run(m.name, m.test)
 	}
-	Convey("With all guards the tests pass, and one fails without one of them:", t, func() {
+	Convey("With all guards the tests pass, and a test fails without each of them:", t, func() {
 		for _, m := range tenancyMutants {
 			Convey(m.name, func() {
 				So(whole[m.name], ShouldBeNil)
--- a/internal/intake/places_test.go
+++ b/internal/intake/places_test.go
@@ -12,9 +12,10 @@
 	"caperwheel/platform"
 )
 
-// TestOperationKeysNameTheirPlaces guards against TWICE: a repeat of a message was put to another place than the first send.
+// TestOperationKeysNameTheirPlaces guards against rule TWICE: a repeat of a message went to another place than the
+// first send.
 func TestOperationKeysNameTheirPlaces(t *testing.T) {
-	Convey("Each of many operation keys names one place, and all together many", t, func() {
+	Convey("Each of many operation keys maps to one place, and all together to many", t, func() {
 		places, other := map[int64]bool{}, map[int64]bool{}
 		for i := range 40 {
 			fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", i)}
@@ -29,38 +30,39 @@
 			other[takes[0]()[1].Place] = true
 			_, own, _ := strings.Cut(takes[0]()[0].Id, "-")
 			_, others, _ := strings.Cut(takes[0]()[1].Id, "-")
-			So(own, ShouldNotEqual, others) // the two may have one place
+			So(own, ShouldNotEqual, others) // the two may share a place
 		}
 		So(len(places), ShouldBeGreaterThan, 10)
 		So(len(other), ShouldBeGreaterThan, 10)
 	})
 }
 
-// routesOver gives the platform's configuration with more routes over those of tenanted, which a document may hold as well.
+// routesOver returns tenantConfig with another version and with more routes, which may overlap the existing ones.
 func routesOver(version int, routes ...string) string {
 	doc := strings.Replace(tenantConfig, `"version":3,"routes":[`, fmt.Sprintf(`"version":%d,"routes":[%s`, version, strings.Join(append(routes, ""), ",")), 1)
 	return strings.Replace(doc, `"services":[{"name":"s"}]`, `"services":[{"name":"s"},{"name":"other"}]`, 1)
 }
 
-// TestPlacesOutliveTheConfiguration guards against TWICE: a route that was added over the path of messages that are sent again,
-// ordered where the other was not, brought their repeats to other places, which knew nothing of the first sends.
+// TestPlacesOutliveTheConfiguration guards against rule TWICE: a route was added over the path of messages that are
+// sent again, ordered where the other was not. It sent their repeats to other places, which did not know the first
+// sends.
 func TestPlacesOutliveTheConfiguration(t *testing.T) {
 	over := func(fields string) string {
 		return `{"name":"r-x","hostname":"x.example","path_prefix":"/a/x/","timeout_ms":2000,` + fields + `}`
 	}
 	changes := []struct{ name, doc string }{
 		{"a route is added over its path", routesOver(5, over(`"service":"s"`))},
-		{"an ordered route is", routesOver(6, over(`"service":"s","ordered":true`))},
+		{"an ordered route is added over its path", routesOver(6, over(`"service":"s","ordered":true`))},
 		{"that route's service changes", routesOver(7, over(`"service":"other","ordered":true`))},
-		{"it is open to all", routesOver(8, over(`"service":"other","ordered":true,"public_access":true`))},
-		{"it is ordered no longer", routesOver(9, over(`"service":"other","public_access":true`))},
-		{"it is removed", routesOver(10)},
-		{"the route beneath turns ordered", strings.Replace(routesOver(11), `"path_prefix":"/a/",`, `"path_prefix":"/a/","ordered":true,`, 1)},
-		{"its host is no longer told apart", strings.Replace(routesOver(12), `"hostname":"x.example","path_prefix":"/a/"`, `"hostname":"","path_prefix":"/a/"`, 1)},
+		{"that route becomes public", routesOver(8, over(`"service":"other","ordered":true,"public_access":true`))},
+		{"that route is no longer ordered", routesOver(9, over(`"service":"other","public_access":true`))},
+		{"that route is removed", routesOver(10)},
+		{"the original route becomes ordered", strings.Replace(routesOver(11), `"path_prefix":"/a/",`, `"path_prefix":"/a/","ordered":true,`, 1)},
+		{"the original route loses its host name", strings.Replace(routesOver(12), `"hostname":"x.example","path_prefix":"/a/"`, `"hostname":"","path_prefix":"/a/"`, 1)},
 		{"the tenant gets another key", strings.Replace(routesOver(13), `["key-1","key-2"]`, `["key-1"]`, 1)},
 	}
 	for _, order := range []string{"", "vent 4"} {
-		Convey(fmt.Sprintf("A message that is sent again, with the order key %q, has the place and name of its first send when", order), t, func() {
+		Convey(fmt.Sprintf("A message that is sent again, with the ordering key %q, has the place and id of its first send when", order), t, func() {
 			rules, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 			So(err, ShouldBeNil)
 			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(rules)})
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -19,7 +19,7 @@
 
 var _ intake.Limiter = (*Limiter)(nil)
 
-// owner is the owner of all places, which answers at once, or as long as it is held up not at all.
+// owner is a fake owner of all places. It answers at once, or not at all while its mutex is held.
 type owner struct {
 	mu     sync.Mutex
 	ledger *quota.Allocator
@@ -29,6 +29,7 @@
 	limit  config.Tenant
 }
 
+// ask grants tokens, or returns the error that is set.
 func (o *owner) ask(_ context.Context, _ int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,31 +44,38 @@
 	return &wire.QuotaGrants{Grants: o.ledger.Apply(o.now.Milliseconds(), batch)}, nil
 }
 
+// clock returns the simulated time.
 func (o *owner) clock() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.now
 }
 
+// count returns the number of requests.
 func (o *owner) count() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.asks
 }
 
+// newOwner returns an owner with a tenant's limit, and a limiter that uses it.
 func newOwner(limit config.Tenant) (*owner, *Limiter) {
 	o := &owner{ledger: quota.NewAllocator(), now: time.Minute, limit: limit}
 	return o, New(Options{Holder: "front", Places: 7, Bounds: timing.Default, Now: o.clock, RequestTokens: o.ask})
 }
 
-// noTimeouts has messages wait until they are settled: no test waits for time to pass.
+// noTimeouts is a clock without time-outs, so that messages wait until they are decided.
 type noTimeouts struct{}
 
+// Within implements timing.Clock.
 func (noTimeouts) Within(ctx context.Context, _ time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithCancel(ctx)
 }
+
+// Wait implements timing.Clock.
 func (noTimeouts) Wait(context.Context, time.Duration) {}
 
+// TestAdmissions checks which messages are admitted under a limit.
 func TestAdmissions(t *testing.T) {
 	ctx := timing.WithClock(context.Background(), noTimeouts{})
 	halls := config.Tenant{Name: "halls", Rate: 10, Burst: 10}
@@ -80,7 +88,7 @@
 			}
 			return err
 		}
-		Convey("has as many messages admitted as its burst, and no more", func() {
+		Convey("has exactly as many messages admitted as its burst", func() {
 			admitted := 0
 			for range 40 {
 				if err := admit(); err == nil {
@@ -90,7 +98,7 @@
 				}
 			}
 			So(admitted, ShouldEqual, 10)
-			Convey("and what comes then is refused without a word to its place", func() {
+			Convey("and further messages are refused without a request to its place", func() {
 				asks := o.count()
 				for range 1000 {
 					So(errs.KindOf(admit()), ShouldEqual, errs.OverQuota)
@@ -98,14 +106,14 @@
 				So(o.count(), ShouldEqual, asks)
 			})
 		})
-		Convey("has its token back where the message was not accepted", func() {
+		Convey("gets its token back if the message was not accepted", func() {
 			for range 40 {
 				permit, err := limits.Admit(ctx, halls)
 				So(err, ShouldBeNil)
 				permit.End(false)
 			}
 		})
-		Convey("has nothing admitted while its place cannot be reached", func() {
+		Convey("has nothing admitted while its place is unreachable", func() {
 			o.err = errs.New(errs.NotOwner, "no owner of the place was found")
 			So(errs.KindOf(admit()), ShouldEqual, errs.Lost)
 		})
@@ -113,17 +121,17 @@
 			o.limit.Name = "others"
 			So(errs.KindOf(admit()), ShouldEqual, errs.Lost)
 		})
-		Convey("is told so when the caller waits no longer", func() {
+		Convey("gets an error when the caller no longer waits", func() {
 			over, cancel := context.WithCancel(ctx)
 			cancel()
-			o.mu.Lock() // its place does not answer
+			o.mu.Lock() // the owner does not answer
 			limits.options.Now = func() time.Duration { return time.Minute }
 			_, err := limits.Admit(over, halls)
 			o.mu.Unlock()
 			So(errs.KindOf(err), ShouldEqual, errs.Lost)
 		})
 	})
-	Convey("A tenant without a limit is admitted without a word to any place", t, func() {
+	Convey("A tenant without a limit is admitted without a request to any place", t, func() {
 		o, limits := newOwner(halls)
 		for range 100 {
 			permit, err := limits.Admit(ctx, config.Tenant{Name: "free"})
@@ -132,7 +140,7 @@
 		}
 		So(o.count(), ShouldEqual, 0)
 	})
-	Convey("Many messages at once, of a limit that is enough for half of them", t, func() {
+	Convey("Of many concurrent messages, under a limit that suffices for half of them, no more are admitted", t, func() {
 		_, limits := newOwner(config.Tenant{Name: "halls", Rate: 10, Burst: 100})
 		var all sync.WaitGroup
 		var mu sync.Mutex
--- a/internal/manifest/manifest_test.go
+++ b/internal/manifest/manifest_test.go
@@ -9,8 +9,10 @@
 	"caperwheel/internal/config"
 )
 
+// base is the configuration that manifests are merged into.
 const base = `{"pools":{"p":{},"q":{}},"lanes":{"a":{"pools":["p"],"urgency":7},"t":{"pools":["p"],"children":{"x":{}}}}}`
 
+// route is a valid manifest.
 const route = `apiVersion: gateway.networking.k8s.io/v1
 kind: HTTPRoute
 metadata:
@@ -27,9 +29,9 @@
     retry: {attempts: 4, backoff: 500ms}
 `
 
-// TestRoutes is the table of what a manifest may say.
+// TestRoutes checks which manifests are accepted.
 func TestRoutes(t *testing.T) {
-	Convey("A route becomes lanes, beside what the configuration has", t, func() {
+	Convey("A route becomes lanes in addition to those of the configuration", t, func() {
 		doc, faults := Translate([]byte(base), []byte("---\n"+route+"---\n"))
 		So(faults, ShouldBeEmpty)
 		rules, found := config.Compile(doc)
@@ -55,7 +57,7 @@
 		{"another parent", "name: caperwheel", "name: other", "documents.0.spec.parentRefs.0.name"},
 		{"a host name", "rules:\n", "hostnames: [x.example]\n  rules:\n", "documents.0.spec.hostnames.0"},
 		{"a prefix", "type: Exact, value: /v1/lanes/n", "type: PathPrefix, value: /v1/lanes/n", "documents.0.spec.rules.0.matches.1.path"},
-		{"a path that is no lane's", "/v1/lanes/n/messages", "/n", "documents.0.spec.rules.0.matches.1.path"},
+		{"a path that names no lane", "/v1/lanes/n/messages", "/n", "documents.0.spec.rules.0.matches.1.path"},
 		{"no back end", "    backendRefs: [{name: q}, {name: p}]\n", "", "documents.0.spec.rules.0.backendRefs"},
 		{"a weight, which the system tunes itself", "{name: q}", "{name: q, weight: 3}", "documents.0.spec.rules.0.backendRefs.0.weight"},
 		{"a port", "{name: q}", "{name: q, port: 80}", "documents.0.spec.rules.0.backendRefs.0.port"},
@@ -63,7 +65,7 @@
 		{"codes to retry", "attempts: 4", "attempts: 4, codes: [503]", "documents.0.spec.rules.0.retry.codes.0"},
 		{"a method", "value: /v1/lanes/n/messages}", "value: /v1/lanes/n/messages}\n      method: POST", "documents.0.spec.rules.0.matches.1.method"},
 	}
-	Convey("A manifest is refused, with the path, that has", t, func() {
+	Convey("A manifest is refused, with the path of the fault, that has", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				So(route, ShouldContainSubstring, c.from)
--- a/internal/ownerclient/client_test.go
+++ b/internal/ownerclient/client_test.go
@@ -14,31 +14,31 @@
 	"caperwheel/internal/wire"
 )
 
-// TestAsk is the table of what is known of an ask's effect. An owner that was
-// replaced over an ask once counted as one that had never had it, so that
-// callers were told "not taken" of messages that the next owner ran.
+// TestAsk checks what a caller learns about the effect of its request. It guards against an owner that was replaced
+// during a request and counted as one that had never received it: callers were told "not taken" of messages that the
+// next owner ran.
 func TestAsk(t *testing.T) {
 	taken := func(kind errs.Kind) any { return &wire.Taken{Kind: string(kind)} }
 	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.UnsentError{})
 	cases := []struct {
 		name    string
-		answers []any // of one store after another; the last one again and again
+		answers []any // of one store after another; the last one repeats
 		kind    errs.Kind
 		isOpen  bool
 		isReply bool
 	}{
 		{"an owner's answer", []any{taken("")}, "", false, true},
 		{"the answer of the second store", []any{taken(errs.NotOwner), taken("")}, "", false, true},
-		{"a reject of an owner", []any{taken(errs.Full)}, "", false, true},
-		{"a reject after a lost ask", []any{lost, taken(errs.Full)}, "", true, true},
-		{"a reject after an owner that was replaced", []any{taken(errs.Undecided), taken(errs.Full)}, "", true, true},
-		{"a reject after an ask that was never sent", []any{unsent, taken(errs.Full)}, "", false, true},
-		{"nobody owns it", []any{taken(errs.NotOwner)}, errs.NotOwner, false, false},
-		{"nobody owns it after a lost ask", []any{lost, taken(errs.NotOwner)}, errs.Undecided, true, false},
-		{"nobody owns it after an owner that was replaced", []any{taken(errs.Undecided), taken(errs.NotOwner)}, errs.Undecided, true, false},
-		{"nothing could be sent", []any{unsent}, errs.NotOwner, false, false},
+		{"a rejection by an owner", []any{taken(errs.Full)}, "", false, true},
+		{"a rejection after a lost request", []any{lost, taken(errs.Full)}, "", true, true},
+		{"a rejection after an owner that was replaced", []any{taken(errs.Undecided), taken(errs.Full)}, "", true, true},
+		{"a rejection after a request that was never sent", []any{unsent, taken(errs.Full)}, "", false, true},
+		{"no owner", []any{taken(errs.NotOwner)}, errs.NotOwner, false, false},
+		{"no owner after a lost request", []any{lost, taken(errs.NotOwner)}, errs.Undecided, true, false},
+		{"no owner after one that was replaced", []any{taken(errs.Undecided), taken(errs.NotOwner)}, errs.Undecided, true, false},
+		{"a request that could not be sent", []any{unsent}, errs.NotOwner, false, false},
 	}
-	Convey("An ask that meets", t, func() {
+	Convey("A request that meets", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				membership, turn := session.NewMembership(), 0
--- a/internal/requesthead/fuzz_test.go
+++ b/internal/requesthead/fuzz_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// FuzzDecode: what is read of a head is written and read again as it was.
+// FuzzDecode checks that a decoded head is the same after it was encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add(Head{Method: "POST", Target: "/a?b", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "m-1"}}}.Encode())
 	f.Add([]byte("GET /\n\nX:"))
@@ -18,7 +18,7 @@
 		}
 		two, err := Decode(one.Encode())
 		if err != nil || !reflect.DeepEqual(one, two) {
-			t.Fatalf("%q is read as %+v, and again as %+v, %v", raw, one, two, err)
+			t.Fatalf("decoding %q gave %+v; encoding and decoding that gave %+v, %v", raw, one, two, err)
 		}
 		one.NewRequest("10.0.0.9:1", nil)
 	})
--- a/internal/requesthead/head_test.go
+++ b/internal/requesthead/head_test.go
@@ -9,17 +9,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestUnchanged: what came in goes out to the byte, whatever its target.
+// TestUnchanged checks that the request sent is byte for byte the one received, whatever its target.
 func TestUnchanged(t *testing.T) {
 	cases := []struct{ name, text string }{
 		{"a plain path", "POST /a/b HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
 		{"a query", "PUT /a?b=c&d=%20e HTTP/1.1\r\nHost: x.example:80\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
 		{"escapes and dots", "POST /a%2Fb/../c//d;e=f HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
-		{"two slashes first", "POST //a//b%2Fc?d HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
-		{"two slashes first and no end of a query", "POST //a? HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
+		{"two leading slashes", "POST //a//b%2Fc?d HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
+		{"two leading slashes and an empty query", "POST //a? HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nhi"},
 		{"no body", "POST /a HTTP/1.1\r\nHost: x.example\r\nX-Id: 1\r\nContent-Length: 0\r\n\r\n"},
 	}
-	Convey("A request is the same after it was kept that has", t, func() {
+	Convey("A decoded request is the same as the received one, with", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				r, err := http.ReadRequest(bufio.NewReader(bytes.NewBufferString(c.text)))
@@ -40,7 +40,7 @@
 			})
 		}
 	})
-	Convey("Half a head is refused", t, func() {
+	Convey("An incomplete head is refused", t, func() {
 		_, err := Decode([]byte("POST"))
 		So(err, ShouldNotBeNil)
 	})
--- a/internal/weight/shares_test.go
+++ b/internal/weight/shares_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// simulateFeed gives a lane's messages to two pools by weight for some turns, each pool
-// running at most its capacity a turn, and counts what was left waiting at the
-// end. isControlled has the weights follow what is seen, two turns late.
+// simulateFeed distributes a lane's messages over two pools by weight for some turns. Each pool runs at most its
+// capacity per turn. It returns the messages still waiting at the end and the weights of pool a. With isControlled, the
+// weights follow the observations with a delay of two turns.
 func simulateFeed(turns int, isControlled bool, capacity func(turn int) (a, b float64)) (waiting float64, turned []float64) {
 	weights, queued := map[string]float64{}, map[string]float64{}
 	late := []map[string]Observation{}
@@ -30,7 +30,7 @@
 	return queued["a"] + queued["b"], turned
 }
 
-// TestShares: a lane's pools, of which one turns slow.
+// TestShares checks the weights of a lane's pools when one of them becomes slow.
 func TestShares(t *testing.T) {
 	slows := func(turn int) (float64, float64) {
 		if turn >= 10 && turn < 40 {
@@ -38,14 +38,14 @@
 		}
 		return 95, 95
 	}
-	Convey("When one of two pools turns slow for a while", t, func() {
+	Convey("When one of two pools is slow for a while", t, func() {
 		fixed, _ := simulateFeed(40, false, slows)
 		led, turned := simulateFeed(40, true, slows)
-		Convey("much less is left waiting than under fixed weights", func() {
+		Convey("far fewer messages are left waiting than with fixed weights", func() {
 			So(fixed, ShouldBeGreaterThan, 1000)
 			So(led, ShouldBeLessThan, fixed/4)
 		})
-		Convey("its weight goes down and comes back, and does not swing", func() {
+		Convey("its weight falls and recovers without oscillating", func() {
 			_, turned = simulateFeed(120, true, slows)
 			So(turned[39], ShouldBeLessThan, 0.2)
 			So(turned[119], ShouldBeGreaterThan, 0.95)
@@ -58,7 +58,7 @@
 			So(turns, ShouldBeLessThanOrEqualTo, 1)
 		})
 	})
-	Convey("A peer that does not answer loses weight, keeps the least, and is forgotten when it is gone", t, func() {
+	Convey("A peer that does not answer loses weight down to the minimum, and is forgotten when it is gone", t, func() {
 		p := &Peers{}
 		for range 80 {
 			p.Record("a", 1000, true)
--- a/internal/weight/weight_test.go
+++ b/internal/weight/weight_test.go
@@ -6,6 +6,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// even returns observations of equally fast workers in one zone.
 func even(count int) map[string]Observation {
 	out := map[string]Observation{}
 	for i := range count {
@@ -14,6 +15,7 @@
 	return out
 }
 
+// settle returns the weights after the given number of steps.
 func settle(seen map[string]Observation, turns int) (w Weights) {
 	for range turns {
 		w = NextWeights(w, seen)
@@ -21,7 +23,7 @@
 	return w
 }
 
-// TestWeights is the table of where the weights come to rest.
+// TestWeights checks to which values the weights converge.
 func TestWeights(t *testing.T) {
 	cases := []struct {
 		name string
@@ -30,12 +32,12 @@
 		high float64
 	}{
 		{"like the others keeps its full weight", Observation{Micros: 1000}, 1, 1},
-		{"that is quicker gets no more than that", Observation{Micros: 10}, 1, 1},
+		{"that is faster gets no more than that", Observation{Micros: 10}, 1, 1},
 		{"ten times as slow gets a tenth", Observation{Micros: 10000}, 0.09, 0.12},
 		{"that fails half its runs gets half", Observation{Micros: 1000, Failed: 0.5}, 0.49, 0.52},
 		{"that fails always is still tried", Observation{Micros: 1000, Failed: 1}, WeightFloor, WeightFloor},
 		{"that is probed is still tried", Observation{IsProbe: true}, WeightFloor, WeightFloor},
-		{"not seen to run yet keeps its full weight", Observation{}, 1, 1},
+		{"without an observed run keeps its full weight", Observation{}, 1, 1},
 	}
 	Convey("A worker among four others", t, func() {
 		for _, c := range cases {
@@ -48,7 +50,7 @@
 				So(w.Workers["a"], ShouldEqual, 1)
 			})
 		}
-		Convey("never moves by more than a step in one turn, and comes back", func() {
+		Convey("never moves by more than one step per turn, and recovers", func() {
 			seen := even(4)
 			seen["odd"] = Observation{Zone: "x", Failed: 1}
 			w, last := Weights{}, 1.0
@@ -63,7 +65,7 @@
 			}
 			So(w.Workers["odd"], ShouldBeGreaterThan, 0.95)
 		})
-		Convey("does not drag down its cell alone, but a failing cell goes down", func() {
+		Convey("does not lower the weight of its zone by itself, but a failing zone's weight falls", func() {
 			seen := even(4)
 			for _, name := range []string{"p", "q", "r"} {
 				seen[name] = Observation{Zone: "y", Failed: 1}
@@ -72,7 +74,7 @@
 			So(w.Zones["x"], ShouldEqual, 1)
 			So(w.Zones["y"], ShouldAlmostEqual, WeightFloor, 1e-6)
 		})
-		Convey("publishes only what matters", func() {
+		Convey("publishes only significant changes", func() {
 			w := settle(even(3), 1)
 			So(IsWorthPublishing(Weights{}, w), ShouldBeTrue)
 			So(IsWorthPublishing(w, NextWeights(w, even(3))), ShouldBeFalse)
--- a/internal/workerlist/listing_test.go
+++ b/internal/workerlist/listing_test.go
@@ -10,13 +10,14 @@
 	"caperwheel/internal/errs"
 )
 
+// The times that the tests use.
 const (
 	period   = 50 * time.Millisecond
 	interval = 480 * time.Millisecond
 	most     = time.Second
 )
 
-// TestCursor is the table of what a cursor asks for after what has come.
+// TestCursor checks which page a cursor requests next, and when.
 func TestCursor(t *testing.T) {
 	type answer struct {
 		next string
@@ -26,21 +27,21 @@
 	cases := []struct {
 		text       string
 		answers    []answer
-		ask        string        // what is asked for then
-		due        time.Duration // and after how long
-		isComplete bool          // the newest answer completed a read
+		ask        string        // token of the next request
+		due        time.Duration // delay of the next request
+		isComplete bool          // whether the last answer completed a read
 	}{
 		{"the first page, at once", nil, "", 0, false},
 		{"the page that follows, a period later", []answer{{"2", ""}}, "2", period, false},
 		{"the first page again an interval after it", []answer{{"2", ""}, {"", ""}}, "", interval, true},
 		{"the same page after a failure", []answer{{"2", ""}, lost}, "2", period, false},
-		{"… after twice as long the next time", []answer{{"2", ""}, lost, lost}, "2", 2 * period, false},
-		{"… and so up to a bound", []answer{{"2", ""}, full, full, full, full, full, full, full}, "2", most, false},
-		{"the first page where one keeps failing: its token may have expired", []answer{{"2", ""}, lost, lost, lost, lost, lost}, "", 16 * period, false},
-		{"the same page however often it is refused for the rate", []answer{{"2", ""}, full, full, full, full, full}, "2", 16 * period, false},
+		{"… after twice the delay the next time", []answer{{"2", ""}, lost, lost}, "2", 2 * period, false},
+		{"… up to a maximum delay", []answer{{"2", ""}, full, full, full, full, full, full, full}, "2", most, false},
+		{"the first page if one keeps failing, since its token may have expired", []answer{{"2", ""}, lost, lost, lost, lost, lost}, "", 16 * period, false},
+		{"the same page, however often it is refused because of the rate", []answer{{"2", ""}, full, full, full, full, full}, "2", 16 * period, false},
 		{"the first page after one that names itself as the next", []answer{{"2", ""}, {"2", ""}}, "", interval, false},
 	}
-	Convey("A cursor asks for", t, func() {
+	Convey("A cursor requests", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				cursor, now, isComplete := Cursor{}, 10*time.Second, false
@@ -68,7 +69,7 @@
 	})
 }
 
-// TestRoster is the table of when a worker is taken for gone.
+// TestRoster checks when a worker is removed.
 func TestRoster(t *testing.T) {
 	see := func(at time.Duration) func(*Roster) {
 		return func(r *Roster) { r.Record("p", config.Worker{Name: "w", Zone: "a"}, at) }
@@ -81,14 +82,14 @@
 		steps  []func(*Roster)
 		isHere bool
 	}{
-		{"is here once it was seen", []func(*Roster){see(5)}, true},
-		{"is here after one read that left it out", []func(*Roster){see(5), passed("", 6)}, true},
-		{"is gone after two", []func(*Roster){see(5), passed("", 6), passed("", 7)}, false},
-		{"is here where it was seen in between", []func(*Roster){see(5), passed("", 6), see(7), passed("", 8)}, true},
-		{"is here after reads that began before it was seen", []func(*Roster){see(5), passed("", 4), passed("", 5)}, true},
-		{"is here after reads of other zones", []func(*Roster){see(5), passed("b", 6), passed("b", 7)}, true},
-		{"is gone after reads of its zone", []func(*Roster){see(5), passed("a", 6), passed("a", 7)}, false},
-		{"is gone after a read of its zone and one of all", []func(*Roster){see(5), passed("a", 6), passed("", 7)}, false},
+		{"is listed once it was seen", []func(*Roster){see(5)}, true},
+		{"is listed after one read without it", []func(*Roster){see(5), passed("", 6)}, true},
+		{"is removed after two", []func(*Roster){see(5), passed("", 6), passed("", 7)}, false},
+		{"is listed if it was seen in between", []func(*Roster){see(5), passed("", 6), see(7), passed("", 8)}, true},
+		{"is listed after reads that began before it was seen", []func(*Roster){see(5), passed("", 4), passed("", 5)}, true},
+		{"is listed after reads of other zones", []func(*Roster){see(5), passed("b", 6), passed("b", 7)}, true},
+		{"is removed after reads of its zone", []func(*Roster){see(5), passed("a", 6), passed("a", 7)}, false},
+		{"is removed after a read of its zone and one of all", []func(*Roster){see(5), passed("a", 6), passed("", 7)}, false},
 	}
 	Convey("A worker", t, func() {
 		for _, c := range cases {
@@ -100,13 +101,13 @@
 				So(len(r.Pool("p")) == 1, ShouldEqual, c.isHere)
 			})
 		}
-		Convey("is as the newest call told, whichever answer comes last", func() {
+		Convey("has the state of the newest request, whichever answer arrives last", func() {
 			r := NewRoster()
 			r.Record("p", config.Worker{Name: "w", State: "leaving"}, 7)
 			r.Record("p", config.Worker{Name: "w", State: "live"}, 6)
 			So(r.Pool("p")[0].State, ShouldEqual, "leaving")
 		})
-		Convey("is told as changed once", func() {
+		Convey("is reported as changed once", func() {
 			r := NewRoster()
 			see(5)(r)
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": false}})
@@ -115,7 +116,7 @@
 			r.Requeue("p", map[string]bool{"w": true})
 			So(r.Changed(), ShouldResemble, map[string]map[string]bool{"p": {"w": true}})
 		})
-		Convey("is told as new, until it changes after it was told of", func() {
+		Convey("is reported as new until it changes after it was reported", func() {
 			r := NewRoster()
 			see(5)(r)
 			isNew := r.Changed()
