--- a/internal/deliver/adapter.go
+++ b/internal/deliver/adapter.go
@@ -72,7 +72,7 @@
 }
 
 // SetOwnerClient sets the client by which results reach the owners of places.
-func (a *Adapter) SetOwnerClient(r *ownerclient.Client) { a.ownerClient = r }
+func (a *Adapter) SetOwnerClient(client *ownerclient.Client) { a.ownerClient = client }
 
 // Serve handles messages from stores on the run link.
 func (a *Adapter) Serve(_ wire.Who, body any, answer func(any)) {
@@ -103,8 +103,8 @@
 // run's fate is unknown and asks again.
 func (a *Adapter) askAgent(m *wire.Open, answer func(any)) {
 	unknown := &wire.OpenAck{Kind: string(errs.Lost)}
-	ask := &wire.Outcome{Place: m.Place, Id: m.Id, Step: repair.StepHas, Proof: wire.Proof{Attempt: m.Attempt, Answer: []byte{}}}
-	err := a.environment.Post(wire.PlaceLink, a.d.Settings.Seeds[0], ask, func(reply any, err error) {
+	query := &wire.Outcome{Place: m.Place, Id: m.Id, Step: repair.StepHas, Proof: wire.Proof{Attempt: m.Attempt, Answer: []byte{}}}
+	err := a.environment.Post(wire.PlaceLink, a.d.Settings.Seeds[0], query, func(reply any, err error) {
 		ack, isAck := reply.(*wire.OutcomeAck)
 		switch {
 		case err != nil || !isAck:
@@ -170,14 +170,14 @@
 // duties have been assigned to others. It returns early when ctx ends.
 func (a *Adapter) Drain(ctx context.Context) {
 	a.Leave()
-	handOver := a.d.Now() + a.d.Bounds.Of(timing.SessionTimeout)
-	for ctx.Err() == nil && (a.OpenRunCount() > 0 || a.holdsAnyDuty() && a.d.Now() < handOver) {
+	dutyDeadline := a.d.Now() + a.d.Bounds.Of(timing.SessionTimeout)
+	for ctx.Err() == nil && (a.OpenRunCount() > 0 || a.holdsAnyDuty() && a.d.Now() < dutyDeadline) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(a.d.Bounds.Of(timing.Poll) / 4):
 		}
 	}
-	if inHand := a.OpenRunCount(); inHand > 0 {
-		klog.Warningf("deliver: drain timed out with %d runs still open; stopping anyway", inHand)
+	if openRuns := a.OpenRunCount(); openRuns > 0 {
+		klog.Warningf("deliver: drain timed out with %d runs still open; stopping anyway", openRuns)
 	}
 }
--- a/internal/deliver/codec.go
+++ b/internal/deliver/codec.go
@@ -57,29 +57,29 @@
 func (a *Adapter) sendPassthrough(e *delivery) error {
 	r := e.run
 	bound := time.Duration(r.Bound) * time.Millisecond
-	asking := RunRequest{Id: r.Id, Head: r.RequestHead, Body: r.Body, Address: r.address, Worker: r.Worker, Identifier: r.identifier, Bound: bound}
+	request := RunRequest{Id: r.Id, Head: r.RequestHead, Body: r.Body, Address: r.address, Worker: r.Worker, Identifier: r.identifier, Bound: bound}
 	if e.rules.Pools[r.Pool].IsEndpoint {
-		asking.Worker = ""
+		request.Worker = ""
 	}
-	req, err := a.codec.NewRequest(asking)
+	req, err := a.codec.NewRequest(request)
 	if err != nil {
 		e.outcome.Final = !errs.Is(err, errs.Unhealthy)
 		return err
 	}
 	ctx, cancel := timing.WithRunningTimeout(e.ctx, bound+bound/timing.AnswerMarginDivisor)
 	defer cancel()
-	answer, err := a.sendToWorker(ctx, e, withBody(req, r.Body), a.codec.MaxAnswerBytes, func(answer *http.Response) ReplyMatch { return a.codec.MatchReply(asking, answer) })
+	answer, err := a.sendToWorker(ctx, e, withBody(req, r.Body), a.codec.MaxAnswerBytes, func(answer *http.Response) ReplyMatch { return a.codec.MatchReply(request, answer) })
 	if err != nil {
 		return err
 	}
-	j := a.codec.Interpret(asking, answer.Response, answer.Bytes)
-	r.isSent.Store(j.IsBegun)
-	r.isHealthy.Store(j.IsHealthy)
-	e.outcome.Final, e.outcome.Wait = j.IsFinal, j.RetryDelay.Milliseconds()
-	if j.Kind != "" {
-		return errs.New(j.Kind, "%s", j.Text)
+	result := a.codec.Interpret(request, answer.Response, answer.Bytes)
+	r.isSent.Store(result.IsBegun)
+	r.isHealthy.Store(result.IsHealthy)
+	e.outcome.Final, e.outcome.Wait = result.IsFinal, result.RetryDelay.Milliseconds()
+	if result.Kind != "" {
+		return errs.New(result.Kind, "%s", result.Text)
 	}
-	e.recordProof(answer, j.Answer)
+	e.recordProof(answer, result.Answer)
 	return nil
 }
 
--- a/internal/deliver/concurrency_test.go
+++ b/internal/deliver/concurrency_test.go
@@ -18,7 +18,7 @@
 // queued until it may begin, and takes took. It returns the number of runs that ended after the warm-up, and the
 // maximum numbers of concurrent and of queued runs.
 func busyWorker(w *WorkerState, lead, took time.Duration) (ended, maxRunning, maxQueued int) {
-	arrivals, ends, line := []time.Duration{}, []time.Duration{}, 0
+	arrivals, ends, queued := []time.Duration{}, []time.Duration{}, 0
 	for now := time.Duration(0); now < warmUp+counted; now += time.Millisecond {
 		for len(ends) > 0 && ends[0] <= now {
 			ends = ends[1:]
@@ -33,13 +33,13 @@
 		for len(arrivals) > 0 && arrivals[0] <= now {
 			arrivals = arrivals[1:]
 			w.RecordLead(lead)
-			line++
+			queued++
 		}
-		for line > 0 && w.TryBegin(now) {
-			line--
+		for queued > 0 && w.TryBegin(now) {
+			queued--
 			ends = append(ends, now+took)
 		}
-		maxRunning, maxQueued = max(maxRunning, len(ends)), max(maxQueued, line)
+		maxRunning, maxQueued = max(maxRunning, len(ends)), max(maxQueued, queued)
 	}
 	return ended, maxRunning, maxQueued
 }
@@ -50,11 +50,11 @@
 func TestGrantedAhead(t *testing.T) {
 	const millisecond = time.Millisecond
 	cases := []struct {
-		name             string
-		slots            int64
-		lead, took       time.Duration
-		leastShare       float64 // of the runs that the worker could end
-		mostWaitingShare float64 // of its slots
+		name           string
+		slots          int64
+		lead, took     time.Duration
+		minShare       float64 // of the runs that the worker could end
+		maxQueuedShare float64 // of its slots
 	}{
 		{"short runs that take as long to arrive", 4, 15 * millisecond, 15 * millisecond, 0.95, 1},
 		{"runs that take longer to arrive than to end", 4, 30 * millisecond, 15 * millisecond, 0.65, 1},
@@ -66,9 +66,9 @@
 			Convey("with "+c.name, func() {
 				w := NewWorkerState(config.Pool{Concurrency: c.slots}, 0, 0)
 				ended, maxRunning, maxQueued := busyWorker(w, c.lead, c.took)
-				So(float64(ended), ShouldBeGreaterThanOrEqualTo, c.leastShare*float64(c.slots)*float64(counted)/float64(c.took))
+				So(float64(ended), ShouldBeGreaterThanOrEqualTo, c.minShare*float64(c.slots)*float64(counted)/float64(c.took))
 				So(maxRunning, ShouldBeLessThanOrEqualTo, c.slots)
-				So(float64(maxQueued), ShouldBeLessThanOrEqualTo, max(1, c.mostWaitingShare*float64(c.slots)))
+				So(float64(maxQueued), ShouldBeLessThanOrEqualTo, max(1, c.maxQueuedShare*float64(c.slots)))
 			})
 		}
 	})
@@ -96,11 +96,11 @@
 
 // queueSecondRun queues a run behind the first one, which is running, and returns the channel that gets its turn. The
 // run's permit expires at the given time.
-func queueSecondRun(h *dutyHolder, first *permit, lapsesAt time.Duration) (turns chan error) {
+func queueSecondRun(h *dutyHolder, first *permit, expiresAt time.Duration) (turns chan error) {
 	turns = make(chan error, 2)
 	h.slots.startWhenFree(first, func(err error) { turns <- err })
 	So(<-turns, ShouldBeNil)
-	first.held.queue = append(first.held.queue, queuedRun{lapsesAt, func(err error) { turns <- err }})
+	first.held.queue = append(first.held.queue, queuedRun{expiresAt, func(err error) { turns <- err }})
 	first.held.startQueued(0)
 	So(len(turns), ShouldEqual, 0)
 	return turns
--- a/internal/deliver/deliver_test.go
+++ b/internal/deliver/deliver_test.go
@@ -164,7 +164,7 @@
 func TestOneTimer(t *testing.T) {
 	Convey("However often serve is called, exactly one further call is scheduled", t, func() {
 		a, due := newTestAdapter("127.0.0.1:1"), []func(){}
-		a.environment.After = func(_ time.Duration, look func()) { due = append(due, look) }
+		a.environment.After = func(_ time.Duration, call func()) { due = append(due, call) }
 		for range 9 {
 			a.slots.requestSlot(&wire.Want{Pool: "p", Worker: "w", Hold: 60_000}, func(any) {})
 		}
@@ -172,10 +172,10 @@
 			a.slots.serve()
 			at := a.slots.timerAt
 			So(at, ShouldBeGreaterThan, a.d.Now())
-			looks := due
+			calls := due
 			due = nil
-			for _, look := range looks {
-				look()
+			for _, call := range calls {
+				call()
 			}
 			So(len(due), ShouldEqual, 1)
 		}
--- a/internal/deliver/drain_test.go
+++ b/internal/deliver/drain_test.go
@@ -55,8 +55,8 @@
 	return d
 }
 
-func (d *outageSimulation) after(span time.Duration, happen func()) {
-	d.events[d.now+span] = append(d.events[d.now+span], happen)
+func (d *outageSimulation) after(span time.Duration, event func()) {
+	d.events[d.now+span] = append(d.events[d.now+span], event)
 }
 
 func (d *outageSimulation) apply(c place.Command) {
@@ -74,15 +74,15 @@
 	}
 }
 
-// grant grants every free slot to the next message. If isAhead is false, a slot is held from its grant on and no run
+// grant grants every free slot to the next message. If grantsAhead is false, a slot is held from its grant on and no run
 // queues at the worker.
-func (d *outageSimulation) grant(isAhead bool) {
+func (d *outageSimulation) grant(grantsAhead bool) {
 	if d.now >= awayFrom && d.now < awayUntil {
 		return
 	}
 	for i, w := range d.workers {
 		for d.machine.Ready(d.now.Milliseconds())["l"] > 0 {
-			if !isAhead && w.inUse >= drainSlots {
+			if !grantsAhead && w.inUse >= drainSlots {
 				break
 			}
 			if isGranted, _ := w.Grant(d.now); !isGranted {
@@ -123,10 +123,10 @@
 }
 
 // play returns the time from the end of the outage to the last late start of a run.
-func (d *outageSimulation) play(isAhead bool) time.Duration {
+func (d *outageSimulation) play(grantsAhead bool) time.Duration {
 	for ; d.now < drainEnd; d.now += time.Millisecond {
-		for _, happen := range d.events[d.now] {
-			happen()
+		for _, event := range d.events[d.now] {
+			event()
 		}
 		delete(d.events, d.now)
 		for i, w := range d.workers {
@@ -137,7 +137,7 @@
 			}
 		}
 		d.take()
-		d.grant(isAhead)
+		d.grant(grantsAhead)
 	}
 	return d.lateRuns[len(d.lateRuns)-1] - awayUntil
 }
--- a/internal/deliver/environment.go
+++ b/internal/deliver/environment.go
@@ -31,12 +31,12 @@
 
 // daemonEnvironment returns the environment of a daemon whose work ends with ctx.
 func daemonEnvironment(ctx context.Context, d *daemon.Daemon) Environment {
-	runs, words := pond.NewPool(max(1, d.Settings.MaxInFlight)), pond.NewPool(max(1, d.Settings.MaxInFlight/notificationPoolDivisor))
+	runs, notifications := pond.NewPool(max(1, d.Settings.MaxInFlight)), pond.NewPool(max(1, d.Settings.MaxInFlight/notificationPoolDivisor))
 	client := newClient(d.Bounds)
 	return Environment{
 		After:           func(span time.Duration, work func()) { time.AfterFunc(span, work) },
 		Run:             func(work func(context.Context)) { runs.Submit(func() { work(ctx) }) },
-		RunNotification: func(work func(context.Context)) { words.Submit(func() { work(ctx) }) },
+		RunNotification: func(work func(context.Context)) { notifications.Submit(func() { work(ctx) }) },
 		Send:            client.Send,
 		Post: func(link *wire.Link, addr string, ask any, done func(any, error)) error {
 			return d.Node.Peer(link, addr).Post(ask, done)
--- a/internal/deliver/fence_test.go
+++ b/internal/deliver/fence_test.go
@@ -72,15 +72,15 @@
 	return true
 }
 
-// actsUntil returns the last step at which the old holder grants slots, if its last update arrives at heardAt and is
+// actsUntil returns the last step at which the old holder grants slots, if its last update arrives at updatedAt and is
 // age steps old; -1 for never.
-func actsUntil(heardAt, age int) (last int) {
+func actsUntil(updatedAt, age int) (last int) {
 	h, last := newDutyHolder("a"), -1
-	for now := range heardAt + 1 { // asked at every step, since a rate share counts one fence after its duty was first seen
+	for now := range updatedAt + 1 { // asked at every step, since a rate share counts one fence after its duty was first seen
 		h.receiveUpdate(now, min(age, now))
 		h.grantsSlot(now)
 	}
-	for now := heardAt; now <= lastStep; now++ {
+	for now := updatedAt; now <= lastStep; now++ {
 		if h.grantsSlot(now) {
 			last = now
 		}
@@ -88,11 +88,11 @@
 	return last
 }
 
-// actsFrom returns the first step at which the new holder grants slots, if its first update arrives at heardAt and is
+// actsFrom returns the first step at which the new holder grants slots, if its first update arrives at updatedAt and is
 // age steps old; -1 for never.
-func actsFrom(heardAt, age int) int {
+func actsFrom(updatedAt, age int) int {
 	h := newDutyHolder("b")
-	for now := heardAt; now <= lastStep; now++ {
+	for now := updatedAt; now <= lastStep; now++ {
 		h.receiveUpdate(now, min(age, now-movedAt))
 		if h.grantsSlot(now) {
 			return now
@@ -107,12 +107,12 @@
 func TestOneHolderAtATime(t *testing.T) {
 	latest, earliest, acted := map[string]int{}, map[string]int{}, 0
 	for age := range maxUpdateAge + 1 {
-		for heardAt := range lastStep {
-			latest[fmt.Sprintf("heard last at %d, %d old", heardAt, age)] = actsUntil(heardAt, age)
-			if heardAt >= movedAt {
-				first := actsFrom(heardAt, age)
+		for updatedAt := range lastStep {
+			latest[fmt.Sprintf("updated last at %d, %d old", updatedAt, age)] = actsUntil(updatedAt, age)
+			if updatedAt >= movedAt {
+				first := actsFrom(updatedAt, age)
 				if first >= 0 {
-					earliest[fmt.Sprintf("heard first at %d, %d old", heardAt, age)] = first
+					earliest[fmt.Sprintf("updated first at %d, %d old", updatedAt, age)] = first
 					acted++
 				}
 			}
@@ -123,7 +123,7 @@
 			So(acted, ShouldEqual, (lastStep-movedAt-stepsPerBound)*(maxUpdateAge+1)) // the fence takes a whole bound
 		})
 		Convey("the old one acts beyond the move if it was not updated", func() {
-			So(latest["heard last at 7, 0 old"], ShouldBeGreaterThan, movedAt)
+			So(latest["updated last at 7, 0 old"], ShouldBeGreaterThan, movedAt)
 		})
 		Convey("the old one has stopped before the new one begins", func() {
 			for old, until := range latest {
--- a/internal/deliver/large_test.go
+++ b/internal/deliver/large_test.go
@@ -50,14 +50,14 @@
 		code     int
 		isNotRun bool
 	}{{"a success", 200, false}, {"a failure", 500, false}, {"a refusal for good", 422, false}, {"a full worker", 503, true}}
-	for _, way := range deliveryModes {
-		Convey("To "+way.name+", the reply of", t, func() {
+	for _, mode := range deliveryModes {
+		Convey("To "+mode.name+", the reply of", t, func() {
 			for _, a := range answers {
 				for _, isChunked := range []bool{false, true} {
 					Convey(fmt.Sprintf("%s means the same whatever its size; in chunks: %t", a.name, isChunked), func() {
-						small := deliverOnce(way.codec, way.isLane, bodyOf(a.code, 4, isChunked, a.isNotRun))
+						small := deliverOnce(mode.codec, mode.isLane, bodyOf(a.code, 4, isChunked, a.isNotRun))
 						for _, size := range sizes {
-							got := deliverOnce(way.codec, way.isLane, bodyOf(a.code, size, isChunked, a.isNotRun))
+							got := deliverOnce(mode.codec, mode.isLane, bodyOf(a.code, size, isChunked, a.isNotRun))
 							So([]any{size, got.Kind, got.MayHaveStarted, got.Final, got.Proof.Status}, ShouldResemble,
 								[]any{size, small.Kind, small.MayHaveStarted, small.Final, small.Proof.Status})
 							So(len(got.Proof.Answer), ShouldBeLessThanOrEqualTo, deliver.MaxAnswerBytes)
@@ -74,8 +74,8 @@
 	Convey("The proof of a success has the complete reply, or no reply and the checksum of the complete one", t, func() {
 		for _, size := range sizes {
 			whole := strings.Repeat("q", size)
-			for _, way := range deliveryModes[:2] {
-				proof := deliverOnce(way.codec, way.isLane, bodyOf(200, size, false, false)).Proof
+			for _, mode := range deliveryModes[:2] {
+				proof := deliverOnce(mode.codec, mode.isLane, bodyOf(200, size, false, false)).Proof
 				So(proof.Checksum, ShouldEqual, wire.Checksum([]byte(whole)))
 				if size <= deliver.MaxAnswerBytes {
 					So(string(proof.Answer) == whole, ShouldBeTrue)
@@ -83,8 +83,8 @@
 					So(proof.Answer, ShouldBeEmpty)
 				}
 			}
-			platforms := deliverOnce(deliveryModes[2].codec, deliveryModes[2].isLane, bodyOf(200, size, false, false)).Proof
-			So(string(platforms.Answer), ShouldEqual, "s.1")
+			platformProof := deliverOnce(deliveryModes[2].codec, deliveryModes[2].isLane, bodyOf(200, size, false, false)).Proof
+			So(string(platformProof.Answer), ShouldEqual, "s.1")
 		}
 	})
 }
--- a/internal/deliver/notification.go
+++ b/internal/deliver/notification.go
@@ -126,22 +126,22 @@
 func (a *Adapter) sendNotification(ctx context.Context, m *wire.Tell, req *http.Request) *wire.Told {
 	ctx, cancel := timing.Within(ctx, a.d.Bounds.Of(timing.CallbackTimeout))
 	defer cancel()
-	mayKeep, check := a.notificationReplyCheck(m)
-	got, err := a.environment.Send(req.WithContext(ctx), web.SendOptions{CanReuse: mayKeep})
+	canReuse, check := a.notificationReplyCheck(m)
+	reply, err := a.environment.Send(req.WithContext(ctx), web.SendOptions{CanReuse: canReuse})
 	if err == nil {
-		err = check(got)
+		err = check(reply)
 	}
 	switch {
 	case err != nil:
 		return &wire.Told{Kind: string(errs.KindOf(err))}
-	case got.StatusCode != http.StatusOK:
+	case reply.StatusCode != http.StatusOK:
 		return &wire.Told{Kind: string(errs.Rejected)}
 	}
 	return &wire.Told{}
 }
 
 // notificationReplyCheck returns the checks that tell whether a reply belongs to a notification; see replyChecks.
-func (a *Adapter) notificationReplyCheck(m *wire.Tell) (mayKeep func(*web.Reply) bool, check func(*web.Reply) error) {
+func (a *Adapter) notificationReplyCheck(m *wire.Tell) (canReuse func(*web.Reply) bool, check func(*web.Reply) error) {
 	if a.codec.MatchNotificationReply == nil {
 		return web.AlwaysReuse, func(*web.Reply) error { return nil }
 	}
--- a/internal/deliver/notification_test.go
+++ b/internal/deliver/notification_test.go
@@ -48,11 +48,11 @@
 						c.receiver(w, r)
 					}))
 					Reset(server.Close)
-					word := &wire.Tell{Id: "0-x", Url: server.URL + "/done?x", State: "ended", Head: kept.Encode(), Answer: []byte("s")}
+					request := &wire.Tell{Id: "0-x", Url: server.URL + "/done?x", State: "ended", Head: kept.Encode(), Answer: []byte("s")}
 					if c.url != "" {
-						word.Url = c.url
+						request.Url = c.url
 					}
-					So(errs.Kind(deliver.SendNotification(m.codec, word, c.others).Kind), ShouldEqual, c.kind)
+					So(errs.Kind(deliver.SendNotification(m.codec, request, c.others).Kind), ShouldEqual, c.kind)
 					if c.kind == "" {
 						So(<-got, ShouldStartWith, "POST /done?x {")
 					}
--- a/internal/deliver/notificationqueue_test.go
+++ b/internal/deliver/notificationqueue_test.go
@@ -12,9 +12,9 @@
 )
 
 // burst starts notifications to one address and returns the numbers of those that went out, in order.
-func burst(t *notificationLimiter, words int) (out *[]int, refused int) {
+func burst(t *notificationLimiter, count int) (out *[]int, refused int) {
 	out = &[]int{}
-	for i := range words {
+	for i := range count {
 		if !t.start("a", func() { *out = append(*out, i) }) {
 			refused++
 		}
--- a/internal/deliver/replymatch.go
+++ b/internal/deliver/replymatch.go
@@ -36,11 +36,11 @@
 // matchOwnHeaders compares the header fields that workers of the product's own interface repeat. The attempt number,
 // which tells two runs of one message apart, is optional.
 func matchOwnHeaders(answer *http.Response, id string, attempt int64) ReplyMatch {
-	naming := MatchHeader(answer, messageId, id)
-	if naming == ReplyMatches && MatchHeader(answer, attemptNumber, strconv.FormatInt(attempt, 10)) == ReplyMismatch {
+	match := MatchHeader(answer, messageId, id)
+	if match == ReplyMatches && MatchHeader(answer, attemptNumber, strconv.FormatInt(attempt, 10)) == ReplyMismatch {
 		return ReplyMismatch
 	}
-	return naming
+	return match
 }
 
 // The header fields of the product's own interface that identify a run.
@@ -53,12 +53,12 @@
 // without an id can be attributed only if it is the first on its connection, so that connection is not reused. Nor is
 // it after a failure: the message is retried under the same id, and a late second copy of the failure would be taken
 // for the reply to the retry.
-func replyChecks(naming func(*http.Response) ReplyMatch) (mayKeep func(*web.Reply) bool, check func(*web.Reply) error) {
-	mayKeep = func(reply *web.Reply) bool {
-		return naming(reply.Response) == ReplyMatches && !isFailure(reply.StatusCode)
+func replyChecks(match func(*http.Response) ReplyMatch) (canReuse func(*web.Reply) bool, check func(*web.Reply) error) {
+	canReuse = func(reply *web.Reply) bool {
+		return match(reply.Response) == ReplyMatches && !isFailure(reply.StatusCode)
 	}
 	check = func(reply *web.Reply) error {
-		switch found := naming(reply.Response); {
+		switch found := match(reply.Response); {
 		case found == ReplyMismatch:
 			return errs.New(errs.Truncated, "reply rejected: it carries the id of another message")
 		case found == ReplyUnidentified && !reply.IsFirstOnConnection:
@@ -66,7 +66,7 @@
 		}
 		return nil
 	}
-	return mayKeep, check
+	return canReuse, check
 }
 
 // isFailure reports whether a status means that an attempt failed. A worker that answers 503 has not begun one.
--- a/internal/deliver/replymatch_test.go
+++ b/internal/deliver/replymatch_test.go
@@ -66,16 +66,16 @@
 		{"none repeats an id", exchange{answerOf(200, "one"), answerOf(200, "two")}, [2]errs.Kind{}, "two", 3},
 		{"the first is another run's", exchange{answerOf(200, "one", "ID2"), answerOf(200, "two", "ID2")}, [2]errs.Kind{"cut_short", ""}, "two", 2},
 	}
-	for _, way := range deliveryModes {
-		Convey("Of the replies to "+way.name, t, func() {
+	for _, mode := range deliveryModes {
+		Convey("Of the replies to "+mode.name, t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
-					name := strings.NewReplacer("ID1", way.field+": 0-1", "ID2", way.field+": 0-2")
+					name := strings.NewReplacer("ID1", mode.field+": 0-1", "ID2", mode.field+": 0-2")
 					address, accepted := scripted(name.Replace(c.first), name.Replace(c.second), name.Replace(answerOf(200, "two", "ID2")))
-					meet := deliver.Deliverer(way.codec, address)
+					deliverNext := deliver.Deliverer(mode.codec, address)
 					run := func(id string) *wire.Outcome {
 						kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", id}}}
-						return meet(id, kept, way.isLane)
+						return deliverNext(id, kept, mode.isLane)
 					}
 					one, two := run("0-1"), run("0-2")
 					So(errs.Kind(one.Kind), ShouldEqual, c.kinds[0])
@@ -104,16 +104,16 @@
 		{"a worker that is full, which counts for nothing", 503, 1},
 		{"a success: the message does not run again", 200, 1},
 	}
-	for _, way := range deliveryModes {
-		Convey("For "+way.name+", two runs of one message, the first answered by", t, func() {
+	for _, mode := range deliveryModes {
+		Convey("For "+mode.name+", two runs of one message, the first answered by", t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
-					field := way.field + ": 0-1"
+					field := mode.field + ": 0-1"
 					address, accepted := scripted(answerOf(c.code, "one", field), answerOf(200, "two", field))
-					meet := deliver.Deliverer(way.codec, address)
+					deliverNext := deliver.Deliverer(mode.codec, address)
 					kept := requesthead.Head{Method: "POST", Target: "/a", Host: "x.example", Fields: [][2]string{{"X-Attempt-Id", "0-1"}}}
-					meet("0-1", kept, way.isLane)
-					So(meet("0-1", kept, way.isLane).Kind, ShouldBeEmpty)
+					deliverNext("0-1", kept, mode.isLane)
+					So(deliverNext("0-1", kept, mode.isLane).Kind, ShouldBeEmpty)
 					So(accepted.Load(), ShouldEqual, c.conns)
 				})
 			}
@@ -138,13 +138,13 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				address, accepted := scripted(c.first, c.second, answerOf(200, "", "X-Message-Id: 0-2"))
-				tell := deliver.NotificationSender(deliver.DefaultCodec)
-				word := func(id string) errs.Kind {
-					return errs.Kind(tell(&wire.Tell{Id: id, Url: "http://" + address + "/", State: "ended"}).Kind)
+				send := deliver.NotificationSender(deliver.DefaultCodec)
+				sendFor := func(id string) errs.Kind {
+					return errs.Kind(send(&wire.Tell{Id: id, Url: "http://" + address + "/", State: "ended"}).Kind)
 				}
-				So(word("0-1"), ShouldBeEmpty)
-				So(word("0-2"), ShouldEqual, c.kind)
-				So(word("0-2"), ShouldBeEmpty)
+				So(sendFor("0-1"), ShouldBeEmpty)
+				So(sendFor("0-2"), ShouldEqual, c.kind)
+				So(sendFor("0-2"), ShouldBeEmpty)
 				So(accepted.Load(), ShouldEqual, c.conns)
 			})
 		}
--- a/internal/deliver/runqueue.go
+++ b/internal/deliver/runqueue.go
@@ -18,17 +18,17 @@
 // startWhenFree calls turn, which must not block, once the worker may have one more concurrent run. An error means that
 // the run must not begin: the worker fails, its duty has moved to another holder, or the permit expired first. A queued
 // run holds no goroutine.
-func (s *slotAllocator) startWhenFree(p *permit, turn func(error)) {
+func (s *slotAllocator) startWhenFree(p *permit, onTurn func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.adapter.d.Now()
 	switch {
 	case s.workers[p.key] != p.held: // a dropped worker's queue is never served
-		turn(errs.New(errs.NotOwner, "run on %s refused: the worker's duty has moved to another holder", p.key))
+		onTurn(errs.New(errs.NotOwner, "run on %s refused: the worker's duty has moved to another holder", p.key))
 	case len(p.held.queue) == 0 && p.held.worker.TryBegin(now):
-		turn(nil)
+		onTurn(nil)
 	default:
-		p.held.queue = append(p.held.queue, queuedRun{p.deadline, turn})
+		p.held.queue = append(p.held.queue, queuedRun{p.deadline, onTurn})
 		p.held.startQueued(now)
 		s.scheduleServe(s.adapter.d.Bounds.Of(timing.SlotRequestHold))
 	}
--- a/internal/deliver/runregistry.go
+++ b/internal/deliver/runregistry.go
@@ -61,8 +61,8 @@
 }
 
 // NewRunRegistry returns an empty registry for at most the given number of open runs.
-func NewRunRegistry(most int) *RunRegistry {
-	return &RunRegistry{maxRuns: most, runs: map[runKey]openRun{}, refused: map[runKey]time.Duration{}, terms: map[int64]int64{}}
+func NewRunRegistry(maxRuns int) *RunRegistry {
+	return &RunRegistry{maxRuns: maxRuns, runs: map[runKey]openRun{}, refused: map[runKey]time.Duration{}, terms: map[int64]int64{}}
 }
 
 // Admit opens a run. It rejects runs of an older term, runs that were refused for good, duplicates, and runs beyond the
@@ -102,9 +102,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := []RunStatus{}
-	for key, s := range b.runs {
+	for key, open := range b.runs {
 		if key.id == id {
-			out = append(out, RunStatus{key.attempt, s.run.Place, s.run.Term, s.run.Pool, s.run.Worker, s.stage, (now - s.since).Milliseconds()})
+			out = append(out, RunStatus{key.attempt, open.run.Place, open.run.Term, open.run.Pool, open.run.Worker, open.stage, (now - open.since).Milliseconds()})
 		}
 	}
 	slices.SortFunc(out, func(a, b RunStatus) int { return cmp.Compare(a.Attempt, b.Attempt) })
@@ -116,8 +116,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[Stage]time.Duration{}
-	for _, s := range b.runs {
-		out[s.stage] = max(out[s.stage], now-s.since)
+	for _, open := range b.runs {
+		out[open.stage] = max(out[open.stage], now-open.since)
 	}
 	return out
 }
--- a/internal/deliver/runs.go
+++ b/internal/deliver/runs.go
@@ -118,19 +118,19 @@
 	a.runs.SetStage(&r.Run, StageOwner, a.d.Now())
 	backups := a.d.Settings.Seeds
 	lane, isKnown := a.configs.Current().Rules.Lanes[r.Lane]
-	isWitnessed := lane.UsesWitness || !isKnown
-	if isWitnessed && (o.MayHaveStarted || o.Kind == "") {
+	isBackedUp := lane.UsesWitness || !isKnown
+	if isBackedUp && (o.MayHaveStarted || o.Kind == "") {
 		a.sendBackup(backups, o, repair.StepLeave)
 		backups = append(slices.Clone(backups), a.backUpInOtherZone(o)...)
 	}
-	for turn := 0; ctx.Err() == nil; turn++ {
-		bounded, cancel := timing.Within(ctx, a.d.Bounds.Of(timing.SettleTimeout))
-		_, err := a.ownerClient.CallOwner(bounded, wire.FirstPlaceGroup+r.Place, o, repair.ParseAck)
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		attemptCtx, cancel := timing.Within(ctx, a.d.Bounds.Of(timing.SettleTimeout))
+		_, err := a.ownerClient.CallOwner(attemptCtx, wire.FirstPlaceGroup+r.Place, o, repair.ParseAck)
 		cancel()
 		if err == nil {
 			break
 		}
-		if turn == 0 && isWitnessed {
+		if attempt == 0 && isBackedUp {
 			stores := []string{}
 			for _, who := range a.d.Membership.OfKind("store") {
 				stores = append(stores, who.Addr)
@@ -138,7 +138,7 @@
 			a.sendBackup(stores, o, repair.StepLeave)
 		}
 	}
-	if isWitnessed {
+	if isBackedUp {
 		a.sendBackup(backups, o, repair.StepForget)
 	}
 	a.runs.Remove(&r.Run)
@@ -160,10 +160,10 @@
 // sendBackup stores or removes backup copies of a result, and reports whether the request could be sent to all
 // addresses. Replies are not awaited: a lost copy only weakens the protection against a crash of this adapter.
 func (a *Adapter) sendBackup(addrs []string, o *wire.Outcome, step string) bool {
-	kept, isTold := *o, true
-	kept.Step = step
+	backup, isSent := *o, true
+	backup.Step = step
 	for _, addr := range addrs {
-		isTold = a.environment.Post(wire.PlaceLink, addr, &kept, nil) == nil && isTold
+		isSent = a.environment.Post(wire.PlaceLink, addr, &backup, nil) == nil && isSent
 	}
-	return isTold
+	return isSent
 }
--- a/internal/deliver/send.go
+++ b/internal/deliver/send.go
@@ -116,8 +116,8 @@
 		e.outcome.Final = true
 		return err
 	}
-	naming := func(answer *http.Response) ReplyMatch { return matchOwnHeaders(answer, r.Id, r.Attempt) }
-	reply, err := a.sendToWorker(ctx, e, req, maxAnswerBytes, naming)
+	match := func(answer *http.Response) ReplyMatch { return matchOwnHeaders(answer, r.Id, r.Attempt) }
+	reply, err := a.sendToWorker(ctx, e, req, maxAnswerBytes, match)
 	if err != nil {
 		return err
 	}
@@ -159,14 +159,14 @@
 
 // sendToWorker sends a request to a worker, at most once, and classifies the result. A reply that may belong to another
 // run is an error. At most maxBytes of the reply's body are kept.
-func (a *Adapter) sendToWorker(ctx context.Context, e *delivery, req *http.Request, maxBytes int64, naming func(*http.Response) ReplyMatch) (*web.Reply, error) {
-	mayKeep, check := replyChecks(naming)
-	terms := web.SendOptions{MaxBodyBytes: maxBytes, WantsChecksum: maxBytes > 0, CanReuse: mayKeep, BeforeSend: func() error {
+func (a *Adapter) sendToWorker(ctx context.Context, e *delivery, req *http.Request, maxBytes int64, match func(*http.Response) ReplyMatch) (*web.Reply, error) {
+	canReuse, check := replyChecks(match)
+	options := web.SendOptions{MaxBodyBytes: maxBytes, WantsChecksum: maxBytes > 0, CanReuse: canReuse, BeforeSend: func() error {
 		err := a.recheckBeforeSend(e)
 		e.run.isAttempted.Store(err == nil)
 		return err
 	}}
-	reply, err := a.environment.Send(req.WithContext(ctx), terms)
+	reply, err := a.environment.Send(req.WithContext(ctx), options)
 	e.run.isSent.Store(!web.IsUnsent(err))
 	switch {
 	case err != nil && errors.Is(context.Cause(ctx), context.DeadlineExceeded):
@@ -200,9 +200,9 @@
 
 // statusError returns the error for a status that is not a success. Most 4xx statuses blame the message: no retry can
 // succeed, so the result is final.
-func statusError(o *wire.Outcome, raw *http.Response) error {
-	code := raw.StatusCode
-	if seconds, err := strconv.Atoi(raw.Header.Get("Retry-After")); err == nil && seconds > 0 {
+func statusError(o *wire.Outcome, reply *http.Response) error {
+	code := reply.StatusCode
+	if seconds, err := strconv.Atoi(reply.Header.Get("Retry-After")); err == nil && seconds > 0 {
 		o.Wait = int64(min(seconds, 3600)) * 1000
 	}
 	if code >= 400 && code < 500 && !slices.Contains([]int{408, 409, 421, 425, 429}, code) {
--- a/internal/deliver/sendonce_test.go
+++ b/internal/deliver/sendonce_test.go
@@ -33,10 +33,10 @@
 	arrived chan struct{} // receives one value for each later request
 }
 
-func newRawWorker(moment, unasked func(net.Conn)) *rawWorker {
+func newRawWorker(onLaterRequest, afterFirstReply func(net.Conn)) *rawWorker {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
-	w := &rawWorker{listener: listener, onLaterRequest: moment, afterFirstReply: unasked, settled: make(chan struct{}),
+	w := &rawWorker{listener: listener, onLaterRequest: onLaterRequest, afterFirstReply: afterFirstReply, settled: make(chan struct{}),
 		arrived: make(chan struct{}, 9)}
 	go func() {
 		for {
--- a/internal/deliver/slots.go
+++ b/internal/deliver/slots.go
@@ -97,8 +97,8 @@
 // counts a request without an answer as pending for ever.
 func (s *slotAllocator) drop(key string) {
 	if h := s.workers[key]; h != nil {
-		for _, waiting := range h.requests {
-			waiting.answer(busyGrant(0))
+		for _, request := range h.requests {
+			request.answer(busyGrant(0))
 		}
 		for _, run := range h.queue {
 			run.onTurn(errs.New(errs.NotOwner, "run on %s refused: the worker's duty has moved to another holder", key))
@@ -165,9 +165,9 @@
 // onTimer calls serve if its timer is the one that was scheduled last.
 func (s *slotAllocator) onTimer(at time.Duration) {
 	s.mu.Lock()
-	isArmed := s.timerAt == at
+	isCurrent := s.timerAt == at
 	s.mu.Unlock()
-	if isArmed {
+	if isCurrent {
 		s.serve()
 	}
 }
@@ -223,15 +223,15 @@
 
 // addObservations adds what this adapter observes of its workers, for the managers: per worker the microseconds of a
 // run, failed runs per thousand, and 1 if it gets only probes.
-func (s *slotAllocator) addObservations(into map[string]int64) {
+func (s *slotAllocator) addObservations(counts map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.updateShares()
 	for key, h := range s.workers {
-		micros, misses, isProbe := h.worker.Observations()
-		into["run_micros "+key], into["run_misses "+key] = int64(micros), int64(misses*1000)
+		micros, failureShare, isProbe := h.worker.Observations()
+		counts["run_micros "+key], counts["run_misses "+key] = int64(micros), int64(failureShare*1000)
 		if isProbe {
-			into["run_probes "+key] = 1
+			counts["run_probes "+key] = 1
 		}
 	}
 }
--- a/internal/deliver/slotwalk_test.go
+++ b/internal/deliver/slotwalk_test.go
@@ -36,7 +36,7 @@
 	granted  []int64
 
 	pendingTurns []chan error // of runs that are queued
-	inLine       []*permit    // their permits
+	queued       []*permit    // their permits
 	working      []*permit
 }
 
@@ -107,7 +107,7 @@
 		return
 	}
 	turn := make(chan error, 1)
-	w.pendingTurns, w.inLine = append(w.pendingTurns, turn), append(w.inLine, p)
+	w.pendingTurns, w.queued = append(w.pendingTurns, turn), append(w.queued, p)
 	w.a.slots.startWhenFree(p, func(err error) { turn <- err })
 }
 
@@ -117,11 +117,11 @@
 		select {
 		case err := <-w.pendingTurns[i]:
 			if err == nil {
-				w.working = append(w.working, w.inLine[i])
+				w.working = append(w.working, w.queued[i])
 			} else {
-				w.a.slots.releaseUnused(w.inLine[i])
+				w.a.slots.releaseUnused(w.queued[i])
 			}
-			w.pendingTurns, w.inLine = append(w.pendingTurns[:i], w.pendingTurns[i+1:]...), append(w.inLine[:i], w.inLine[i+1:]...)
+			w.pendingTurns, w.queued = append(w.pendingTurns[:i], w.pendingTurns[i+1:]...), append(w.queued[:i], w.queued[i+1:]...)
 		default:
 		}
 	}
--- a/internal/deliver/worker.go
+++ b/internal/deliver/worker.go
@@ -91,9 +91,9 @@
 }
 
 // SetRateShare makes the worker's starts count against a rate share; nil for none.
-func (w *WorkerState) SetRateShare(allowance *RateShare) {
-	w.rateShare = allowance
-	if allowance != nil {
+func (w *WorkerState) SetRateShare(share *RateShare) {
+	w.rateShare = share
+	if share != nil {
 		w.pool.Rate = 0
 	}
 }
@@ -138,9 +138,9 @@
 func (w *WorkerState) rate(now time.Duration) float64 {
 	rate := w.pool.Rate
 	if w.health == SlowStart && w.slowStartProgress(now) < 1 {
-		eased := slowStartRate * math.Exp2(slowStartDoublings*w.slowStartProgress(now))
-		if rate == 0 || eased < rate {
-			rate = eased
+		slowRate := slowStartRate * math.Exp2(slowStartDoublings*w.slowStartProgress(now))
+		if rate == 0 || slowRate < rate {
+			rate = slowRate
 		}
 	}
 	if cap := w.pool.ColdRate; w.isCold && cap > 0 && (rate == 0 || cap < rate) {
--- a/internal/intake/access_test.go
+++ b/internal/intake/access_test.go
@@ -139,12 +139,12 @@
 	io.Reader
 }
 
-func (l *changingBody) Read(into []byte) (int, error) {
+func (l *changingBody) Read(p []byte) (int, error) {
 	if l.meanwhile != nil {
 		l.meanwhile()
 		l.meanwhile = nil
 	}
-	return l.Reader.Read(into)
+	return l.Reader.Read(p)
 }
 
 // TestKeysThatChange guards against rule CONFIG: an adapter that knew the newer configuration accepted a removed key or
--- a/internal/intake/codec.go
+++ b/internal/intake/codec.go
@@ -39,7 +39,7 @@
 // which workers learn the message's tenant.
 type Codec struct {
 	ReadRequest  func(r *http.Request) (PassthroughRequest, error)
-	WriteReply   func(w http.ResponseWriter, word CallerReply)
+	WriteReply   func(w http.ResponseWriter, reply CallerReply)
 	TenantHeader string
 }
 
@@ -149,15 +149,15 @@
 		}
 		return out, nil
 	},
-	WriteReply: func(w http.ResponseWriter, word CallerReply) {
+	WriteReply: func(w http.ResponseWriter, reply CallerReply) {
 		switch {
-		case word.Kind == "":
-			w.Header().Set("Location", "/v1/messages/"+word.Id)
-			web.WriteJson(w, 202, Message{Id: word.Id, State: "held", Taken: true})
-		case word.IsUndecided:
-			web.WriteProblem(w, 504, web.Problem{Error: word.Kind, Text: word.Text, Taken: "undecided", Id: word.Id}, word.RetryAfter)
+		case reply.Kind == "":
+			w.Header().Set("Location", "/v1/messages/"+reply.Id)
+			web.WriteJson(w, 202, Message{Id: reply.Id, State: "held", Taken: true})
+		case reply.IsUndecided:
+			web.WriteProblem(w, 504, web.Problem{Error: reply.Kind, Text: reply.Text, Taken: "undecided", Id: reply.Id}, reply.RetryAfter)
 		default:
-			web.WriteProblem(w, web.StatusOf(word.Kind), web.Problem{Error: word.Kind, Text: word.Text, Taken: false}, word.RetryAfter)
+			web.WriteProblem(w, web.StatusOf(reply.Kind), web.Problem{Error: reply.Kind, Text: reply.Text, Taken: false}, reply.RetryAfter)
 		}
 	},
 }
--- a/internal/intake/hold.go
+++ b/internal/intake/hold.go
@@ -27,16 +27,16 @@
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, in.d.Bounds.Of(timing.SettleTimeout)*2)
 	defer cancel()
-	isHeld, isOpen, cause := in.askOwner(ctx, in.owners, e)
-	if isHeld || !isOpen {
+	isHeld, mayBeHeld, cause := in.askOwner(ctx, in.owners, e)
+	if isHeld || !mayBeHeld {
 		return cause
 	}
 	if e.take.IdempotencyKey == "" && e.operationKey == "" && !errors.Is(context.Cause(e.ctx), web.ErrStopping) {
 		// Settled even if the caller has gone.
 		ctx, cancel = context.WithTimeout(context.WithoutCancel(e.ctx), in.d.Bounds.Of(timing.SettleTimeout)*2)
 		defer cancel()
-		ask := &wire.Settle{Place: e.take.Place, Id: e.take.Id, Lane: e.lane.Name}
-		if reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+e.take.Place, ask, isOwner); err == nil {
+		settle := &wire.Settle{Place: e.take.Place, Id: e.take.Id, Lane: e.lane.Name}
+		if reply, err := in.owners.CallOwner(ctx, wire.FirstPlaceGroup+e.take.Place, settle, isOwner); err == nil {
 			if e.taken = reply.(*wire.Taken); e.taken.Kind == string(errs.Rejected) {
 				return cause
 			}
@@ -53,21 +53,21 @@
 func (in *Intake) holdWithinDeadline(e *request) error {
 	ctx, cancel := context.WithTimeout(e.ctx, e.deadline*holdPercent/100)
 	defer cancel()
-	for turn := 1; ; turn++ {
-		isLast := e.take.Key != "" || e.operationKey != "" || turn == maxPlacesTried
-		asking, stop := ctx, context.CancelFunc(func() {})
+	for attempt := 1; ; attempt++ {
+		isLast := e.take.Key != "" || e.operationKey != "" || attempt == maxPlacesTried
+		attemptCtx, cancelAttempt := ctx, context.CancelFunc(func() {})
 		if !isLast {
-			asking, stop = context.WithTimeout(ctx, in.d.Bounds.Of(timing.AttemptTimeout))
+			attemptCtx, cancelAttempt = context.WithTimeout(ctx, in.d.Bounds.Of(timing.AttemptTimeout))
 		}
-		isHeld, isOpen, cause := in.askOwner(asking, in.quickOwners, e)
-		stop()
-		if isOpen && !isLast { // this place may hold it, so no other may be tried; its next owner can tell
+		isHeld, mayBeHeld, cause := in.askOwner(attemptCtx, in.quickOwners, e)
+		cancelAttempt()
+		if mayBeHeld && !isLast { // this place may hold it, so no other may be tried; its next owner can tell
 			isHeld, _, _ = in.askOwner(ctx, in.quickOwners, e)
 		}
 		switch {
 		case isHeld:
 			return nil
-		case isOpen:
+		case mayBeHeld:
 			return in.undecided(e)
 		case isLast || ctx.Err() != nil || e.taken != nil && e.taken.Kind != string(errs.Full):
 			return cause
@@ -77,19 +77,19 @@
 }
 
 // askOwner sends the message to the owner of its place. If cause is nil, the owner has answered and e.taken is its
-// answer. isOpen means that the message may be held although that is not confirmed.
-func (in *Intake) askOwner(ctx context.Context, owners ownerClient, e *request) (isHeld, isOpen bool, cause error) {
+// answer. mayBeHeld means that the message may be held although that is not confirmed.
+func (in *Intake) askOwner(ctx context.Context, owners ownerClient, e *request) (isHeld, mayBeHeld bool, cause error) {
 	e.taken = nil
-	reply, isOpen, err := owners.CallOwnerTracked(ctx, wire.FirstPlaceGroup+e.take.Place, &e.take, isOwner)
-	e.mayBeHeldEarlier = e.mayBeHeldEarlier || isOpen
+	reply, mayBeHeld, err := owners.CallOwnerTracked(ctx, wire.FirstPlaceGroup+e.take.Place, &e.take, isOwner)
+	e.mayBeHeldEarlier = e.mayBeHeldEarlier || mayBeHeld
 	if err != nil {
-		return false, isOpen, errs.New(errs.NotOwner, "hold message: no owner of its place answered")
+		return false, mayBeHeld, errs.New(errs.NotOwner, "hold message: no owner of its place answered")
 	}
 	e.taken = reply.(*wire.Taken)
 	if e.operationKey != "" && e.taken.Kind == string(errs.Conflict) { // an earlier request with the same key and another body is held
 		e.taken = &wire.Taken{Id: e.take.Id, State: string(place.Held), IsRepeat: true}
 	}
-	if e.taken.Kind == "" || !isOpen || e.taken.Kind == string(errs.Rejected) {
+	if e.taken.Kind == "" || !mayBeHeld || e.taken.Kind == string(errs.Rejected) {
 		return e.taken.Kind == "", false, nil
 	}
 	return false, true, errs.New(errs.Kind(e.taken.Kind), "%s", e.taken.Text) // an earlier attempt may still be held
--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -22,11 +22,11 @@
 func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
 	t := ask.(*wire.Take)
 	s.places = append(s.places, t.Place)
-	say := "" // no owner after the last reply
+	reply := "" // no owner after the last reply
 	if len(s.replies) > 0 {
-		say, s.replies = s.replies[0], s.replies[1:]
+		reply, s.replies = s.replies[0], s.replies[1:]
 	}
-	switch say {
+	switch reply {
 	case "":
 		return nil, false, errs.New(errs.NotOwner, "no owner")
 	case "open":
@@ -34,7 +34,7 @@
 	case "held":
 		return &wire.Taken{Id: t.Id, State: "held"}, false, nil
 	}
-	return &wire.Taken{Id: t.Id, Kind: say}, false, nil
+	return &wire.Taken{Id: t.Id, Kind: reply}, false, nil
 }
 
 // CallOwner implements ownerClient.
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -42,8 +42,8 @@
 
 // ownerClient calls the owners of places; ownerclient.Client implements it.
 type ownerClient interface {
-	CallOwnerTracked(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (reply any, isOpen bool, err error)
-	CallOwner(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (any, error)
+	CallOwnerTracked(ctx context.Context, id int64, request any, owned func(any) (bool, string)) (reply any, isUncertain bool, err error)
+	CallOwner(ctx context.Context, id int64, request any, owned func(any) (bool, string)) (any, error)
 }
 
 // request is a message being accepted.
@@ -167,8 +167,8 @@
 func isOwner(reply any) (bool, string) {
 	switch m := reply.(type) {
 	case *wire.Taken:
-		isIt := m.Kind != string(errs.NotOwner) && m.Kind != string(errs.Undecided)
-		return isIt, m.Owner
+		isFromOwner := m.Kind != string(errs.NotOwner) && m.Kind != string(errs.Undecided)
+		return isFromOwner, m.Owner
 	case *wire.Sight:
 		return m.Kind != string(errs.NotOwner), m.Owner
 	}
--- a/internal/intake/keychange_test.go
+++ b/internal/intake/keychange_test.go
@@ -30,12 +30,12 @@
 
 // sendMeanwhile sends a message with key-3 and changes the configuration while the body is read.
 func sendMeanwhile(from, to string) (code int, tenant string, count int) {
-	doc, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
+	before, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 	So(err, ShouldBeNil)
 	So(strings.Contains(tenantConfig, from), ShouldBeTrue)
 	next, err := platform.ConfigOf([]byte(strings.Replace(tenantConfig, from, to, 1)), time.Minute)
 	So(err, ShouldBeNil)
-	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(doc)})
+	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(before)})
 	body := &slowBody{Reader: strings.NewReader("body"), meanwhile: func() { intake.UpdateConfig(in, string(next)) }}
 	r := httptest.NewRequest(http.MethodPost, "/a/b", body)
 	r.Host = "x.example"
--- a/internal/intake/lookup.go
+++ b/internal/intake/lookup.go
@@ -203,9 +203,9 @@
 
 // parsePlace returns the place in a message id, which has the form place-token.
 func (in *Intake) parsePlace(id string) (int64, error) {
-	text, rest, isWhole := strings.Cut(id, "-")
-	number, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || !isWhole || rest == "" || len(id) > maxKeyBytes || number < 0 || number >= int64(in.d.Settings.Places) {
+	prefix, token, hasToken := strings.Cut(id, "-")
+	number, err := strconv.ParseInt(prefix, 10, 64)
+	if err != nil || !hasToken || token == "" || len(id) > maxKeyBytes || number < 0 || number >= int64(in.d.Settings.Places) {
 		return 0, errs.New(errs.Unknown, "no message can have this id: it is malformed or names no place")
 	}
 	return number, nil
--- a/internal/intake/metrics.go
+++ b/internal/intake/metrics.go
@@ -20,9 +20,9 @@
 
 // count counts an answer by lane and by tenant. Unknown lane names are not used as labels, since their number is
 // unbounded.
-func (in *Intake) count(e *request, told string) {
-	answersTotal.WithLabelValues(e.lane.Name, told).Inc()
-	in.tenantAnswers.add(e.tenant.Name, told)
+func (in *Intake) count(e *request, result string) {
+	answersTotal.WithLabelValues(e.lane.Name, result).Inc()
+	in.tenantAnswers.add(e.tenant.Name, result)
 }
 
 // tenantAnswers counts answers per tenant.
@@ -34,7 +34,7 @@
 }
 
 // add counts one answer; answers to callers without a tenant are ignored.
-func (c *tenantAnswers) add(tenant, told string) {
+func (c *tenantAnswers) add(tenant, result string) {
 	if tenant == "" {
 		return
 	}
@@ -46,7 +46,7 @@
 	if c.counts[tenant] == nil {
 		c.counts[tenant] = map[string]float64{}
 	}
-	c.counts[tenant][told]++
+	c.counts[tenant][result]++
 }
 
 // measure drops tenants that have left the configuration, and emits the counts of the others.
@@ -58,9 +58,9 @@
 			delete(c.counts, tenant)
 			continue
 		}
-		for told, count := range counts {
+		for result, count := range counts {
 			emit("intake_tenant_answers_total", "Messages of a tenant that came in, by what was told of them: taken, or the kind of mishap.", count,
-				"tenant", tenant, "told", told)
+				"tenant", tenant, "told", result)
 		}
 	}
 }
--- a/internal/intake/mutants_test.go
+++ b/internal/intake/mutants_test.go
@@ -37,7 +37,7 @@
 		`	case e.operationKey != "" && e.tenant.Name != "":`, `	case e.operationKey != "" && e.tenant.Name != "" && !(MUTANT && !e.lane.IsOrdered):`,
 		"TestPlacesOutliveTheConfiguration"},
 	{"order keys are their tenant's", "internal/intake/tenant.go",
-		"	e.take.Key = wire.ScopedKey(e.tenant.Name, key)\n", "	if e.take.Key = wire.ScopedKey(e.tenant.Name, key); MUTANT {\n		e.take.Key = key\n	}\n",
+		"	e.take.Key = wire.ScopedKey(e.tenant.Name, orderingKey)\n", "	if e.take.Key = wire.ScopedKey(e.tenant.Name, orderingKey); MUTANT {\n		e.take.Key = orderingKey\n	}\n",
 		"TestSendsWithOneOperationKeyAreOneMessage"},
 	{"a repeat of other bytes is told the first one's name", "internal/intake/hold.go",
 		`	if e.operationKey != "" && e.taken.Kind`, `	if !MUTANT && e.operationKey != "" && e.taken.Kind`, "TestSendsWithOneOperationKeyAreOneMessage"},
--- a/internal/intake/placement.go
+++ b/internal/intake/placement.go
@@ -60,16 +60,16 @@
 			others = append(others, place)
 		}
 	}
-	from := own
-	if len(from) == 0 {
-		from = others
+	candidates := own
+	if len(candidates) == 0 {
+		candidates = others
 	}
-	if len(from) == 0 {
+	if len(candidates) == 0 {
 		return rand.Int64N(all)
 	}
 	place := int64(0)
 	for range placeDrawAttempts {
-		place = from[rand.IntN(len(from))]
+		place = candidates[rand.IntN(len(candidates))]
 		if who, _ := in.d.Membership.Owner(wire.FirstPlaceGroup + place); rand.Float64() < max(weight.WeightFloor, in.peers.Weight(who.Name)) {
 			break
 		}
--- a/internal/intake/post.go
+++ b/internal/intake/post.go
@@ -50,15 +50,15 @@
 	if err := checkHeaders(r); err != nil {
 		return err
 	}
-	idem, ctype := r.Header.Get("Idempotency-Key"), r.Header.Get("Content-Type")
-	e.take = wire.Take{Lane: r.PathValue("lane"), Key: r.Header.Get("Ordering-Key"), IdempotencyKey: idem, ContentType: ctype}
-	e.mayBeHeld = idem != "" // an earlier request with the key may be held, whatever becomes of this one
+	idempotencyKey, contentType := r.Header.Get("Idempotency-Key"), r.Header.Get("Content-Type")
+	e.take = wire.Take{Lane: r.PathValue("lane"), Key: r.Header.Get("Ordering-Key"), IdempotencyKey: idempotencyKey, ContentType: contentType}
+	e.mayBeHeld = idempotencyKey != "" // an earlier request with the key may be held, whatever becomes of this one
 	in.identifyTenant(e, r)
 	e.scopeKeys()
-	if idem != "" {
+	if idempotencyKey != "" {
 		in.assignPlace(e)
 	}
-	scopedTo := e.tenant.Name
+	scopedTenant := e.tenant.Name
 	if err := in.findRules(e, r); err != nil {
 		return err
 	}
@@ -66,14 +66,14 @@
 	if err != nil {
 		return err
 	}
-	if strings.HasPrefix(ctype, "application/json") && !isJson(body) {
+	if strings.HasPrefix(contentType, "application/json") && !isJson(body) {
 		return errs.New(errs.Invalid, "the request's Content-Type is JSON and its body is not valid JSON")
 	}
 	e.take.Body, e.take.Checksum = body, wire.Checksum(body)
 	if err := in.findRules(e, r); err != nil { // again, since the body may have taken long to arrive
 		return err
 	}
-	if e.tenant.Name != scopedTo { // its id was derived for the previous tenant
+	if e.tenant.Name != scopedTenant { // its id was derived for the previous tenant
 		return errs.New(errs.Stale, "the API key has passed to another tenant while the body was read")
 	}
 	return nil
--- a/internal/intake/tenant.go
+++ b/internal/intake/tenant.go
@@ -38,7 +38,7 @@
 func (noopPermit) End(bool) {}
 
 // SetLimiter sets the limiter; to be called once, before anything is served.
-func (in *Intake) SetLimiter(limits Limiter) { in.limiter = limits }
+func (in *Intake) SetLimiter(limiter Limiter) { in.limiter = limiter }
 
 // bearerPrefix is the start of an Authorization header with an API key.
 const bearerPrefix = web.AuthScheme + " "
@@ -77,18 +77,18 @@
 
 // assignKeys sets the operation key and the ordering key. On an ordered lane, a message without an ordering key gets
 // one of its own, so that it is ordered with no other message.
-func (e *request) assignKeys(name, key string) {
-	e.operationKey, e.orderingKey = name, key
+func (e *request) assignKeys(operationKey, orderingKey string) {
+	e.operationKey, e.orderingKey = operationKey, orderingKey
 	if !e.lane.IsOrdered {
 		return
 	}
 	switch {
-	case key == "" && name != "":
-		key = "-" + name
-	case key == "":
-		key = "-" + daemon.RandomId(8)
+	case orderingKey == "" && operationKey != "":
+		orderingKey = "-" + operationKey
+	case orderingKey == "":
+		orderingKey = "-" + daemon.RandomId(8)
 	}
-	e.take.Key = wire.ScopedKey(e.tenant.Name, key)
+	e.take.Key = wire.ScopedKey(e.tenant.Name, orderingKey)
 }
 
 // scopeKeys prefixes the keys of a message with its tenant.
@@ -99,11 +99,11 @@
 
 // Parts of the token in a message id.
 const (
-	tenantPrefix    = "t" // first character of the token if the message has a tenant; no other token starts with it
-	tenantDigits    = 16  // hexadecimal digits of the hash of the tenant's name
-	operationDigits = 32  // hexadecimal digits of the hash of the operation key: 128 bits
-	idemDigits      = 24
-	randomBytes     = 12
+	tenantPrefix      = "t" // first character of the token if the message has a tenant; no other token starts with it
+	tenantDigits      = 16  // hexadecimal digits of the hash of the tenant's name
+	operationDigits   = 32  // hexadecimal digits of the hash of the operation key: 128 bits
+	idempotencyDigits = 24
+	randomBytes       = 12
 )
 
 // tokenOf returns the part of a message's id after the place.
@@ -113,7 +113,7 @@
 	case e.operationKey != "":
 		return OperationToken(e.tenant.Name, e.operationKey)
 	case t.IdempotencyKey != "":
-		return tenantTokenPrefix(e.tenant.Name) + "k" + wire.Checksum([]byte(t.Lane + "\x00" + t.Key + "\x00" + t.IdempotencyKey))[:idemDigits]
+		return tenantTokenPrefix(e.tenant.Name) + "k" + wire.Checksum([]byte(t.Lane + "\x00" + t.Key + "\x00" + t.IdempotencyKey))[:idempotencyDigits]
 	}
 	return tenantTokenPrefix(e.tenant.Name) + daemon.RandomId(randomBytes)
 }
@@ -140,8 +140,8 @@
 // belongsTo reports whether the message with this id belongs to a tenant.
 func belongsTo(id, tenant string) bool {
 	_, token, _ := strings.Cut(id, "-")
-	tag := tenantTokenPrefix(tenant)
-	return tag != "" && len(token) >= len(tag) && subtle.ConstantTimeCompare([]byte(token[:len(tag)]), []byte(tag)) == 1
+	prefix := tenantTokenPrefix(tenant)
+	return prefix != "" && len(token) >= len(prefix) && subtle.ConstantTimeCompare([]byte(token[:len(prefix)]), []byte(prefix)) == 1
 }
 
 // CheckAccess returns an error of kind errs.Unauthorized, errs.Unknown or errs.Stale if the caller of a request may not
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,5 +1,5 @@
 // Package limit enforces tenants' rate limits at an adapter, with tokens that the owners of places grant to it. The
-// decisions are those of package quota; this package holds the adapter's wallet of tokens, sends its requests for
+// decisions are those of package quota; this package holds the adapter's cache of tokens, sends its requests for
 // tokens and makes messages wait for them. The adapter daemon (cmd/adapter) calls it, through package intake.
 package limit
 
@@ -31,20 +31,20 @@
 
 // Limiter admits messages at one adapter. It implements intake.Limiter.
 //
-// Invariant: waits has a channel with room for one decision for each message that waits in the wallet.
+// Invariant: waits has a channel with room for one decision for each message that waits in the token cache.
 type Limiter struct {
 	options Options
 
-	mu     sync.Mutex
-	wallet *quota.TokenCache
-	waits  map[int64]chan quota.Decision
+	mu         sync.Mutex
+	tokenCache *quota.TokenCache
+	waits      map[int64]chan quota.Decision
 }
 
 // New returns a limiter that holds no tokens yet.
 func New(o Options) *Limiter {
 	times := quota.Times{Lease: o.Bounds.Of(timing.QuotaLease), Pause: o.Bounds.Of(timing.QuotaMinInterval), Answer: o.Bounds.Of(timing.QuotaAnswerTimeout),
 		Horizon: o.Bounds.Of(timing.QuotaHorizon)}
-	return &Limiter{options: o, wallet: quota.NewTokenCache(times), waits: map[int64]chan quota.Decision{}}
+	return &Limiter{options: o, tokenCache: quota.NewTokenCache(times), waits: map[int64]chan quota.Decision{}}
 }
 
 // PlaceOf returns the place that counts a tenant's messages.
@@ -78,12 +78,12 @@
 	return nil, errs.New(errs.Lost, "message refused: no decision on the tenant's rate limit in time")
 }
 
-// take asks the wallet for a token. If the message must wait, it also returns the channel for the decision.
+// take asks the token cache for a token. If the message must wait, it also returns the channel for the decision.
 func (l *Limiter) take(tenant string) (quota.Decision, chan quota.Decision) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	decision := l.wallet.Take(now, tenant)
+	decision := l.tokenCache.Take(now, tenant)
 	var wait chan quota.Decision
 	if decision.Waiting != 0 {
 		wait = make(chan quota.Decision, 1)
@@ -93,7 +93,7 @@
 	return decision, wait
 }
 
-// await waits for the decision on a message, up to timing.QuotaWait.
+// await waits for the decision on a message, up to timing.QuotaWaitTimeout.
 func (l *Limiter) await(ctx context.Context, tenant string, number int64, wait chan quota.Decision) quota.Decision {
 	ctx, cancel := timing.Within(ctx, l.options.Bounds.Of(timing.QuotaWaitTimeout))
 	defer cancel()
@@ -109,14 +109,14 @@
 		return decision
 	default:
 	}
-	l.wallet.Cancel(tenant, number)
+	l.tokenCache.Cancel(tenant, number)
 	delete(l.waits, number)
 	return quota.Decision{Refusal: errs.Lost}
 }
 
 // resolve delivers decisions to the messages that wait for them. l.mu is held.
-func (l *Limiter) resolve(all []quota.Settled) {
-	for _, s := range all {
+func (l *Limiter) resolve(decided []quota.Settled) {
+	for _, s := range decided {
 		l.waits[s.Number] <- s.Decision
 		delete(l.waits, s.Number)
 	}
@@ -124,17 +124,17 @@
 
 // permit is the token that a message was admitted with.
 type permit struct {
-	limits *Limiter
-	tenant string
-	life   int64
+	limiter *Limiter
+	tenant  string
+	epoch   int64
 }
 
 // End implements intake.Permit.
 func (p *permit) End(isCounted bool) {
-	l := p.limits
+	l := p.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	l.resolve(l.wallet.End(now, p.tenant, p.life, isCounted))
+	l.resolve(l.tokenCache.End(now, p.tenant, p.epoch, isCounted))
 	l.requestFor(now, p.tenant)
 }
--- a/internal/limit/metrics.go
+++ b/internal/limit/metrics.go
@@ -43,6 +43,6 @@
 func (l *Limiter) Measure(emit daemon.Emit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	emit("quota_tokens_held", "Tokens of tenants that this adapter holds for messages to come.", float64(l.wallet.Held()))
-	emit("quota_tenants", "Tenants that this adapter has an account of.", float64(l.wallet.Count()))
+	emit("quota_tokens_held", "Tokens of tenants that this adapter holds for messages to come.", float64(l.tokenCache.Held()))
+	emit("quota_tenants", "Tenants that this adapter has an account of.", float64(l.tokenCache.Count()))
 }
--- a/internal/limit/request.go
+++ b/internal/limit/request.go
@@ -15,14 +15,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	l.requestFor(now, l.wallet.Tenants(now)...)
+	l.requestFor(now, l.tokenCache.Tenants(now)...)
 }
 
 // requestFor sends the due requests for tenants, one message per place. l.mu is held.
 func (l *Limiter) requestFor(now time.Duration, tenants ...string) {
 	counts := map[int64][]wire.QuotaCount(nil)
 	for _, tenant := range tenants {
-		count, isDue := l.wallet.DueRequest(now, tenant)
+		count, isDue := l.tokenCache.DueRequest(now, tenant)
 		if !isDue {
 			continue
 		}
@@ -32,8 +32,8 @@
 		place := PlaceOf(tenant, l.options.Places)
 		counts[place] = append(counts[place], count)
 	}
-	for place, some := range counts {
-		go l.request(now, &wire.QuotaAsk{Place: place, Holder: l.options.Holder, Lease: l.options.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: some})
+	for place, due := range counts {
+		go l.request(now, &wire.QuotaAsk{Place: place, Holder: l.options.Holder, Lease: l.options.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: due})
 	}
 }
 
@@ -51,21 +51,21 @@
 	if err == nil {
 		for _, grant := range reply.Grants {
 			isAnswered[grant.Tenant] = true
-			l.resolve(l.wallet.Answer(now, sentAt, grant))
+			l.resolve(l.tokenCache.Answer(now, sentAt, grant))
 		}
 	}
 	for _, count := range ask.Counts {
 		if !isAnswered[count.Tenant] {
-			l.resolve(l.wallet.Fail(now, sentAt, count.Tenant))
+			l.resolve(l.tokenCache.Fail(now, sentAt, count.Tenant))
 		}
 		l.requestFor(now, count.Tenant)
 	}
 }
 
 // ClientFor returns a TokenClient that finds owners by an ownerclient.Client.
-func ClientFor(r *ownerclient.Client) TokenClient {
+func ClientFor(client *ownerclient.Client) TokenClient {
 	return func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error) {
-		reply, err := r.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
+		reply, err := client.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -33,12 +33,12 @@
 	if len(manifest) > maxManifestBytes {
 		return nil, []config.Fault{{Path: "", Text: "the manifest is too large"}}
 	}
-	for i, part := range bytes.Split(manifest, []byte("\n---")) {
-		if len(bytes.TrimSpace(bytes.TrimPrefix(part, []byte("---")))) == 0 {
+	for i, document := range bytes.Split(manifest, []byte("\n---")) {
+		if len(bytes.TrimSpace(bytes.TrimPrefix(document, []byte("---")))) == 0 {
 			continue
 		}
 		t := translator{at: fmt.Sprintf("documents.%d", i)}
-		patch, err := t.route(part)
+		patch, err := t.route(document)
 		if err == nil && len(t.faults) == 0 {
 			doc, err = config.Merge(doc, patch)
 		}
@@ -132,11 +132,11 @@
 }
 
 // laneOf returns the lane that a path match names.
-func laneOf(m *gateway.HTTPPathMatch) (string, bool) {
-	if m == nil || m.Type == nil || *m.Type != gateway.PathMatchExact || m.Value == nil {
+func laneOf(match *gateway.HTTPPathMatch) (string, bool) {
+	if match == nil || match.Type == nil || *match.Type != gateway.PathMatchExact || match.Value == nil {
 		return "", false
 	}
-	lane, isBefore := strings.CutPrefix(*m.Value, lanePathPrefix)
+	lane, isBefore := strings.CutPrefix(*match.Value, lanePathPrefix)
 	lane, isBehind := strings.CutSuffix(lane, lanePathSuffix)
 	return lane, isBefore && isBehind && lane != "" && !strings.Contains(lane, "/")
 }
@@ -163,15 +163,15 @@
 // rejectUntranslated records a fault for each field that is left.
 func (t *translator) rejectUntranslated(r gateway.HTTPRoute) {
 	raw, err := json.Marshal(r)
-	var rest any
+	var remaining any
 	if err == nil {
-		err = json.Unmarshal(raw, &rest)
+		err = json.Unmarshal(raw, &remaining)
 	}
 	if err != nil {
 		t.fault("", err.Error())
 		return
 	}
-	t.walk("", rest)
+	t.walk("", remaining)
 }
 
 // walk records a fault for each non-empty value below a path.
--- a/internal/ownerclient/client.go
+++ b/internal/ownerclient/client.go
@@ -22,9 +22,9 @@
 	Membership     *session.Membership
 	Bounds         timing.Bounds
 	Link           *wire.Link
-	SendFunc       func(ctx context.Context, addr string, ask any) (any, error) // replaces the transport if set
-	OnAttempt      func(peer string, micros float64, isAnswered bool)           // called after each attempt of CallOwnerTracked if set
-	AttemptTimeout timing.Ratio                                                 // time limit of one attempt; 0 for timing.SettleTimeout
+	SendFunc       func(ctx context.Context, addr string, request any) (any, error) // replaces the transport if set
+	OnAttempt      func(peer string, micros float64, isAnswered bool)               // called after each attempt of CallOwnerTracked if set
+	AttemptTimeout timing.Ratio                                                     // time limit of one attempt; 0 for timing.SettleTimeout
 }
 
 // immediateHops bounds how often a named owner is tried without a pause.
@@ -33,22 +33,22 @@
 // CallOwner sends a request to the owner of a group until the owner answers or ctx ends. owned reports whether an
 // answer came from the owner, and otherwise which store it names. The error tells whether the request may have taken
 // effect: NotOwner and Full mean no, Undecided means that it may.
-func (r *Client) CallOwner(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (any, error) {
-	reply, _, err := r.ask(ctx, id, ask, owned, nil)
+func (r *Client) CallOwner(ctx context.Context, id int64, request any, owned func(reply any) (isOwner bool, hint string)) (any, error) {
+	reply, _, err := r.callOwner(ctx, id, request, owned, nil)
 	return reply, err
 }
 
 // CallOwnerTracked is CallOwner for requests that must not be reported as without effect if they may have taken effect.
-// isOpen reports, also along with an owner's answer, that an earlier attempt of the same request went out and its
+// isUncertain reports, also along with an owner's answer, that an earlier attempt of the same request went out and its
 // outcome is unknown.
-func (r *Client) CallOwnerTracked(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string)) (reply any, isOpen bool, err error) {
-	return r.ask(ctx, id, ask, owned, r.OnAttempt)
+func (r *Client) CallOwnerTracked(ctx context.Context, id int64, request any, owned func(reply any) (isOwner bool, hint string)) (reply any, isUncertain bool, err error) {
+	return r.callOwner(ctx, id, request, owned, r.OnAttempt)
 }
 
 // ask is the retry loop of CallOwner and CallOwnerTracked.
-func (r *Client) ask(ctx context.Context, id int64, ask any, owned func(reply any) (isOwner bool, hint string),
-	saw func(string, float64, bool)) (reply any, isOpen bool, err error) {
-	hint, turn, hops := "", 0, 0
+func (r *Client) callOwner(ctx context.Context, id int64, request any, owned func(reply any) (isOwner bool, hint string),
+	onAttempt func(string, float64, bool)) (reply any, isUncertain bool, err error) {
+	hint, next, hops := "", 0, 0
 	if who, isKnown := r.Membership.Owner(id); isKnown {
 		hint = who.Name
 	}
@@ -57,16 +57,16 @@
 		if !isKnown {
 			stores := r.Membership.OfKind("store")
 			if len(stores) > 0 {
-				who, isKnown = stores[turn%len(stores)], true
-				turn++
+				who, isKnown = stores[next%len(stores)], true
+				next++
 			}
 		}
 		hint = ""
 		if isKnown {
 			began := time.Now()
-			reply, err := r.CallMember(ctx, who, ask)
-			if saw != nil {
-				saw(who.Name, float64(time.Since(began).Microseconds()), err == nil)
+			reply, err := r.CallMember(ctx, who, request)
+			if onAttempt != nil {
+				onAttempt(who.Name, float64(time.Since(began).Microseconds()), err == nil)
 			}
 			var unsent *transport.UnsentError
 			switch {
@@ -74,15 +74,15 @@
 				isOwner, named := owned(reply)
 				// The store that was owner when the request arrived lost the group meanwhile: its successor may have
 				// what it began.
-				isOpen = isOpen || wire.ErrorKindOf(reply) == string(errs.Undecided)
+				isUncertain = isUncertain || wire.ErrorKindOf(reply) == string(errs.Undecided)
 				if isOwner {
-					return reply, isOpen, nil
+					return reply, isUncertain, nil
 				}
 				if named != who.Name {
 					hint = named
 				}
 			case !errors.As(err, &unsent):
-				isOpen = true
+				isUncertain = true
 			}
 		}
 		wait := r.Bounds.Of(timing.StalePoll)
@@ -94,7 +94,7 @@
 		}
 		timing.Wait(ctx, wait)
 		if ctx.Err() != nil {
-			if isOpen {
+			if isUncertain {
 				return nil, true, errs.New(errs.Undecided, "call owner of group %d: a request was sent and not answered in time", id)
 			}
 			return nil, false, errs.New(errs.NotOwner, "call owner of group %d: no owner was found in time", id)
@@ -103,35 +103,35 @@
 }
 
 // CallMember sends a request to one daemon, once.
-func (r *Client) CallMember(ctx context.Context, who wire.Who, ask any) (any, error) {
+func (r *Client) CallMember(ctx context.Context, who wire.Who, request any) (any, error) {
 	ctx, cancel := timing.Within(ctx, r.Bounds.Of(cmp.Or(r.AttemptTimeout, timing.SettleTimeout)))
 	defer cancel()
 	if r.SendFunc != nil {
-		return r.SendFunc(ctx, who.Addr, ask)
+		return r.SendFunc(ctx, who.Addr, request)
 	}
-	return r.Node.Peer(r.Link, who.Addr).Call(ctx, ask)
+	return r.Node.Peer(r.Link, who.Addr).Call(ctx, request)
 }
 
 // CallMembers sends a request to several daemons at once and returns the answers of those that answered. If SendFunc is
 // set, they are called one after another on the caller's goroutine.
-func (r *Client) CallMembers(ctx context.Context, whom []wire.Who, ask any) []any {
-	answers := make(chan any, len(whom))
-	for _, who := range whom {
-		one := func() {
-			reply, err := r.CallMember(ctx, who, ask)
+func (r *Client) CallMembers(ctx context.Context, members []wire.Who, request any) []any {
+	answers := make(chan any, len(members))
+	for _, who := range members {
+		call := func() {
+			reply, err := r.CallMember(ctx, who, request)
 			if err != nil {
 				reply = nil
 			}
 			answers <- reply
 		}
 		if r.SendFunc != nil {
-			one()
+			call()
 		} else {
-			go one()
+			go call()
 		}
 	}
 	out := []any{}
-	for range whom {
+	for range members {
 		if reply := <-answers; reply != nil {
 			out = append(out, reply)
 		}
--- a/internal/ownerclient/client_test.go
+++ b/internal/ownerclient/client_test.go
@@ -21,11 +21,11 @@
 	taken := func(kind errs.Kind) any { return &wire.Taken{Kind: string(kind)} }
 	lost, unsent := errs.New(errs.Lost, "session"), error(&transport.UnsentError{})
 	cases := []struct {
-		name    string
-		answers []any // of one store after another; the last one repeats
-		kind    errs.Kind
-		isOpen  bool
-		isReply bool
+		name        string
+		answers     []any // of one store after another; the last one repeats
+		kind        errs.Kind
+		isUncertain bool
+		isReply     bool
 	}{
 		{"an owner's answer", []any{taken("")}, "", false, true},
 		{"the answer of the second store", []any{taken(errs.NotOwner), taken("")}, "", false, true},
@@ -54,12 +54,12 @@
 					}
 					return answer, nil
 				}}
-				reply, isOpen, err := r.CallOwnerTracked(ctx, 1, &wire.Take{}, func(reply any) (bool, string) {
+				reply, isUncertain, err := r.CallOwnerTracked(ctx, 1, &wire.Take{}, func(reply any) (bool, string) {
 					kind := reply.(*wire.Taken).Kind
 					return kind != string(errs.NotOwner) && kind != string(errs.Undecided), ""
 				})
 				So(reply != nil, ShouldEqual, c.isReply)
-				So(isOpen, ShouldEqual, c.isOpen)
+				So(isUncertain, ShouldEqual, c.isUncertain)
 				So(err == nil, ShouldEqual, c.kind == "")
 				if err != nil {
 					So(errs.KindOf(err), ShouldEqual, c.kind)
--- a/internal/weight/peers.go
+++ b/internal/weight/peers.go
@@ -25,17 +25,17 @@
 	if p.observations == nil {
 		p.observations = map[string]Observation{}
 	}
-	s := p.observations[name]
+	seen := p.observations[name]
 	if isAnswered {
-		if s.Micros == 0 {
-			s.Micros = micros
+		if seen.Micros == 0 {
+			seen.Micros = micros
 		}
-		s.Micros += (micros - s.Micros) * smoothing
-		s.Failed -= s.Failed * smoothing
+		seen.Micros += (micros - seen.Micros) * smoothing
+		seen.Failed -= seen.Failed * smoothing
 	} else {
-		s.Failed += (1 - s.Failed) * smoothing
+		seen.Failed += (1 - seen.Failed) * smoothing
 	}
-	p.observations[name] = s
+	p.observations[name] = seen
 }
 
 // Update moves the weights one step and forgets peers that have gone.
--- a/internal/weight/weight.go
+++ b/internal/weight/weight.go
@@ -34,10 +34,10 @@
 )
 
 // NextWeights returns the weights after one step of the controller.
-func NextWeights(old Weights, seen map[string]Observation) Weights {
-	out := Weights{Zones: map[string]float64{}, Workers: UpdateWeights(old.Workers, seen)}
+func NextWeights(old Weights, observations map[string]Observation) Weights {
+	out := Weights{Zones: map[string]float64{}, Workers: UpdateWeights(old.Workers, observations)}
 	zones := map[string][]float64{}
-	for _, s := range seen {
+	for _, s := range observations {
 		zones[s.Zone] = append(zones[s.Zone], 1-s.Failed)
 	}
 	for zone, healthy := range zones {
@@ -52,22 +52,22 @@
 
 // UpdateWeights is one step of the controller. It is the same for the workers of a pool, the pools of a lane and the
 // stores that an adapter may choose among.
-func UpdateWeights(old map[string]float64, seen map[string]Observation) map[string]float64 {
-	out, usual := map[string]float64{}, median(seen)
-	for name, s := range seen {
-		out[name] = stepToward(weightOf(old, name), target(s, usual))
+func UpdateWeights(old map[string]float64, observations map[string]Observation) map[string]float64 {
+	out, medianMicros := map[string]float64{}, median(observations)
+	for name, s := range observations {
+		out[name] = stepToward(weightOf(old, name), target(s, medianMicros))
 	}
 	return out
 }
 
 // target returns the weight to approach: lower the slower a worker is than the median and the more it fails.
-func target(s Observation, usual float64) float64 {
+func target(s Observation, medianMicros float64) float64 {
 	if s.IsProbe {
 		return WeightFloor
 	}
 	share := 1.0
-	if s.Micros > 0 && usual > 0 {
-		share = min(1, usual/s.Micros)
+	if s.Micros > 0 && medianMicros > 0 {
+		share = min(1, medianMicros/s.Micros)
 	}
 	return max(WeightFloor, share*(1-s.Failed))
 }
@@ -75,8 +75,8 @@
 // stepToward moves a weight one step towards its target.
 func stepToward(from, to float64) float64 {
 	step := (to - from) * Damping
-	most := max(from*StepLimit, WeightFloor)
-	step = math.Max(-most, math.Min(most, step))
+	limit := max(from*StepLimit, WeightFloor)
+	step = math.Max(-limit, math.Min(limit, step))
 	return math.Max(WeightFloor, math.Min(1, from+step))
 }
 
@@ -89,9 +89,9 @@
 }
 
 // median returns the median time of a run over the workers that get more than probes; 0 if there are none.
-func median(seen map[string]Observation) float64 {
+func median(observations map[string]Observation) float64 {
 	times := []float64{}
-	for _, s := range seen {
+	for _, s := range observations {
 		if s.Micros > 0 && !s.IsProbe {
 			times = append(times, s.Micros)
 		}
@@ -122,10 +122,10 @@
 }
 
 // Aggregate combines the observations of a pool's workers into one.
-func Aggregate(seen map[string]Observation) Observation {
+func Aggregate(observations map[string]Observation) Observation {
 	out, timed, probes := Observation{}, 0.0, 0
-	for _, s := range seen {
-		out.Failed += s.Failed / float64(len(seen))
+	for _, s := range observations {
+		out.Failed += s.Failed / float64(len(observations))
 		if s.Micros > 0 {
 			out.Micros, timed = out.Micros+s.Micros, timed+1
 		}
@@ -134,6 +134,6 @@
 		}
 	}
 	out.Micros /= max(1, timed)
-	out.IsProbe = len(seen) > 0 && probes == len(seen)
+	out.IsProbe = len(observations) > 0 && probes == len(observations)
 	return out
 }
--- a/internal/workerlist/plan.go
+++ b/internal/workerlist/plan.go
@@ -40,25 +40,25 @@
 	if rate <= 0 {
 		return 0
 	}
-	ours := rate * ownRateShare
+	share := rate * ownRateShare
 	switch zones := len(p.cursors) - 1; {
 	case zones == 0:
 	case c.Zone == "":
-		ours *= fullReadShare
+		share *= fullReadShare
 	default:
-		ours *= (1 - fullReadShare) / float64(zones)
+		share *= (1 - fullReadShare) / float64(zones)
 	}
-	return time.Duration(float64(time.Second) / ours)
+	return time.Duration(float64(time.Second) / share)
 }
 
 // Replan decides which lists are read from now on, by the size of the most recent complete read and the zones of the
 // known workers.
 func (p *Plan) Replan(zones map[string]bool, rate float64) {
-	whole := p.cursors[0]
-	if !whole.HasRead {
+	full := p.cursors[0]
+	if !full.HasRead {
 		return
 	}
-	if span := p.readTime(whole.LastReadPages, rate); span <= p.interval || len(zones) < 2 {
+	if span := p.readTime(full.LastReadPages, rate); span <= p.interval || len(zones) < 2 {
 		p.cursors = p.cursors[:1]
 		return
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 	slices.SortFunc(kept, func(a, b *Cursor) int { return cmp.Compare(a.Zone, b.Zone) })
-	p.cursors = append([]*Cursor{whole}, kept...)
+	p.cursors = append([]*Cursor{full}, kept...)
 }
 
 // readTime returns how long a read of the given number of pages takes if nothing else is read.
--- a/internal/workerlist/roster.go
+++ b/internal/workerlist/roster.go
@@ -35,7 +35,7 @@
 }
 
 // Record records a worker's entry on a page; asked is when the page was requested.
-func (r *Roster) Record(pool string, w config.Worker, asked time.Duration) {
+func (r *Roster) Record(pool string, w config.Worker, requestedAt time.Duration) {
 	if r.pools[pool] == nil {
 		r.pools[pool] = map[string]*entry{}
 	}
@@ -44,13 +44,13 @@
 		e = &entry{}
 		r.pools[pool][w.Name] = e
 	}
-	if asked < e.seenAt { // an older call, whose answer may be outdated
+	if requestedAt < e.seenAt { // an older call, whose answer may be outdated
 		return
 	}
 	if e.worker != w {
 		r.markChanged(pool, w.Name, isKnown)
 	}
-	e.worker, e.seenAt, e.misses = w, asked, 0
+	e.worker, e.seenAt, e.misses = w, requestedAt, 0
 }
 
 // markChanged records that a worker has changed.
