--- a/internal/deliver/askagent_test.go
+++ b/internal/deliver/askagent_test.go
@@ -48,7 +48,7 @@
 					}
 				}
 				told := make(chan wire.OpenAck, 1)
-				a.Serve(wire.Who{}, &wire.Open{Id: "0-x", Attempt: 1, Boot: "an earlier life"}, func(reply any) { told <- *reply.(*wire.OpenAck) })
+				a.Serve(wire.Who{}, &wire.Open{Id: "0-x", Attempt: 1, Boot: "an earlier boot"}, func(reply any) { told <- *reply.(*wire.OpenAck) })
 				got := wire.OpenAck{State: "no answer"}
 				select {
 				case got = <-told:
--- a/internal/deliver/codecs_test.go
+++ b/internal/deliver/codecs_test.go
@@ -66,7 +66,7 @@
 	}
 	kept := requesthead.Head{Method: "PUT", Target: "/a%2Fb/../c?d=%20", Host: "x.example", Fields: [][2]string{{whose, "m-1"}}}
 	for i, m := range codecs {
-		Convey("In "+m.name+" a run that meets", t, func() {
+		Convey("In "+m.name+" a run that encounters", t, func() {
 			for _, c := range cases {
 				Convey(c.name, func() {
 					address, got := "", make(chan []string, 1)
--- a/internal/deliver/deliver_test.go
+++ b/internal/deliver/deliver_test.go
@@ -85,7 +85,7 @@
 			func(_ *Adapter, r *run) { r.Key, r.Bound = "k", 51 }, "", true, false, false, 0},
 		{"a duty that has moved to another boot", nil, func(a *Adapter, _ *run) { a.d.Who.Boot = "2" }, "not_owner", false, false, false, 0},
 	}
-	Convey("A run that meets", t, func() {
+	Convey("A run that encounters", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				address := closedPort()
@@ -182,7 +182,7 @@
 	})
 }
 
-// TestLeaving guards against an adapter that begins runs while it shuts down: what it knew of them was lost.
+// TestLeaving guards against an adapter that begins runs while it shuts down, so that its record of them is lost.
 func TestLeaving(t *testing.T) {
 	Convey("Given an adapter that is shutting down", t, func() {
 		a := newTestAdapter("127.0.0.1:1")
--- a/internal/deliver/replymatch_test.go
+++ b/internal/deliver/replymatch_test.go
@@ -52,19 +52,19 @@
 		proof string       // of the second run, if it succeeds
 		conns int64        // connections used by three runs
 	}{
-		{"each repeats its run's id", exchange{answerOf(200, "one", "ID1"), answerOf(200, "two", "ID2")}, [2]errs.Kind{}, "two", 1},
-		{"the first one's comes again", exchange{answerOf(200, "one", "ID1"), answerOf(200, "one", "ID1")}, [2]errs.Kind{"", "cut_short"}, "", 2},
-		{"the first one's comes again, and then its own", exchange{answerOf(200, "one", "ID1"),
+		{"each repeats the id of its run", exchange{answerOf(200, "one", "ID1"), answerOf(200, "two", "ID2")}, [2]errs.Kind{}, "two", 1},
+		{"a second copy of the first reply", exchange{answerOf(200, "one", "ID1"), answerOf(200, "one", "ID1")}, [2]errs.Kind{"", "cut_short"}, "", 2},
+		{"a second copy of the first reply, followed by the right one", exchange{answerOf(200, "one", "ID1"),
 			answerOf(200, "one", "ID1") + answerOf(200, "two", "ID2")}, [2]errs.Kind{"", "cut_short"}, "", 2},
-		{"its own comes with a second one", exchange{answerOf(200, "one", "ID1"),
+		{"the right reply, followed by a copy of the first", exchange{answerOf(200, "one", "ID1"),
 			answerOf(200, "two", "ID2") + answerOf(200, "one", "ID1")}, [2]errs.Kind{}, "two", 2},
-		{"a refusal of the first one comes", exchange{answerOf(200, "one", "ID1"), answerOf(422, "no", "ID1")}, [2]errs.Kind{"", "cut_short"}, "", 2},
-		{"one comes that repeats no id, after one that did", exchange{answerOf(200, "one", "ID1"), answerOf(200, "old")},
+		{"a refusal with the id of the first run", exchange{answerOf(200, "one", "ID1"), answerOf(422, "no", "ID1")}, [2]errs.Kind{"", "cut_short"}, "", 2},
+		{"a reply without an id, after one with an id", exchange{answerOf(200, "one", "ID1"), answerOf(200, "old")},
 			[2]errs.Kind{"", "cut_short"}, "", 2},
-		{"one comes that repeats two", exchange{answerOf(200, "one", "ID1"), answerOf(200, "old", "ID2", "ID1")},
+		{"a reply with the ids of both runs", exchange{answerOf(200, "one", "ID1"), answerOf(200, "old", "ID2", "ID1")},
 			[2]errs.Kind{"", "cut_short"}, "", 2},
-		{"none repeats an id", exchange{answerOf(200, "one"), answerOf(200, "two")}, [2]errs.Kind{}, "two", 3},
-		{"the first is another run's", exchange{answerOf(200, "one", "ID2"), answerOf(200, "two", "ID2")}, [2]errs.Kind{"cut_short", ""}, "two", 2},
+		{"two replies without an id", exchange{answerOf(200, "one"), answerOf(200, "two")}, [2]errs.Kind{}, "two", 3},
+		{"a first reply with the id of another run", exchange{answerOf(200, "one", "ID2"), answerOf(200, "two", "ID2")}, [2]errs.Kind{"cut_short", ""}, "two", 2},
 	}
 	for _, mode := range deliveryModes {
 		Convey("Of the replies to "+mode.name, t, func() {
@@ -99,10 +99,10 @@
 		code  int
 		conns int64
 	}{
-		{"a failure, which counts: its connection carries nothing else", 500, 2},
-		{"a run that was not done in time", 504, 2},
-		{"a worker that is full, which counts for nothing", 503, 1},
-		{"a success: the message does not run again", 200, 1},
+		{"a failure: the connection is not reused", 500, 2},
+		{"a gateway time-out: the connection is not reused", 504, 2},
+		{"a full worker, which has not begun a run: the connection is reused", 503, 1},
+		{"a success: the connection is reused", 200, 1},
 	}
 	for _, mode := range deliveryModes {
 		Convey("For "+mode.name+", two runs of one message, the first answered by", t, func() {
@@ -129,10 +129,10 @@
 		kind                errs.Kind // of the second notification
 		conns               int64     // connections used by three notifications
 	}{
-		{"each repeats its word's id", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-2"), "", 1},
-		{"the first one's comes again", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-1"), errs.Truncated, 2},
-		{"one comes that repeats no id, after one that did", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, ""), errs.Truncated, 2},
-		{"none repeats an id", answerOf(200, ""), answerOf(200, ""), "", 3},
+		{"each repeats the id of its notification", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-2"), "", 1},
+		{"a second copy of the first reply", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, "", "X-Message-Id: 0-1"), errs.Truncated, 2},
+		{"a reply without an id, after one with an id", answerOf(200, "", "X-Message-Id: 0-1"), answerOf(200, ""), errs.Truncated, 2},
+		{"two replies without an id", answerOf(200, ""), answerOf(200, ""), "", 3},
 	}
 	Convey("Of the replies to notifications", t, func() {
 		for _, c := range cases {
--- a/internal/deliver/worker_test.go
+++ b/internal/deliver/worker_test.go
@@ -54,7 +54,7 @@
 		ease  time.Duration
 	}{
 		{"a slow endpoint", 1, 0, 0},
-		{"a usual endpoint", 6, 0, 0},
+		{"an average endpoint", 6, 0, 0},
 		{"a fast endpoint", 200, 0, 0},
 		{"an endpoint in slow start", 6, 0, 5 * time.Second},
 		{"an endpoint taken over, during its fence", 6, 3 * time.Second, 0},
--- a/internal/intake/codecs_test.go
+++ b/internal/intake/codecs_test.go
@@ -55,7 +55,7 @@
 		{"a lost answer, not settled", "/a/b", "body", intake.TestSetup{IsOpen: true, Most: 9}, [2]int{504, 504}},
 	}
 	for i, m := range codecs {
-		Convey("In "+m.name+" a caller that meets", t, func() {
+		Convey("In "+m.name+" a caller that encounters", t, func() {
 			for _, c := range cases {
 				for _, isChunked := range []bool{false, true} {
 					in, takes := intake.NewTestIntake(c.s)
--- a/internal/intake/helpers_test.go
+++ b/internal/intake/helpers_test.go
@@ -54,7 +54,7 @@
 
 // NewTestIntake returns an intake for a setup, and a function that returns the messages that were sent to owners.
 func NewTestIntake(s TestSetup) (in *Intake, takes func() []*wire.Take) {
-	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isOpen: s.IsOpen}, sight: s.Sight}
+	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isUncertain: s.IsOpen}, sight: s.Sight}
 	view := feed.NewView(0)
 	d := &daemon.Daemon{Started: time.Now().Add(-time.Hour), Bounds: timing.Default, View: view, Membership: session.NewMembership(),
 		Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: s.Most}}
--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -46,12 +46,12 @@
 // places would have accepted their message.
 func TestHoldQuickly(t *testing.T) {
 	cases := []struct {
-		name   string
-		key    string
-		say    []string
-		kind   errs.Kind // of the answer; empty if the message is held
-		isOpen bool
-		asks   int
+		name    string
+		key     string
+		replies []string
+		kind    errs.Kind // of the answer; empty if the message is held
+		isOpen  bool
+		asks    int
 	}{
 		{"the first place holds it", "", []string{"held"}, "", false, 1},
 		{"a place without an owner is skipped", "", []string{"", "held"}, "", false, 2},
@@ -65,7 +65,7 @@
 	Convey("For a caller with a deadline,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				s := &scriptedOwners{replies: c.say}
+				s := &scriptedOwners{replies: c.replies}
 				in := newTestIntake(&fakeOwners{})
 				in.quickOwners = s
 				e := &request{ctx: context.Background(), deadline: time.Minute, take: wire.Take{Lane: "l", Key: c.key}}
@@ -80,7 +80,7 @@
 				So(kind, ShouldEqual, c.kind)
 				So(e.mayBeHeld, ShouldEqual, c.isOpen)
 				So(len(s.places), ShouldEqual, c.asks)
-				if c.isOpen || len(c.say) > 0 && c.say[0] == "open" {
+				if c.isOpen || len(c.replies) > 0 && c.replies[0] == "open" {
 					So(s.places[1], ShouldEqual, s.places[0])
 				}
 			})
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -25,7 +25,7 @@
 // fakeOwners answers requests to owners with fixed replies.
 type fakeOwners struct {
 	take, settle       *wire.Taken // nil: no owner answers
-	isOpen             bool        // an earlier attempt may have been held
+	isUncertain        bool        // an earlier attempt may have been held
 	takes              []*wire.Take
 	settles, takeCalls int
 }
@@ -36,8 +36,8 @@
 	s.takes = append(s.takes, ask.(*wire.Take))
 	switch {
 	case s.take != nil:
-		return s.take, s.isOpen, nil
-	case s.isOpen:
+		return s.take, s.isUncertain, nil
+	case s.isUncertain:
 		return nil, true, errs.New(errs.Undecided, "no answer")
 	}
 	return nil, false, errs.New(errs.NotOwner, "no owner")
@@ -83,17 +83,17 @@
 		{"a message that is held", "l", "", "b", fakeOwners{take: held}, 202, true, "", 0},
 		{"a message that the owner rejects", "l", "", "b", fakeOwners{take: kind(errs.Full)}, 429, false, "7", 0},
 		{"a message that the owner rejects after an attempt that may have been held, settled as never held", "l", "", "b",
-			fakeOwners{take: kind(errs.Full), isOpen: true, settle: kind(errs.Rejected)}, 429, false, "7", 1},
-		{"… settled as held", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true, settle: held}, 202, true, "", 1},
-		{"… not settled", "l", "", "b", fakeOwners{take: kind(errs.Full), isOpen: true}, 504, "undecided", "", 1},
+			fakeOwners{take: kind(errs.Full), isUncertain: true, settle: kind(errs.Rejected)}, 429, false, "7", 1},
+		{"… settled as held", "l", "", "b", fakeOwners{take: kind(errs.Full), isUncertain: true, settle: held}, 202, true, "", 1},
+		{"… not settled", "l", "", "b", fakeOwners{take: kind(errs.Full), isUncertain: true}, 504, "undecided", "", 1},
 		{"a message without an owner", "l", "", "b", fakeOwners{}, 503, false, "1", 0},
-		{"a message whose answer was lost, settled as never held", "l", "", "b", fakeOwners{isOpen: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
+		{"a message whose answer was lost, settled as never held", "l", "", "b", fakeOwners{isUncertain: true, settle: kind(errs.Rejected)}, 503, false, "", 1},
 		{"too large a body", "l", "", "0123456789", fakeOwners{}, 413, false, "", 0},
 		{"no such lane", "x", "", "b", fakeOwners{}, 404, false, "", 0},
 		{"a key whose message is held", "l", "i", "b", fakeOwners{take: held}, 202, true, "", 0},
 		{"a key that the owner rejects", "l", "i", "b", fakeOwners{take: kind(errs.Full)}, 429, "undecided", "7", 0},
 		{"a key without an owner", "l", "i", "b", fakeOwners{}, 503, "undecided", "1", 0},
-		{"a key whose answer was lost", "l", "i", "b", fakeOwners{isOpen: true}, 504, "undecided", "2", 0},
+		{"a key whose answer was lost", "l", "i", "b", fakeOwners{isUncertain: true}, 504, "undecided", "2", 0},
 		{"a key settled as never held", "l", "i", "b", fakeOwners{take: kind(errs.Rejected)}, 409, false, "7", 0},
 		{"a key with another body", "l", "i", "b", fakeOwners{take: kind(errs.Conflict)}, 409, false, "7", 0},
 		{"a key with too large a body", "l", "i", "0123456789", fakeOwners{}, 413, "undecided", "", 0},
--- a/internal/intake/leaving_test.go
+++ b/internal/intake/leaving_test.go
@@ -54,7 +54,7 @@
 		settles int
 	}{{"its caller has gone", context.Canceled, 1}, {"the daemon stops", web.ErrStopping, 0}} {
 		Convey("A message that may be held, when "+c.name, t, func() {
-			owners := &fakeOwners{isOpen: true}
+			owners := &fakeOwners{isUncertain: true}
 			in := newTestIntake(owners)
 			ctx, cancel := context.WithCancelCause(context.Background())
 			cancel(c.cause)
--- a/internal/ownerclient/client_test.go
+++ b/internal/ownerclient/client_test.go
@@ -38,7 +38,7 @@
 		{"no owner after one that was replaced", []any{taken(errs.Undecided), taken(errs.NotOwner)}, errs.Undecided, true, false},
 		{"a request that could not be sent", []any{unsent}, errs.NotOwner, false, false},
 	}
-	Convey("A request that meets", t, func() {
+	Convey("A request that encounters", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				membership, turn := session.NewMembership(), 0
