--- a/internal/deliver/concurrency_test.go
+++ b/internal/deliver/concurrency_test.go
@@ -156,8 +156,8 @@
 	})
 }
 
-// TestAskedDuringAnOutage guards against slot requests that are told to retry at once because other requests wait before them:
-// there were thousands per second, although the worker was not to be probed for a while.
+// TestAskedDuringAnOutage guards against slot requests that are told to retry at once because other requests wait
+// before them: there were thousands per second, although the worker was not to be probed for a while.
 func TestAskedDuringAnOutage(t *testing.T) {
 	Convey("Given an unhealthy worker with a waiting slot request", t, func() {
 		h := newDutyHolder("a")
--- a/internal/deliver/drain_test.go
+++ b/internal/deliver/drain_test.go
@@ -14,21 +14,21 @@
 
 // Parameters of the simulated service: an ordered service of a few workers with short runs, which has an outage and
 // comes back cold. A commit takes commitTime; from a slot's grant to the arrival of its run, the commit of its start
-// included, it takes wayTime.
+// included, it takes arrivalTime.
 const (
-	drainWorkers   = 4
-	drainSlots     = 4
-	drainKeys      = 1400
-	drainPerSecond = 385
-	drainWanted    = 600 * time.Millisecond
-	runTime        = 15 * time.Millisecond
-	coldRunTime    = 24 * time.Millisecond
-	coldTime       = 3 * time.Second
-	commitTime     = 15 * time.Millisecond
-	wayTime        = 15 * time.Millisecond
-	awayFrom       = 5 * time.Second
-	awayUntil      = 15 * time.Second
-	drainEnd       = 40 * time.Second
+	drainWorkers     = 4
+	drainSlots       = 4
+	drainKeys        = 1400
+	drainPerSecond   = 385
+	drainStartWithin = 600 * time.Millisecond
+	runTime          = 15 * time.Millisecond
+	coldRunTime      = 24 * time.Millisecond
+	coldTime         = 3 * time.Second
+	commitTime       = 15 * time.Millisecond
+	arrivalTime      = 15 * time.Millisecond
+	outageStart      = 5 * time.Second
+	outageEnd        = 15 * time.Second
+	drainEnd         = 40 * time.Second
 )
 
 // outageSimulation runs the service on simulated time with the state machine of a place, which orders messages, and the
@@ -38,12 +38,13 @@
 	random   *rand.Rand
 	machine  *place.Machine
 	workers  []*WorkerState
-	lines    [][]func()
+	queues   [][]func()
 	events   map[time.Duration][]func()
 	taken    int
 	lateRuns []time.Duration // when runs began after the time that their message should have begun
 }
 
+// newOutageSimulation returns the simulation before any message.
 func newOutageSimulation() *outageSimulation {
 	d := &outageSimulation{random: rand.New(rand.NewPCG(1, 2)), machine: place.New(), events: map[time.Duration][]func(){}}
 	for range drainWorkers {
@@ -51,14 +52,16 @@
 		w.Configure(config.Pool{Concurrency: drainSlots}, config.Worker{Slots: drainSlots})
 		d.workers = append(d.workers, w)
 	}
-	d.lines = make([][]func(), drainWorkers)
+	d.queues = make([][]func(), drainWorkers)
 	return d
 }
 
+// after schedules an event.
 func (d *outageSimulation) after(span time.Duration, event func()) {
 	d.events[d.now+span] = append(d.events[d.now+span], event)
 }
 
+// apply applies a command to the place at the current time.
 func (d *outageSimulation) apply(c place.Command) {
 	c.At = d.now.Milliseconds()
 	d.machine.Apply(c)
@@ -70,14 +73,14 @@
 		d.taken++
 		key := int(float64(drainKeys) * d.random.Float64() * d.random.Float64())
 		d.apply(place.Command{Kind: place.CmdTake, Id: fmt.Sprint(d.taken), Lane: "l", Key: fmt.Sprint(key), Ordered: true,
-			Deadline: time.Minute.Milliseconds(), StartWithin: drainWanted.Milliseconds()})
+			Deadline: time.Minute.Milliseconds(), StartWithin: drainStartWithin.Milliseconds()})
 	}
 }
 
-// grant grants every free slot to the next message. If grantsAhead is false, a slot is held from its grant on and no run
-// queues at the worker.
+// grant grants every free slot to the next message. If grantsAhead is false, a slot is held from its grant on and no
+// run queues at the worker.
 func (d *outageSimulation) grant(grantsAhead bool) {
-	if d.now >= awayFrom && d.now < awayUntil {
+	if d.now >= outageStart && d.now < outageEnd {
 		return
 	}
 	for i, w := range d.workers {
@@ -100,16 +103,16 @@
 		d.lateRuns = append(d.lateRuns, d.now)
 	}
 	d.apply(place.Command{Kind: place.CmdStart, Id: id, Attempt: 1, Worker: "w"})
-	d.after(wayTime, func() {
+	d.after(arrivalTime, func() {
 		w.RecordLead(d.now - at)
-		d.lines[i] = append(d.lines[i], func() { d.run(w, id) })
+		d.queues[i] = append(d.queues[i], func() { d.run(w, id) })
 	})
 }
 
 // run simulates a run on its worker and the commit of its result.
 func (d *outageSimulation) run(w *WorkerState, id string) {
 	took := runTime
-	if d.now >= awayUntil && d.now < awayUntil+coldTime {
+	if d.now >= outageEnd && d.now < outageEnd+coldTime {
 		took = coldRunTime
 	}
 	d.after(took, func() {
@@ -122,33 +125,33 @@
 	})
 }
 
-// play returns the time from the end of the outage to the last late start of a run.
-func (d *outageSimulation) play(grantsAhead bool) time.Duration {
+// simulate returns the time from the end of the outage to the last late start of a run.
+func (d *outageSimulation) simulate(grantsAhead bool) time.Duration {
 	for ; d.now < drainEnd; d.now += time.Millisecond {
 		for _, event := range d.events[d.now] {
 			event()
 		}
 		delete(d.events, d.now)
 		for i, w := range d.workers {
-			for len(d.lines[i]) > 0 && w.TryBegin(d.now) {
-				begin := d.lines[i][0]
-				d.lines[i] = d.lines[i][1:]
+			for len(d.queues[i]) > 0 && w.TryBegin(d.now) {
+				begin := d.queues[i][0]
+				d.queues[i] = d.queues[i][1:]
 				begin()
 			}
 		}
 		d.take()
 		d.grant(grantsAhead)
 	}
-	return d.lateRuns[len(d.lateRuns)-1] - awayUntil
+	return d.lateRuns[len(d.lateRuns)-1] - outageEnd
 }
 
-// TestDrainAfterAnOutage guards against a backlog that is never worked off: after a whole ordered service had been away
-// for eight seconds, nearly every later run was late.
+// TestDrainAfterAnOutage guards against a backlog that is never worked off: after an outage of a whole
+// ordered service for eight seconds, nearly every later run was late.
 func TestDrainAfterAnOutage(t *testing.T) {
 	Convey("An ordered service has worked off its backlog soon after an outage", t, func() {
-		So(newOutageSimulation().play(true), ShouldBeLessThan, 10*time.Second)
+		So(newOutageSimulation().simulate(true), ShouldBeLessThan, 10*time.Second)
 		Convey("which it does not if slots are held from their grant on", func() {
-			So(newOutageSimulation().play(false), ShouldBeGreaterThan, drainEnd-awayUntil-time.Second)
+			So(newOutageSimulation().simulate(false), ShouldBeGreaterThan, drainEnd-outageEnd-time.Second)
 		})
 	})
 }
--- a/internal/deliver/environment.go
+++ b/internal/deliver/environment.go
@@ -16,13 +16,18 @@
 // Environment is an adapter's access to timers, goroutines and the network. The simulation substitutes its own; the
 // rest of the code is the same there.
 type Environment struct {
-	After           func(span time.Duration, work func())                    // calls work after a delay
-	Run             func(work func(ctx context.Context))                     // runs a delivery, which may block; ctx ends with the daemon
-	RunNotification func(work func(ctx context.Context))                     // runs a notification, which may block; ctx ends with the daemon
-	Send            func(*http.Request, web.SendOptions) (*web.Reply, error) // sends a request to a worker or receiver, at most once
+	// After calls work after a delay.
+	After func(span time.Duration, work func())
+	// Run runs a delivery, which may block; ctx ends with the daemon.
+	Run func(work func(ctx context.Context))
+	// RunNotification runs a notification, which may block; ctx ends with the daemon.
+	RunNotification func(work func(ctx context.Context))
+	// Send sends a request to a worker or receiver, at most once.
+	Send func(*http.Request, web.SendOptions) (*web.Reply, error)
 	// Post sends a message to a daemon and calls done with the reply; done may be nil.
-	Post          func(link *wire.Link, addr string, ask any, done func(reply any, err error)) error
-	FirstPermitId func() int64 // start of the permit numbers
+	Post func(link *wire.Link, addr string, ask any, done func(reply any, err error)) error
+	// FirstPermitId returns the start of the permit numbers.
+	FirstPermitId func() int64
 }
 
 // notificationPoolDivisor sizes the goroutine pool for notifications relative to the one for runs. The pools are
@@ -41,6 +46,7 @@
 		Post: func(link *wire.Link, addr string, ask any, done func(any, error)) error {
 			return d.Node.Peer(link, addr).Post(ask, done)
 		},
-		FirstPermitId: func() int64 { return rand.Int64N(1 << 62) }, // random, so that no permit of an earlier boot is valid in this one
+		// Random, so that no permit of an earlier boot is valid in this one.
+		FirstPermitId: func() int64 { return rand.Int64N(1 << 62) },
 	}
 }
--- a/internal/deliver/fence_test.go
+++ b/internal/deliver/fence_test.go
@@ -76,7 +76,7 @@
 // age steps old; -1 for never.
 func actsUntil(updatedAt, age int) (last int) {
 	h, last := newDutyHolder("a"), -1
-	for now := range updatedAt + 1 { // asked at every step, since a rate share counts one fence after its duty was first seen
+	for now := range updatedAt + 1 { // at every step: a rate share counts one fence after its duty was first seen
 		h.receiveUpdate(now, min(age, now))
 		h.grantsSlot(now)
 	}
--- a/internal/deliver/notificationqueue_test.go
+++ b/internal/deliver/notificationqueue_test.go
@@ -75,7 +75,7 @@
 		tellers := &notificationLimiter{}
 		out, _ := burst(tellers, 3*maxNotificationsInFlight)
 		So(len(*out), ShouldEqual, maxNotificationsInFlight)
-		for range maxNotificationsInFlight + unansweredLimit - 1 { // as many have been sent by the time that three are unanswered
+		for range maxNotificationsInFlight + unansweredLimit - 1 { // as many have been sent once three are unanswered
 			tellers.recordReply("a", false)
 			tellers.finish("a")
 		}
--- a/internal/deliver/rateshare.go
+++ b/internal/deliver/rateshare.go
@@ -39,8 +39,8 @@
 	return &RateShare{fence: fence, held: map[string]heldTerm{}, refilledAt: now}
 }
 
-// Update applies the service's rate, the terms of the duties held here and the number of listed workers. Of a duty
-// whose term is free, no other adapter can be acting any more, so it counts at once.
+// Update applies the service's rate, the terms of the duties held here and the number of listed workers. After
+// a release of a duty no other adapter can be acting any more, so it counts at once.
 func (a *RateShare) Update(rate float64, terms map[string]config.AssignedDuty, listed int, now time.Duration) {
 	a.refill(now)
 	a.rate = rate
@@ -105,7 +105,8 @@
 		return
 	}
 	rate := a.perSecond(now)
-	a.tokens = min(a.burst(now), a.tokens+min(rate, a.refillRate)*(now-a.refilledAt).Seconds()) // the rate may have risen only just now
+	// The lower of the old and the new rate, since the rate may have risen only just now.
+	a.tokens = min(a.burst(now), a.tokens+min(rate, a.refillRate)*(now-a.refilledAt).Seconds())
 	a.refilledAt, a.refillRate = now, rate
 }
 
--- a/internal/deliver/worker.go
+++ b/internal/deliver/worker.go
@@ -82,7 +82,8 @@
 // Configure applies the pool's settings and the worker's list entry.
 func (w *WorkerState) Configure(pool config.Pool, listed config.Worker) {
 	if listed.Slots > 0 {
-		pool.Concurrency = listed.Slots + (listed.Slots+1)/2 // half as many again may queue at the worker, so that no slot idles between two runs
+		// Half as many again may queue at the worker, so that no slot idles between two runs.
+		pool.Concurrency = listed.Slots + (listed.Slots+1)/2
 	}
 	if w.adaptiveLimit == float64(w.pool.Concurrency) { // no failure has lowered it
 		w.adaptiveLimit = float64(pool.Concurrency)
--- a/internal/intake/codec.go
+++ b/internal/intake/codec.go
@@ -115,7 +115,7 @@
 
 // findRoute sets the lane that the request's host and path select in the current configuration.
 func (in *Intake) findRoute(e *request, r *http.Request) error {
-	e.isFresh = in.d.IsFresh() // checked before the configuration is read, so that a route missing from it is really missing
+	e.isFresh = in.d.IsFresh() // before the configuration is read, so that a route missing from it is really missing
 	e.compiled = in.configs.Current()
 	lane, isFound := config.Lane{}, false
 	if e.isFresh {
--- a/internal/intake/hold.go
+++ b/internal/intake/hold.go
@@ -86,7 +86,8 @@
 		return false, mayBeHeld, errs.New(errs.NotOwner, "hold message: no owner of its place answered")
 	}
 	e.taken = reply.(*wire.Taken)
-	if e.operationKey != "" && e.taken.Kind == string(errs.Conflict) { // an earlier request with the same key and another body is held
+	// An earlier request with the same key and another body is held.
+	if e.operationKey != "" && e.taken.Kind == string(errs.Conflict) {
 		e.taken = &wire.Taken{Id: e.take.Id, State: string(place.Held), IsRepeat: true}
 	}
 	if e.taken.Kind == "" || !mayBeHeld || e.taken.Kind == string(errs.Rejected) {
--- a/internal/intake/lookup.go
+++ b/internal/intake/lookup.go
@@ -224,5 +224,5 @@
 	w.Header().Set("X-Content-SHA256", s.Checksum)
 	w.Header().Set("Content-Length", strconv.Itoa(len(s.Body)))
 	w.WriteHeader(200)
-	_, _ = w.Write(s.Body) // if the write fails, the connection is reset, so that the caller does not take a part for the whole
+	_, _ = w.Write(s.Body) // on failure the connection is reset, so that no caller takes a part for the whole
 }
--- a/internal/intake/post.go
+++ b/internal/intake/post.go
@@ -119,7 +119,7 @@
 
 // findLane sets the lane from the current configuration.
 func (in *Intake) findLane(e *request) error {
-	e.isFresh = in.d.IsFresh() // checked before the configuration is read, so that a lane missing from it is really missing
+	e.isFresh = in.d.IsFresh() // before the configuration is read, so that a lane missing from it is really missing
 	e.compiled = in.configs.Current()
 	lane, isKnown := e.compiled.Rules.Lanes[e.take.Lane]
 	if !isKnown {
@@ -145,7 +145,8 @@
 	if e.mayBeHeld && !isDefinite(kind) {
 		p.Taken = "undecided"
 	}
-	if (e.mayBeHeld || e.taken != nil) && kind != errs.Unauthorized { // without a valid API key, the tenant and so the id are unknown
+	// Without a valid API key, the tenant is unknown and so is the id.
+	if (e.mayBeHeld || e.taken != nil) && kind != errs.Unauthorized {
 		p.Id = e.take.Id
 	}
 	in.count(e, string(kind))
--- a/internal/intake/tenant.go
+++ b/internal/intake/tenant.go
@@ -181,6 +181,6 @@
 	if err != nil || e.taken == nil {
 		return errs.Is(err, errs.Undecided)
 	}
-	isRepeat := e.taken.IsRepeat && !e.mayBeHeldEarlier // otherwise the repeat may be of an earlier attempt of this request
+	isRepeat := e.taken.IsRepeat && !e.mayBeHeldEarlier // else it may repeat an earlier attempt of this request
 	return e.taken.Kind == "" && !isRepeat
 }
--- a/internal/ownerclient/client.go
+++ b/internal/ownerclient/client.go
@@ -18,13 +18,16 @@
 
 // Client calls the owners of a daemon's groups.
 type Client struct {
-	Node           *transport.Node
-	Membership     *session.Membership
-	Bounds         timing.Bounds
-	Link           *wire.Link
-	SendFunc       func(ctx context.Context, addr string, request any) (any, error) // replaces the transport if set
-	OnAttempt      func(peer string, micros float64, isAnswered bool)               // called after each attempt of CallOwnerTracked if set
-	AttemptTimeout timing.Ratio                                                     // time limit of one attempt; 0 for timing.SettleTimeout
+	Node       *transport.Node
+	Membership *session.Membership
+	Bounds     timing.Bounds
+	Link       *wire.Link
+	// SendFunc replaces the transport if set.
+	SendFunc func(ctx context.Context, addr string, request any) (any, error)
+	// OnAttempt is called after each attempt of CallOwnerTracked if set.
+	OnAttempt func(peer string, micros float64, isAnswered bool)
+	// AttemptTimeout is the time limit of one attempt; 0 for timing.SettleTimeout.
+	AttemptTimeout timing.Ratio
 }
 
 // immediateHops bounds how often a named owner is tried without a pause.
--- a/internal/weight/weight.go
+++ b/internal/weight/weight.go
@@ -100,7 +100,7 @@
 		return 0
 	}
 	slices.Sort(times)
-	return times[(len(times)-1)/2] // of two, the faster one counts as normal
+	return times[(len(times)-1)/2] // of two, the faster one: the slower is the outlier
 }
 
 // IsWorthPublishing reports whether any weight of a pool has changed enough to be published.
--- a/internal/workerlist/cursor.go
+++ b/internal/workerlist/cursor.go
@@ -68,9 +68,9 @@
 	return isComplete
 }
 
-// PageFailed records that the requested page did not arrive, and backs off up to most. A refusal because of the rate
-// only delays the read. After maxPageRetries other failures of one page, whose token may have expired, the read starts
-// again with the first page.
+// PageFailed records that the requested page did not arrive, and backs off, up to maxPause. A refusal because of the
+// rate only delays the read. After maxPageRetries other failures of one page, whose token may have expired, the read
+// starts again with the first page.
 func (c *Cursor) PageFailed(kind errs.Kind, now, period, maxPause time.Duration) {
 	pause := min(max(period, minPause)<<min(c.retries, 16), maxPause)
 	c.retries++
--- a/internal/workerlist/roster.go
+++ b/internal/workerlist/roster.go
@@ -34,7 +34,7 @@
 	return &Roster{pools: map[string]map[string]*entry{}, changed: map[string]map[string]bool{}}
 }
 
-// Record records a worker's entry on a page; asked is when the page was requested.
+// Record records a worker's entry on a page; requestedAt is when the page was requested.
 func (r *Roster) Record(pool string, w config.Worker, requestedAt time.Duration) {
 	if r.pools[pool] == nil {
 		r.pools[pool] = map[string]*entry{}
