--- a/internal/deliver/adapter.go
+++ b/internal/deliver/adapter.go
@@ -39,7 +39,7 @@
 	runs                *RunRegistry
 	times               groupclock.Cache // of the places' groups, reported back to new owners
 	// Once it is set, no run is accepted and no slot is granted.
-	isLeaving atomic.Bool
+	isDraining atomic.Bool
 }
 
 var runsTotal = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "deliver",
@@ -134,7 +134,7 @@
 // reports to the managers.
 func (a *Adapter) AddCounts(counts map[string]int64) {
 	counts["runs"] = int64(a.OpenRunCount())
-	if a.isLeaving.Load() {
+	if a.isDraining.Load() {
 		counts[DrainingCount] = 1
 	}
 	a.slots.addObservations(counts)
@@ -148,7 +148,7 @@
 const DrainingCount = session.DrainingCount
 
 // IsLeaving reports whether the adapter is shutting down.
-func (a *Adapter) IsLeaving() bool { return a.isLeaving.Load() }
+func (a *Adapter) IsLeaving() bool { return a.isDraining.Load() }
 
 // holdsAnyDuty reports whether any duty is still assigned to this boot of the adapter.
 func (a *Adapter) holdsAnyDuty() bool {
@@ -164,7 +164,7 @@
 }
 
 // Leave makes the adapter accept no more runs and grant no more slots.
-func (a *Adapter) Leave() { a.isLeaving.Store(true) }
+func (a *Adapter) Leave() { a.isDraining.Store(true) }
 
 // Drain stops accepting work and waits until no run is open and, for at most a session timeout, until the adapter's
 // duties have been assigned to others. It returns early when ctx ends.
--- a/internal/deliver/result_test.go
+++ b/internal/deliver/result_test.go
@@ -19,7 +19,7 @@
 // TestResultIsToldUntilAcknowledged checks that an adapter reports a result until it is acknowledged. An owner also
 // recovers a run that its adapter has forgotten, but at the price of a second run.
 func TestResultIsToldUntilAcknowledged(t *testing.T) {
-	const silent = 4 // attempts that get no answer within the settle time-out
+	const unanswered = 4 // attempts that get no answer within the settle time-out
 	Convey("A result whose owner is unreachable for longer than the settle time-out", t, func() {
 		view := feed.NewView(0)
 		d := &daemon.Daemon{Bounds: timing.Bounds{ConfigApply: 40 * time.Millisecond}, View: view, Who: wire.Who{Name: "a", Boot: "1"},
@@ -35,13 +35,13 @@
 			return nil
 		}
 		a := NewWithEnvironment(d, &config.Cache{View: view}, DefaultCodec, ports)
-		told := []*wire.Outcome{}
+		results := []*wire.Outcome{}
 		a.SetOwnerClient(&ownerclient.Client{Membership: d.Membership, Bounds: d.Bounds, SendFunc: func(ctx context.Context, _ string, ask any) (any, error) {
 			outcome, isOutcome := ask.(*wire.Outcome)
 			if !isOutcome {
 				return nil, context.Canceled
 			}
-			if told = append(told, outcome); len(told) <= silent {
+			if results = append(results, outcome); len(results) <= unanswered {
 				<-ctx.Done()
 				return nil, ctx.Err()
 			}
@@ -51,8 +51,8 @@
 		So(a.runs.Admit(&r.Run, 0), ShouldBeNil)
 		a.reportToOwner(context.Background(), r, a.newOutcome(r))
 		Convey("is reported until an owner has acknowledged it, and stays open until then", func() {
-			So(told, ShouldHaveLength, silent+1)
-			So(told[silent].Id, ShouldEqual, "3-x")
+			So(results, ShouldHaveLength, unanswered+1)
+			So(results[unanswered].Id, ShouldEqual, "3-x")
 			So(a.OpenRunCount(), ShouldEqual, 0)
 		})
 	})
--- a/internal/deliver/runs.go
+++ b/internal/deliver/runs.go
@@ -39,7 +39,7 @@
 			a.runs.Remove(m)
 		}
 	}
-	if err == nil && a.isLeaving.Load() { // after Admit: either Drain counts the run, or isLeaving is seen here
+	if err == nil && a.isDraining.Load() { // after Admit: either Drain counts the run, or isDraining is seen here
 		a.slots.releaseUnused(r.permit)
 		a.runs.Remove(m)
 		err = errs.New(errs.NotOwner, "run refused: this adapter is shutting down")
--- a/internal/deliver/slots.go
+++ b/internal/deliver/slots.go
@@ -110,7 +110,7 @@
 
 // requestSlot answers a request for a slot, either at once or when one becomes free before the request's deadline.
 func (s *slotAllocator) requestSlot(m *wire.Want, answer func(any)) {
-	if !s.adapter.d.IsFresh() || s.adapter.isLeaving.Load() {
+	if !s.adapter.d.IsFresh() || s.adapter.isDraining.Load() {
 		answer(&wire.Grant{Kind: string(errs.Stale), Retry: 200})
 		return
 	}
--- a/internal/intake/access_test.go
+++ b/internal/intake/access_test.go
@@ -50,7 +50,7 @@
 
 // idOf sends a message and returns the id that it got.
 func idOf(lane, key string) string {
-	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
+	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: twoTenants})
 	So(call(in, "POST", "/v1/lanes/"+lane+"/messages", key, strings.NewReader("b")).Code, ShouldEqual, 202)
 	return takes()[0].Id
 }
@@ -59,9 +59,9 @@
 // an adapter that has no configuration yet.
 func TestAskersOfTenants(t *testing.T) {
 	sight := &wire.Sight{State: "held", Body: []byte("b"), Checksum: wire.Checksum([]byte("b"))}
-	known, stale := intake.TestSetup{Sight: sight, Most: 9, Rules: twoTenants}, intake.TestSetup{Sight: sight, Most: 9, Rules: twoTenants, IsStale: true}
-	blank, none := intake.TestSetup{Sight: sight, Most: 9, Rules: `{}`, IsStale: true}, intake.TestSetup{Sight: sight, Most: 9}
-	gone := intake.TestSetup{Sight: sight, Most: 9, Rules: ownTenants(map[string]string{"growers": "key-3"})}
+	known, stale := intake.TestSetup{Sight: sight, MaxInFlight: 9, Rules: twoTenants}, intake.TestSetup{Sight: sight, MaxInFlight: 9, Rules: twoTenants, IsStale: true}
+	blank, none := intake.TestSetup{Sight: sight, MaxInFlight: 9, Rules: `{}`, IsStale: true}, intake.TestSetup{Sight: sight, MaxInFlight: 9}
+	gone := intake.TestSetup{Sight: sight, MaxInFlight: 9, Rules: ownTenants(map[string]string{"growers": "key-3"})}
 	cases := []struct {
 		name      string
 		lane, own string // lane and key by which the message was sent
@@ -102,8 +102,8 @@
 // TestOwnSenders checks who may send on a lane. It guards against an adapter without contact to the control plane that
 // refuses a key because it has not been updated yet.
 func TestOwnSenders(t *testing.T) {
-	stale := intake.TestSetup{Take: held, Most: 9, Rules: twoTenants, IsStale: true}
-	known := intake.TestSetup{Take: held, Most: 9, Rules: twoTenants}
+	stale := intake.TestSetup{Take: held, MaxInFlight: 9, Rules: twoTenants, IsStale: true}
+	known := intake.TestSetup{Take: held, MaxInFlight: 9, Rules: twoTenants}
 	cases := []struct {
 		name, lane, key string
 		s               intake.TestSetup
@@ -116,8 +116,8 @@
 		{"no key, on an unknown lane", "x", "", known, 404},
 		{"a key, while the view is stale", "l", "key-1", stale, 503},
 		{"an unknown key, while the view is stale", "l", "key-9", stale, 503},
-		{"no key, without tenants in the configuration", "l", "", intake.TestSetup{Take: held, Most: 9}, 202},
-		{"a key, without tenants in the configuration", "l", "key-1", intake.TestSetup{Take: held, Most: 9}, 202},
+		{"no key, without tenants in the configuration", "l", "", intake.TestSetup{Take: held, MaxInFlight: 9}, 202},
+		{"a key, without tenants in the configuration", "l", "key-1", intake.TestSetup{Take: held, MaxInFlight: 9}, 202},
 	}
 	Convey("A caller with", t, func() {
 		for _, c := range cases {
@@ -153,7 +153,7 @@
 	without, moved := ownTenants(map[string]string{"growers": "key-3"}), ownTenants(map[string]string{"growers": "key-1"})
 	for _, target := range []string{"/v1/lanes/l/messages", "/a/b"} {
 		Convey("On an adapter that receives a change, at "+target, t, func() {
-			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
+			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: twoTenants})
 			send := func(key string, meanwhile func()) int {
 				return call(in, "POST", target, key, &changingBody{meanwhile, strings.NewReader("b")}).Code
 			}
@@ -192,7 +192,7 @@
 // TestOpenConnections checks that an earlier answer on a connection has no effect on later requests on it.
 func TestOpenConnections(t *testing.T) {
 	Convey("On one kept connection", t, func() {
-		in, _ := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: twoTenants})
+		in, _ := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: twoTenants})
 		connections := atomic.Int64{}
 		server := httptest.NewUnstartedServer(intake.Handler(in))
 		server.Config.ConnState = func(_ net.Conn, state http.ConnState) {
--- a/internal/intake/codecs_test.go
+++ b/internal/intake/codecs_test.go
@@ -37,22 +37,22 @@
 		s      intake.TestSetup
 		codes  [2]int
 	}{
-		{"a message that is held", "/a/b?c=%2Fd", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
-		{"a message without a body", "/a/", "", intake.TestSetup{Take: held, Most: 9}, [2]int{202, 202}},
-		{"a path without a lane", "/b/", "body", intake.TestSetup{Take: held, Most: 9}, [2]int{404, 404}},
-		{"too large a body", "/a/b", "0123456789", intake.TestSetup{Take: held, Most: 9}, [2]int{413, 413}},
-		{"a stale adapter", "/a/b", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
-		{"a stale adapter, on a path without a lane", "/b/", "body", intake.TestSetup{Take: held, Most: 9, IsStale: true}, [2]int{503, 503}},
+		{"a message that is held", "/a/b?c=%2Fd", "body", intake.TestSetup{Take: held, MaxInFlight: 9}, [2]int{202, 202}},
+		{"a message without a body", "/a/", "", intake.TestSetup{Take: held, MaxInFlight: 9}, [2]int{202, 202}},
+		{"a path without a lane", "/b/", "body", intake.TestSetup{Take: held, MaxInFlight: 9}, [2]int{404, 404}},
+		{"too large a body", "/a/b", "0123456789", intake.TestSetup{Take: held, MaxInFlight: 9}, [2]int{413, 413}},
+		{"a stale adapter", "/a/b", "body", intake.TestSetup{Take: held, MaxInFlight: 9, IsStale: true}, [2]int{503, 503}},
+		{"a stale adapter, on a path without a lane", "/b/", "body", intake.TestSetup{Take: held, MaxInFlight: 9, IsStale: true}, [2]int{503, 503}},
 		{"a full adapter", "/a/b", "body", intake.TestSetup{Take: held}, [2]int{429, 429}},
-		{"a full place", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), Most: 9}, [2]int{429, 429}},
-		{"a full disk", "/a/b", "body", intake.TestSetup{Take: kind(errs.DiskFull), Most: 9}, [2]int{507, 503}},
-		{"no owner", "/a/b", "body", intake.TestSetup{Most: 9}, [2]int{503, 503}},
+		{"a full place", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), MaxInFlight: 9}, [2]int{429, 429}},
+		{"a full disk", "/a/b", "body", intake.TestSetup{Take: kind(errs.DiskFull), MaxInFlight: 9}, [2]int{507, 503}},
+		{"no owner", "/a/b", "body", intake.TestSetup{MaxInFlight: 9}, [2]int{503, 503}},
 		{"a full place after an attempt that may be held, settled as never held", "/a/b", "body",
-			intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{429, 429}},
-		{"… settled as held", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Settle: held, Most: 9}, [2]int{202, 202}},
-		{"… not settled", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsOpen: true, Most: 9}, [2]int{504, 504}},
-		{"a lost answer, settled as never held", "/a/b", "body", intake.TestSetup{IsOpen: true, Settle: kind(errs.Rejected), Most: 9}, [2]int{503, 503}},
-		{"a lost answer, not settled", "/a/b", "body", intake.TestSetup{IsOpen: true, Most: 9}, [2]int{504, 504}},
+			intake.TestSetup{Take: kind(errs.Full), IsUncertain: true, Settle: kind(errs.Rejected), MaxInFlight: 9}, [2]int{429, 429}},
+		{"… settled as held", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsUncertain: true, Settle: held, MaxInFlight: 9}, [2]int{202, 202}},
+		{"… not settled", "/a/b", "body", intake.TestSetup{Take: kind(errs.Full), IsUncertain: true, MaxInFlight: 9}, [2]int{504, 504}},
+		{"a lost answer, settled as never held", "/a/b", "body", intake.TestSetup{IsUncertain: true, Settle: kind(errs.Rejected), MaxInFlight: 9}, [2]int{503, 503}},
+		{"a lost answer, not settled", "/a/b", "body", intake.TestSetup{IsUncertain: true, MaxInFlight: 9}, [2]int{504, 504}},
 	}
 	for i, m := range codecs {
 		Convey("In "+m.name+" a caller that encounters", t, func() {
@@ -84,7 +84,7 @@
 			}
 		})
 		Convey("In "+m.name+" messages of an ordered lane without an ordering key get different ones", t, func() {
-			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9})
+			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9})
 			for range 2 {
 				in.PassthroughHandler(m.codec)(httptest.NewRecorder(), httptest.NewRequest("POST", "/o/x", nil))
 			}
@@ -122,7 +122,7 @@
 	Convey("A request for a message that is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				in, _ := intake.NewTestIntake(intake.TestSetup{Sight: &c.sight, Most: 9})
+				in, _ := intake.NewTestIntake(intake.TestSetup{Sight: &c.sight, MaxInFlight: 9})
 				mux := http.NewServeMux()
 				platform.ServeCallers(mux, in)
 				w := httptest.NewRecorder()
--- a/internal/intake/helpers_test.go
+++ b/internal/intake/helpers_test.go
@@ -19,10 +19,10 @@
 // TestSetup configures an intake for tests outside of the package.
 type TestSetup struct {
 	Take, Settle *wire.Taken // nil: no owner answers
-	IsOpen       bool        // an earlier attempt may be held
+	IsUncertain  bool        // an earlier attempt may be held
 	Sight        *wire.Sight // the owner's answer about a message
 	IsStale      bool
-	Most         int
+	MaxInFlight  int
 	Rules        string // the configuration; empty for passthroughConfig
 }
 
@@ -33,11 +33,11 @@
 }
 
 // CallOwner implements ownerClient.
-func (s *fakeLookupOwners) CallOwner(ctx context.Context, id int64, ask any, owned func(any) (bool, string)) (any, error) {
-	if _, isLook := ask.(*wire.Look); isLook && s.sight != nil {
+func (s *fakeLookupOwners) CallOwner(ctx context.Context, id int64, message any, owned func(any) (bool, string)) (any, error) {
+	if _, isLook := message.(*wire.Look); isLook && s.sight != nil {
 		return s.sight, nil
 	}
-	return s.fakeOwners.CallOwner(ctx, id, ask, owned)
+	return s.fakeOwners.CallOwner(ctx, id, message, owned)
 }
 
 // passthroughConfig is the default configuration of TestSetup.
@@ -54,10 +54,10 @@
 
 // NewTestIntake returns an intake for a setup, and a function that returns the messages that were sent to owners.
 func NewTestIntake(s TestSetup) (in *Intake, takes func() []*wire.Take) {
-	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isUncertain: s.IsOpen}, sight: s.Sight}
+	owners := &fakeLookupOwners{fakeOwners: fakeOwners{take: s.Take, settle: s.Settle, isUncertain: s.IsUncertain}, sight: s.Sight}
 	view := feed.NewView(0)
 	d := &daemon.Daemon{Started: time.Now().Add(-time.Hour), Bounds: timing.Default, View: view, Membership: session.NewMembership(),
-		Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: s.Most}}
+		Mux: http.NewServeMux(), Settings: settings.Settings{Places: 48, MaxInFlight: s.MaxInFlight}}
 	at := d.Now()
 	if s.IsStale {
 		at = 0
--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -19,8 +19,8 @@
 }
 
 // CallOwnerTracked implements ownerClient.
-func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
-	t := ask.(*wire.Take)
+func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, message any, _ func(any) (bool, string)) (any, bool, error) {
+	t := message.(*wire.Take)
 	s.places = append(s.places, t.Place)
 	reply := "" // no owner after the last reply
 	if len(s.replies) > 0 {
@@ -46,12 +46,12 @@
 // places would have accepted their message.
 func TestHoldQuickly(t *testing.T) {
 	cases := []struct {
-		name    string
-		key     string
-		replies []string
-		kind    errs.Kind // of the answer; empty if the message is held
-		isOpen  bool
-		asks    int
+		name        string
+		key         string
+		replies     []string
+		kind        errs.Kind // of the answer; empty if the message is held
+		isUncertain bool
+		attempts    int
 	}{
 		{"the first place holds it", "", []string{"held"}, "", false, 1},
 		{"a place without an owner is skipped", "", []string{"", "held"}, "", false, 2},
@@ -78,9 +78,9 @@
 					kind = errs.Kind(e.taken.Kind)
 				}
 				So(kind, ShouldEqual, c.kind)
-				So(e.mayBeHeld, ShouldEqual, c.isOpen)
-				So(len(s.places), ShouldEqual, c.asks)
-				if c.isOpen || len(c.replies) > 0 && c.replies[0] == "open" {
+				So(e.mayBeHeld, ShouldEqual, c.isUncertain)
+				So(len(s.places), ShouldEqual, c.attempts)
+				if c.isUncertain || len(c.replies) > 0 && c.replies[0] == "open" {
 					So(s.places[1], ShouldEqual, s.places[0])
 				}
 			})
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -31,9 +31,9 @@
 }
 
 // CallOwnerTracked implements ownerClient.
-func (s *fakeOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
+func (s *fakeOwners) CallOwnerTracked(_ context.Context, _ int64, message any, _ func(any) (bool, string)) (any, bool, error) {
 	s.takeCalls++
-	s.takes = append(s.takes, ask.(*wire.Take))
+	s.takes = append(s.takes, message.(*wire.Take))
 	switch {
 	case s.take != nil:
 		return s.take, s.isUncertain, nil
@@ -109,14 +109,14 @@
 				}
 				w := httptest.NewRecorder()
 				in.d.Mux.ServeHTTP(w, r)
-				var told struct {
+				var answer struct {
 					Taken any    `json:"taken"`
 					Id    string `json:"id"`
 				}
-				So(json.Unmarshal(w.Body.Bytes(), &told), ShouldBeNil)
+				So(json.Unmarshal(w.Body.Bytes(), &answer), ShouldBeNil)
 				So(w.Code, ShouldEqual, c.code)
-				So(told.Taken, ShouldEqual, c.taken)
-				So(told.Id == "", ShouldEqual, c.taken == false && c.s.take == nil && c.s.settle == nil)
+				So(answer.Taken, ShouldEqual, c.taken)
+				So(answer.Id == "", ShouldEqual, c.taken == false && c.s.take == nil && c.s.settle == nil)
 				if c.retry != "" {
 					So(w.Header().Get("Retry-After"), ShouldEqual, c.retry)
 				}
--- a/internal/intake/keychange_test.go
+++ b/internal/intake/keychange_test.go
@@ -35,7 +35,7 @@
 	So(strings.Contains(tenantConfig, from), ShouldBeTrue)
 	next, err := platform.ConfigOf([]byte(strings.Replace(tenantConfig, from, to, 1)), time.Minute)
 	So(err, ShouldBeNil)
-	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(before)})
+	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: string(before)})
 	body := &slowBody{Reader: strings.NewReader("body"), meanwhile: func() { intake.UpdateConfig(in, string(next)) }}
 	r := httptest.NewRequest(http.MethodPost, "/a/b", body)
 	r.Host = "x.example"
--- a/internal/intake/leaving_test.go
+++ b/internal/intake/leaving_test.go
@@ -32,15 +32,15 @@
 		isLeaving bool
 	}{{"goes on while the daemon serves", false}, {"ends once it stops", true}} {
 		Convey("A request that waits for a held message "+c.name, t, func() {
-			in, looks := newTestIntake(&fakeOwners{}), &countingOwners{}
-			in.owners = looks
+			in, owners := newTestIntake(&fakeOwners{}), &countingOwners{}
+			in.owners = owners
 			if c.isLeaving {
 				in.d.StartDraining()
 			}
 			sight, err := in.await(context.Background(), "1-x", 300*time.Millisecond)
 			So(err, ShouldBeNil)
 			So(sight.State, ShouldEqual, "held")
-			So(looks.count == 1, ShouldEqual, c.isLeaving)
+			So(owners.count == 1, ShouldEqual, c.isLeaving)
 		})
 	}
 }
--- a/internal/intake/limits_test.go
+++ b/internal/intake/limits_test.go
@@ -60,22 +60,22 @@
 		}
 	})
 	Convey("A message over its tenant's limit is sent to no place", t, func() {
-		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{}, Most: 9})
-		limits := &countingLimiter{refusal: errs.New(errs.OverQuota, "used up")}
-		in.SetLimiter(limits)
+		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{}, MaxInFlight: 9})
+		limiter := &countingLimiter{refusal: errs.New(errs.OverQuota, "used up")}
+		in.SetLimiter(limiter)
 		err := in.admit(&request{ctx: context.Background(), compiled: in.configs.Current()})
-		So(errors.Is(err, limits.refusal), ShouldBeTrue)
+		So(errors.Is(err, limiter.refusal), ShouldBeTrue)
 		So(takes(), ShouldBeEmpty)
-		So([]int{limits.counted, limits.returned}, ShouldResemble, []int{0, 0})
+		So([]int{limiter.counted, limiter.returned}, ShouldResemble, []int{0, 0})
 	})
 	Convey("A permit is ended exactly once", t, func() {
-		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{State: "held"}, Most: 9})
-		limits := &countingLimiter{}
-		in.SetLimiter(limits)
+		in, takes := NewTestIntake(TestSetup{Take: &wire.Taken{State: "held"}, MaxInFlight: 9})
+		limiter := &countingLimiter{}
+		in.SetLimiter(limiter)
 		compiled := in.configs.Current()
 		e := &request{ctx: context.Background(), compiled: compiled, lane: compiled.Rules.Lanes["l"], take: wire.Take{Lane: "l", Body: []byte{}}}
 		So(in.admit(e), ShouldBeNil)
 		So(len(takes()), ShouldEqual, 1)
-		So([]int{limits.counted, limits.returned}, ShouldResemble, []int{1, 0})
+		So([]int{limiter.counted, limiter.returned}, ShouldResemble, []int{1, 0})
 	})
 }
--- a/internal/intake/places_test.go
+++ b/internal/intake/places_test.go
@@ -65,7 +65,7 @@
 		Convey(fmt.Sprintf("A message that is sent again, with the ordering key %q, has the place and id of its first send when", order), t, func() {
 			rules, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
 			So(err, ShouldBeNil)
-			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, Most: 9, Rules: string(rules)})
+			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: string(rules)})
 			serve := in.PassthroughHandler(platform.Callers)
 			for op := range 12 {
 				fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", op), "X-Order-Key": order}
--- a/internal/intake/tenants_test.go
+++ b/internal/intake/tenants_test.go
@@ -32,7 +32,7 @@
 	rules, err := platform.ConfigOf([]byte(doc), time.Minute)
 	So(err, ShouldBeNil)
 	for range count {
-		in, took := intake.NewTestIntake(intake.TestSetup{Take: taken, Most: 9, Rules: string(rules)})
+		in, took := intake.NewTestIntake(intake.TestSetup{Take: taken, MaxInFlight: 9, Rules: string(rules)})
 		serve, takes = append(serve, in.PassthroughHandler(platform.Callers)), append(takes, took)
 	}
 	return serve, takes
