--- a/internal/deliver/rateshare_test.go
+++ b/internal/deliver/rateshare_test.go
@@ -14,7 +14,7 @@
 // Parameters of the simulation: adapters see a service's workers and duties with a delay of less than a fence, while
 // the duties move from one adapter to another, one worker at a time, and workers are added and removed.
 const (
-	rateShareSeeds    = 40 // longer runs are started by hand
+	rateShareSeeds    = 40 // more seeds are run by hand
 	rateShareSpan     = 60 * time.Second
 	rateShareStep     = 10 * time.Millisecond
 	rateShareFence    = 3 * time.Second
--- a/internal/ownerclient/client.go
+++ b/internal/ownerclient/client.go
@@ -48,7 +48,7 @@
 	return r.callOwner(ctx, id, request, owned, r.OnAttempt)
 }
 
-// ask is the retry loop of CallOwner and CallOwnerTracked.
+// callOwner is the retry loop of CallOwner and CallOwnerTracked.
 func (r *Client) callOwner(ctx context.Context, id int64, request any, owned func(reply any) (isOwner bool, hint string),
 	onAttempt func(string, float64, bool)) (reply any, isUncertain bool, err error) {
 	hint, next, hops := "", 0, 0
