--- a/internal/intake/hold_test.go
+++ b/internal/intake/hold_test.go
@@ -11,21 +11,22 @@
 	"caperwheel/internal/wire"
 )
 
-// scriptedOwners answers each ask in turn: a kind of error, "held", "" for no owner, or
-// "open" for an ask of which nobody knows what became.
+// scriptedOwners answers each request by the next reply: a kind of error, "held", "" for no owner, or "open" for a
+// request whose outcome is unknown.
 type scriptedOwners struct {
 	replies []string
 	places  []int64
 }
 
-func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, ask any, _ func(any) (bool, string)) (any, bool, error) {
-	t := ask.(*wire.Take)
+// CallOwnerTracked implements ownerClient.
+func (s *scriptedOwners) CallOwnerTracked(_ context.Context, _ int64, message any, _ func(any) (bool, string)) (any, bool, error) {
+	t := message.(*wire.Take)
 	s.places = append(s.places, t.Place)
-	say := "" // no owner from here on
+	reply := "" // no owner after the last reply
 	if len(s.replies) > 0 {
-		say, s.replies = s.replies[0], s.replies[1:]
+		reply, s.replies = s.replies[0], s.replies[1:]
 	}
-	switch say {
+	switch reply {
 	case "":
 		return nil, false, errs.New(errs.NotOwner, "no owner")
 	case "open":
@@ -33,37 +34,38 @@
 	case "held":
 		return &wire.Taken{Id: t.Id, State: "held"}, false, nil
 	}
-	return &wire.Taken{Id: t.Id, Kind: say}, false, nil
+	return &wire.Taken{Id: t.Id, Kind: reply}, false, nil
 }
 
+// CallOwner implements ownerClient.
 func (s *scriptedOwners) CallOwner(context.Context, int64, any, func(any) (bool, string)) (any, error) {
 	return nil, errs.New(errs.Undecided, "not asked in these cases")
 }
 
-// TestHoldQuickly: callers were once held to the end of their time for a place
-// without an owner, while others would have taken their message.
+// TestHoldQuickly guards against callers who wait until their deadline for a place without an owner, although other
+// places would have accepted their message.
 func TestHoldQuickly(t *testing.T) {
 	cases := []struct {
-		name   string
-		key    string
-		say    []string
-		kind   errs.Kind // of the word; empty: held
-		isOpen bool
-		asks   int
+		name        string
+		key         string
+		replies     []string
+		kind        errs.Kind // of the answer; empty if the message is held
+		isUncertain bool
+		attempts    int
 	}{
 		{"the first place holds it", "", []string{"held"}, "", false, 1},
-		{"a place without an owner is passed over", "", []string{"", "held"}, "", false, 2},
-		{"a full place is passed over", "", []string{"full", "held"}, "", false, 2},
-		{"no place has an owner: it never will run", "", nil, errs.NotOwner, false, maxPlacesTried},
-		{"a keyed message has one place", "k", []string{"", "held"}, errs.NotOwner, false, 1},
-		{"an ask in the dark is asked again at its own place, and no other", "", []string{"open", "held"}, "", false, 2},
-		{"one that stays in the dark is no promise", "", []string{"open", "open"}, errs.Undecided, true, 2},
-		{"a lane that is gone is the last word", "", []string{"unknown"}, errs.Unknown, false, 1},
+		{"a place without an owner is skipped", "", []string{"", "held"}, "", false, 2},
+		{"a full place is skipped", "", []string{"full", "held"}, "", false, 2},
+		{"no place has an owner: the message will never run", "", nil, errs.NotOwner, false, maxPlacesTried},
+		{"a message with an ordering key has only one place", "k", []string{"", "held"}, errs.NotOwner, false, 1},
+		{"a request with an unknown outcome is repeated at the same place, and no other", "", []string{"open", "held"}, "", false, 2},
+		{"one whose outcome stays unknown is undecided", "", []string{"open", "open"}, errs.Undecided, true, 2},
+		{"an unknown lane is final", "", []string{"unknown"}, errs.Unknown, false, 1},
 	}
-	Convey("Of a caller that does not wait long,", t, func() {
+	Convey("For a caller with a deadline,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				s := &scriptedOwners{replies: c.say}
+				s := &scriptedOwners{replies: c.replies}
 				in := newTestIntake(&fakeOwners{})
 				in.quickOwners = s
 				e := &request{ctx: context.Background(), deadline: time.Minute, take: wire.Take{Lane: "l", Key: c.key}}
@@ -76,9 +78,9 @@
 					kind = errs.Kind(e.taken.Kind)
 				}
 				So(kind, ShouldEqual, c.kind)
-				So(e.mayBeHeld, ShouldEqual, c.isOpen)
-				So(len(s.places), ShouldEqual, c.asks)
-				if c.isOpen || len(c.say) > 0 && c.say[0] == "open" {
+				So(e.mayBeHeld, ShouldEqual, c.isUncertain)
+				So(len(s.places), ShouldEqual, c.attempts)
+				if c.isUncertain || len(c.replies) > 0 && c.replies[0] == "open" {
 					So(s.places[1], ShouldEqual, s.places[0])
 				}
 			})
--- a/internal/intake/mutants_test.go
+++ b/internal/intake/mutants_test.go
@@ -12,50 +12,51 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// mutantVariable names the guard that a child goes without.
+// mutantVariable is the environment variable that names the guard a child process runs without.
 const mutantVariable = "CAPERWHEEL_INTAKE_MUTANT"
 
-// tenancyMutant is the product with one guard of tenants and keys taken out. In is, MUTANT stands for whether the
-// child goes without it.
+// tenancyMutant is the program with one guard of tenants and keys removed. In is, MUTANT stands for the condition that
+// the guard is off.
 type tenancyMutant struct{ name, file, was, is, test string }
 
+// tenancyMutants are the guards, with the test that must fail without each.
 var tenancyMutants = []tenancyMutant{
-	{"the id of an operation key has its tenant", "internal/intake/tenant.go",
+	{"the id of an operation key depends on its tenant", "internal/intake/tenant.go",
 		`	return tenantTokenPrefix(tenant) + "n"`, "	if MUTANT {\n		return \"n\" + wire.Checksum([]byte(operation))[:operationDigits]\n	}\n" +
 			`	return tenantTokenPrefix(tenant) + "n"`, "TestOperationKeysNameTheirPlaces"},
-	{"the place of an operation key is drawn by it", "internal/intake/intake.go",
+	{"the place of an operation key is derived from it", "internal/intake/intake.go",
 		`		t.Place = in.hashToPlace(e.tenant.Name, "n"+e.operationKey)`, "		if t.Place = in.hashToPlace(e.tenant.Name, \"n\"+e.operationKey); MUTANT {\n			t.Place = in.choosePlace()\n		}",
 		"TestOperationKeysNameTheirPlaces"},
-	{"the place of an ordered message is drawn by its order key alone", "internal/intake/intake.go",
+	{"the place of an ordered message is derived from its ordering key alone", "internal/intake/intake.go",
 		`		t.Place = in.hashToPlace("", "k"+wire.ScopedKey(e.tenant.Name, e.orderingKey))`,
 		"		if t.Place = in.hashToPlace(\"\", \"k\"+wire.ScopedKey(e.tenant.Name, e.orderingKey)); MUTANT {\n			t.Place = in.choosePlace()\n		}",
 		"TestSendsWithOneOperationKeyAreOneMessage"},
-	{"the lane's order has no part in the place of an operation key", "internal/intake/intake.go",
+	{"the lane's order does not affect the place of an operation key", "internal/intake/intake.go",
 		`	case e.operationKey != "" && e.orderingKey == "":`, `	case e.operationKey != "" && e.orderingKey == "" && !(MUTANT && e.lane.IsOrdered):`, "TestPlacesOutliveTheConfiguration"},
-	{"the lane's order has no part in the place of an order key", "internal/intake/intake.go",
+	{"the lane's order does not affect the place of an ordering key", "internal/intake/intake.go",
 		`	case e.operationKey != "" && e.tenant.Name != "":`, `	case e.operationKey != "" && e.tenant.Name != "" && !(MUTANT && !e.lane.IsOrdered):`,
 		"TestPlacesOutliveTheConfiguration"},
-	{"order keys are their tenant's", "internal/intake/tenant.go",
-		"	e.take.Key = wire.ScopedKey(e.tenant.Name, key)\n", "	if e.take.Key = wire.ScopedKey(e.tenant.Name, key); MUTANT {\n		e.take.Key = key\n	}\n",
+	{"ordering keys are scoped to their tenant", "internal/intake/tenant.go",
+		"	e.take.Key = wire.ScopedKey(e.tenant.Name, orderingKey)\n", "	if e.take.Key = wire.ScopedKey(e.tenant.Name, orderingKey); MUTANT {\n		e.take.Key = orderingKey\n	}\n",
 		"TestSendsWithOneOperationKeyAreOneMessage"},
-	{"a repeat of other bytes is told the first one's name", "internal/intake/hold.go",
+	{"a repeat with another body gets the first one's id", "internal/intake/hold.go",
 		`	if e.operationKey != "" && e.taken.Kind`, `	if !MUTANT && e.operationKey != "" && e.taken.Kind`, "TestSendsWithOneOperationKeyAreOneMessage"},
-	{"a key is looked up again after the body", "internal/intake/codec.go",
+	{"an API key is looked up again after the body was read", "internal/intake/codec.go",
 		"	if err := in.findTenant(e, arrival.ApiKey); err != nil {\n		return err\n	}\n	if e.tenant.Name",
 		"	if err := in.findTenant(e, arrival.ApiKey); err != nil && !MUTANT {\n		return err\n	}\n	if e.tenant.Name", "TestKeysThatChangeMeanwhile"},
-	{"a message without a key that somebody holds is refused", "internal/intake/tenant.go",
+	{"a message without the API key of a tenant is refused", "internal/intake/tenant.go",
 		"	if !isHeld && !lane.IsPublic {", "	if !isHeld && !lane.IsPublic && !MUTANT {", "TestMessagesWithoutAKeyAreRefused"},
-	{"the tenant is the one that holds the key", "platform/message.go",
+	{"a worker gets the tenant that holds the API key", "platform/message.go",
 		"	var err error\n	if out.Delay", "	if MUTANT {\n		out.Head = requesthead.FromRequest(r, contentOf, attemptId, orderKey, tenant)\n	}\n	var err error\n	if out.Delay",
 		"TestWorkersAreToldTheTenant"},
-	{"the key stays with the front", "platform/message.go",
+	{"the API key is not sent to workers", "platform/message.go",
 		"	out.Deadline, err = millis", "	if MUTANT {\n		out.Head = requesthead.FromRequest(r, contentOf, attemptId, orderKey, \"Authorization\")\n	}\n	out.Deadline, err = millis",
 		"TestWorkersAreToldTheTenant"},
-	{"two tenants do not share a key", "internal/config/tenants.go",
+	{"two tenants do not share an API key", "internal/config/tenants.go",
 		"isHeld && other.tenant != name {", "isHeld && other.tenant != name && !MUTANT {", "TestTenantsWithOneKeyAreInvalid"},
 }
 
-// buildTenancyMutants builds these tests with all guards made optional.
+// buildTenancyMutants builds this package's tests with every guard made optional.
 func buildTenancyMutants(t *testing.T) string {
 	dir, texts, replace := t.TempDir(), map[string]string{}, map[string]string{}
 	root, err := filepath.Abs("../..")
@@ -71,7 +72,7 @@
 			texts[m.file] = string(raw)
 		}
 		if n := strings.Count(texts[m.file], m.was); n != 1 {
-			t.Fatalf("%s: the guard's text is %d times in %s; the table must follow the sources", m.name, n, m.file)
+			t.Fatalf("%s: the guard's text occurs %d times in %s, want 1; update the table to the source", m.name, n, m.file)
 		}
 		gone := "(os.Getenv(" + strconv.Quote(mutantVariable) + ") == " + strconv.Quote(m.name) + ")"
 		texts[m.file] = strings.Replace(texts[m.file], m.was, strings.ReplaceAll(m.is, "MUTANT", gone), 1)
@@ -101,7 +102,7 @@
 	return bin
 }
 
-// TestTenancyMutants: each guard of tenants and keys that is taken out is found by the test of its rule.
+// TestTenancyMutants checks that a test fails for each removed guard.
 func TestTenancyMutants(t *testing.T) {
 	bin := buildTenancyMutants(t)
 	run := func(mutant, test string) error {
@@ -113,7 +114,7 @@
 	for _, m := range tenancyMutants {
 		whole[m.name], without[m.name] = run("", m.test), run(m.name, m.test)
 	}
-	Convey("With all guards the tests pass, and one fails without one of them:", t, func() {
+	Convey("With all guards the tests pass, and a test fails without each of them:", t, func() {
 		for _, m := range tenancyMutants {
 			Convey(m.name, func() {
 				So(whole[m.name], ShouldBeNil)
--- a/internal/limit/request.go
+++ b/internal/limit/request.go
@@ -10,19 +10,19 @@
 	"caperwheel/internal/wire"
 )
 
-// RequestDue asks what is due.
+// RequestDue sends the token requests that are due.
 func (l *Limiter) RequestDue() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.options.Now()
-	l.requestFor(now, l.wallet.Tenants(now)...)
+	l.requestFor(now, l.tokenCache.Tenants(now)...)
 }
 
-// requestFor sends what is due for tenants, those that one place counts in one message. l.mu is held.
+// requestFor sends the due requests for tenants, one message per place. l.mu is held.
 func (l *Limiter) requestFor(now time.Duration, tenants ...string) {
 	counts := map[int64][]wire.QuotaCount(nil)
 	for _, tenant := range tenants {
-		count, isDue := l.wallet.DueRequest(now, tenant)
+		count, isDue := l.tokenCache.DueRequest(now, tenant)
 		if !isDue {
 			continue
 		}
@@ -32,12 +32,13 @@
 		place := PlaceOf(tenant, l.options.Places)
 		counts[place] = append(counts[place], count)
 	}
-	for place, some := range counts {
-		go l.request(now, &wire.QuotaAsk{Place: place, Holder: l.options.Holder, Lease: l.options.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: some})
+	for place, due := range counts {
+		go l.request(now, &wire.QuotaAsk{Place: place, Holder: l.options.Holder, Lease: l.options.Bounds.Of(timing.QuotaLease).Milliseconds(), Counts: due})
 	}
 }
 
-// request brings one ask to its place and takes the answer in.
+// request sends one request to the owner of its place and applies the answer. A tenant without a grant in the answer
+// counts as failed.
 func (l *Limiter) request(sentAt time.Duration, ask *wire.QuotaAsk) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.options.Bounds.Of(timing.AnswerTimeout))
 	defer cancel()
@@ -50,36 +51,36 @@
 	if err == nil {
 		for _, grant := range reply.Grants {
 			isAnswered[grant.Tenant] = true
-			l.resolve(l.wallet.Answer(now, sentAt, grant))
+			l.resolve(l.tokenCache.Answer(now, sentAt, grant))
 		}
 	}
 	for _, count := range ask.Counts {
 		if !isAnswered[count.Tenant] {
-			l.resolve(l.wallet.Fail(now, sentAt, count.Tenant))
+			l.resolve(l.tokenCache.Fail(now, sentAt, count.Tenant))
 		}
 		l.requestFor(now, count.Tenant)
 	}
 }
 
-// ClientFor returns an Asker that finds owners through a reach.
-func ClientFor(r *ownerclient.Client) TokenClient {
+// ClientFor returns a TokenClient that finds owners by an ownerclient.Client.
+func ClientFor(client *ownerclient.Client) TokenClient {
 	return func(ctx context.Context, place int64, ask *wire.QuotaAsk) (*wire.QuotaGrants, error) {
-		reply, err := r.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
+		reply, err := client.CallOwner(ctx, wire.FirstPlaceGroup+place, ask, isOwner)
 		if err != nil {
 			return nil, err
 		}
 		grants, isGrants := reply.(*wire.QuotaGrants)
 		switch {
 		case !isGrants:
-			return nil, errs.New(errs.Internal, "a %T answered an ask for tokens", reply)
+			return nil, errs.New(errs.Internal, "request tokens: unexpected reply of type %T", reply)
 		case grants.Kind != "":
-			return nil, errs.New(errs.Kind(grants.Kind), "the place did not grant tokens")
+			return nil, errs.New(errs.Kind(grants.Kind), "request tokens: the place's owner refused")
 		}
 		return grants, nil
 	}
 }
 
-// isOwner tells owners' answers from those of stores that name another.
+// isOwner reports whether a reply comes from the owner of the place, and otherwise which store it names.
 func isOwner(reply any) (bool, string) {
 	grants, isGrants := reply.(*wire.QuotaGrants)
 	if !isGrants {
