--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the daemon beside an adapter: it keeps the link to the control
-// plane, feeds the adapter over loopback, and keeps the adapter's results until the
-// places have them.
+// Package agent is the daemon that runs beside an adapter, on the same machine. It keeps the session with the
+// managers, serves the adapter the control state over loopback, and keeps the adapter's results until the owners of
+// their places have acknowledged them. It is called by cmd/agent.
 package agent
 
 import (
@@ -16,14 +16,14 @@
 	"caperwheel/internal/wire"
 )
 
-// Agent joins the parts of one agent.
+// Agent is one agent.
 type Agent struct {
 	daemon          *daemon.Daemon
-	adapterSessions *session.Registry    // the adapter's session
-	results         *repair.ResultBuffer // of its results
+	adapterSessions *session.Registry    // session of the adapter on this machine
+	results         *repair.ResultBuffer // results kept for the adapter
 }
 
-// New makes an agent on a daemon, which is not linked yet.
+// New returns an agent on a daemon that is not linked yet.
 func New(d *daemon.Daemon) *Agent {
 	a := &Agent{daemon: d, adapterSessions: session.NewRegistry(d.Bounds.Of(timing.SessionTimeout)),
 		results: repair.NewResultBuffer(d.Settings.MaxInFlight, d.Bounds.Of(timing.AnswerTimeout), d.Bounds.Of(timing.SettleTimeout))}
@@ -31,12 +31,12 @@
 	return a
 }
 
-// Handlers returns what the agent serves, by link.
+// Handlers returns the handlers of the agent's links, by link.
 func (a *Agent) Handlers() map[string]transport.Handler {
 	return map[string]transport.Handler{"place": a.onResult, "session": a.onSession}
 }
 
-// onResult keeps a result for the adapter, or lets it go.
+// onResult keeps a result for the adapter, or drops one that the adapter has delivered.
 func (a *Agent) onResult(_ wire.Who, body any, answer func(any)) {
 	o, isOutcome := body.(*wire.Outcome)
 	if !isOutcome {
@@ -47,7 +47,7 @@
 	}
 }
 
-// onSession renews the adapter's session and answers with news.
+// onSession renews the adapter's session and answers with the changes that the adapter lacks.
 func (a *Agent) onSession(_ wire.Who, body any, answer func(any)) {
 	poll, isPoll := body.(*wire.Poll)
 	if !isPoll {
@@ -58,7 +58,7 @@
 	answer(session.NewsFor(poll, a.daemon.View, now, a.daemon.Membership))
 }
 
-// poll is what the agent tells its manager, of itself and of the adapter.
+// poll returns the poll that the agent sends to its manager, with the state of itself and of the adapter.
 func (a *Agent) poll() wire.Poll {
 	poll := a.daemon.NewPoll()
 	_, poll.Colocated = a.adapterSessions.Members(a.daemon.Now())
@@ -69,7 +69,7 @@
 // Run follows the managers until ctx ends. The daemon must be linked.
 func (a *Agent) Run(ctx context.Context) { a.daemon.NewSessionClient(a.poll).Run(ctx) }
 
-// DeliverResults brings kept results to their places until ctx ends.
+// DeliverResults sends kept results to the owners of their places until ctx ends.
 func (a *Agent) DeliverResults(ctx context.Context) {
 	owners := &ownerclient.Client{Node: a.daemon.Node, Membership: a.daemon.Membership, Bounds: a.daemon.Bounds, Link: wire.PlaceLink}
 	a.results.DeliverResults(ctx, owners, func(place int64) int64 { return wire.FirstPlaceGroup + place }, a.daemon.Now)
--- a/internal/earlysignal/early.go
+++ b/internal/earlysignal/early.go
@@ -1,6 +1,6 @@
-// Package earlysignal does what a daemon must do before anything else of it begins. It is
-// imported for its effect alone, and initialized right after os/signal, since packages are
-// initialized in the order of their paths and it imports nothing else.
+// Package earlysignal ignores SIGHUP before anything else of a daemon is initialized. The daemons import it for this
+// effect alone. It is initialized right after os/signal, because packages are initialized in the order of their paths
+// and it imports nothing else.
 package earlysignal
 
 import (
@@ -8,6 +8,6 @@
 	"syscall"
 )
 
-// A daemon that is told that its settings have changed while it begins must not end of
-// it: it reads them anyway. Package settings asks for the signal later.
+// init ignores SIGHUP, which tells a daemon to reload its settings. While the daemon starts, the signal must not end
+// the process; the settings are read anyway. Package settings subscribes to the signal later.
 func init() { signal.Ignore(syscall.SIGHUP) }
--- a/internal/earlysignal/early_test.go
+++ b/internal/earlysignal/early_test.go
@@ -13,13 +13,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestEarly: a SIGHUP that came while a daemon's packages were initialized once ended it.
-// The runtime tells in which order they are.
+// TestEarly guards against a SIGHUP ending a daemon while its packages are initialized. It reads the order of
+// initialization from the runtime's trace.
 func TestEarly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("This package is initialized as soon as signals can be ignored in", t, func() {
+	Convey("This package is initialized right after os/signal in", t, func() {
 		for _, daemon := range []string{"adapter", "agent", "manager", "store"} {
 			Convey(daemon, func() {
 				program := filepath.Join(dir, daemon)
@@ -40,7 +40,7 @@
 				}
 				at := slices.Index(order, "os/signal")
 				So(at, ShouldBeBetween, 0, len(order)-1)
-				So(order[at+1], ShouldEqual, "caperwheel/internal/early")
+				So(order[at+1], ShouldEqual, "caperwheel/internal/earlysignal")
 			})
 		}
 	})
--- a/internal/pipeline/path.go
+++ b/internal/pipeline/path.go
@@ -1,5 +1,5 @@
-// Package pipeline runs a message's way through a process: a small interpreter over
-// rules that are compiled from the configuration, once for each configuration.
+// Package pipeline interprets the steps that a message passes in an adapter: at intake and at delivery. Programs are
+// compiled from a lane's rules, once for each configuration. Packages intake and deliver provide the actions.
 package pipeline
 
 import (
@@ -15,20 +15,20 @@
 // The steps of intake, in the order in which they are compiled.
 const (
 	RequireFreshView Op = "fresh"   // the view must be fresh
-	LimitBodySize    Op = "size"    // the body must fit
-	RequireKey       Op = "keyed"   // an ordering key must be given
-	ForbidKey        Op = "keyless" // none may be given
-	Place            Op = "place"   // the place follows from lane and key, else from chance
-	SubmitToOwner    Op = "hold"    // the place's owner holds it
+	LimitBodySize    Op = "size"    // the body must not exceed the lane's size limit
+	RequireKey       Op = "keyed"   // the message must have an ordering key
+	ForbidKey        Op = "keyless" // the message must not have an ordering key
+	Place            Op = "place"   // the place is derived from lane and key, or chosen at random
+	SubmitToOwner    Op = "hold"    // the place's owner must accept the message
 )
 
 // The steps of delivery.
 const (
-	RequireAllowedPool Op = "allowed" // the lane may use the pool
-	RequireLiveWorker  Op = "live"    // the worker is live and its zone not emptied
-	RequireHolder      Op = "holder"  // this daemon holds the worker's duty
-	VerifyBody         Op = "whole"   // the bytes are those that were taken
-	SendToWorker       Op = "send"    // run it
+	RequireAllowedPool Op = "allowed" // the lane must be allowed to use the pool
+	RequireLiveWorker  Op = "live"    // the worker must be live and its zone not emptied
+	RequireHolder      Op = "holder"  // this daemon must hold the worker's duty
+	VerifyBody         Op = "whole"   // the body must match its checksum
+	SendToWorker       Op = "send"    // send the run to the worker
 )
 
 // Step is one instruction of a program.
@@ -41,7 +41,7 @@
 // Program is a list of steps, compiled from the rules of a lane.
 type Program []Step
 
-// Intake compiles the steps by which messages of a lane are taken in.
+// Intake compiles the steps by which messages of a lane are accepted.
 func Intake(l config.Lane) Program {
 	out := Program{{Op: RequireFreshView}, {Op: LimitBodySize, Number: l.MaxBodyBytes}}
 	if l.IsOrdered {
@@ -55,15 +55,15 @@
 	return Program{{Op: RequireFreshView}, {Op: RequireAllowedPool, Names: l.Pools}, {Op: RequireLiveWorker}, {Op: RequireHolder}, {Op: VerifyBody}, {Op: SendToWorker}}
 }
 
-// Programs caches the compiled programs of one configuration's lanes, until another
-// configuration's rules are asked for.
+// Programs caches the compiled programs of one configuration's lanes. A call with the rules of another configuration
+// clears it. It is safe for use by several goroutines.
 type Programs struct {
 	mu       sync.Mutex
 	rules    *config.Rules
 	compiled map[string]Program
 }
 
-// Intake returns the program that takes messages of a lane in.
+// Intake returns the program that accepts messages of a lane.
 func (p *Programs) Intake(rules *config.Rules, lane string) Program {
 	return p.get(rules, "in "+lane, func() Program { return Intake(rules.Lanes[lane]) })
 }
@@ -87,15 +87,15 @@
 	return out
 }
 
-// Actions carry out steps on a message of some type.
+// Actions map each step's kind to the function that carries it out on a message of some type.
 type Actions[E any] map[Op]func(step Step, message E) error
 
-// Run interprets a program. The first error ends it.
+// Run executes a program on a message. The first error ends it.
 func Run[E any](program Program, actions Actions[E], message E) error {
 	for _, step := range program {
 		do, isKnown := actions[step.Op]
 		if !isKnown {
-			return errs.New(errs.Internal, "no doer for step %s", step.Op)
+			return errs.New(errs.Internal, "run a program: no action for step %s", step.Op)
 		}
 		if err := do(step, message); err != nil {
 			return err
--- a/internal/quota/adapter_test.go
+++ b/internal/quota/adapter_test.go
@@ -7,13 +7,13 @@
 	"caperwheel/internal/wire"
 )
 
-// holder is the life of the front as the ledger knows it.
-func (f *simulatedAdapter) holder() string { return fmt.Sprintf("%s/%d", f.name, f.life) }
+// holder returns the name of the adapter's incarnation, as the allocator has it.
+func (f *simulatedAdapter) holder() string { return fmt.Sprintf("%s/%d", f.name, f.incarnation) }
 
-// check tells whether the front may spend, or is spending, what the ledger does not have it hold.
+// check reports a violation if the adapter holds, or has in flight, more tokens than the allocator has granted it.
 func (f *simulatedAdapter) check() string {
-	p, known := f.wallet.tenants["t"], int64(0)
-	if a := f.sim.ledger.buckets["t"]; a != nil {
+	p, known := f.cache.tenants["t"], int64(0)
+	if a := f.sim.allocator.buckets["t"]; a != nil {
 		if i, isKnown := a.find(f.holder()); isKnown && a.Holders[i].Epoch == p.epoch {
 			known = a.Holders[i].held()
 		}
@@ -26,15 +26,15 @@
 
 func (f *simulatedAdapter) restart() {
 	if !f.sim.defects.keepsTokens {
-		f.wallet = NewTokenCache(testTimes)
+		f.cache = NewTokenCache(testTimes)
 	}
 	if !f.sim.defects.sharesHolder {
-		f.life++
+		f.incarnation++
 	}
 	f.waiting, f.frozenUntil = map[int64]bool{}, 0
 }
 
-// whenRunning has work done once the front is not frozen.
+// whenRunning runs work once the adapter is not frozen.
 func (f *simulatedAdapter) whenRunning(work func()) {
 	if wait := f.frozenUntil - f.sim.now; wait > 0 {
 		f.sim.after(wait, func() { f.whenRunning(work) })
@@ -45,7 +45,7 @@
 
 func (f *simulatedAdapter) tick() {
 	f.whenRunning(func() {
-		for _, tenant := range f.wallet.Tenants(f.sim.now) {
+		for _, tenant := range f.cache.Tenants(f.sim.now) {
 			f.askIfDue(tenant)
 		}
 	})
@@ -55,14 +55,14 @@
 func (f *simulatedAdapter) receiveMessage() {
 	f.whenRunning(func() {
 		f.sim.messages++
-		decision := f.wallet.Take(f.sim.now, "t")
+		decision := f.cache.Take(f.sim.now, "t")
 		switch {
 		case decision.Waiting != 0:
 			f.waiting[decision.Waiting] = true
-			life := f.life
+			incarnation := f.incarnation
 			f.sim.after(testWait, func() {
-				if f.life == life && f.waiting[decision.Waiting] {
-					f.wallet.Cancel("t", decision.Waiting)
+				if f.incarnation == incarnation && f.waiting[decision.Waiting] {
+					f.cache.Cancel("t", decision.Waiting)
 					delete(f.waiting, decision.Waiting)
 					f.sim.refused++
 				}
@@ -82,16 +82,16 @@
 	if f.sim.violation == "" {
 		f.sim.violation = f.check()
 	}
-	isCounted, life, wallet := f.sim.rand.IntN(10) > 0 || !f.sim.hasFaults, f.life, f.wallet
+	isCounted, incarnation, cache := f.sim.rand.IntN(10) > 0 || !f.sim.hasFaults, f.incarnation, f.cache
 	if isCounted {
 		f.sim.admissions = append(f.sim.admissions, f.sim.now)
 	}
 	f.sim.after(f.sim.between(5*time.Millisecond, 30*time.Millisecond), func() {
 		f.whenRunning(func() {
-			if f.life != life || f.wallet != wallet {
+			if f.incarnation != incarnation || f.cache != cache {
 				return
 			}
-			f.settle(wallet.End(f.sim.now, "t", d.Epoch, isCounted))
+			f.settle(cache.End(f.sim.now, "t", d.Epoch, isCounted))
 			f.askIfDue("t")
 		})
 	})
@@ -108,20 +108,20 @@
 }
 
 func (f *simulatedAdapter) askIfDue(tenant string) {
-	count, isDue := f.wallet.DueRequest(f.sim.now, tenant)
+	count, isDue := f.cache.DueRequest(f.sim.now, tenant)
 	if !isDue {
 		return
 	}
 	f.sim.asks++
-	sentAt, life, wallet := f.sim.now, f.life, f.wallet
+	sentAt, incarnation, cache := f.sim.now, f.incarnation, f.cache
 	ask := Ask{Holder: f.holder(), Lease: testTimes.Lease.Milliseconds(), Count: count}
 	f.sim.transmit(func() {
 		f.sim.receive(queuedRequest{ask, func(grant wire.QuotaGrant) {
 			f.whenRunning(func() {
-				if f.life != life || f.wallet != wallet {
-					return // the process that asked has ended
+				if f.incarnation != incarnation || f.cache != cache {
+					return // the process that sent the ask has ended
 				}
-				f.settle(wallet.Answer(f.sim.now, sentAt, grant))
+				f.settle(cache.Answer(f.sim.now, sentAt, grant))
 				f.askIfDue(tenant)
 			})
 		}})
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -8,23 +8,23 @@
 	"caperwheel/internal/wire"
 )
 
-// evictionIntervalMs is how often accounts that nobody uses are looked for, in milliseconds of place time.
+// evictionIntervalMs is the interval at which unused buckets are evicted, in milliseconds of place time.
 const evictionIntervalMs = 2_000
 
-// Allocator is the accounts of the tenants that one place counts. It is replicated state: what Apply comes to
-// follows from the state, the time and the batch alone, bit for bit.
+// Allocator holds the token buckets of the tenants that one place counts. It is replicated state: the result of Apply
+// depends only on the state, the time and the batch, bit for bit.
 type Allocator struct {
 	buckets   map[string]*bucket
 	evictedAt int64
 }
 
-// NewAllocator returns a ledger without accounts.
+// NewAllocator returns an allocator without buckets.
 func NewAllocator() *Allocator { return &Allocator{buckets: map[string]*bucket{}} }
 
-// IsEmpty reports whether nothing is counted.
+// IsEmpty reports whether there is no bucket.
 func (l *Allocator) IsEmpty() bool { return len(l.buckets) == 0 }
 
-// Held returns how many tokens holders hold.
+// Held returns how many tokens all holders hold.
 func (l *Allocator) Held() int64 {
 	sum := int64(0)
 	for _, a := range l.buckets {
@@ -33,8 +33,8 @@
 	return sum
 }
 
-// Apply decides a batch at a place time in milliseconds and returns the grant for each ask: one without a tenant
-// for an ask without a limit, or of an earlier life of its holder's account.
+// Apply decides a batch at a place time in milliseconds, and returns the grant for each ask. The grant has no tenant
+// if the ask's tenant has no limit, or if the ask is of an earlier epoch of its holder.
 func (l *Allocator) Apply(at int64, batch Batch) []wire.QuotaGrant {
 	l.evictUnused(at)
 	for _, limit := range batch.Limits {
@@ -44,7 +44,7 @@
 		l.buckets[limit.Tenant].setLimit(limit, at)
 	}
 	isLate := make([]bool, len(batch.Asks))
-	for i, ask := range batch.Asks { // all reports first: what is spent or given back makes room
+	for i, ask := range batch.Asks { // all reports first, since spent and returned tokens make room
 		if a := l.buckets[ask.Count.Tenant]; a != nil {
 			isLate[i] = a.report(ask, at) == nil
 		}
@@ -55,13 +55,13 @@
 		if a == nil || isLate[i] {
 			continue
 		}
-		place, _ := a.find(ask.Holder)
-		grants[i] = a.grant(ask, &a.Holders[place], at)
+		index, _ := a.find(ask.Holder)
+		grants[i] = a.grant(ask, &a.Holders[index], at)
 	}
 	return grants
 }
 
-// evictUnused forgets the accounts that are as new ones.
+// evictUnused drops the buckets that are in the state of new ones.
 func (l *Allocator) evictUnused(at int64) {
 	if at-l.evictedAt < evictionIntervalMs {
 		return
@@ -73,6 +73,7 @@
 	})
 }
 
+// snapshot is the encoded state of an allocator.
 type snapshot struct {
 	SweptAt int64    `avro:"swept_at"`
 	Buckets []bucket `avro:"accounts"`
@@ -80,7 +81,7 @@
 
 var snapshotCodec = wire.NewRecordCodec(&snapshot{})
 
-// Snapshot returns the whole state as bytes: none for a ledger that has never counted anything.
+// Snapshot returns the state as a snapshot, empty for an allocator that has never been used.
 func (l *Allocator) Snapshot() []byte {
 	if l.IsEmpty() && l.evictedAt == 0 {
 		return []byte{}
@@ -96,7 +97,7 @@
 	return snapshotCodec.Encode(&out)
 }
 
-// Restore reads a whole state back. Errors: Corrupt.
+// Restore reads a snapshot. Errors: Corrupt.
 func Restore(raw []byte) (*Allocator, error) {
 	l := NewAllocator()
 	if len(raw) == 0 {
@@ -104,7 +105,7 @@
 	}
 	var in snapshot
 	if err := snapshotCodec.Decode(raw, &in); err != nil {
-		return nil, errs.Wrap(err, errs.Corrupt, "the counts of tenants")
+		return nil, errs.Wrap(err, errs.Corrupt, "decode the snapshot of tenants' token buckets")
 	}
 	l.evictedAt = in.SweptAt
 	for _, a := range in.Buckets {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -7,20 +7,20 @@
 	"caperwheel/internal/wire"
 )
 
-// bucket is the bucket of one tenant, and who holds tokens of it.
+// bucket is the token bucket of one tenant, with the holders of its tokens.
 //
-// Invariant: Free and what all holders hold are at most Burst together, but for what was held when the limit was
-// lowered: Free is 0 until that fits. Holders are sorted by name.
+// Invariant: Free and the tokens of all holders are at most Burst together, except for tokens that were held when the
+// limit was lowered: Free is 0 until they fit. Holders are sorted by name.
 type bucket struct {
 	Tenant  string   `avro:"tenant"`
 	Rate    int64    `avro:"rate"`
 	Burst   int64    `avro:"burst"`
 	Free    int64    `avro:"free"` // millionths of a token
-	At      int64    `avro:"at"`   // place time until which it has been refilled
+	At      int64    `avro:"at"`   // place time up to which it has been refilled
 	Holders []holder `avro:"holders"`
 }
 
-// holder is one life of an adapter.
+// holder is one incarnation of an adapter that holds tokens of the bucket.
 //
 // Invariant: Spent and Returned are at most Granted together.
 type holder struct {
@@ -38,13 +38,15 @@
 func (h *holder) held() int64  { return h.Granted - h.Spent - h.Returned }
 func (h *holder) unmet() int64 { return max(0, h.Need-h.Granted) }
 
-// heldAheadQuarters is how much of the burst, in quarters, is held ahead by adapters. The rest is for messages that wait.
+// heldAheadQuarters is the part of the burst, in quarters, that adapters may hold ahead of need. The rest is for
+// waiting messages.
 const heldAheadQuarters = 3
 
-// minHoldingLimit is the least that is worth holding.
+// minHoldingLimit is the least number of tokens that is worth holding ahead.
 const minHoldingLimit = 2
 
-// Of the lease of a holder: how long its unmet need is reserved for it, and how long it is kept besides.
+// Divisors of a holder's lease: how long its unmet need is reserved for it, how much longer than its lease it is kept,
+// and the least pause before it asks again.
 const (
 	reservedDivisor = 8
 	marginDivisor   = 4
@@ -55,7 +57,7 @@
 	return &bucket{Tenant: limit.Tenant, Rate: limit.Rate, Burst: limit.Burst, Free: limit.Burst, At: at}
 }
 
-// held is what all holders hold, in millionths.
+// held returns the tokens of all holders, in millionths.
 func (a *bucket) held() int64 {
 	sum := int64(0)
 	for i := range a.Holders {
@@ -64,8 +66,8 @@
 	return sum * tokenUnits
 }
 
-// advance refills the bucket for the time that has passed and drops holders whose time is over. What they held
-// is spent: it makes room that only time fills.
+// advance refills the bucket for the time that has passed, and drops holders whose time is over. Their tokens count as
+// spent, so the room that they leave is filled only by time.
 func (a *bucket) advance(at int64) {
 	span := max(0, min(at-a.At, refillSpanLimitMs))
 	a.refill(a.Rate * span)
@@ -73,7 +75,7 @@
 	a.Holders = slices.DeleteFunc(a.Holders, func(h holder) bool { return at >= h.Until })
 }
 
-// setLimit takes a limit in. A lower one counts from where the bucket was refilled last, a higher one from now on.
+// setLimit sets the limit. A lower limit applies from the last refill on, a higher one from now on.
 func (a *bucket) setLimit(limit Limit, at int64) {
 	a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)
 	a.advance(at)
@@ -83,14 +85,14 @@
 // refill adds to the bucket what it has room for.
 func (a *bucket) refill(amount int64) { a.Free = max(0, min(a.Free+amount, a.Burst-a.held())) }
 
-// isUnused reports whether the account is as one that begins anew.
+// isUnused reports whether the bucket is in the state of a new one.
 func (a *bucket) isUnused() bool { return len(a.Holders) == 0 && a.Free >= a.Burst }
 
 func (a *bucket) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(a.Holders, name, func(h holder, name string) int { return cmp.Compare(h.Name, name) })
 }
 
-// report takes in what a holder tells. It returns nil for an ask of an earlier life of the holder's account.
+// report applies a holder's report. It returns nil for an ask of an earlier epoch.
 func (a *bucket) report(ask Ask, at int64) *holder {
 	c := ask.Count
 	i, isKnown := a.find(ask.Holder)
@@ -101,7 +103,7 @@
 	if c.Epoch < h.Epoch {
 		return nil
 	}
-	if c.Epoch > h.Epoch { // it has forgotten what it held before, which counts as spent
+	if c.Epoch > h.Epoch { // the holder has forgotten its earlier tokens, which count as spent
 		*h = holder{Name: ask.Holder, Epoch: c.Epoch}
 	}
 	returned := max(0, min(c.Returned-h.Returned, h.held()))
@@ -113,7 +115,7 @@
 	return h
 }
 
-// grant gives a holder what it needs now, then what it may hold for later.
+// grant grants a holder the tokens that it needs now, then those that it may hold ahead.
 func (a *bucket) grant(ask Ask, h *holder, at int64) wire.QuotaGrant {
 	a.grantTokens(h, a.urgentGrant(ask, h, at))
 	share := min(h.Target, a.holdingLimit())
@@ -126,8 +128,8 @@
 	return out
 }
 
-// holdingLimit is the most that a holder may hold for messages to come. Of a small burst none is held: what one holder
-// keeps, another lacks.
+// holdingLimit returns the most tokens that a holder may hold ahead. It is 0 for a small burst, since tokens that one
+// holder keeps would be missing at another.
 func (a *bucket) holdingLimit() int64 {
 	level := maxMinFairShare(a.Burst/tokenUnits*heldAheadQuarters/4, a.targets())
 	if level < minHoldingLimit {
@@ -136,6 +138,7 @@
 	return level
 }
 
+// grantTokens moves tokens from the bucket to a holder.
 func (a *bucket) grantTokens(h *holder, count int64) {
 	if count > 0 {
 		h.Granted += count
@@ -143,8 +146,8 @@
 	}
 }
 
-// urgentGrant is how many tokens a holder gets for messages that wait: all that it needs, or a fair part of what
-// there is where others have asked lately for more than they got.
+// urgentGrant returns the number of tokens that a holder gets for waiting messages: all that it needs, or a fair share
+// if other holders recently needed more than they got.
 func (a *bucket) urgentGrant(ask Ask, h *holder, at int64) int64 {
 	free, need := a.Free/tokenUnits, h.unmet()
 	if need == 0 || free == 0 {
@@ -158,13 +161,14 @@
 	return max(1, min(need, maxMinFairShare(free, needs)))
 }
 
-// reserved is what other holders lack for messages that waited lately.
+// reserved returns the tokens that other holders recently needed for waiting messages and did not get.
 func (a *bucket) reserved(ask Ask, h *holder, at int64) int64 {
 	sum := int64(0)
 	a.forEachUnmet(ask, h, at, func(unmet int64) { sum += unmet })
 	return sum
 }
 
+// forEachUnmet calls work with the unmet need of each other holder that has asked recently.
 func (a *bucket) forEachUnmet(ask Ask, h *holder, at int64, work func(unmet int64)) {
 	for i := range a.Holders {
 		other := &a.Holders[i]
@@ -182,18 +186,19 @@
 	return out
 }
 
-// retryDelay is after how many milliseconds a holder should ask again for what it did not get.
+// retryDelay returns after how many milliseconds a holder should ask again for what it did not get.
 func (a *bucket) retryDelay(lease int64) int64 {
 	pause := max(1, lease/pauseDivisor)
 	missing := tokenUnits - a.Free
-	if missing <= 0 || a.Burst-a.held() < tokenUnits { // reserved, or all held by others
+	if missing <= 0 || a.Burst-a.held() < tokenUnits { // the rest is reserved, or held by others
 		return pause
 	}
 	return min(missing/max(1, a.Rate)+1, max(1, lease))
 }
 
-// maxMinFairShare is the most that each of those who want something may have, so that all of them have the same or
-// what they want, and together no more than there is (water-filling). It rounds down.
+// maxMinFairShare returns the limit for each want so that all wants get the same or all that they want, and together
+// no more than is available (water-filling). It rounds down, and returns burstLimit if everyone can get all that they
+// want.
 func maxMinFairShare(available int64, wants []int64) int64 {
 	slices.Sort(wants)
 	left := int64(len(wants))
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// maxGapSeconds is after how long the time of the next message is drawn anew, in seconds.
+// maxGapSeconds is the longest wait before the time of the next message is drawn again.
 const maxGapSeconds = 0.2
 
-// scheduleMessage plans the next message of all fronts.
+// scheduleMessage schedules the next message of any adapter.
 func (w *simulation) scheduleMessage() {
 	sum := 0.0
 	for _, rate := range w.rates {
 		sum += rate
 	}
 	span := w.rand.ExpFloat64() / sum
-	if span > maxGapSeconds { // rates may be others by then
+	if span > maxGapSeconds { // the rates may have changed by then
 		w.after(time.Duration(maxGapSeconds*float64(time.Second)), w.scheduleMessage)
 		return
 	}
@@ -32,7 +32,7 @@
 	})
 }
 
-// injectFault has one thing go wrong, and plans the next.
+// injectFault injects one random fault, and schedules the next.
 func (w *simulation) injectFault() {
 	f := w.adapters[w.rand.IntN(len(w.adapters))]
 	switch w.rand.IntN(5) {
@@ -48,7 +48,8 @@
 	w.after(w.between(0, w.maxFaultInterval), w.injectFault)
 }
 
-// reduceLoad has one front, or all, get few messages for a while: they go on holding what they hold, or lose it.
+// reduceLoad lowers the rate of messages at one adapter, or at all, for a while, so that they keep their tokens unused
+// or lose them.
 func (w *simulation) reduceLoad() {
 	first, last, part := 0, len(w.rates)-1, []float64{10, 1000}[w.rand.IntN(2)]
 	if w.rand.IntN(2) == 0 {
@@ -69,7 +70,7 @@
 	})
 }
 
-// transmit brings a message to its receiver after a while, or not, or twice.
+// transmit delivers a message after a random delay; with faults it may be lost or delivered twice.
 func (w *simulation) transmit(arrive func()) {
 	if !w.hasFaults {
 		w.after(w.between(time.Millisecond, 4*time.Millisecond), arrive)
--- a/internal/quota/load_test.go
+++ b/internal/quota/load_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestWhatAFleetAsks: 83 tenants that send 1,400 messages a second through about four fronts each, three of them large,
-// under limits of 1.6 times that with a second's burst, ask their places seldom.
+// TestWhatAFleetAsks checks the load of quota requests: 83 tenants, three of them large, send 1,400 messages a second
+// through about four adapters each, under limits of 1.6 times their rate with one second's burst.
 func TestWhatAFleetAsks(t *testing.T) {
 	Convey("Over a minute without faults", t, func() {
 		const span = 60
@@ -33,7 +33,7 @@
 		So(float64(refused), ShouldBeLessThan, 0.01*float64(messages))
 		So(float64(waited), ShouldBeLessThan, 0.05*float64(messages))
 	})
-	Convey("An ask, its answer and what it adds to a place's log are short", t, func() {
+	Convey("An ask, its answer and its entry in a place's log are short", t, func() {
 		count := wire.QuotaCount{Tenant: "tenant-12-8f21c0de", Epoch: 300, Spent: 40_000, Need: 40_010, Target: 6}
 		asks, replies := wire.PlaceLink.Codecs(wire.Version)
 		size := func(codec *wire.Codec, body any) int {
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -10,10 +10,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// modelSeeds is how many random worlds a run of the model plays.
+// modelSeeds is the number of random simulations that a test runs.
 const modelSeeds = 400
 
-// randomConditions draws the conditions of a world in which all goes wrong that may.
+// randomConditions draws the conditions of a simulation with all kinds of faults.
 func randomConditions(seed uint64) conditions {
 	r := rand.New(rand.NewPCG(seed, 3))
 	rate := []float64{0.5, 3, 8, 20, 100}[r.IntN(5)]
@@ -31,10 +31,10 @@
 	return c
 }
 
-// lowerLimitDelay is after how long a lower limit must hold.
+// lowerLimitDelay is the time after which a lowered limit must hold.
 const lowerLimitDelay = 5 * time.Second
 
-// findViolation tells what is wrong with what was accepted in a world.
+// findViolation describes how the accepted messages of a simulation violate a limit, empty if they do not.
 func findViolation(w *simulation) string {
 	slices.Sort(w.admissions)
 	high := w.admissions
@@ -59,7 +59,7 @@
 	return w.violation
 }
 
-// searchViolation plays worlds until one breaks, and tells which and how.
+// searchViolation runs simulations until one finds a violation, and returns the violation and its seed.
 func searchViolation(f defects, seeds uint64) (what string, seed uint64, accepted int) {
 	for seed := range seeds {
 		c := randomConditions(seed)
@@ -74,20 +74,21 @@
 	return "", 0, accepted
 }
 
-// TestNeverOver: whatever is lost, late, repeated, frozen or restarted, no window has more messages than the limit.
+// TestNeverOver checks that no window has more messages than the limit allows, whatever is lost, late, repeated,
+// frozen or restarted.
 func TestNeverOver(t *testing.T) {
-	Convey("Given fronts and an owner whose asks, answers and processes fail in all ways", t, func() {
+	Convey("Given adapters and an owner with faults of messages and processes", t, func() {
 		what, seed, accepted := searchViolation(defects{}, modelSeeds)
 		t.Logf("%d messages accepted in %d worlds", accepted, modelSeeds)
 		SoMsg(fmt.Sprint("seed ", seed), what, ShouldBeBlank)
 		So(accepted, ShouldBeGreaterThan, modelSeeds*50)
 	})
-	Convey("The model finds what an owner or a front must not do", t, func() {
+	Convey("The model finds each defect of an owner or an adapter", t, func() {
 		for name, f := range map[string]defects{
-			"a grant is told before it is committed":          {answersEarly: true},
-			"a new owner begins without the counts":           {forgetsLedger: true},
-			"a restarted front spends on what it held":        {keepsTokens: true},
-			"a restarted front goes on under its former name": {sharesHolder: true},
+			"a grant is answered before it is committed":         {answersEarly: true},
+			"a new owner begins without the buckets":             {forgetsBuckets: true},
+			"a restarted adapter spends the tokens that it held": {keepsTokens: true},
+			"a restarted adapter goes on under its former name":  {sharesHolder: true},
 		} {
 			what, seed, _ := searchViolation(f, modelSeeds)
 			t.Logf("%s: seed %d: %s", name, seed, what)
@@ -96,42 +97,42 @@
 	})
 }
 
-// TestReplicasAgree: the state read back from an image goes on as the state itself, bit for bit.
+// TestReplicasAgree checks that a state restored from a snapshot goes on exactly as the original state.
 func TestReplicasAgree(t *testing.T) {
-	Convey("An image is the state", t, func() {
+	Convey("A snapshot holds the whole state", t, func() {
 		for seed := range uint64(50) {
 			w := newSimulation(randomConditions(seed), seed)
 			w.run()
-			again, err := Restore(w.ledger.Snapshot())
+			again, err := Restore(w.allocator.Snapshot())
 			So(err, ShouldBeNil)
-			So(again.Snapshot(), ShouldResemble, w.ledger.Snapshot())
+			So(again.Snapshot(), ShouldResemble, w.allocator.Snapshot())
 			batch := Batch{Limits: []Limit{w.limit}, Asks: []Ask{{Holder: "x", Lease: 1500}}}
 			batch.Asks[0].Count.Tenant, batch.Asks[0].Count.Epoch, batch.Asks[0].Count.Need = "t", 1, 5
-			So(again.Apply(w.lastPlaceTime+700, batch), ShouldResemble, w.ledger.Apply(w.lastPlaceTime+700, batch))
-			So(again.Snapshot(), ShouldResemble, w.ledger.Snapshot())
+			So(again.Apply(w.lastPlaceTime+700, batch), ShouldResemble, w.allocator.Apply(w.lastPlaceTime+700, batch))
+			So(again.Snapshot(), ShouldResemble, w.allocator.Snapshot())
 		}
 	})
 }
 
-// TestLittleIsRefused: what a steady tenant sends below its limit is accepted.
+// TestLittleIsRefused checks that the messages of a tenant with a steady rate below its limit are accepted.
 func TestLittleIsRefused(t *testing.T) {
 	cases := []struct {
 		name          string
-		rate          float64 // of the limit; its burst is one second of it
+		rate          float64 // limit in messages a second; the burst is one second of it
 		fronts        int
-		load          float64 // of the limit
+		load          float64 // as a part of the limit
 		jumps         bool
 		refused       float64
-		asksAtMost    float64 // a message
-		waitingAtMost float64 // of the messages
+		asksAtMost    float64 // asks per message
+		waitingAtMost float64 // as a part of the messages
 	}{
 		{"a steady tenant at 62 % of 20 a second", 20, 5, 0.62, false, 0.01, 1, 0.03},
 		{"a steady tenant at 62 % of 50 a second", 50, 5, 0.62, false, 0.01, 0.4, 0.01},
 		{"a steady tenant at 62 % of 300 a second", 300, 5, 0.62, false, 0.01, 0.08, 0.01},
-		{"one whose messages jump between 5 fronts", 20, 5, 0.62, true, 0.03, 1, 0.03},
-		{"one whose messages jump between 60 fronts", 20, 60, 0.62, true, 0.03, 2.5, 1},
-		{"one of 100 a second that jumps between 60", 100, 60, 0.62, true, 0.03, 2.5, 1},
-		{"a small one of 5 a second", 5, 4, 0.62, false, 0.06, 2.5, 1},
+		{"a tenant whose messages are spread over 5 adapters", 20, 5, 0.62, true, 0.03, 1, 0.03},
+		{"a tenant whose messages are spread over 60 adapters", 20, 60, 0.62, true, 0.03, 2.5, 1},
+		{"a tenant of 100 a second whose messages are spread over 60 adapters", 100, 60, 0.62, true, 0.03, 2.5, 1},
+		{"a small tenant of 5 a second", 5, 4, 0.62, false, 0.06, 2.5, 1},
 	}
 	Convey("Over two minutes without faults", t, func() {
 		for _, c := range cases {
@@ -151,7 +152,7 @@
 	})
 }
 
-// TestHotTenant: a tenant far over its limit gets what the limit allows, fairly over its fronts, for few asks.
+// TestHotTenant checks that a tenant far over its limit gets what the limit allows, with few asks.
 func TestHotTenant(t *testing.T) {
 	Convey("A tenant that sends many times its limit", t, func() {
 		for _, times := range []float64{4, 20} {
--- a/internal/quota/mutants_test.go
+++ b/internal/quota/mutants_test.go
@@ -12,38 +12,39 @@
 	"testing"
 )
 
-// mutant is one guard taken out: where, the text that has it, and the text without. The replaced sources exist only
-// while the test runs; IsMutant picks one by its name, so that one build serves all.
+// mutant is a change of the sources that removes one guard: its file, the guard's text, and the text without the
+// guard. The changed sources exist only while the test runs. IsMutant selects one mutant by its name, so that one
+// build serves all.
 type mutant struct{ name, file, old, new string }
 
-// mutants is the table of guards. Each must be found by the model.
+// mutants lists the guards. The model must find the removal of each.
 var mutants = []mutant{
-	{"what a dropped holder held is given back", "bucket.go",
+	{"the tokens of a dropped holder are returned", "bucket.go",
 		"return at >= h.Until })", "if IsMutant(NAME) && at >= h.Until {\n\t\t\ta.Free += h.held() * tokenUnits\n\t\t}\n\t\treturn at >= h.Until\n\t})"},
-	{"the ledger's expiry is shorter than the front's lease", "bucket.go",
+	{"the allocator's expiry is shorter than the adapter's lease", "bucket.go",
 		"at+ask.Lease+ask.Lease/marginDivisor", "at+map[bool]int64{false: ask.Lease + ask.Lease/marginDivisor, true: ask.Lease / 2}[IsMutant(NAME)]"},
-	{"the bucket is filled beside what is held", "bucket.go",
+	{"the bucket is refilled without regard to held tokens", "bucket.go",
 		"a.Burst-a.held())) }", "a.Burst-map[bool]int64{false: a.held()}[IsMutant(NAME)])) }"},
-	{"time is counted again", "bucket.go", "a.At = max(a.At, at)", "if !IsMutant(NAME) {\n\t\ta.At = max(a.At, at)\n\t}"},
+	{"time is counted repeatedly", "bucket.go", "a.At = max(a.At, at)", "if !IsMutant(NAME) {\n\t\ta.At = max(a.At, at)\n\t}"},
 	{"a repeated report counts down twice", "bucket.go", "min(c.Spent-h.Spent, h.held())",
 		"min(c.Spent-map[bool]int64{false: h.Spent}[IsMutant(NAME)], h.held())"},
-	{"what is given back counts twice", "bucket.go", "min(c.Returned-h.Returned, h.held())",
+	{"returned tokens count twice", "bucket.go", "min(c.Returned-h.Returned, h.held())",
 		"min(c.Returned-map[bool]int64{false: h.Returned}[IsMutant(NAME)], h.held())"},
-	{"a late ask of an earlier life counts", "bucket.go", "if c.Epoch < h.Epoch {", "if c.Epoch < h.Epoch && !IsMutant(NAME) {"},
-	{"a new life goes on with the counts of the one before", "bucket.go", "*h = holder{Name: ask.Holder, Epoch: c.Epoch}",
+	{"a late ask of an earlier epoch counts", "bucket.go", "if c.Epoch < h.Epoch {", "if c.Epoch < h.Epoch && !IsMutant(NAME) {"},
+	{"a new epoch goes on with the counts of the previous one", "bucket.go", "*h = holder{Name: ask.Holder, Epoch: c.Epoch}",
 		"if IsMutant(NAME) {\n\t\t\th.Epoch = c.Epoch\n\t\t} else {\n\t\t\t*h = holder{Name: ask.Holder, Epoch: c.Epoch}\n\t\t}"},
-	{"a lower limit is not taken in", "bucket.go", "a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)",
+	{"a lower limit is not applied", "bucket.go", "a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)",
 		"if IsMutant(NAME) {\n\t\tlimit.Rate, limit.Burst = max(a.Rate, limit.Rate), max(a.Burst, limit.Burst)\n\t}\n" +
 			"\ta.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)"},
-	{"an account is forgotten before its bucket is full", "bucket.go", "a.Free >= a.Burst }", "(a.Free >= a.Burst || IsMutant(NAME)) }"},
-	{"a front spends after its lease", "tokencache.go", "|| now < p.leaseEnd {", "|| now < p.leaseEnd || IsMutant(NAME) {"},
+	{"a bucket is evicted before it is full", "bucket.go", "a.Free >= a.Burst }", "(a.Free >= a.Burst || IsMutant(NAME)) }"},
+	{"an adapter spends after its lease", "tokencache.go", "|| now < p.leaseEnd {", "|| now < p.leaseEnd || IsMutant(NAME) {"},
 	{"a lease counts from the answer", "tenanttokens.go", "max(p.leaseEnd, sentAt+p.times.Lease)",
 		"max(p.leaseEnd, map[bool]time.Duration{false: sentAt, true: now}[IsMutant(NAME)]+p.times.Lease)"},
-	{"an answer counts whose lease is over", "tokencache.go", "sentAt+w.times.Lease <= now", "sentAt+w.times.Lease <= now && !IsMutant(NAME)"},
-	{"an answer to an earlier life counts", "tokencache.go", "if grant.Epoch != p.epoch ||", "if grant.Epoch != p.epoch && !IsMutant(NAME) ||"},
-	{"a life's number is used again", "tokencache.go", "w.lastEpoch++", "if !IsMutant(NAME) || w.lastEpoch == 0 {\n\t\tw.lastEpoch++\n\t}"},
-	{"the end of a message of an earlier life counts", "tokencache.go", "if p.epoch != epoch {", "if p.epoch != epoch && !IsMutant(NAME) {"},
-	{"what is in flight is held as well", "tenanttokens.go", "p.returned - p.inFlight }", "p.returned - map[bool]int64{false: p.inFlight}[IsMutant(NAME)] }"},
+	{"an answer counts although its lease is over", "tokencache.go", "sentAt+w.times.Lease <= now", "sentAt+w.times.Lease <= now && !IsMutant(NAME)"},
+	{"an answer to an earlier epoch counts", "tokencache.go", "if grant.Epoch != p.epoch ||", "if grant.Epoch != p.epoch && !IsMutant(NAME) ||"},
+	{"an epoch's number is used again", "tokencache.go", "w.lastEpoch++", "if !IsMutant(NAME) || w.lastEpoch == 0 {\n\t\tw.lastEpoch++\n\t}"},
+	{"the end of a message of an earlier epoch counts", "tokencache.go", "if p.epoch != epoch {", "if p.epoch != epoch && !IsMutant(NAME) {"},
+	{"tokens in flight count as held as well", "tenanttokens.go", "p.returned - p.inFlight }", "p.returned - map[bool]int64{false: p.inFlight}[IsMutant(NAME)] }"},
 }
 
 const (
@@ -52,18 +53,18 @@
 	mutantSeeds = 1000
 )
 
-// mutantSource is added to the package of a child.
+// mutantSource is added to the package in the mutants' build.
 const mutantSource = `package quota
 
 import "os"
 
 var isMutant = os.Getenv("` + mutantEnv + `")
 
-// IsMutant reports whether a guard is taken out.
+// IsMutant reports whether a guard is removed.
 func IsMutant(name string) bool { return isMutant == name }
 `
 
-// buildMutants builds this test with all guards made optional.
+// buildMutants builds this test with every guard made optional.
 func buildMutants(t *testing.T) string {
 	dir := t.TempDir()
 	here, err := filepath.Abs(".")
@@ -106,7 +107,7 @@
 	return binary
 }
 
-// TestMutantChild is the search in a child; by itself it does nothing.
+// TestMutantChild searches for a violation in a child process of TestMutants; by itself it does nothing.
 func TestMutantChild(t *testing.T) {
 	if os.Getenv(mutantEnv) == "" {
 		t.Skip("runs in the children of TestMutants")
@@ -115,7 +116,7 @@
 	fmt.Printf("%s%s|seed %d\n", childMark, what, seed)
 }
 
-// TestMutants takes each guard out and holds that the model notices.
+// TestMutants removes each guard and checks that the model finds a violation.
 func TestMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds and runs children")
--- a/internal/quota/owner_test.go
+++ b/internal/quota/owner_test.go
@@ -6,9 +6,9 @@
 	"caperwheel/internal/wire"
 )
 
-// placeTime falls behind real time with each owner, and never runs ahead.
+// placeTime returns the place's time. It falls behind real time with each owner, and never runs ahead.
 func (w *simulation) placeTime() int64 {
-	w.lastPlaceTime = max(w.lastPlaceTime, (w.now - w.lost).Milliseconds())
+	w.lastPlaceTime = max(w.lastPlaceTime, (w.now - w.timeLost).Milliseconds())
 	return w.lastPlaceTime
 }
 
@@ -23,16 +23,16 @@
 	if w.now < w.downUntil {
 		return
 	}
-	w.gathered = append(w.gathered, a)
+	w.queued = append(w.queued, a)
 	w.propose()
 }
 
 func (w *simulation) propose() {
-	if w.pendingBatch != nil || len(w.gathered) == 0 {
+	if w.pendingBatch != nil || len(w.queued) == 0 {
 		return
 	}
-	all := w.gathered
-	w.gathered = nil
+	all := w.queued
+	w.queued = nil
 	batch := Batch{Limits: []Limit{w.limitNow()}}
 	for _, a := range all {
 		batch.Asks = append(batch.Asks, a.ask)
@@ -48,14 +48,14 @@
 	}
 	term := w.term
 	if w.defects.answersEarly {
-		early, _ := Restore(w.ledger.Snapshot())
+		early, _ := Restore(w.allocator.Snapshot())
 		answer(early.Apply(w.pendingAt, batch))
 	}
 	w.after(w.between(8*time.Millisecond, 20*time.Millisecond), func() {
 		if term != w.term {
 			return
 		}
-		grants := w.ledger.Apply(w.pendingAt, batch)
+		grants := w.allocator.Apply(w.pendingAt, batch)
 		w.pendingBatch = nil
 		if !w.defects.answersEarly {
 			answer(grants)
@@ -64,21 +64,21 @@
 	})
 }
 
-// changeOwner has another store go on with what is committed, to which what is under way may belong or not.
+// changeOwner replaces the owner. The new owner goes on with the committed state, which may include the pending batch.
 func (w *simulation) changeOwner() {
 	if w.pendingBatch != nil && w.rand.IntN(2) == 0 {
-		w.ledger.Apply(w.pendingAt, *w.pendingBatch)
+		w.allocator.Apply(w.pendingAt, *w.pendingBatch)
 	}
 	w.term++
-	w.pendingBatch, w.gathered = nil, nil
-	w.lost += w.between(0, 800*time.Millisecond)
+	w.pendingBatch, w.queued = nil, nil
+	w.timeLost += w.between(0, 800*time.Millisecond)
 	w.downUntil = w.now + w.between(0, 900*time.Millisecond)
-	again, err := Restore(w.ledger.Snapshot())
+	again, err := Restore(w.allocator.Snapshot())
 	if err != nil {
 		panic(err)
 	}
-	if w.defects.forgetsLedger {
+	if w.defects.forgetsBuckets {
 		again = NewAllocator()
 	}
-	w.ledger = again
+	w.allocator = again
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// testTimes are the times of a bound of three seconds.
+// testTimes are the times that follow from a bound of three seconds.
 var testTimes = Times{Lease: 1500 * time.Millisecond, Pause: 90 * time.Millisecond, Answer: 300 * time.Millisecond, Horizon: 1200 * time.Millisecond}
 
 const (
@@ -18,18 +18,18 @@
 	testWait = 120 * time.Millisecond
 )
 
-// event is something that happens in a world.
+// event is a scheduled event of a simulation.
 type event struct {
-	at   time.Duration
-	turn int // events of one moment happen in the order in which they were planned
-	do   func()
+	at    time.Duration
+	order int // events of the same moment happen in the order in which they were scheduled
+	do    func()
 }
 
 type events []event
 
 func (q events) Len() int { return len(q) }
 func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].turn < q[j].turn
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *events) Push(x any)   { *q = append(*q, x.(event)) }
@@ -39,75 +39,76 @@
 	return last
 }
 
-// defects are faults of what the world models besides this package: the owner of a place, and a front's process.
+// defects are deliberate defects of the simulated components outside this package: a place's owner and an adapter's
+// process.
 type defects struct {
-	answersEarly  bool // the owner answers before its batch is committed
-	sharesHolder  bool // a front that was restarted goes on under its former name
-	keepsTokens   bool // and with what it held
-	forgetsLedger bool // a new owner begins without the counts
+	answersEarly   bool // the owner answers before its batch is committed
+	sharesHolder   bool // a restarted adapter goes on under its former name
+	keepsTokens    bool // and with the tokens that it held
+	forgetsBuckets bool // a new owner begins without the buckets
 }
 
-// conditions are what a world plays.
+// conditions are the parameters of a simulation.
 type conditions struct {
 	limit            Limit
-	rates            []float64 // messages a second at each front
+	rates            []float64 // messages a second at each adapter
 	length           time.Duration
-	hasFaults        bool          // messages are lost, late and repeated; owners change; fronts freeze and restart
-	maxFaultInterval time.Duration // most between two troubles
-	spreadsMessages  bool          // each message goes to any front
+	hasFaults        bool          // messages are lost, late and repeated; owners change; adapters freeze and restart
+	maxFaultInterval time.Duration // longest time between two faults
+	spreadsMessages  bool          // each message goes to any adapter
 	lowerAt          time.Duration
 	lower            Limit
-	lullsAtLowering  bool // few messages come from when the limit is lowered until after it binds
+	lullsAtLowering  bool // few messages arrive from when the limit is lowered until it must hold
 	defects          defects
 }
 
-// asked is one ask at the owner.
+// queuedRequest is one ask that is queued at the owner.
 type queuedRequest struct {
 	ask    Ask
 	answer func(grant wire.QuotaGrant)
 }
 
-// simulation is the fronts of a fleet and the owner of the place that counts one tenant's messages.
+// simulation simulates a fleet's adapters and the owner of the place that counts one tenant's messages.
 type simulation struct {
 	conditions
 	rand      *rand.Rand
 	now       time.Duration
-	turn      int
+	lastOrder int
 	queue     events
 	adapters  []*simulatedAdapter
-	baseRates []float64 // rates while nothing is calm
+	baseRates []float64 // rates while the load is not reduced
 
-	ledger        *Allocator // as committed
-	lost          time.Duration
+	allocator     *Allocator // committed state
+	timeLost      time.Duration
 	lastPlaceTime int64
 	term          int
 	downUntil     time.Duration
-	gathered      []queuedRequest
+	queued        []queuedRequest
 	pendingBatch  *Batch
 	pendingAt     int64
-	admissions    []time.Duration // when messages were admitted that were accepted
+	admissions    []time.Duration // when the accepted messages were admitted
 	asks          int
 	batches       int
 	messages      int
 	refused       int
 	waited        int
-	violation     string // the first broken invariant
+	violation     string // the first invariant that was violated
 }
 
 // simulatedAdapter is one adapter.
 type simulatedAdapter struct {
 	sim         *simulation
 	name        string
-	life        int
-	wallet      *TokenCache
+	incarnation int
+	cache       *TokenCache
 	frozenUntil time.Duration
 	waiting     map[int64]bool
 }
 
 func newSimulation(c conditions, seed uint64) *simulation {
-	w := &simulation{conditions: c, rand: rand.New(rand.NewPCG(seed, 7)), ledger: NewAllocator(), baseRates: slices.Clone(c.rates)}
+	w := &simulation{conditions: c, rand: rand.New(rand.NewPCG(seed, 7)), allocator: NewAllocator(), baseRates: slices.Clone(c.rates)}
 	for i := range c.rates {
-		f := &simulatedAdapter{sim: w, name: fmt.Sprintf("front-%d", i), wallet: NewTokenCache(testTimes), waiting: map[int64]bool{}}
+		f := &simulatedAdapter{sim: w, name: fmt.Sprintf("front-%d", i), cache: NewTokenCache(testTimes), waiting: map[int64]bool{}}
 		w.adapters = append(w.adapters, f)
 		w.after(w.between(0, testTick), f.tick)
 	}
@@ -124,8 +125,8 @@
 }
 
 func (w *simulation) after(span time.Duration, do func()) {
-	w.turn++
-	heap.Push(&w.queue, event{w.now + span, w.turn, do})
+	w.lastOrder++
+	heap.Push(&w.queue, event{w.now + span, w.lastOrder, do})
 }
 
 func (w *simulation) between(least, most time.Duration) time.Duration {
@@ -143,17 +144,17 @@
 	}
 }
 
-// check tells which invariant does not hold: what a front may spend within its lease, the ledger has it hold; and
-// the bucket and what is held are the burst at most.
+// check reports a violated invariant: the allocator has granted all that an adapter may spend within its lease, and
+// the bucket and the held tokens are at most the burst together.
 func (w *simulation) check() string {
 	for _, f := range w.adapters {
-		if p := f.wallet.tenants["t"]; p != nil && p.isLeased && w.now < p.leaseEnd {
+		if p := f.cache.tenants["t"]; p != nil && p.isLeased && w.now < p.leaseEnd {
 			if what := f.check(); what != "" {
 				return what
 			}
 		}
 	}
-	for _, a := range w.ledger.buckets {
+	for _, a := range w.allocator.buckets {
 		if a.Free < 0 || a.Free > 0 && a.Free+a.held() > a.Burst {
 			return fmt.Sprintf("%v: the bucket has %d and holders %d of %d", w.now, a.Free, a.held(), a.Burst)
 		}
@@ -161,7 +162,7 @@
 	return ""
 }
 
-// maxExcess is by how much the messages of any window pass Rate*window + Burst, at most.
+// maxExcess returns the most by which the messages of any window exceed Rate*window + Burst.
 func maxExcess(spends []time.Duration, limit Limit) float64 {
 	rate, burst := float64(limit.Rate)/rateUnit, float64(limit.Burst)/tokenUnits
 	left, at, over := burst, time.Duration(0), 0.0
--- a/internal/quota/tenanttokens.go
+++ b/internal/quota/tenanttokens.go
@@ -9,19 +9,19 @@
 	"caperwheel/internal/wire"
 )
 
-// maxWaitingMessages is how many messages of a tenant may wait for one answer.
+// maxWaitingMessages is how many messages of a tenant may wait for tokens.
 const maxWaitingMessages = 200
 
-// renewDivisor: of the lease, what is left when it is renewed.
+// renewDivisor is the divisor of the lease: it is renewed when less than this part is left.
 const renewDivisor = 3
 
-// refillDivisor: of what an adapter would hold, what is left when it asks for more.
+// refillDivisor is the divisor of the wanted tokens: more are requested when no more than this part is left.
 const refillDivisor = 3
 
-// tenantTokens is an adapter's account of one tenant.
+// tenantTokens holds an adapter's tokens of one tenant.
 //
-// Invariants: spent, returned and inFlight are at most granted together; nothing is spent but while isLeased and
-// before leaseEnd; a message waits only while none is held.
+// Invariants: spent, returned and inFlight are at most granted together; tokens are spent only while isLeased and
+// before leaseEnd; a message waits only while no token is held.
 type tenantTokens struct {
 	tenant   string
 	times    Times
@@ -29,37 +29,37 @@
 	granted  int64
 	spent    int64
 	returned int64
-	inFlight int64 // admitted, and it is not known yet whether they are accepted
-	share    int64 // most to hold for messages to come, as the ledger told
+	inFlight int64 // admitted messages that are neither accepted nor rejected yet
+	share    int64 // the most tokens to hold ahead, as granted last
 	isLeased bool
 	leaseEnd time.Duration
 	demand   demandEstimate
 	waiting  []int64
 
-	isRequestOpen     bool // the newest ask is not answered yet
+	isAskOpen         bool // the newest ask is not answered yet
 	askedAt           time.Duration
-	reportedCount     int64 // spent and returned, as the ledger is known to know
-	lastReportedCount int64 // the same, as the newest ask told
+	reportedCount     int64 // spent and returned tokens, as last acknowledged by the allocator
+	lastReportedCount int64 // spent and returned tokens, as sent in the newest ask
 	refuseUntil       time.Duration
 	refusalKind       errs.Kind // why messages are refused until then
-	isShort           bool      // the ledger had less than was needed
+	isShort           bool      // the allocator had fewer tokens than were needed
 }
 
 func (p *tenantTokens) held() int64 { return p.granted - p.spent - p.returned - p.inFlight }
 
-// target is how many tokens the purse would like to hold.
+// target returns how many tokens should be held ahead.
 func (p *tenantTokens) target(now time.Duration) int64 {
 	return p.demand.expectedWithin(now, p.times.Horizon, p.times.Horizon)
 }
 
-// expectedInPause is how many messages come until the next ask may be sent.
+// expectedInPause returns how many messages are expected until the next ask may be sent.
 func (p *tenantTokens) expectedInPause(now time.Duration) int64 {
 	return p.demand.expectedWithin(now, p.times.Pause, p.times.Horizon)
 }
 
 func (p *tenantTokens) isDue(now time.Duration) bool {
 	switch {
-	case p.isRequestOpen && now-p.askedAt < p.times.Answer:
+	case p.isAskOpen && now-p.askedAt < p.times.Answer:
 		return false
 	case len(p.waiting) > 0:
 		return true
@@ -76,9 +76,9 @@
 	return p.isLeased && p.held()+p.inFlight > 0 && p.target(now) > 0 && p.leaseEnd-now < p.times.Lease/renewDivisor
 }
 
-// ask returns what to tell the ledger.
+// ask returns the report and request for the allocator.
 func (p *tenantTokens) ask(now time.Duration) wire.QuotaCount {
-	p.isRequestOpen, p.askedAt, p.lastReportedCount = true, now, p.spent+p.returned
+	p.isAskOpen, p.askedAt, p.lastReportedCount = true, now, p.spent+p.returned
 	need := int64(len(p.waiting))
 	if need > 0 && p.isShort {
 		need += p.expectedInPause(now)
@@ -87,10 +87,10 @@
 		InFlight: p.inFlight}
 }
 
-// close notes that the ask sent at a moment is over.
+// close ends the ask that was sent at sentAt.
 func (p *tenantTokens) close(sentAt time.Duration) {
 	if p.askedAt == sentAt {
-		p.isRequestOpen = false
+		p.isAskOpen = false
 	}
 }
 
@@ -111,13 +111,13 @@
 	return settled
 }
 
-// returnSurplus gives up what is held beyond the purse's share, for others to use.
+// returnSurplus returns the tokens beyond the share, for use by other holders.
 func (p *tenantTokens) returnSurplus(now time.Duration) {
 	keep := max(min(p.share, p.target(now)), p.expectedInPause(now))
 	p.returned += max(0, p.held()-keep)
 }
 
-// admitWaiting admits messages that wait, the first first.
+// admitWaiting admits waiting messages in their order, as far as there are tokens.
 func (p *tenantTokens) admitWaiting() []Settled {
 	count := int(min(int64(len(p.waiting)), max(0, p.held())))
 	out := make([]Settled, 0, count)
@@ -129,7 +129,7 @@
 	return out
 }
 
-// refuseWaiting refuses the messages that wait, and those that come before a moment and find no token.
+// refuseWaiting refuses the waiting messages, and until a moment those that find no token.
 func (p *tenantTokens) refuseWaiting(kind errs.Kind, until time.Duration) []Settled {
 	out := make([]Settled, 0, len(p.waiting))
 	for _, number := range p.waiting {
@@ -143,18 +143,18 @@
 	p.waiting = slices.DeleteFunc(p.waiting, func(other int64) bool { return other == number })
 }
 
-// isIdle reports whether nothing would be lost with the purse.
+// isIdle reports whether the state can be dropped without any loss.
 func (p *tenantTokens) isIdle(now time.Duration) bool {
-	return !p.isLeased && len(p.waiting) == 0 && now >= p.refuseUntil && !p.isRequestOpen && p.target(now) == 0
+	return !p.isLeased && len(p.waiting) == 0 && now >= p.refuseUntil && !p.isAskOpen && p.target(now) == 0
 }
 
-// demandEstimate estimates how many messages come, weighing older ones less.
+// demandEstimate estimates the rate of messages by an exponentially weighted average.
 type demandEstimate struct {
 	perSecond float64
 	notedAt   time.Duration
 }
 
-// minDemand is what counts as none, in messages within a horizon.
+// minDemand is the number of expected messages within a horizon below which the demand counts as none.
 const minDemand = 0.25
 
 func (d *demandEstimate) note(now, horizon time.Duration) {
@@ -167,7 +167,7 @@
 	return d.perSecond * math.Exp(-(now-d.notedAt).Seconds()/(2*horizon.Seconds()))
 }
 
-// expectedWithin is how many messages are expected in a span, rounded up.
+// expectedWithin returns the number of messages expected in a span, rounded up.
 func (d *demandEstimate) expectedWithin(now, span, horizon time.Duration) int64 {
 	rate := d.rateAt(now, horizon)
 	if rate*horizon.Seconds() < minDemand {
--- a/internal/quota/tokencache.go
+++ b/internal/quota/tokencache.go
@@ -8,19 +8,19 @@
 	"caperwheel/internal/wire"
 )
 
-// Times are the spans that a wallet works with.
+// Times are the time spans of a token cache.
 type Times struct {
-	Lease   time.Duration // what is held may be spent for so long after the ask
-	Pause   time.Duration // least time between two asks for a tenant, but where a message waits
+	Lease   time.Duration // tokens may be spent for this long after the ask was sent
+	Pause   time.Duration // least time between two asks for a tenant without waiting messages
 	Answer  time.Duration // an ask that is not answered within this is sent again
 	Horizon time.Duration // tokens are held for the messages of this span
 }
 
-// Decision is what becomes of a message.
+// Decision is the decision for a message: admitted, waiting, or refused.
 type Decision struct {
-	Epoch   int64     // of the account, where the message is admitted
-	Waiting int64     // number of the wait, where the message waits for an answer; else 0
-	Refusal errs.Kind // errs.OverQuota or errs.Lost, where the message is refused
+	Epoch   int64     // epoch of the token, if the message is admitted
+	Waiting int64     // number of the wait, if the message waits for tokens; else 0
+	Refusal errs.Kind // errs.OverQuota or errs.Lost, if the message is refused
 }
 
 // Settled is the decision for a message that has waited.
@@ -29,10 +29,10 @@
 	Decision
 }
 
-// TokenCache is the tokens that one life of an adapter holds, by tenant. Moments are those of the adapter's steady
+// TokenCache holds the tokens of one incarnation of an adapter, by tenant. Moments are those of the adapter's steady
 // clock and never go back.
 //
-// Invariant: a life of an account is used once in a wallet: whatever was granted in it ends with it.
+// Invariant: each epoch is used once: tokens that were granted in it expire with it.
 type TokenCache struct {
 	times     Times
 	tenants   map[string]*tenantTokens
@@ -40,12 +40,12 @@
 	lastWait  int64
 }
 
-// NewTokenCache returns a wallet that holds nothing.
+// NewTokenCache returns an empty token cache.
 func NewTokenCache(times Times) *TokenCache {
 	return &TokenCache{times: times, tenants: map[string]*tenantTokens{}}
 }
 
-// Held returns how many tokens are held for messages to come.
+// Held returns how many tokens are held ahead.
 func (w *TokenCache) Held() int64 {
 	sum := int64(0)
 	for _, p := range w.tenants {
@@ -54,7 +54,8 @@
 	return sum
 }
 
-// Take asks for a token for one message of a tenant. If it is to wait, Answer, Fail or End settles it.
+// Take takes a token for one message of a tenant. If the message must wait, a later call of Answer, Fail or End
+// settles it.
 func (w *TokenCache) Take(now time.Duration, tenant string) Decision {
 	p := w.tenants[tenant]
 	if p == nil {
@@ -77,14 +78,15 @@
 	return Decision{Waiting: w.lastWait}
 }
 
-// Cancel ends the wait of a message that waits no longer.
+// Cancel ends the wait of a message.
 func (w *TokenCache) Cancel(tenant string, number int64) {
 	if p := w.tenants[tenant]; p != nil {
 		p.cancel(number)
 	}
 }
 
-// End tells what became of a message that was admitted: accepted, or not, and then its token is held again.
+// End ends a message that was admitted. If it was accepted, its token is spent; otherwise the token is held again. End
+// returns the waiting messages that this settles.
 func (w *TokenCache) End(now time.Duration, tenant string, epoch int64, isCounted bool) []Settled {
 	p := w.tenants[tenant]
 	if p == nil {
@@ -92,7 +94,7 @@
 	}
 	w.expireLease(p, now)
 	if p.epoch != epoch {
-		return nil // its token was spent when that life ended
+		return nil // its token counted as spent when that epoch ended
 	}
 	p.inFlight--
 	if isCounted {
@@ -101,7 +103,7 @@
 	return p.admitWaiting()
 }
 
-// DueRequest returns what to tell and ask of a tenant now, and false if nothing is due. The ask counts as sent at now.
+// DueRequest returns the ask for a tenant that is due now, and false if none is. The ask counts as sent at now.
 func (w *TokenCache) DueRequest(now time.Duration, tenant string) (wire.QuotaCount, bool) {
 	p := w.tenants[tenant]
 	if p == nil {
@@ -114,7 +116,7 @@
 	return p.ask(now), true
 }
 
-// Tenants returns those that the wallet has an account of, and forgets the accounts that are used no more.
+// Tenants returns the tenants with state in the cache, and drops those that are idle.
 func (w *TokenCache) Tenants(now time.Duration) []string {
 	out := []string{}
 	for tenant, p := range w.tenants {
@@ -128,7 +130,7 @@
 	return out
 }
 
-// Answer takes in a grant for an ask that was sent at a moment, and returns the messages that it settles.
+// Answer applies the grant for an ask that was sent at sentAt, and returns the waiting messages that it settles.
 func (w *TokenCache) Answer(now, sentAt time.Duration, grant wire.QuotaGrant) []Settled {
 	p := w.tenants[grant.Tenant]
 	if p == nil {
@@ -137,12 +139,12 @@
 	w.expireLease(p, now)
 	p.close(sentAt)
 	if grant.Epoch != p.epoch || sentAt+w.times.Lease <= now {
-		return nil // the ledger may have dropped what this grants
+		return nil // the allocator may have dropped this holder
 	}
 	return p.answer(now, sentAt, grant)
 }
 
-// Fail tells that an ask sent at a moment came to nothing. Messages that wait are refused.
+// Fail ends an ask that got no answer. Waiting messages are refused.
 func (w *TokenCache) Fail(now, sentAt time.Duration, tenant string) []Settled {
 	p := w.tenants[tenant]
 	if p == nil || p.askedAt != sentAt {
@@ -152,13 +154,13 @@
 	return p.refuseWaiting(errs.Lost, now+w.times.Pause)
 }
 
-// expireLease begins a new life of an account whose lease is over: nothing of the old one may be spent.
+// expireLease starts a new epoch if the lease is over, because tokens of the old epoch must not be spent.
 func (w *TokenCache) expireLease(p *tenantTokens, now time.Duration) {
 	if !p.isLeased || now < p.leaseEnd {
 		return
 	}
 	epoch := w.nextEpoch()
-	*p = tenantTokens{tenant: p.tenant, times: p.times, epoch: epoch, share: p.share, demand: p.demand, waiting: p.waiting, isRequestOpen: p.isRequestOpen,
+	*p = tenantTokens{tenant: p.tenant, times: p.times, epoch: epoch, share: p.share, demand: p.demand, waiting: p.waiting, isAskOpen: p.isAskOpen,
 		askedAt: p.askedAt, refuseUntil: p.refuseUntil, refusalKind: p.refusalKind, isShort: p.isShort}
 }
 
@@ -167,10 +169,10 @@
 	return w.lastEpoch
 }
 
-// Count returns how many accounts the wallet has.
+// Count returns the number of tenants with state in the cache.
 func (w *TokenCache) Count() int { return len(w.tenants) }
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (w *TokenCache) Clone() *TokenCache {
 	out := *w
 	out.tenants = maps.Clone(w.tenants)
--- a/internal/quota/tokencache_test.go
+++ b/internal/quota/tokencache_test.go
@@ -10,9 +10,9 @@
 	"caperwheel/internal/wire"
 )
 
-// TestWallet is what a wallet holds on to and gives up.
+// TestWallet checks which tokens a token cache keeps and gives up.
 func TestWallet(t *testing.T) {
-	Convey("Given a wallet with tokens for a tenant that many messages came of", t, func() {
+	Convey("Given a token cache with tokens of a tenant with many messages", t, func() {
 		now := time.Second
 		w := NewTokenCache(testTimes)
 		So(w.Take(now, "t").Waiting, ShouldEqual, 1)
@@ -25,7 +25,7 @@
 		w.Answer(now, now, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 40})
 		So(w.Held(), ShouldEqual, 40)
 		later := now + testTimes.Pause
-		Convey("it gives back what is beyond a share that is lower now, once", func() {
+		Convey("it returns the tokens beyond a lowered share, once", func() {
 			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 4})
 			So(w.Held(), ShouldBeLessThan, 10)
 			held := w.Held()
@@ -41,11 +41,11 @@
 			again, _ := w.DueRequest(now+testTimes.Lease, "t")
 			So(again.Epoch, ShouldBeGreaterThan, count.Epoch)
 		})
-		Convey("an answer of before, told again, gives nothing more", func() {
+		Convey("a repeated earlier answer grants nothing more", func() {
 			w.Answer(later, now, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 120, Share: 40})
 			So(w.Held(), ShouldEqual, 40)
 		})
-		Convey("an ask that fails refuses those that wait, and what comes for a while", func() {
+		Convey("a failed ask refuses the waiting messages, and further ones for a while", func() {
 			for range 41 {
 				w.Take(later, "t")
 			}
@@ -57,7 +57,7 @@
 			So(w.Take(later+testTimes.Pause, "t").Waiting, ShouldNotEqual, 0)
 		})
 	})
-	Convey("Shares are level where there is not enough", t, func() {
+	Convey("Shares are equal if there are not enough tokens", t, func() {
 		for _, c := range []struct {
 			available int64
 			wants     []int64
--- a/internal/store/absentadapters_test.go
+++ b/internal/store/absentadapters_test.go
@@ -11,30 +11,30 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRunsOfAdaptersThatStayAway is the table of runs whose adapter has lost its session
-// and does not come back: a run of it was once left lying until its message's patience ended.
+// TestRunsOfAdaptersThatStayAway is the table of runs whose adapter has lost its session and does not come back. It
+// guards against a run that is not requeued until its message's patience ends.
 func TestRunsOfAdaptersThatStayAway(t *testing.T) {
 	const bound = time.Second
 	cases := []struct {
 		name        string
 		lane        config.Lane
 		repeats     bool
-		isInHand    bool          // the adapter has said that it has the run
-		backAt      time.Duration // when it is back for a moment; 0 for never
-		least, most time.Duration // when the message may run again, after the adapter has gone; 0 for never
+		isInHand    bool          // the adapter has confirmed the run
+		backAt      time.Duration // when the adapter has a session for a moment; 0 for never
+		least, most time.Duration // when the message may run again, after the adapter was lost; 0 for never
 	}{
-		{name: "one that it never heard of", lane: config.Lane{AllowsRerun: true}, least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one that it has in hand", lane: config.Lane{AllowsRerun: true}, isInHand: true, least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one while it comes and goes", lane: config.Lane{AllowsRerun: true}, backAt: 2 * time.Second, least: 5 * time.Second, most: 6 * time.Second},
-		{name: "an ordered one that may still stand at its worker", lane: config.Lane{AllowsRerun: true, IsOrdered: true},
+		{name: "a run that it never received", lane: config.Lane{AllowsRerun: true}, least: 3 * time.Second, most: 4 * time.Second},
+		{name: "a run that it has confirmed", lane: config.Lane{AllowsRerun: true}, isInHand: true, least: 3 * time.Second, most: 4 * time.Second},
+		{name: "a run while it reconnects and is lost again", lane: config.Lane{AllowsRerun: true}, backAt: 2 * time.Second, least: 5 * time.Second, most: 6 * time.Second},
+		{name: "an ordered run that may still occupy its worker", lane: config.Lane{AllowsRerun: true, IsOrdered: true},
 			least: 13 * time.Second, most: 14 * time.Second},
-		{name: "an ordered one of a pool that knows a run again", lane: config.Lane{AllowsRerun: true, IsOrdered: true}, repeats: true,
+		{name: "an ordered run of a pool that deduplicates", lane: config.Lane{AllowsRerun: true, IsOrdered: true}, repeats: true,
 			least: 3 * time.Second, most: 4 * time.Second},
-		{name: "one whose result others keep", lane: config.Lane{AllowsRerun: true, UsesWitness: true}},
-		{name: "one that must not run twice", lane: config.Lane{}},
-		{name: "the last one that may be spent", lane: config.Lane{AllowsRerun: true, CountsEveryRun: true, MaxAttempts: 1}},
+		{name: "a run whose result is also kept elsewhere", lane: config.Lane{AllowsRerun: true, UsesWitness: true}},
+		{name: "a run that must not be repeated", lane: config.Lane{}},
+		{name: "the last attempt", lane: config.Lane{AllowsRerun: true, CountsEveryRun: true, MaxAttempts: 1}},
 	}
-	Convey("Given a run whose adapter has gone,", t, func() {
+	Convey("Given a run whose adapter is lost,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b := newHarness()
--- a/internal/store/ballot.go
+++ b/internal/store/ballot.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// onBallot answers one step of another store's ballot.
+// onBallot answers one step of a bootstrap ballot that another store, or this one, conducts.
 func (f *bootstrapper) onBallot(b *wire.Ballot) *wire.BallotAck {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -44,17 +44,19 @@
 	}
 	if err := f.save(); err != nil {
 		*id = was
-		klog.Errorf("found: A vote cannot be kept: %v.", err)
+		klog.Errorf("found: Failed to persist a vote, so it was not given: %v.", err)
 		return ack
 	}
 	ack.Ok = true
 	if id.IsBootstrapped {
-		klog.Infof("found: Deployment %s is founded by %v.", id.Cluster, id.Roster)
+		klog.Infof("found: Deployment %s is founded with the member stores %v.", id.Cluster, id.Roster)
 		go f.onBootstrapped()
 	}
 	return ack
 }
 
+// sendBallot sends one step of a ballot to another store. It reports false if no acknowledgement came within the
+// answer timeout.
 func (f *bootstrapper) sendBallot(addr string, b *wire.Ballot) (*wire.BallotAck, bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.d.Bounds.Of(timing.AnswerTimeout))
 	defer cancel()
@@ -63,10 +65,10 @@
 	return ack, err == nil && isAck
 }
 
-// joinOrBootstrap joins a deployment that exists, or stands up a ballot for a new one when
-// this is the first store by name, enough blank ones are here, and no store has
-// come or gone since the last time: machines that start together do not see each
-// other all at once, and two of them that see different ones could both found.
+// joinOrBootstrap joins a deployment that exists. Otherwise it runs a ballot for a new one, if this store is the first
+// by name, enough blank stores are members, and the set of stores has not changed for a while. The wait is needed
+// because stores that start together discover each other one by one, and two stores with different views could both
+// found a deployment.
 func (f *bootstrapper) joinOrBootstrap(now time.Duration) {
 	me := f.snapshot()
 	if me.IsBootstrapped {
@@ -103,7 +105,7 @@
 	f.runBallot(roster, addrs, me.Promised+1)
 }
 
-// isSettled reports whether the same stores have been seen for a while.
+// isMembershipStable reports whether the same stores have been members for the answer timeout.
 func (f *bootstrapper) isMembershipStable(stores []wire.Who, now time.Duration) bool {
 	isSame := slices.EqualFunc(stores, f.lastStores, func(a, b wire.Who) bool { return a.Name == b.Name && a.Boot == b.Boot })
 	if !isSame {
@@ -112,7 +114,7 @@
 	return now-f.lastStoresSince >= f.d.Bounds.Of(timing.AnswerTimeout)
 }
 
-// chooseRoster takes so many stores, from as many zones as there are.
+// chooseRoster picks up to count stores, spread over as many zones as possible.
 func chooseRoster(stores []wire.Who, ids map[string]string, count int) []string {
 	out, zones := []string{}, map[string]bool{}
 	for _, isSpread := range []bool{true, false} {
@@ -129,6 +131,8 @@
 	return out
 }
 
+// runBallot conducts a ballot in three steps (promise, accept, found), each of which every store of the roster must
+// acknowledge.
 func (f *bootstrapper) runBallot(roster []string, addrs map[string]string, number int64) {
 	b := wire.Ballot{Number: number, Cluster: daemon.RandomId(6), Roster: roster}
 	best := int64(0)
@@ -142,25 +146,25 @@
 				ack, isHeard = f.sendBallot(addrs[name], &b)
 			}
 			if !isHeard || !ack.Ok {
-				klog.Infof("found: The ballot waits for %s.", name)
+				klog.Infof("found: The ballot stopped because store %s has not acknowledged it; it is repeated later.", name)
 				return
 			}
-			if step == "promise" && ack.Number > best { // an older ballot may have been decided: carry it on
+			if step == "promise" && ack.Number > best { // an older ballot may have been decided, so its value must be adopted
 				best, b.Cluster, b.Roster = ack.Number, ack.Cluster, ack.Roster
 			}
 		}
 	}
 }
 
-// join takes this blank store into a deployment that exists already. It holds
-// nothing and votes nowhere until the owners of groups bring it up to date.
+// join adds this blank store to a deployment that exists already. The store holds no data and has no vote until the
+// owners of groups have brought it up to date.
 func (f *bootstrapper) join(ack *wire.BallotAck) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.id.IsBootstrapped, f.id.Cluster, f.id.Roster = true, ack.Cluster, ack.Roster
 	if err := f.save(); err != nil {
 		f.id.IsBootstrapped = false
-		klog.Errorf("found: The deployment cannot be noted: %v.", err)
+		klog.Errorf("found: Failed to persist the deployment that this store joins: %v.", err)
 		return
 	}
 	klog.Infof("found: Joined deployment %s.", ack.Cluster)
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -1,4 +1,10 @@
-// Package store is the daemon that keeps places and control parts on disk.
+// Package store is the store daemon: it keeps the replicas of places (partitions of the message queue) and of parts
+// (partitions of the control state) on disk.
+//
+// A store holds one replica of each group that it is a member of. For a place that it owns, it accepts messages from
+// adapters, requests slots on workers, starts runs, records their outcomes, and sends notifications. For a part that
+// it owns, it serves the managers. Run is called by cmd/store; the simulation uses PlaceHost, PartHost, Dispatcher,
+// Drain and RosterPlanner directly.
 package store
 
 import (
@@ -14,36 +20,36 @@
 	"caperwheel/internal/wire"
 )
 
-// identity is who a store is, durable in a pair of its own.
+// identity identifies a store and is saved in a storage pair of its own.
 //
-// Invariants: Inc is drawn once for a data folder, so a folder that comes back
-// blank is another incarnation; Founded never turns false again; a store votes
-// for a ballot only while Founded is false, and never below Promised; a folder
-// begun by a store that may not found has promised promisedJoinOnly.
+// Invariants: Incarnation is drawn once for each data folder, so a folder that comes back blank is another
+// incarnation; IsBootstrapped never becomes false again; a store votes for a ballot only while IsBootstrapped is
+// false, and never below Promised; the folder of a store that may only join has promised promisedJoinOnly from the
+// start.
 type identity struct {
 	Name           string   `avro:"name"`
 	Incarnation    string   `avro:"inc"`
 	IsBootstrapped bool     `avro:"founded"`
 	Cluster        string   `avro:"cluster"`
-	Roster         []string `avro:"roster"` // the founding members
+	Roster         []string `avro:"roster"` // the members that the deployment was founded with
 	Promised       int64    `avro:"promised"`
 	Accepted       int64    `avro:"accepted"`
-	Rebuilt        []int64  `avro:"rebuilt"` // groups rebuilt on this disk, once for each time
+	Rebuilt        []int64  `avro:"rebuilt"` // groups rebuilt on this disk; a group is listed once for each rebuild
 }
 
-// promisedJoinOnly is the promise that no ballot passes.
+// promisedJoinOnly is a promise that is higher than the number of any ballot.
 const promisedJoinOnly = math.MaxInt64
 
 var identityCodec = wire.NewRecordCodec(&identity{})
 
-// bootstrapper makes sure that a deployment is founded once: one ballot, durable,
-// and unanimous among the roster that it names.
+// bootstrapper makes sure that a deployment is founded at most once: by one durable ballot that all stores of its
+// roster accept. It is safe for use by several goroutines.
 type bootstrapper struct {
 	d              *daemon.Daemon
 	pair           *storage.Pair
 	onBootstrapped func() // called once, when this store belongs to a deployment
 
-	// What the last try saw, and since when; touched by try alone.
+	// The stores that the last attempt saw, and since when; used by joinOrBootstrap alone.
 	lastStores      []wire.Who
 	lastStoresSince time.Duration
 
@@ -68,7 +74,7 @@
 		return nil, err
 	}
 	if f.id.Name != d.Settings.Name {
-		return nil, errs.New(errs.Invalid, "the data folder belongs to %s", f.id.Name)
+		return nil, errs.New(errs.Invalid, "open the data folder: it belongs to the store %s", f.id.Name)
 	}
 	return f, nil
 }
@@ -81,7 +87,7 @@
 	return f.id
 }
 
-// clusterNumber tells the deployment by a number; 0 before it is founded.
+// clusterNumber returns a number that identifies the deployment, 0 before it is founded.
 func (f *bootstrapper) clusterNumber() int64 {
 	id := f.snapshot()
 	if !id.IsBootstrapped {
@@ -92,7 +98,7 @@
 	return int64(h.Sum32()) + 1
 }
 
-// memberId gives the id under which this store is a member of a group.
+// memberId returns the id under which this store is a member of a group.
 func (f *bootstrapper) memberId(groupId int64) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +114,7 @@
 	return id
 }
 
-// recordRebuild gives this store a new member id in a group whose state it lost.
+// recordRebuild gives this store a new member id in a group whose state it has lost.
 func (f *bootstrapper) recordRebuild(groupId int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -12,20 +12,20 @@
 	"caperwheel/internal/wire"
 )
 
-// TestBallotsOfJoiners: a blank store that may only join takes no part in
-// founding, also after a restart; one that may has its say.
+// TestBallotsOfJoiners checks that a blank store that may only join takes no part in founding a deployment, also after
+// a restart, and that a store which may found one votes.
 func TestBallotsOfJoiners(t *testing.T) {
 	cases := []struct {
 		name           string
-		first, second  bool // may it found, when its folder is begun and when it is opened again
+		first, second  bool // whether it may found a deployment, when its folder is created and when it is opened again
 		isOk, isJoiner bool
 	}{
-		{"one of a first start votes", true, true, true, false},
-		{"one of a first start votes, though restarted", true, false, true, false},
-		{"one that only joins does not", false, false, false, true},
-		{"one that only joins does not, whatever it is told later", false, true, false, true},
+		{"a store that may found votes", true, true, true, false},
+		{"a store that may found votes, also if restarted without that setting", true, false, true, false},
+		{"a store that may only join does not vote", false, false, false, true},
+		{"a store that may only join does not vote, also if restarted with that setting", false, true, false, true},
 	}
-	Convey("Of blank stores,", t, func() {
+	Convey("Among blank stores,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				folder, err := storage.OpenFolder(t.TempDir())
@@ -49,9 +49,8 @@
 	})
 }
 
-// TestSettled: a store founds only once it has seen the same stores for a while.
-// Stores that start together see each other one after another, and two that each
-// saw only some could both found.
+// TestSettled checks that a store founds a deployment only after it has seen the same stores for a while. Stores that
+// start together discover each other one by one, and two stores with incomplete views could both found one.
 func TestSettled(t *testing.T) {
 	wait := timing.Default.Of(timing.AnswerTimeout)
 	who := func(names ...string) (out []wire.Who) {
@@ -63,11 +62,11 @@
 	Convey("Given a store that sees two others", t, func() {
 		f := &bootstrapper{d: &daemon.Daemon{Bounds: timing.Default}}
 		So(f.isMembershipStable(who("a", "b"), 0), ShouldBeFalse)
-		Convey("it may found once that has lasted", func() {
+		Convey("it may found a deployment once that has lasted for the timeout", func() {
 			So(f.isMembershipStable(who("a", "b"), wait-1), ShouldBeFalse)
 			So(f.isMembershipStable(who("a", "b"), wait), ShouldBeTrue)
 		})
-		Convey("a third one that comes has it wait anew", func() {
+		Convey("a third store that joins restarts the wait", func() {
 			So(f.isMembershipStable(who("a", "b", "c"), wait), ShouldBeFalse)
 			So(f.isMembershipStable(who("a", "b", "c"), 2*wait-1), ShouldBeFalse)
 			So(f.isMembershipStable(who("a", "b", "c"), 2*wait), ShouldBeTrue)
--- a/internal/store/candidates.go
+++ b/internal/store/candidates.go
@@ -12,30 +12,32 @@
 	"caperwheel/internal/wire"
 )
 
-// candidateTable has the workers of a pool that may be asked for a slot, with their shares, as of one
-// state of the configuration and of the membership. Pools may have very many workers, and each ask draws.
+// candidateTable lists the workers of a pool that may be asked for a slot, with their weights, for one state of the
+// configuration and of the membership. It is cached because a pool may have thousands of workers and each slot request
+// draws one.
 //
-// Invariants: the sums grow along each.
+// Invariant: cumulative grows along each list.
 type candidateTable struct {
 	compiled      *config.Compiled
 	members       string      // hash of the membership
-	local, remote []candidate // far only where no own one may be asked; a pool that spills has all in own
+	local, remote []candidate // remote is used only if no local worker may be asked; if the pool spills, all are in local
 }
 
-// candidate is a worker that may be asked, at its holder.
+// candidate is a worker that may be asked for a slot, with the adapter that holds it.
 type candidate struct {
 	workerInstance
 	worker     string
 	holder     wire.Who
-	share      float64
-	cumulative float64 // of the shares up to this one
+	weight     float64
+	cumulative float64 // sum of the weights up to and including this one
 }
 
-// pickAttempts is how often one is drawn that is not to be asked now, before all are looked at.
+// pickAttempts limits the random draws that hit a blocked worker before the whole list is searched for one that is not
+// blocked.
 const pickAttempts = 4
 
-// pickWorker picks a worker that may serve, whose holder is here, by weight: own
-// zone first, others as far as the pool spills.
+// pickWorker draws a live worker by weight, whose holder is a member. Workers of the own zone come first; other zones
+// follow if no local worker is free, or at once if the pool spills.
 func (d *Dispatcher) pickWorker(compiled *config.Compiled, pool string) (candidate, bool) {
 	members := d.o.Daemon.Membership.Hash()
 	d.mu.Lock()
@@ -52,17 +54,17 @@
 	return d.pickUnblocked(t.remote, now)
 }
 
-// pickUnblocked draws one of the choices that is not to be left alone now.
-func (d *Dispatcher) pickUnblocked(choices []candidate, now time.Duration) (candidate, bool) {
+// pickUnblocked draws one of the candidates that may be asked now.
+func (d *Dispatcher) pickUnblocked(candidates []candidate, now time.Duration) (candidate, bool) {
 	for range pickAttempts {
-		if chosen, isFound := d.pickWeighted(choices); !isFound || now >= d.blockedUntil[chosen.workerInstance] {
+		if chosen, isFound := d.pickWeighted(candidates); !isFound || now >= d.blockedUntil[chosen.workerInstance] {
 			return chosen, isFound
 		}
 	}
 	free, sum := []candidate{}, 0.0
-	for _, c := range choices {
+	for _, c := range candidates {
 		if now >= d.blockedUntil[c.workerInstance] {
-			sum += c.share
+			sum += c.weight
 			c.cumulative = sum
 			free = append(free, c)
 		}
@@ -70,14 +72,14 @@
 	return d.pickWeighted(free)
 }
 
-// pickWeighted draws by share.
-func (d *Dispatcher) pickWeighted(choices []candidate) (candidate, bool) {
-	if len(choices) == 0 {
+// pickWeighted draws a candidate by its weight.
+func (d *Dispatcher) pickWeighted(candidates []candidate) (candidate, bool) {
+	if len(candidates) == 0 {
 		return candidate{}, false
 	}
-	at := d.o.Rand.Float64() * choices[len(choices)-1].cumulative
-	i := sort.Search(len(choices), func(i int) bool { return choices[i].cumulative > at })
-	return choices[min(i, len(choices)-1)], true
+	at := d.o.Rand.Float64() * candidates[len(candidates)-1].cumulative
+	i := sort.Search(len(candidates), func(i int) bool { return candidates[i].cumulative > at })
+	return candidates[min(i, len(candidates)-1)], true
 }
 
 // newCandidateTable lists the workers of a pool that may be asked.
@@ -91,7 +93,7 @@
 		}
 		isOwnZone := worker.Zone == "" || worker.Zone == d.o.Daemon.Who.Zone
 		choice := candidate{workerInstance: workerInstance{pool, name, duty.Boot}, worker: name, holder: holder,
-			share: candidateWeight(compiled.Weights[pool], name, worker.Zone, isOwnZone)}
+			weight: candidateWeight(compiled.Weights[pool], name, worker.Zone, isOwnZone)}
 		if isOwnZone {
 			t.local = append(t.local, choice)
 		} else {
@@ -106,20 +108,21 @@
 	return t
 }
 
-func accumulateWeights(choices []candidate) {
+// accumulateWeights sets the cumulative weights.
+func accumulateWeights(candidates []candidate) {
 	sum := 0.0
-	for i := range choices {
-		sum += choices[i].share
-		choices[i].cumulative = sum
+	for i := range candidates {
+		sum += candidates[i].weight
+		candidates[i].cumulative = sum
 	}
 }
 
-// remoteZonePenalty: a worker of another zone is asked so much more seldom than one of
-// our own. Bytes between zones are dear; one that cannot serve is not drawn at all.
+// remoteZonePenalty divides the weight of a worker in another zone, because traffic between zones is expensive.
+// Workers that cannot serve are not listed at all.
 const remoteZonePenalty = 32
 
-// candidateWeight is how likely a worker is asked, against others: as published by
-// its pool's controller, and less across zones.
+// candidateWeight returns the relative likelihood that a worker is asked: the published weight of the worker and of
+// its zone, reduced for other zones.
 func candidateWeight(published weight.Weights, worker, zone string, isOwnZone bool) float64 {
 	out := 1.0
 	if w, isKnown := published.Workers[worker]; isKnown {
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -14,53 +14,51 @@
 	"caperwheel/internal/wire"
 )
 
-// DispatcherOptions are what a dispatcher needs of its store. The simulation gives others.
+// DispatcherOptions are the dependencies of a dispatcher. The simulation provides its own.
 type DispatcherOptions struct {
 	Daemon  *daemon.Daemon
 	Configs *config.Cache
-	Places  func() []*PlaceHost // held here; one that is not owned has nothing ready
+	Places  func() []*PlaceHost // held on this store; a place that is not owned has no ready messages
 	Post    func(who wire.Who, ask any, answer func(reply any, err error)) error
-	Start   func(p *PlaceHost, lane string, g SlotGrant) error // on the place's goroutine
+	Start   func(p *PlaceHost, lane string, g SlotGrant) error // runs on the place's goroutine
 	Rand    *rand.Rand
 }
 
-// Dispatcher matches what this store's places have ready with slots on
-// workers. It asks the holders of workers for slots and binds a message only
-// when a slot is granted, so urgency counts at the last moment and a busy or
-// downed pool holds no message. It is driven by Turn.
+// Dispatcher assigns the ready messages of this store's places to slots on workers. It requests slots from the
+// adapters that hold the workers and picks a message only when a slot is granted, so urgency is applied at the last
+// moment and no message is bound to a pool that is busy or down. Dispatch does one pass.
 //
-// Invariants: wants of a pool never pass what is ready for it, nor maxSlotRequests;
-// a granted slot is used or released; a pause lasts no longer than the holder that told it
-// holds the worker.
+// Invariants: the open requests of a pool exceed neither its ready messages nor maxSlotRequests; a granted slot is
+// used or released; a worker is blocked only for requests to the holder incarnation that asked for the pause.
 type Dispatcher struct {
 	o    DispatcherOptions
 	wake chan struct{}
 
 	mu            sync.Mutex
-	requests      map[string]openRequests // asks under way, by pool
+	requests      map[string]openRequests // open slot requests by pool
 	lastRequestId int64
-	blockedUntil  map[workerInstance]time.Duration // not to be asked before
+	blockedUntil  map[workerInstance]time.Duration // when each worker may be asked again
 	laneScheduler laneScheduler
 	candidates    map[string]*candidateTable // by pool
 	nextPlace     int
 }
 
-// workerInstance is a worker as one life of its holder serves it.
+// workerInstance is a worker as served by one incarnation of its holder.
 type workerInstance struct{ pool, worker, boot string }
 
 const maxSlotRequests = 128
 
-// openRequests are those under way, each with its deadline. One that is not answered by
-// then no longer counts: an adapter may have lost it.
+// openRequests are the open slot requests by id, with their deadlines. A request that is not answered by its deadline
+// no longer counts, since the adapter may have lost it.
 type openRequests map[int64]time.Duration
 
-// NewDispatcher returns a dispatcher that has asked for nothing yet.
+// NewDispatcher returns a dispatcher without open requests.
 func NewDispatcher(o DispatcherOptions) *Dispatcher {
 	return &Dispatcher{o: o, wake: make(chan struct{}, 1), requests: map[string]openRequests{}, blockedUntil: map[workerInstance]time.Duration{},
 		laneScheduler: newLaneScheduler(), candidates: map[string]*candidateTable{}}
 }
 
-// expireRequests closes the asks that nobody answered, and forgets pauses that are over.
+// expireRequests drops the requests whose deadline has passed, and the pauses that are over.
 func (d *Dispatcher) expireRequests(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +76,7 @@
 	maps.DeleteFunc(d.blockedUntil, func(_ workerInstance, until time.Duration) bool { return now >= until })
 }
 
-// Wake has a turn come soon.
+// Wake schedules a Dispatch soon.
 func (d *Dispatcher) Wake() {
 	select {
 	case d.wake <- struct{}{}:
@@ -86,7 +84,7 @@
 	}
 }
 
-// run turns until ctx ends.
+// run dispatches at intervals and when woken, until ctx ends.
 func (d *Dispatcher) run(ctx context.Context) {
 	ticker := time.NewTicker(d.o.Daemon.Bounds.Of(timing.DispatchInterval))
 	defer ticker.Stop()
@@ -101,7 +99,7 @@
 	}
 }
 
-// readyByLane sums up what may run, by lane.
+// readyByLane counts the ready messages by lane.
 func (d *Dispatcher) readyByLane() map[string]int {
 	out := map[string]int{}
 	for _, p := range d.dispatchablePlaces() {
@@ -112,7 +110,7 @@
 	return out
 }
 
-// Dispatch asks for as many slots as there are messages ready.
+// Dispatch requests as many slots as there are ready messages.
 func (d *Dispatcher) Dispatch() {
 	d.expireRequests(d.o.Daemon.Now())
 	if !d.o.Daemon.IsFresh() {
@@ -140,7 +138,7 @@
 	}
 }
 
-// requestSlot asks for one slot of the pool, at a worker drawn by weight.
+// requestSlot requests one slot of the pool from a worker drawn by weight. It reports false if no worker may be asked.
 func (d *Dispatcher) requestSlot(compiled *config.Compiled, pool string) bool {
 	chosen, isFound := d.pickWorker(compiled, pool)
 	if !isFound {
@@ -148,8 +146,8 @@
 		return false
 	}
 	bounds := d.o.Daemon.Bounds
-	hold, asked := bounds.Of(timing.SlotRequestHold), d.o.Daemon.Now()
-	serial := d.addRequest(pool, asked+hold+bounds.Of(timing.Permit))
+	hold, sentAt := bounds.Of(timing.SlotRequestHold), d.o.Daemon.Now()
+	serial := d.addRequest(pool, sentAt+hold+bounds.Of(timing.Permit))
 	done := func(reply any, err error) {
 		grant, isGrant := reply.(*wire.Grant)
 		if err != nil || !isGrant {
@@ -158,7 +156,7 @@
 		d.close(chosen.workerInstance, serial, grant)
 		if grant.Kind == "" {
 			d.assignSlot(SlotGrant{Pool: pool, Worker: chosen.worker, Holder: chosen.holder, Permit: grant.Permit,
-				Until: asked + bounds.Of(timing.Permit)/2})
+				Until: sentAt + bounds.Of(timing.Permit)/2})
 		}
 	}
 	ask := &wire.Want{Pool: pool, Worker: chosen.worker, Hold: hold.Milliseconds()}
@@ -168,7 +166,7 @@
 	return true
 }
 
-// open notes an ask that is to be answered by a deadline.
+// addRequest records a slot request with its deadline.
 func (d *Dispatcher) addRequest(pool string, deadline time.Duration) (serial int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -180,7 +178,7 @@
 	return d.lastRequestId
 }
 
-// close notes what came of an ask.
+// close records the result of a slot request.
 func (d *Dispatcher) close(s workerInstance, serial int64, grant *wire.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/store/dispatch_test.go
+++ b/internal/store/dispatch_test.go
@@ -7,16 +7,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestAsksAreNotMissedForEver: see TestMovedDuty; the store does not rely on an
-// answer either.
+// TestAsksAreNotMissedForEver guards against slot requests that stay open forever because no answer comes; see also
+// TestMovedDuty.
 func TestAsksAreNotMissedForEver(t *testing.T) {
-	Convey("Given two asks under way", t, func() {
+	Convey("Given two open slot requests", t, func() {
 		d := NewDispatcher(DispatcherOptions{})
 		d.requests["p"] = openRequests{1: time.Second, 2: 3 * time.Second}
-		Convey("one that was not answered by its cutoff no longer counts", func() {
+		Convey("a request that was not answered by its deadline no longer counts", func() {
 			d.expireRequests(2 * time.Second)
 			So(len(d.requests["p"]), ShouldEqual, 1)
-			Convey("nor twice, should its answer come after all", func() {
+			Convey("and is not removed twice if its answer comes after all", func() {
 				delete(d.requests["p"], 1)
 				So(len(d.requests["p"]), ShouldEqual, 1)
 				delete(d.requests["p"], 2)
--- a/internal/store/drain.go
+++ b/internal/store/drain.go
@@ -10,29 +10,29 @@
 	"caperwheel/internal/timing"
 )
 
-// Drain is how a store that was asked to stop goes in order. What it owns goes to stores that
-// stay. Where too few of a group's stores stay to commit anything, no more runs are begun of it, and the store
-// remains a member of the group until those that are open have ended: adapters that hold their results may
-// be stopping as well, and nobody else has these.
+// Drain stops a store gracefully. Groups that the store owns are handed over to stores that stay. If too few stores of
+// a group stay to commit anything, no more runs of it are started, and the store remains a member of the group until
+// its open runs have ended: the adapters that hold their results may be stopping as well, and the results exist
+// nowhere else.
 //
-// Invariant: a store goes of itself only where each of its groups keeps a majority, or no run has been
-// open in what it holds for a while.
+// Invariant: a store stops by itself only if each of its groups keeps a majority, or if no run has been open in its
+// groups for the answer timeout.
 type Drain struct {
 	o               DrainOptions
 	startedAt       time.Duration
-	ownedSinceStart map[*host.Host]bool // groups that have been owned ever since the store was asked
-	isIdle          bool                // no run is open in what is held here
+	ownedSinceStart map[*host.Host]bool // groups that have been owned since draining started
+	isIdle          bool                // no run is open in the places held here
 	idleSince       time.Duration
 }
 
-// DrainOptions are what a departure needs of its store. The simulation gives others.
+// DrainOptions are the dependencies of a Drain. The simulation provides its own.
 type DrainOptions struct {
 	Daemon *daemon.Daemon
 	Hosts  func() []*host.Host
 	Places func() []*PlaceHost
 }
 
-// NewDrain begins the departure of a store that is asked to stop now.
+// NewDrain starts to drain a store that was asked to stop just now.
 func NewDrain(o DrainOptions) *Drain {
 	o.Daemon.StartDraining()
 	d := &Drain{o: o, startedAt: o.Daemon.Now(), ownedSinceStart: map[*host.Host]bool{}}
@@ -42,11 +42,11 @@
 	return d
 }
 
-// Step does what is to be done now, and reports whether the store may go.
+// Step does the work that is due now, and reports whether the store may stop.
 func (d *Drain) Step() (isDone bool) {
 	now, bounds := d.o.Daemon.Now(), d.o.Daemon.Bounds
 	d.updateIdle(now)
-	isNoticeOver := now-d.startedAt >= bounds.Of(timing.DrainNotice) // of others that stop
+	isNoticeOver := now-d.startedAt >= bounds.Of(timing.DrainNotice) // the time for others to announce that they stop as well
 	remaining, isNeeded := 0, false
 	for _, h := range d.o.Hosts() {
 		v := h.View()
@@ -57,7 +57,7 @@
 			continue
 		}
 		remaining++
-		if isNoticeOver || d.ownedSinceStart[h] { // what came since may be from one that stops, and would go to and fro
+		if isNoticeOver || d.ownedSinceStart[h] { // a group owned only since then may come from a store that stops, and would be handed back and forth
 			h.TransferOwnership(d.isLeaving)
 		}
 	}
@@ -70,7 +70,7 @@
 	return d.isIdle && now-d.idleSince >= bounds.Of(timing.AnswerTimeout)
 }
 
-// updateIdle notes since when no run is open in what is held here.
+// updateIdle records since when no run has been open in the places held here.
 func (d *Drain) updateIdle(now time.Duration) {
 	open := int64(0)
 	for _, p := range d.o.Places() {
@@ -81,7 +81,7 @@
 	}
 }
 
-// isMajority reports whether more than half of a group's voters are so.
+// isMajority reports whether the predicate holds for more than half of a group's voters.
 func isMajority(voters []string, is func(member string) bool) bool {
 	count := 0
 	for _, m := range voters {
@@ -92,25 +92,25 @@
 	return count > len(voters)/2
 }
 
-// isStaying reports whether a voter stays. Without news of the others, none does.
+// isStaying reports whether a voter stays. While the view is not recent, no voter counts as staying.
 func (d *Drain) isStaying(member string) bool {
 	age, isSure := d.o.Daemon.View.Age(d.o.Daemon.Now())
 	isInformed := isSure && age < d.o.Daemon.Bounds.Of(timing.AnswerTimeout)
 	return isInformed && isStaying(d.o.Daemon, member)
 }
 
-// isLeaving reports whether a voter is asked to stop, as far as is known.
+// isLeaving reports whether a voter is known to have been asked to stop.
 func (d *Drain) isLeaving(member string) bool {
 	name := group.Name(member)
 	return name == d.o.Daemon.Who.Name || d.o.Daemon.Membership.IsDraining(name)
 }
 
-// hasSuccessor reports whether one of the voters may own the group instead.
+// hasSuccessor reports whether another voter may take over the group.
 func (d *Drain) hasSuccessor(voters []string) bool {
 	return slices.ContainsFunc(voters, func(m string) bool { return isStaying(d.o.Daemon, m) })
 }
 
-// isStaying reports whether a voter is here and not asked to stop, as far as a daemon knows.
+// isStaying reports whether, as far as the daemon can see, a voter is a member and has not been asked to stop.
 func isStaying(d *daemon.Daemon, member string) bool {
 	name := group.Name(member)
 	if name == d.Who.Name {
@@ -120,8 +120,8 @@
 	return isHere && !d.Membership.IsDraining(name)
 }
 
-// dispatchablePlaces lists those that runs may be begun of. Where stores are asked to stop and too few of a group's
-// stay, the results of what is begun now might not become durable.
+// dispatchablePlaces lists the places that may start runs. If stores were asked to stop and too few stores of a group
+// stay, the results of new runs might not become durable.
 func (d *Dispatcher) dispatchablePlaces() []*PlaceHost {
 	all := d.o.Places()
 	if !d.o.Daemon.IsDraining() && !d.o.Daemon.Membership.HasDrainingStores() {
--- a/internal/store/environment.go
+++ b/internal/store/environment.go
@@ -9,49 +9,48 @@
 	"caperwheel/internal/wire"
 )
 
-// Environment is what a place's owner needs of the daemon that it runs in. The
-// simulation gives another one.
+// Environment is what the owner of a place or a part needs of its daemon. The simulation provides its own.
 type Environment interface {
 	Now() time.Duration
 	After(span time.Duration, work func())
 	Bounds() timing.Bounds
 	IsFresh() bool
 	IsDiskFull() bool
-	IsDiskBusy() bool // the disk has as much to write as may wait for it
+	IsDiskBusy() bool // the disk has more to write than may be queued
 	Compiled() *config.Compiled
 	Find(name string) (wire.Who, bool)
-	Adapters() []wire.Who                                      // those that are members
-	Post(who wire.Who, ask any, answer func(any, error)) error // to an adapter
+	Adapters() []wire.Who                                      // adapters that are members
+	Post(who wire.Who, ask any, answer func(any, error)) error // sends a request to an adapter
 	SubmitToPlace(t *wire.Take, tell func(isTaken bool))
 	Release(g SlotGrant)
-	Notifier(address string) (wire.Who, bool) // the adapter that speaks to an address
+	Notifier(address string) (wire.Who, bool) // the adapter that sends notifications to an address
 	Wake()
 	PlaceOf(id string) int64
 	ChildId(parent string) string
 	Fail(err error)
-	IsMemoryLow() bool // the store has too little memory left to hold more
+	IsMemoryLow() bool // the store has too little memory left to accept more
 }
 
-// Group is the replicated group below a place.
+// Group is the replicated group of a place or a part.
 type Group interface {
 	IsOwner() bool
 	Term() int64
-	DataTerm() int64         // of the newest command that was applied, or a later one
-	LoggedAt() time.Duration // while a command is applied: when the replica had it already
+	DataTerm() int64         // term of the newest applied command, or a later term
+	LoggedAt() time.Duration // during Apply: when the replica received the command
 	PendingProposals() int
-	OldestProposalAge() time.Duration // how long the oldest proposal has waited
+	OldestProposalAge() time.Duration // how long the oldest proposal has been pending
 	View() group.View
 	Propose(data []byte, tell func(verdict any, err error))
 	Do(work func()) error
 }
 
-// Attach joins a place to its group; called once, before anything else.
+// Attach sets the group of a place. It is called once, before any other method.
 func (p *PlaceHost) Attach(h Group) { p.host = &timedGroup{Group: h} }
 
-// Do has work done on the place's goroutine.
+// Do runs work on the place's goroutine.
 func (p *PlaceHost) Do(work func()) error { return p.host.Do(work) }
 
-// environment is the store daemon as its places see it.
+// environment gives places and parts access to the store daemon.
 type environment struct{ store *Store }
 
 func (a *environment) Now() time.Duration                    { return a.store.d.Now() }
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -11,33 +11,33 @@
 	"caperwheel/internal/wire"
 )
 
-// harness is a place's surroundings and group in a test's hands: proposals wait
-// until the test decides them.
+// harness is the environment and the group of a place, controlled by a test: proposals wait until the test decides
+// them.
 type harness struct {
 	rules        *config.Rules
 	members      map[string]wire.Who
-	isFull       bool
-	isBusy       bool
+	isDiskFull   bool
+	isDiskBusy   bool
 	oldest       time.Duration
 	proposed     []func(commits bool)
 	posted       []any
 	answers      []func(any, error)
 	place        *PlaceHost
 	now          time.Duration
-	isTight      bool
-	freshAnswers []bool // what it says of its view, one ask after the other; then that it is fresh
-	// For how long nobody has confirmed the ownership.
+	isMemoryLow  bool
+	freshAnswers []bool // results of IsFresh, one for each call; true after that
+	// For how long no majority has confirmed the ownership.
 	unconfirmed         time.Duration
-	deferred            []func() // work for later
-	released            int      // slots given back
-	offered             []string // call-backs, by their ids, and how each offer is answered
-	offerReplies        []func(isTaken bool)
+	deferred            []func() // work that was scheduled by After
+	released            int      // number of slots given back
+	submitted           []string // ids of the call-backs that were submitted to other places
+	submitReplies       []func(isTaken bool)
 	adapters            []wire.Who
 	dataTerm            int64
-	appendedAgo         time.Duration // for how long the log has had the command that is applied
+	appendedAgo         time.Duration // how long ago the log received the command that is applied
 	term                int64
 	isFollower          bool
-	rejectsTimeMessages bool // adapters are of a build that knows no group time
+	rejectsTimeMessages bool // adapters are of an older build without the messages for a group's time
 }
 
 func newHarness() *harness {
@@ -62,16 +62,16 @@
 	b.freshAnswers = b.freshAnswers[1:]
 	return is
 }
-func (b *harness) IsDiskFull() bool                  { return b.isFull }
-func (b *harness) IsDiskBusy() bool                  { return b.isBusy }
+func (b *harness) IsDiskFull() bool                  { return b.isDiskFull }
+func (b *harness) IsDiskBusy() bool                  { return b.isDiskBusy }
 func (b *harness) OldestProposalAge() time.Duration  { return b.oldest }
 func (b *harness) Compiled() *config.Compiled        { return &config.Compiled{Rules: b.rules} }
 func (b *harness) Find(name string) (wire.Who, bool) { w, isHere := b.members[name]; return w, isHere }
 func (b *harness) Adapters() []wire.Who              { return b.adapters }
 func (b *harness) DataTerm() int64                   { return b.dataTerm }
 func (b *harness) LoggedAt() time.Duration           { return b.now - b.appendedAgo }
-func (b *harness) SubmitToPlace(t *wire.Take, tell func(bool)) {
-	b.offered, b.offerReplies = append(b.offered, t.Id), append(b.offerReplies, tell)
+func (b *harness) SubmitToPlace(t *wire.Take, report func(bool)) {
+	b.submitted, b.submitReplies = append(b.submitted, t.Id), append(b.submitReplies, report)
 }
 func (b *harness) Notifier(string) (wire.Who, bool) { w, isHere := b.members["t"]; return w, isHere }
 func (b *harness) Release(SlotGrant)                { b.released++ }
@@ -79,7 +79,7 @@
 func (b *harness) PlaceOf(string) int64             { return 0 }
 func (b *harness) ChildId(parent string) string     { return parent }
 func (b *harness) Fail(err error)                   { panic(err) }
-func (b *harness) IsMemoryLow() bool                { return b.isTight }
+func (b *harness) IsMemoryLow() bool                { return b.isMemoryLow }
 func (b *harness) IsOwner() bool                    { return !b.isFollower }
 func (b *harness) Term() int64                      { return max(1, b.term) }
 func (b *harness) PendingProposals() int            { return 0 }
@@ -94,17 +94,17 @@
 	b.posted, b.answers = append(b.posted, ask), append(b.answers, answer)
 	return nil
 }
-func (b *harness) Propose(data []byte, tell func(any, error)) {
+func (b *harness) Propose(data []byte, done func(any, error)) {
 	b.proposed = append(b.proposed, func(commits bool) {
 		if commits {
-			tell(b.place.Apply(data, true), nil)
+			done(b.place.Apply(data, true), nil)
 		} else {
-			tell(nil, errs.New(errs.Undecided, "the owner has been replaced"))
+			done(nil, errs.New(errs.Undecided, "the owner has been replaced"))
 		}
 	})
 }
 
-// commit decides all proposals that wait.
+// commit decides all pending proposals.
 func (b *harness) commit(commits bool) {
 	for len(b.proposed) > 0 {
 		next := b.proposed[0]
@@ -113,7 +113,7 @@
 	}
 }
 
-// startedHarness returns a bench with one message whose first run is open.
+// startedHarness returns a harness with one message whose first run is open.
 func startedHarness(lane string) (*harness, *place.Message) {
 	b := newHarness()
 	b.place.Take(&wire.Take{Id: "0-x", Lane: lane, Deadline: 600_000}, func(any) {})
--- a/internal/store/lanechanges_test.go
+++ b/internal/store/lanechanges_test.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// orderedHarness returns a bench with a lane o, ordered or not.
+// orderedHarness returns a harness with a lane o, ordered or not.
 func orderedHarness(isOrdered bool) *harness {
 	b := newHarness()
 	b.setLane(config.Lane{Name: "o", IsOrdered: isOrdered, MaxAttempts: 3, AllowsRerun: true, Pools: []string{"p"}, MaxBackoff: time.Second})
@@ -20,13 +20,13 @@
 
 func (b *harness) setLane(lane config.Lane) { b.rules.Lanes[lane.Name] = lane }
 
-// takeKeyed has a message of lane o and key k taken.
+// takeKeyed submits a message of lane o with key k.
 func (b *harness) takeKeyed(id string) {
 	b.place.Take(&wire.Take{Id: id, Lane: "o", Key: "k", Deadline: 600_000}, func(any) {})
 	b.commit(true)
 }
 
-// runNext has the next message of lane o run, and tells what came of it.
+// runNext starts the next message of lane o and reports an outcome of the given kind.
 func (b *harness) runNext(kind string) {
 	b.place.Start("o", SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: time.Hour})
 	b.commit(true)
@@ -34,17 +34,16 @@
 		b.place.Outcome(&wire.Outcome{Id: e.Id, Kind: kind, MayHaveStarted: true, Proof: wire.Proof{Attempt: e.Attempt, Answer: []byte{}}}, func(any) {})
 	}
 	b.commit(true)
-	b.now += 5 * time.Second // behind any pause
+	b.now += 5 * time.Second // longer than any retry delay
 }
 
 func (b *harness) state(id string) place.State { return b.place.machine.Find(id).State }
 
 func (b *harness) ready() int { return b.place.machine.Ready(b.place.now())["o"] }
 
-// TestLaneChanges: what a newer configuration means for messages that were taken under
-// an older one.
+// TestLaneChanges checks what a new configuration means for messages that were accepted under an older one.
 func TestLaneChanges(t *testing.T) {
-	Convey("A lane that gains its ordering orders what comes from then on", t, func() {
+	Convey("A lane that becomes ordered orders the messages accepted from then on", t, func() {
 		b := orderedHarness(false)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
@@ -61,7 +60,7 @@
 			[]place.State{place.Ended, place.Ended, place.Ended, place.Held})
 		So(b.ready(), ShouldEqual, 1)
 	})
-	Convey("A lane that loses its ordering keeps the order of what it had", t, func() {
+	Convey("A lane that is no longer ordered keeps the order of the messages accepted before", t, func() {
 		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
@@ -74,7 +73,7 @@
 		So(b.state("0-1"), ShouldEqual, place.Ended)
 		So(b.state("0-2"), ShouldEqual, place.Held)
 	})
-	Convey("A lane that was dropped and is back goes on in order, before what comes later", t, func() {
+	Convey("A lane that was removed and is added again goes on in order, before later messages", t, func() {
 		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
@@ -93,7 +92,7 @@
 			So(b.state(id), ShouldEqual, place.Ended)
 		}
 	})
-	Convey("A message that has spent more attempts than it now may is closed, and the next of its key goes on", t, func() {
+	Convey("A message that has spent more attempts than the lane now allows is closed, and the next of its key runs", t, func() {
 		b := orderedHarness(true)
 		b.takeKeyed("0-1")
 		b.takeKeyed("0-2")
--- a/internal/store/lanescheduler.go
+++ b/internal/store/lanescheduler.go
@@ -9,8 +9,8 @@
 	"caperwheel/internal/wire"
 )
 
-// assignSlot gives a granted slot to the lane whose turn it is: turns are shared by
-// urgency among the lanes that the pool may run.
+// assignSlot gives a granted slot to the lane that is next in turn, among the ready lanes that may use the pool. Lanes
+// share the slots in proportion to their urgency.
 func (d *Dispatcher) assignSlot(g SlotGrant) {
 	lane := d.pickLane(g.Pool)
 	if lane == "" {
@@ -34,6 +34,7 @@
 	d.release(g)
 }
 
+// pickLane returns the lane that gets the next slot of a pool, empty if no lane has a ready message.
 func (d *Dispatcher) pickLane(pool string) string {
 	ready, rules := d.readyByLane(), d.o.Configs.Current().Rules
 	d.mu.Lock()
@@ -41,26 +42,27 @@
 	return d.laneScheduler.pick(pool, ready, rules)
 }
 
-// release gives a slot back unused.
+// release returns an unused slot to its holder.
 func (d *Dispatcher) release(g SlotGrant) {
 	err := d.o.Post(g.Holder, &wire.Release{Permit: g.Permit}, nil)
 	if err != nil && !errs.Is(err, errs.Lost) {
-		d.Wake() // the holder takes it back when it lapses
+		d.Wake() // the holder frees the slot when the permit expires
 	}
 }
 
-// laneScheduler shares the grants of each pool by urgency among the lanes that wait for them.
+// laneScheduler shares the slots of each pool among the lanes with ready messages, in proportion to their urgency
+// (weighted fair queueing).
 //
-// Invariant: taken has the grants given since the last count of what is ready.
+// Invariant: granted counts the slots assigned since ready messages were last counted.
 type laneScheduler struct {
 	pools   map[string]*poolSchedule
 	granted map[string]int // by lane
 }
 
-// poolSchedule are those of one pool's lanes.
+// poolSchedule is the schedule of one pool's lanes.
 //
-// Invariant: passed has a lane's grants divided by its urgency. A lane that was idle, or is new,
-// catches up on nothing: it stands no further back than floor, where the lane stood that had the newest turn.
+// Invariant: virtualTime is a lane's number of slots divided by its urgency. A lane that is new or was idle does not
+// catch up: its virtual time counts as no less than virtualFloor, the virtual time of the lane that had the last slot.
 type poolSchedule struct {
 	virtualTime  map[string]float64
 	virtualFloor float64
@@ -70,7 +72,7 @@
 	return laneScheduler{pools: map[string]*poolSchedule{}, granted: map[string]int{}}
 }
 
-// begin counts anew, and forgets pools and lanes that are gone.
+// startRound resets the counts of granted slots, and drops pools and lanes that were removed.
 func (t *laneScheduler) startRound(rules *config.Rules) {
 	clear(t.granted)
 	for name, p := range t.pools {
@@ -85,7 +87,7 @@
 	}
 }
 
-// pickWeighted returns the lane that a slot of a pool goes to, empty where nothing is left to run.
+// pick returns the lane that the next slot of a pool goes to, empty if no ready message is left.
 func (t *laneScheduler) pick(pool string, ready map[string]int, rules *config.Rules) string {
 	p := t.pools[pool]
 	if p == nil {
--- a/internal/store/lanescheduler_test.go
+++ b/internal/store/lanescheduler_test.go
@@ -17,8 +17,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestLaneTurns: a lane that came with a change of the configuration once had every slot of its pool until
-// it had had as many turns as the others since the store began, while they waited.
+// TestLaneTurns guards against a lane that a configuration change adds taking every slot of its pool, until it has had
+// as many as the others have had since the store started.
 func TestLaneTurns(t *testing.T) {
 	rules, faults := config.Compile([]byte(`{"pools":{"p":{},"q":{}},"lanes":{"a":{"pools":["p"],"urgency":2},"b":{"pools":["p"],"urgency":1},"c":{"pools":["p"],"urgency":1},"z":{"pools":["q"]}}}`))
 	if len(faults) > 0 {
@@ -32,7 +32,7 @@
 		for range count {
 			turns.startRound(rules)
 			got[turns.pick("p", ready, rules)]++
-			for range 50 { // the lanes of another pool have many more turns
+			for range 50 { // the lanes of another pool get many more slots
 				turns.pick("q", map[string]int{"z": 100}, rules)
 			}
 		}
@@ -41,14 +41,14 @@
 	Convey("Slots of a pool are shared by urgency", t, func() {
 		turns := newLaneScheduler()
 		So(share(&turns, 300, "a", "b", "c"), ShouldResemble, map[string]int{"a": 150, "b": 75, "c": 75})
-		Convey("also with a lane that is new, or was idle", func() {
+		Convey("also with a lane that is new or was idle", func() {
 			turns := newLaneScheduler()
 			share(&turns, 3000, "a", "b")
 			got := share(&turns, 300, "a", "b", "c")
 			So(got["a"], ShouldBeBetween, 145, 155)
 			So(got["b"], ShouldBeBetween, 70, 80)
 		})
-		Convey("and none goes to a lane that has none left", func() {
+		Convey("and none goes to a lane without ready messages", func() {
 			turns := newLaneScheduler()
 			So(turns.pick("p", map[string]int{"b": 1}, rules), ShouldEqual, "b")
 			So(turns.pick("p", map[string]int{"b": 1}, rules), ShouldBeEmpty)
@@ -56,7 +56,7 @@
 	})
 }
 
-// newDrawDispatcher is a dispatcher of a store in zone a, with workers of two zones.
+// newDrawDispatcher returns the dispatcher of a store in zone a, with workers in two zones.
 func newDrawDispatcher(pool string, workers int) (d *Dispatcher, asked map[string]int, answer func(*wire.Grant)) {
 	now, view, list := time.Second, feed.NewView(1), config.Workers{}
 	changes := []wire.Change{{Key: config.DutyKey + "p/none", Revision: 1, Value: config.Duty{Holder: "gone", Boot: "1"}.Encode()}}
@@ -87,7 +87,7 @@
 	return d, asked, func(g *wire.Grant) { done(g, nil) }
 }
 
-// TestDraw is the table of which workers are asked for slots.
+// TestDraw checks which workers are asked for slots.
 func TestDraw(t *testing.T) {
 	full := &wire.Grant{Kind: string(errs.Full), Retry: 200}
 	ask := func(d *Dispatcher, times int) (isFound bool) {
@@ -97,7 +97,7 @@
 		return isFound
 	}
 	Convey("Workers are asked for slots", t, func() {
-		Convey("of the own zone alone, while one may be asked, each as often", func() {
+		Convey("only of the own zone while one may be asked, equally often", func() {
 			d, asked, _ := newDrawDispatcher(`{"spill":false}`, 8)
 			ask(d, 400)
 			So(asked, ShouldHaveLength, 4)
@@ -106,13 +106,13 @@
 				So(n, ShouldBeBetween, 60, 140)
 			}
 		})
-		Convey("of all zones where the pool spills, others less", func() {
+		Convey("of all zones if the pool spills, other zones less often", func() {
 			d, asked, _ := newDrawDispatcher(`{"spill":true}`, 8)
 			ask(d, 2000)
 			So(asked, ShouldHaveLength, 8)
 			So(asked["w0001"], ShouldBeLessThan, asked["w0000"]/8)
 		})
-		Convey("not while they are to be left alone: then of the others, then of other zones, then nobody", func() {
+		Convey("not while they are blocked: then other workers, then other zones, then none", func() {
 			d, asked, answer := newDrawDispatcher(`{"spill":false}`, 4)
 			for i := range 4 {
 				So(ask(d, 1), ShouldBeTrue)
@@ -121,12 +121,12 @@
 			}
 			So(asked["w0001"]+asked["w0003"], ShouldEqual, 2)
 			So(ask(d, 1), ShouldBeFalse)
-			Convey("until the pause is over", func() {
+			Convey("until the block is over", func() {
 				d.expireRequests(d.o.Daemon.Now() + 200*time.Millisecond)
 				So(d.blockedUntil, ShouldBeEmpty)
 				So(ask(d, 1), ShouldBeTrue)
 			})
-			Convey("or another life of the holder serves them", func() {
+			Convey("or until another incarnation of the holder serves them", func() {
 				boot := config.Duty{Holder: "x", Boot: "2"}.Encode()
 				d.o.Daemon.View.Update([]wire.PartNews{{Part: 1, From: 6, To: 7, Changes: []wire.Change{{Key: config.DutyKey + "p/w0000", Revision: 7, Value: boot}}}}, time.Second)
 				So(ask(d, 1), ShouldBeFalse)
@@ -135,7 +135,7 @@
 				So(asked["w0000"], ShouldEqual, 2)
 			})
 		})
-		Convey("among very many alike, whatever most of them told", func() {
+		Convey("among many equal workers, although most of them are blocked", func() {
 			d, asked, answer := newDrawDispatcher(`{"spill":false}`, 5000)
 			for range 2400 {
 				ask(d, 1)
--- a/internal/store/latesuccess_test.go
+++ b/internal/store/latesuccess_test.go
@@ -12,10 +12,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TestSuccessBesideARunThatNeverBegan: an accepted message was unknown soon after its end. The success of
-// its first run, which had been taken for lost, came while a second run was open; the adapter refused that
-// run, and the end that followed was kept for no time at all. Seed 37 of the deliveries, with a duty's
-// guard taken out, found it.
+// TestSuccessBesideARunThatNeverBegan guards against an accepted message becoming unknown soon after its end. The
+// success of its first run, which was considered lost, arrived while a second run was open. The adapter refused the
+// second run, and the end that followed had no retention. Found by seed 37 of the simulated deliveries with the guard
+// of a duty removed.
 func TestSuccessBesideARunThatNeverBegan(t *testing.T) {
 	const retention = time.Hour
 	newRunIs := map[string]func(b *harness, answer func(any, error)){
@@ -33,7 +33,7 @@
 			b.place.Outcome(&wire.Outcome{Id: "0-x", MayHaveStarted: true, Kind: string(errs.Unhealthy), Proof: wire.Proof{Attempt: 2}}, func(any) {})
 		},
 	}
-	Convey("A message whose first run has succeeded while a second one is open ends, and its end is kept, where the second is", t, func() {
+	Convey("A message whose first run has succeeded while a second one is open ends and its end is retained, if the second run is", t, func() {
 		for name, end := range newRunIs {
 			Convey(name, func() {
 				b, e := startedHarness("l")
--- a/internal/store/links.go
+++ b/internal/store/links.go
@@ -5,11 +5,12 @@
 	"caperwheel/internal/wire"
 )
 
-// post brings an ask to an adapter.
+// post sends a request to an adapter.
 func (s *Store) post(who wire.Who, ask any, answer func(any, error)) error {
 	return s.d.Node.Peer(wire.RunLink, who.Addr).Post(ask, answer)
 }
 
+// sendGroupMessage sends a message of a group to the store of the member that it is for.
 func (s *Store) sendGroupMessage(m wire.GroupMsg) {
 	if who, isMember := s.d.Membership.Find(group.Name(m.To)); isMember {
 		replaceNils(&m)
@@ -17,16 +18,17 @@
 	}
 }
 
-// queuedLinkBytesLimit is what may wait for the link to another store before its groups
-// send it no more entries: their pulses share the link, and must not come late.
+// queuedLinkBytesLimit limits the bytes queued for the link to another store. Beyond it, the store's groups send that
+// store no more entries, because their heartbeats share the link and must not be late.
 const queuedLinkBytesLimit = 256 << 10
 
-// hasRoom reports whether the link to a member's store takes more entries.
+// hasRoom reports whether the link to a member's store accepts more entries.
 func (s *Store) hasRoom(member string) bool {
 	who, isMember := s.d.Membership.Find(group.Name(member))
 	return isMember && s.d.Node.Peer(wire.GroupLink, who.Addr).HasSendCapacity(queuedLinkBytesLimit)
 }
 
+// replaceNils replaces nil slices by empty ones.
 func replaceNils(m *wire.GroupMsg) {
 	if m.Entries == nil {
 		m.Entries = []wire.Entry{}
@@ -39,6 +41,7 @@
 	}
 }
 
+// onGroup serves other stores: ballots, and the messages of groups.
 func (s *Store) onGroup(from wire.Who, body any, answer func(any)) {
 	switch m := body.(type) {
 	case *wire.Ballot:
--- a/internal/store/look.go
+++ b/internal/store/look.go
@@ -10,18 +10,18 @@
 	"caperwheel/internal/wire"
 )
 
-// waiter waits for a message's end.
+// waiter is a caller that waits for a message's end.
 type waiter struct {
 	look   *wire.Look
 	until  time.Duration
 	answer func(any)
 }
 
-// maxWaiters bounds who may wait at a place; others are answered at once.
+// maxWaiters limits the waiters of a place; further callers are answered at once.
 const maxWaiters = 2048
 
-// Look answers from the owner's state, at once or, if it is asked to, when the
-// message is over.
+// Look answers a query for a message from the owner's state: at once, or, if the query asks to wait, when the message
+// has ended.
 func (p *PlaceHost) Look(l *wire.Look, answer func(any)) {
 	e := p.machine.Find(l.Id)
 	if l.Wait > 0 && e != nil && !e.State.IsOver() && p.host.IsOwner() && p.waiterCount < maxWaiters {
@@ -33,10 +33,10 @@
 	p.answerLook(l, p.environment.Now(), answer)
 }
 
-// answerLook answers from the owner's state. An end is final, so whoever has it may tell it. All
-// else is told only once a majority has confirmed the ownership since the question
-// came: a successor that was called, or that takes this store for gone, waits for no
-// silence, and may have taken and ended messages that this store has not heard of.
+// answerLook answers from the owner's state. The end of a message is final, so it may be answered at any time.
+// Anything else is answered only after a majority has confirmed the ownership since the query arrived: a successor may
+// take over without waiting for an election timeout, because it was called on or because it considers this store gone,
+// and may have accepted and ended messages that this store has not received.
 func (p *PlaceHost) answerLook(l *wire.Look, askedAt time.Duration, answer func(any)) {
 	v, e := p.host.View(), p.machine.Find(l.Id)
 	switch {
@@ -55,7 +55,7 @@
 	}
 }
 
-// seen is what is told of a message, nil for one that is not known.
+// lookReply returns the reply for a message, or Unknown if e is nil.
 func (p *PlaceHost) lookReply(l *wire.Look, e *place.Message) *wire.Sight {
 	if e == nil {
 		return p.newSight(nil, errs.Unknown)
@@ -67,7 +67,7 @@
 	return out
 }
 
-// answerWaiters answers those whose message is over, or whose wait is.
+// answerWaiters answers the waiters for which isDue is true: their message has ended or their wait is over.
 func (p *PlaceHost) answerWaiters(isDue func(id string, o waiter) bool) {
 	for id, list := range p.waiters {
 		p.waiters[id] = slices.DeleteFunc(list, func(o waiter) bool {
@@ -84,6 +84,7 @@
 	}
 }
 
+// newSight builds a reply with what is known of a message, or with an error kind if e is nil.
 func (p *PlaceHost) newSight(e *place.Message, kind errs.Kind) *wire.Sight {
 	if e == nil {
 		return &wire.Sight{Kind: string(kind), Owner: p.ownerName(), Body: []byte{}, Proof: wire.Proof{Answer: []byte{}}}
--- a/internal/store/look_test.go
+++ b/internal/store/look_test.go
@@ -10,26 +10,26 @@
 	"caperwheel/internal/wire"
 )
 
-// TestLook is the table of what an owner tells of a message, and when: only an end needs
-// no confirmation that came after the question.
+// TestLook checks what an owner answers to a query for a message, and when: only an end needs no confirmation of the
+// ownership after the query arrived.
 func TestLook(t *testing.T) {
 	const span = 10 * time.Millisecond
 	cases := []struct {
 		name        string
 		id          string
-		unconfirmed time.Duration // at the question
-		confirmedBy time.Duration // after it; 0 for never
+		unconfirmed time.Duration // when the query arrives
+		confirmedBy time.Duration // after the query; 0 for never
 		state, kind string
 		isAtOnce    bool
 	}{
-		{"a message under way, confirmed since", "0-x", 0, 0, "started", "", true},
-		{"a message under way, confirmed before only", "0-x", span, 5 * span, "started", "", false},
-		{"a message under way, never confirmed again", "0-x", span, 0, "", "not_owner", false},
-		{"a message that is not known, confirmed before only", "0-n", span, 5 * span, "", "unknown", false},
-		{"a message that is not known, never confirmed again", "0-n", span, 0, "", "not_owner", false},
-		{"a message that is over, never confirmed again", "0-y", span, 0, "rejected", "", true},
+		{"an open message, confirmed since", "0-x", 0, 0, "started", "", true},
+		{"an open message, confirmed before only", "0-x", span, 5 * span, "started", "", false},
+		{"an open message, never confirmed again", "0-x", span, 0, "", "not_owner", false},
+		{"an unknown message, confirmed before only", "0-n", span, 5 * span, "", "unknown", false},
+		{"an unknown message, never confirmed again", "0-n", span, 0, "", "not_owner", false},
+		{"an ended message, never confirmed again", "0-y", span, 0, "rejected", "", true},
 	}
-	Convey("Asked for", t, func() {
+	Convey("Queried for", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b, _ := startedHarness("l")
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -2,15 +2,15 @@
 
 import "runtime/metrics"
 
-// liveHeapPercentLimit is how much of its memory, in hundredths, a store's live heap may take
-// before its places take nothing new. The rest is for what held messages need besides
-// themselves: images written and sent, garbage not collected yet, bytes on links.
+// liveHeapPercentLimit is the share of its memory that a store's live heap may take before its places accept no more
+// messages. The rest is for what held messages need besides themselves: images that are written and sent, garbage that
+// is not collected yet, and bytes queued on links.
 //
-// Invariant: it is well below what the daemon lets the heap grow to, so that a store
-// which takes nothing more does not spend its processor on collecting.
+// Invariant: it is well below the heap limit of the daemon, so that a store which accepts no more messages does not
+// spend its processor time on garbage collection.
 const liveHeapPercentLimit = 40
 
-// liveHeapBytes is the heap that the newest collection found in use.
+// liveHeapBytes returns the heap that the last garbage collection found in use.
 func liveHeapBytes() int64 {
 	sample := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 	metrics.Read(sample)
@@ -20,8 +20,8 @@
 	return int64(sample[0].Value.Uint64())
 }
 
-// isMemoryLow reports whether what is held leaves too little memory to take more; never
-// where no bound is known.
+// isMemoryLow reports whether the live heap leaves too little memory to accept more. It is false if the memory limit
+// is not known.
 func isMemoryLow(live, memory int64) bool {
 	return memory > 0 && live > memory/100*liveHeapPercentLimit
 }
--- a/internal/store/messagestatus.go
+++ b/internal/store/messagestatus.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Story is where a message stands at the owner of its place, and what it waits for.
+// MessageStatus is the state of a message at the owner of its place, and what the message waits for.
 type MessageStatus struct {
 	Store         string           `json:"store"`
 	Place         int64            `json:"place"`
@@ -20,42 +20,42 @@
 	Lane          string           `json:"lane"`
 	Key           string           `json:"key,omitempty"`
 	State         place.State      `json:"state"`
-	Attempt       int64            `json:"attempt"` // runs begun
-	Spent         int64            `json:"spent"`   // attempts that count
+	Attempt       int64            `json:"attempt"` // runs started
+	Spent         int64            `json:"spent"`   // attempts that count against the lane's limit
 	Cause         string           `json:"cause,omitempty"`
 	Waits         place.WaitReason `json:"waits_for"`
-	Behind        string           `json:"behind,omitempty"` // of its key
-	SinceMs       int64            `json:"since_ms"`         // -1 where that is not known
-	LeftMs        int64            `json:"left_ms"`          // -1 where that is not known
-	TimeMs        int64            `json:"time_ms"`          // the place's time; delays and patience pass by it
-	IsTimeUnknown bool             `json:"untimed"`          // nobody knew the place's time as this ownership began
+	Behind        string           `json:"behind,omitempty"` // the message with the same ordering key that this one waits behind
+	SinceMs       int64            `json:"since_ms"`         // -1 if not known
+	LeftMs        int64            `json:"left_ms"`          // -1 if not known
+	TimeMs        int64            `json:"time_ms"`          // the place's time, by which delays and patience pass
+	IsTimeUnknown bool             `json:"untimed"`          // no adapter knew the place's time when this ownership began
 	Run           *RunStatus       `json:"run,omitempty"`
 	Pools         []PoolStatus     `json:"pools,omitempty"`
-	Ready         map[string]int   `json:"ready,omitempty"` // messages of the place that may run, by lane
+	Ready         map[string]int   `json:"ready,omitempty"` // ready messages of the place by lane
 }
 
-// RunStatus is what the owner knows of a run that has begun.
+// RunStatus is what the owner knows of an open run.
 type RunStatus struct {
 	Adapter  string `json:"adapter"`
 	Boot     string `json:"boot"`
-	IsMember bool   `json:"is_member"`  // that life of the adapter has a session
-	AwayMs   int64  `json:"away_ms"`    // for how long it has had none
-	InHandMs int64  `json:"in_hand_ms"` // so much longer its last word that it has the run holds; below 0: none holds
+	IsMember bool   `json:"is_member"`  // the incarnation of the adapter that has the run has a session
+	AwayMs   int64  `json:"away_ms"`    // for how long the adapter has had no session
+	InHandMs int64  `json:"in_hand_ms"` // how long the adapter's last confirmation of the run still holds; below 0 if none holds
 	Pool     string `json:"pool"`
 	Worker   string `json:"worker"`
 }
 
-// PoolStatus is how a store's dispatcher stands to a pool.
+// PoolStatus is the state of a pool at a store's dispatcher.
 type PoolStatus struct {
 	Pool    string `json:"pool"`
-	Workers int    `json:"workers"` // that may be asked at all
-	Resting int    `json:"resting"` // of these, not to be asked now
-	NextMs  int64  `json:"next_ms"` // until the next of those may be
-	Asks    int    `json:"asks"`    // under way
+	Workers int    `json:"workers"` // workers that may be asked for slots at all
+	Resting int    `json:"resting"` // of these, workers that must not be asked now
+	NextMs  int64  `json:"next_ms"` // until the next blocked worker may be asked
+	Asks    int    `json:"asks"`    // open slot requests
 }
 
-// Story tells of a message; false where this store does not own its place, or does not know it. To
-// be called on the place's goroutine.
+// MessageStatus returns the status of a message. It reports false if this store does not own the message's place, or
+// the place does not hold the message. It must be called on the place's goroutine.
 func (p *PlaceHost) MessageStatus(id string) (MessageStatus, bool) {
 	where, isKnown := p.machine.WaitStatus(id, p.now())
 	e := p.machine.Find(id)
@@ -84,7 +84,7 @@
 	return out
 }
 
-// Story tells how the dispatcher stands to a pool.
+// PoolStatus returns the state of a pool at this dispatcher.
 func (d *Dispatcher) PoolStatus(pool string) PoolStatus {
 	compiled, members := d.o.Configs.Current(), d.o.Daemon.Membership.Hash()
 	d.mu.Lock()
@@ -106,7 +106,7 @@
 	return out
 }
 
-// serveMessageStatus serves the story of a message whose place this store owns.
+// serveMessageStatus serves the status of a message whose place this store owns.
 func (s *Store) serveMessageStatus(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	s.mu.RLock()
@@ -117,7 +117,7 @@
 		isKnown bool
 	}
 	got := make(chan answer, 1)
-	unknown := errs.New(errs.Unknown, "the place of %s is not owned here, or does not know it", id)
+	unknown := errs.New(errs.Unknown, "look up message %s: this store does not own its place, or the place does not hold it", id)
 	if !isHeld || p.Do(func() { story, isKnown := p.MessageStatus(id); got <- answer{story, isKnown} }) != nil {
 		web.WriteError(w, unknown)
 		return
@@ -134,6 +134,6 @@
 		}
 		web.WriteJson(w, http.StatusOK, a.story)
 	case <-time.After(s.d.Bounds.Of(timing.SettleTimeout)):
-		web.WriteError(w, errs.New(errs.DeadlineExceeded, "the place of %s does not answer", id))
+		web.WriteError(w, errs.New(errs.DeadlineExceeded, "look up message %s: its place did not answer in time", id))
 	}
 }
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -16,17 +16,17 @@
 var ownerships = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place",
 	Name: "ownerships_total", Help: "Times that this store became the owner of a place."})
 
-// runStarts counts runs by whether they began when they were wanted.
+// runStarts counts runs by whether the message had run before and whether the run starts later than wanted.
 var runStarts = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "starts_total",
 	Help: "Runs given to adapters, by lane, whether the message had run before, and whether it was wanted earlier."},
 	[]string{"lane", "repeated", "late"})
 
-// slotRequestResults counts what came of asks for slots: why a message waits that may run.
+// slotRequestResults counts the results of slot requests, which tell why ready messages wait.
 var slotRequestResults = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place", Name: "slot_asks_total",
 	Help: "Asks for slots on workers, by pool and by what came of them: granted, nobody to ask, unanswered, or the kind of refusal."},
 	[]string{"pool", "told"})
 
-// What comes of an ask for a slot, besides the kinds of refusals.
+// Results of a slot request, besides the kinds of refusals.
 const (
 	slotGranted    = "granted"
 	slotNoWorker   = "nobody_to_ask"
@@ -35,13 +35,13 @@
 
 func init() { prometheus.MustRegister(ownerships, runStarts, slotRequestResults) }
 
-// countStart notes a run of a message that is about to begin at a place time.
+// countStart counts a run that is about to start at a place time.
 func countStart(e *place.Message, now int64) {
 	isLate := e.StartBy > 0 && e.StartBy < now
 	runStarts.WithLabelValues(e.Lane, strconv.FormatBool(e.Attempt > 0), strconv.FormatBool(isLate)).Inc()
 }
 
-// emitMetrics tells of the places that this store owns, and of its disk.
+// emitMetrics emits the metrics of the places that this store owns, of its disk and of its memory.
 func (s *Store) emitMetrics(emit daemon.Emit) {
 	owned, lag := 0, int64(0)
 	for _, id := range s.groupIds() {
@@ -95,11 +95,11 @@
 	}
 }
 
-// logOwnership tells at what time of its own a place goes on, and for what its messages wait: against
-// the log's clock that shows by how much the place's time has fallen behind.
+// logOwnership logs the place time at which an ownership begins and what its messages wait for. Together with the time
+// of the log line it shows by how much the place time has fallen behind.
 func (p *PlaceHost) logOwnership() {
 	count, first := p.machine.Delayed(p.now())
-	klog.Infof("place: Place %d is ours in term %d at %d ms of its time; %d messages wait for theirs, the first for %d ms.",
+	klog.Infof("place: This store owns place %d in term %d, at place time %d ms; %d messages are delayed, the next is due in %d ms.",
 		p.number, p.host.Term(), p.now(), count, first)
 }
 
@@ -109,10 +109,10 @@
 	longestWaits map[string]time.Duration
 	orphanedRuns int // open runs whose adapter has no session
 	number       int64
-	time         time.Duration // of the place
+	time         time.Duration // the place's time
 }
 
-// tally must be called on the place's goroutine.
+// stats returns the statistics of the place. It must be called on the place's goroutine.
 func (p *PlaceHost) stats() placeStats {
 	t := placeStats{number: -1, patienceLeft: map[string]time.Duration{}, longestWaits: map[string]time.Duration{}}
 	if !p.host.IsOwner() {
@@ -136,8 +136,8 @@
 	return t
 }
 
-// collectStats asks each owned place on its own goroutine; one that does not answer
-// in time is left out.
+// collectStats collects the statistics of each held place on the place's goroutine. Places that do not answer within
+// the settle timeout are left out.
 func (s *Store) collectStats() []placeStats {
 	places := s.listPlaces()
 	got := make(chan placeStats, len(places))
--- a/internal/store/notify.go
+++ b/internal/store/notify.go
@@ -13,29 +13,29 @@
 	"caperwheel/internal/wire"
 )
 
-// notifier is what an owner has under way to tell of ends.
+// notifier holds the notifications that a place's owner sends to callers when their messages have ended.
 //
-// Invariants: at most maxNotifications are under way, and to one receiver no more than its share; told has
-// those whose word was accepted and is not committed yet. A new owner tells them again: at least once
-// is what was promised.
+// Invariants: at most maxNotifications are in flight, and to one receiver no more than its share; accepted lists the
+// messages whose notification was accepted and is not committed as accepted yet. A new owner sends those again, since
+// notifications are delivered at least once.
 type notifier struct {
-	inFlight            map[string]notification // by id
+	inFlight            map[string]notification // by message id
 	accepted            []string
 	acceptedCommittedAt time.Duration
-	backoffs            map[string]backoff        // by id
+	backoffs            map[string]backoff        // by message id
 	receivers           map[string]receiverHealth // by address
-	lastAddress         string                    // address of the newest word
+	lastAddress         string                    // address that the last notification was sent to
 	nextScanAt          time.Duration
 }
 
-// notification is a word that its receiver has not answered yet, or whose acceptance is not committed yet.
+// notification is one that its receiver has not answered yet, or whose acceptance is not committed yet.
 type notification struct {
 	address    string
-	until      time.Duration // so long an answer is waited for
+	until      time.Duration // when it is given up
 	isAccepted bool
 }
 
-// backoff is a pause after a word that was not accepted; it doubles.
+// backoff is the pause after a notification that was not accepted; it doubles up to a limit.
 type backoff struct {
 	until, length time.Duration
 }
@@ -47,8 +47,8 @@
 }
 
 const (
-	maxReceiverNotifications = 64  // words under way to one receiver
-	maxNotifications         = 128 // to all, of which half at most to receivers that were silent
+	maxReceiverNotifications = 64  // notifications in flight to one receiver
+	maxNotifications         = 128 // to all receivers; at most half of them to receivers that did not answer
 	acceptedBatch            = 100
 )
 
@@ -56,15 +56,14 @@
 	return notifier{inFlight: map[string]notification{}, backoffs: map[string]backoff{}, receivers: map[string]receiverHealth{}}
 }
 
-// notify tells those that asked for it of their messages' ends, and commits in
-// batches who has been told.
+// notify sends the notifications that are due, and commits in batches which were accepted.
 func (p *PlaceHost) notify(now time.Duration) {
 	t := &p.notifier
 	if len(t.accepted) >= acceptedBatch || len(t.accepted) > 0 && now-t.acceptedCommittedAt > p.environment.Bounds().Of(timing.AnswerTimeout) {
 		ids := t.accepted
 		t.accepted, t.acceptedCommittedAt = nil, now
 		p.propose(place.Command{Kind: place.CmdNotified, Ids: ids}, func(_ place.Result, _ error) {
-			for _, id := range ids { // not committed: told again
+			for _, id := range ids { // if not committed, they are sent again
 				delete(p.notifier.inFlight, id)
 			}
 		})
@@ -73,13 +72,13 @@
 		return
 	}
 	t.nextScanAt = now + p.environment.Bounds().Of(timing.SlotRequestHold)
-	if len(t.backoffs) > p.machine.CountPendingNotifications() { // some were forgotten before they were told
+	if len(t.backoffs) > p.machine.CountPendingNotifications() { // some messages were forgotten before their notification was accepted
 		maps.DeleteFunc(t.backoffs, func(id string, _ backoff) bool { return p.machine.Find(id) == nil })
 	}
 	p.notifyRoundRobin(t.queues(p.machine.PendingNotifications(), now), now)
 }
 
-// notifyRoundRobin gives each receiver one word after the other, as long as there is room.
+// notifyRoundRobin sends one notification to each receiver in turn, as long as there is capacity.
 func (p *PlaceHost) notifyRoundRobin(queues []*receiverQueue, now time.Duration) {
 	t := &p.notifier
 	doubtful := t.countUnresponsive()
@@ -132,27 +131,27 @@
 	}
 }
 
-// onNotificationResult takes in what came of a word; an empty kind is an acceptance.
+// onNotificationResult records the result of a notification; an empty kind means that it was accepted.
 func (p *PlaceHost) onNotificationResult(id string, kind errs.Kind) {
 	t, now := &p.notifier, p.environment.Now()
-	word, isOurs := t.inFlight[id]
-	if !isOurs { // of an ownership before
+	sent, isOurs := t.inFlight[id]
+	if !isOurs { // it was sent in an earlier ownership
 		return
 	}
-	if kind != errs.Full { // the receiver had it
-		t.recordResponse(word.address, isUnanswered(kind), now, p.environment.Bounds())
+	if kind != errs.Full { // the receiver was asked
+		t.recordResponse(sent.address, isUnanswered(kind), now, p.environment.Bounds())
 	}
 	if kind != "" {
 		p.retryNotification(id)
 		return
 	}
-	word.until, word.isAccepted = now+2*p.environment.Bounds().ConfigApply, true // until it is committed
-	t.inFlight[id] = word
+	sent.until, sent.isAccepted = now+2*p.environment.Bounds().ConfigApply, true // until it is committed
+	t.inFlight[id] = sent
 	t.accepted = append(t.accepted, id)
 	delete(t.backoffs, id)
 }
 
-// retryNotification has a word that was not accepted told again after a rest.
+// retryNotification has a notification that was not accepted sent again after a backoff.
 func (p *PlaceHost) retryNotification(id string) {
 	t := &p.notifier
 	if _, isOurs := t.inFlight[id]; !isOurs {
@@ -162,8 +161,8 @@
 	t.backoffs[id] = t.backoffs[id].next(p.environment.Now(), p.environment.Bounds())
 }
 
-// Teller returns the adapter that speaks to an address: the same for all stores,
-// so that its connections are few.
+// NotifierFor returns the adapter that sends notifications to an address. It is the same for all stores, so that the
+// adapter needs few connections to the receiver.
 func NotifierFor(members *session.Membership, compiled *config.Compiled, address string) (wire.Who, bool) {
 	names := []string{}
 	for _, who := range members.OfKind("adapter") {
--- a/internal/store/notify_test.go
+++ b/internal/store/notify_test.go
@@ -13,7 +13,7 @@
 	"caperwheel/internal/wire"
 )
 
-// owingHarness gives a bench with messages that are over and whose ends are to be told.
+// owingHarness returns a harness with ended messages whose notifications are owed.
 func owingHarness(count int) *harness {
 	b := newHarness()
 	b.members["t"] = wire.Who{Name: "t", Boot: "1"}
@@ -25,7 +25,7 @@
 	return b
 }
 
-// notifyOnce lets the owner look for those to be told, after a while, and answers.
+// notifyOnce has the owner do one notification pass, after a while, and answers its notifications.
 func (b *harness) notifyOnce(after time.Duration, reply any, err error) (asked int) {
 	b.now += after
 	b.place.notify(b.now)
@@ -37,7 +37,7 @@
 	return len(answers)
 }
 
-// TestTelling is the table of what an owner does about ends that are to be told.
+// TestTelling checks what an owner does about owed notifications.
 func TestTelling(t *testing.T) {
 	look, redial := timing.Default.Of(timing.SlotRequestHold), timing.Default.Of(timing.RedialDelay)
 	refusals := []struct {
@@ -46,13 +46,13 @@
 		err   error
 	}{
 		{"a receiver that refuses", &wire.Told{Kind: string(errs.Rejected)}, nil},
-		{"an adapter that has too many under way", &wire.Told{Kind: string(errs.Full)}, nil},
+		{"an adapter with too many in flight", &wire.Told{Kind: string(errs.Full)}, nil},
 		{"an adapter that is lost", nil, errs.New(errs.Lost, "no answer")},
 		{"an answer of another kind", &wire.RunAck{}, nil},
 	}
-	Convey("An owner that must tell of an end and meets", t, func() {
+	Convey("An owner that owes a notification and meets", t, func() {
 		for _, c := range refusals {
-			Convey(c.name+" tells again, after pauses that grow to a bound", func() {
+			Convey(c.name+" notifies again, after pauses that grow up to a limit", func() {
 				b, pauses, last := owingHarness(1), []time.Duration{}, time.Duration(0)
 				for range 4000 {
 					if b.notifyOnce(look, c.reply, c.err) > 0 {
@@ -71,7 +71,7 @@
 				So(b.place.machine.CountPendingNotifications(), ShouldEqual, 1)
 			})
 		}
-		Convey("one that accepts commits so, once, and tells no more", func() {
+		Convey("a receiver that accepts commits the acceptance once, and notifies no more", func() {
 			b := owingHarness(1)
 			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 			So(b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil), ShouldEqual, 0)
@@ -81,21 +81,21 @@
 			So(b.notifyOnce(time.Minute, nil, nil), ShouldEqual, 0)
 			So(len(b.proposed), ShouldEqual, 0)
 		})
-		Convey("one that accepts, but cannot commit it, tells again: at least once", func() {
+		Convey("a receiver that accepts, but cannot commit it, notifies again: delivery is at least once", func() {
 			b := owingHarness(1)
 			b.notifyOnce(look, &wire.Told{}, nil)
 			b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil)
 			b.commit(false)
 			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 		})
-		Convey("nobody who could speak for it waits for one", func() {
+		Convey("no adapter that could notify waits for one", func() {
 			b := owingHarness(1)
 			delete(b.members, "t")
 			So(b.notifyOnce(look, nil, nil), ShouldEqual, 0)
 			b.members["t"] = wire.Who{Name: "t", Boot: "2"}
 			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
 		})
-		Convey("an adapter that never answers asks again after two bounds", func() {
+		Convey("an adapter that never answers notifies again after two bounds", func() {
 			b := owingHarness(1)
 			b.now += look
 			b.place.notify(b.now)
@@ -103,7 +103,7 @@
 			So(b.notifyOnce(timing.Default.ConfigApply, nil, nil), ShouldEqual, 0)
 			So(b.notifyOnce(timing.Default.ConfigApply, &wire.Told{}, nil), ShouldEqual, 1)
 		})
-		Convey("many ends tells a bounded number at a time, and commits them together", func() {
+		Convey("many ended messages notifies a bounded number at a time, and commits them together", func() {
 			b := owingHarness(150)
 			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, maxReceiverNotifications)
 			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldBeLessThanOrEqualTo, maxReceiverNotifications)
@@ -113,7 +113,7 @@
 			}
 			So(b.place.machine.CountPendingNotifications(), ShouldEqual, 0)
 		})
-		Convey("ends that are forgotten before they were told keeps nothing of them", func() {
+		Convey("messages that are forgotten before their notification keeps no state of them", func() {
 			b := owingHarness(9)
 			So(b.notifyOnce(look, &wire.Told{Kind: string(errs.Rejected)}, nil), ShouldEqual, 9)
 			for i := range 8 {
@@ -123,7 +123,7 @@
 			So(len(b.place.notifier.backoffs), ShouldEqual, 1)
 			So(b.place.notifier.inFlight, ShouldBeEmpty)
 		})
-		Convey("a new ownership begins afresh: answers to the one before count for nothing", func() {
+		Convey("a new ownership starts again and ignores answers to the one before", func() {
 			b := owingHarness(1)
 			b.now += look
 			b.place.notify(b.now)
--- a/internal/store/openruns.go
+++ b/internal/store/openruns.go
@@ -10,10 +10,10 @@
 	"caperwheel/internal/wire"
 )
 
-// unknownRun is the cause told of a run of which nobody knows what became.
+// unknownRun is the cause that is recorded for a run whose result is not known.
 const unknownRun = "unknown_run"
 
-// checkOpenRuns asks adapters for runs that this owner does not know to be in hand.
+// checkOpenRuns asks adapters about open runs that they have not confirmed in this ownership.
 func (p *PlaceHost) checkOpenRuns(now time.Duration) {
 	open := p.machine.Running()
 	p.pruneRunState(open)
@@ -22,7 +22,7 @@
 		if p.isAdapterGone(e, now) && p.requeueOrphan(e, now) {
 			continue
 		}
-		if h := p.confirmed[e.Id]; h.attempt == e.Attempt && now < h.until || now < p.nextQueryAt[e.Id] {
+		if confirmation := p.confirmed[e.Id]; confirmation.attempt == e.Attempt && now < confirmation.until || now < p.nextQueryAt[e.Id] {
 			continue
 		}
 		if who, isMember := p.environment.Find(e.Adapter); isMember {
@@ -33,7 +33,7 @@
 	}
 }
 
-// trackAbsentAdapters notes since when the adapters of open runs have been no members.
+// trackAbsentAdapters records since when the adapters of open runs have had no session.
 func (p *PlaceHost) trackAbsentAdapters(open []*place.Message, now time.Duration) {
 	away := map[string]time.Duration(nil)
 	for _, e := range open {
@@ -52,47 +52,45 @@
 	p.absentSince = away
 }
 
-// isAdapterGone reports whether a run's adapter has been away for so long that it
-// is taken for gone.
+// isAdapterGone reports whether a run's adapter has had no session for so long that it is considered lost.
 func (p *PlaceHost) isAdapterGone(e *place.Message, now time.Duration) bool {
 	since, isAway := p.absentSince[e.Adapter]
 	return isAway && now-since >= p.environment.Bounds().Of(timing.AdapterLossTimeout)
 }
 
-// requeueOrphan brings a run back whose adapter is gone, so that another may run it, and
-// reports whether it may. Should the adapter come back with a success after all, that
-// ends the message. Waited for are runs whose results others keep, so that an answered
-// success is never run again; an ordered one that may still go on at its worker; and one
-// that is the last, since its success may come.
+// requeueOrphan requeues a message whose run's adapter is lost, so that another adapter may run it, and reports
+// whether that is allowed. If the adapter comes back with a success after all, the success ends the message. Runs that
+// are waited for instead: runs whose results are also kept elsewhere, so that an answered success is never run again;
+// an ordered run that may still occupy its worker; and the last run of a message, since its success may still arrive.
 func (p *PlaceHost) requeueOrphan(e *place.Message, now time.Duration) (mayRun bool) {
 	lane, isKnown := p.lane(e.Lane)
 	if !isKnown || lane.UsesWitness || isLastRun(e, lane) || p.mayStillOccupyWorker(e) && !p.poolDeduplicates(e) {
 		return false
 	}
 	if now >= p.nextQueryAt[e.Id] {
-		p.nextQueryAt[e.Id] = now + p.environment.Bounds().ConfigApply // not again at once, should this not be committed
+		p.nextQueryAt[e.Id] = now + p.environment.Bounds().ConfigApply // not again at once, in case this is not committed
 		p.proposeRequeue(e, lane)
 	}
 	return true
 }
 
-// proposeRequeue proposes that a run of unknown fate is over and its message held again.
+// proposeRequeue proposes that a run of unknown result is over and that its message waits for another run.
 func (p *PlaceHost) proposeRequeue(e *place.Message, lane config.Lane) {
 	p.propose(place.Command{Kind: place.CmdRunFailed, Id: e.Id, Attempt: e.Attempt, Cause: unknownRun, CountsAsAttempt: lane.CountsEveryRun,
 		Retain: int64(lane.Retention / time.Millisecond)}, nil)
 }
 
-// isLastRun reports whether a run of unknown fate ends its message.
+// isLastRun reports whether a run of unknown result ends its message.
 func isLastRun(e *place.Message, lane config.Lane) bool {
 	return !lane.AllowsRerun || lane.CountsEveryRun && lane.MaxAttempts > 0 && e.CountedAttempts+1 >= lane.MaxAttempts
 }
 
-// poolDeduplicates reports whether the pool of a message's run knows a run again.
+// poolDeduplicates reports whether the pool of a message's run recognizes a repeated run.
 func (p *PlaceHost) poolDeduplicates(e *place.Message) bool {
 	return p.environment.Compiled().Rules.Pools[e.Pool].AllowsDuplicateRuns
 }
 
-// pruneRunState keeps what is noted of runs bounded by the runs that are open.
+// pruneRunState keeps what is recorded of runs bounded by the number of open runs.
 func (p *PlaceHost) pruneRunState(open []*place.Message) {
 	if len(p.confirmed)+len(p.nextQueryAt)+len(p.lostSince)+len(p.missingSince) <= 4*len(open) {
 		return
@@ -107,10 +105,9 @@
 	}
 }
 
-// expireMissing ends the wait for a run of which nobody tells once the message's
-// patience is over, and so long after this owner first missed the run that it
-// cannot be going on: its adapter has been stale since, and a worker leaves a
-// run within its bound.
+// expireMissing expires a message whose run no adapter reports, once its patience is over and this owner has missed
+// the run for so long that it cannot still be going on: its adapter has been stale since, and a worker abandons a run
+// at its bound.
 func (p *PlaceHost) expireMissing(e *place.Message, now time.Duration) {
 	if _, isMissed := p.missingSince[e.Id]; !isMissed {
 		p.missingSince[e.Id] = now
@@ -119,26 +116,25 @@
 	if !isKnown || p.now() < e.Deadline || p.mayStillOccupyWorker(e) || now-p.missingSince[e.Id] < p.environment.Bounds().ConfigApply {
 		return
 	}
-	p.missingSince[e.Id] = now // not again at once, should this not be committed
+	p.missingSince[e.Id] = now // not again at once, in case this is not committed
 	p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Expired), Cause: unknownRun,
 		HoldsKey: lane.HoldsAfterFailure, Retain: int64(lane.Retention / time.Millisecond)}, nil)
 }
 
-// mayStillRun reports whether an ordered run whose adapter is lost may still be going on at
-// its worker. That follows from the bound that it was begun with, whatever the
-// configuration says now.
+// mayStillRun reports whether an ordered run whose adapter is lost may still be going on at its worker. It uses the
+// bound that the run was started with, whatever the configuration says now.
 func (p *PlaceHost) mayStillRun(e *place.Message) bool { return e.Ordered && p.now() < e.Due }
 
-// mayStillOccupyWorker reports whether an ordered run may still be going on of whose adapter nothing
-// is known. One that stands still keeps the connection, and with it the worker, for longer.
+// mayStillOccupyWorker reports whether an ordered run of which no adapter reports anything may still be going on. A
+// run at a worker that is frozen keeps the connection, and with it the worker, for longer.
 func (p *PlaceHost) mayStillOccupyWorker(e *place.Message) bool {
 	bound := time.Duration(p.environment.Compiled().Rules.RunTimeoutMs(e.Lane, e.Pool)) * time.Millisecond
 	more := place.AnswerTimeout(true, bound) - place.OrphanedRunLimit(bound)
 	return e.Ordered && p.now() < e.Due+more.Milliseconds()
 }
 
-// ask learns what became of a run from its adapter, or from the adapter's next
-// life, which looks whether the agent beside it keeps a result.
+// queryRun asks an adapter for the state of a run. A later incarnation of the adapter answers from the results that
+// the agent on its machine keeps.
 func (p *PlaceHost) queryRun(e *place.Message, who wire.Who) {
 	id, attempt := e.Id, e.Attempt
 	ask := &wire.Open{Place: p.number, Term: p.host.Term(), Id: id, Attempt: attempt, Boot: e.Boot}
@@ -164,19 +160,19 @@
 	})
 }
 
-// handleLostRun deals with a run whose adapter has begun a new life: whether the worker
-// did it is unknown. For an ordered lane the worker is given time to end it.
+// handleLostRun handles a run whose adapter has restarted, so that it is not known whether the worker executed it. If
+// the run is ordered, the worker is given time to end it.
 func (p *PlaceHost) handleLostRun(e *place.Message, now time.Duration) {
 	lane, isKnown := p.lane(e.Lane)
 	if !isKnown {
 		return
 	}
 	isLast := isLastRun(e, lane)
-	mayRepeat := p.poolDeduplicates(e) && !isLast // else the next of the key would begin
+	mayRepeat := p.poolDeduplicates(e) && !isLast // else the next message of the key would start
 	if p.lostSince[e.Id] == 0 {
 		p.lostSince[e.Id] = now
 	}
-	wait := p.environment.Bounds().Of(timing.SessionTimeout) // whoever keeps its result hands it over by then
+	wait := p.environment.Bounds().Of(timing.SessionTimeout) // by then, a result that is kept elsewhere has been delivered
 	if now-p.lostSince[e.Id] < wait || p.mayStillRun(e) && !mayRepeat {
 		p.nextQueryAt[e.Id] = now + p.environment.Bounds().Of(timing.AnswerTimeout)
 		return
--- a/internal/store/orderedwaits_test.go
+++ b/internal/store/orderedwaits_test.go
@@ -11,8 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// advanceWithLostRuns lets a tenth of a second pass, in which every adapter that is asked has begun
-// a new life.
+// advanceWithLostRuns lets 100 ms pass, in which every adapter that is asked has restarted.
 func (b *harness) advanceWithLostRuns() {
 	b.now += 100 * time.Millisecond
 	b.answers = nil
@@ -23,9 +22,9 @@
 	b.commit(true)
 }
 
-// TestWaitsOutliveTheConfiguration: how long an ordered run whose fate is unknown may
-// go on was once read from the newest configuration's pool. After a change, or where
-// the lane has a bound of its own, the next of the key could begin beside it.
+// TestWaitsOutliveTheConfiguration guards against reading the time for which an ordered run of unknown result may
+// still go on from the newest configuration. After a change of a bound, or if the lane has its own bound, the next
+// message of the key could then start beside the run.
 func TestWaitsOutliveTheConfiguration(t *testing.T) {
 	const bound = 10 * time.Second
 	cases := []struct {
@@ -33,26 +32,26 @@
 		pool   config.Pool
 		lane   config.Lane
 		change func(r *config.Rules)
-		isGone bool // the adapter has begun a new life; else it is away
+		isGone bool // the adapter has restarted; else it has no session
 	}{
-		{"a pool's bound is lowered, its adapter begins anew", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
+		{"a pool's bound is lowered, its adapter restarts", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
 			func(r *config.Rules) { r.Pools["p"] = config.Pool{RunTimeout: time.Second} }, true},
-		{"the pool is gone, its adapter begins anew", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
+		{"the pool is removed, its adapter restarts", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
 			func(r *config.Rules) { delete(r.Pools, "p") }, true},
 		{"the lane has a longer bound than the pool", config.Pool{RunTimeout: time.Second}, config.Lane{AllowsRerun: true, RunTimeout: bound},
 			func(*config.Rules) {}, true},
 		{"the lane's bound is lowered", config.Pool{RunTimeout: time.Second}, config.Lane{AllowsRerun: true, RunTimeout: bound},
 			func(r *config.Rules) { l := r.Lanes["o"]; l.RunTimeout = time.Second; r.Lanes["o"] = l }, true},
-		{"the pool lets runs be repeated, but the message is closed", config.Pool{RunTimeout: bound, AllowsDuplicateRuns: true}, config.Lane{},
+		{"the pool deduplicates, but the message is closed", config.Pool{RunTimeout: bound, AllowsDuplicateRuns: true}, config.Lane{},
 			func(*config.Rules) {}, true},
-		{"a pool's bound is lowered, its adapter stays away", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
+		{"a pool's bound is lowered, its adapter stays absent", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
 			func(r *config.Rules) { r.Pools["p"] = config.Pool{RunTimeout: time.Second} }, false},
-		{"the pool is gone, its adapter stays away", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
+		{"the pool is removed, its adapter stays absent", config.Pool{RunTimeout: bound}, config.Lane{AllowsRerun: true},
 			func(r *config.Rules) { delete(r.Pools, "p") }, false},
-		{"the lane has a longer bound than the pool, its adapter stays away", config.Pool{RunTimeout: time.Second},
+		{"the lane has a longer bound than the pool, its adapter stays absent", config.Pool{RunTimeout: time.Second},
 			config.Lane{AllowsRerun: true, RunTimeout: bound}, func(*config.Rules) {}, false},
 	}
-	Convey("Nothing of a key begins while an earlier run may go on where", t, func() {
+	Convey("No message of a key starts while an earlier run may still go on, if", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b := newHarness()
@@ -78,17 +77,16 @@
 				for b.now < began+12*bound && len(b.place.machine.Ready(b.place.now())) == 0 {
 					b.advanceWithLostRuns()
 				}
-				So(b.place.machine.Ready(b.place.now()), ShouldNotBeEmpty) // and it does in the end
+				So(b.place.machine.Ready(b.place.now()), ShouldNotBeEmpty) // in the end it may run
 			})
 		}
 	})
 }
 
-// TestLateAsTheViewLapses: a message of a lane that is gone, whose patience is over, was once
-// closed without any retention where the view lapsed within the same moment: nobody could
-// ask for it.
+// TestLateAsTheViewLapses guards against an expired message of a removed lane being closed without any retention, if
+// the view becomes stale at the same moment, so that it cannot be queried.
 func TestLateAsTheViewLapses(t *testing.T) {
-	Convey("A message of a lane that is gone can be asked for once it has expired, should the view lapse meanwhile", t, func() {
+	Convey("A message of a removed lane can be queried after it has expired, although the view becomes stale meanwhile", t, func() {
 		b := newHarness()
 		b.place.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 1000}, func(any) {})
 		b.commit(true)
@@ -103,7 +101,7 @@
 	})
 }
 
-// TestTallyOfWaits: what operators see of messages that wait and of runs that nobody tells of.
+// TestTallyOfWaits checks the statistics of waiting messages and of open runs whose adapter is lost.
 func TestTallyOfWaits(t *testing.T) {
 	Convey("Given messages of a key, one that has a delay, and a run", t, func() {
 		b := newHarness()
@@ -117,7 +115,7 @@
 		So(b.place.stats().longestWaits, ShouldResemble, map[string]time.Duration{"o": 2 * time.Second})
 		b.place.Start("o", SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: time.Hour})
 		b.commit(true)
-		So(b.place.stats().longestWaits, ShouldBeEmpty) // the second of the key must not run
+		So(b.place.stats().longestWaits, ShouldBeEmpty) // the second message of the key must not run
 		So(b.place.stats().orphanedRuns, ShouldEqual, 1)
 		b.members["a"] = wire.Who{Name: "a", Boot: "1"}
 		So(b.place.stats().orphanedRuns, ShouldEqual, 0)
--- a/internal/store/outcome.go
+++ b/internal/store/outcome.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Outcome makes a run's result durable and acknowledges it.
+// Outcome commits a run's result and then acknowledges it.
 func (p *PlaceHost) Outcome(o *wire.Outcome, answer func(any)) {
 	if !p.host.IsOwner() {
 		answer(&wire.OutcomeAck{Kind: string(errs.NotOwner), Owner: p.ownerName()})
@@ -23,13 +23,13 @@
 	}
 	e := p.machine.Find(o.Id)
 	if e == nil {
-		// Ended and forgotten long ago, or else this owner has been replaced and
-		// never heard of it: only a commit can tell.
+		// Either the message ended and was forgotten long ago, or this owner has been replaced and never received the
+		// message: only a commit can tell.
 		e = &place.Message{Id: o.Id}
 	}
 	lane, isKnown := p.lane(e.Lane)
 	if !isKnown {
-		answer(&wire.OutcomeAck{Kind: string(errs.Stale)}) // its adapter keeps it and comes again
+		answer(&wire.OutcomeAck{Kind: string(errs.Stale)}) // its adapter keeps the result and sends it again
 		return
 	}
 	answer = p.pending.begin(key, answer)
@@ -45,8 +45,8 @@
 	})
 }
 
-// outcomeCommand decides what a result means for its message. A failure is the last attempt's
-// only while its run is open: a result may come again, and counts once.
+// outcomeCommand returns the command for a result. A failure counts as the last attempt only while its run is open,
+// since a result may arrive repeatedly and must count once.
 func (p *PlaceHost) outcomeCommand(e *place.Message, o *wire.Outcome, lane config.Lane) place.Command {
 	retain := int64(lane.Retention / time.Millisecond)
 	if o.Kind == "" {
@@ -60,7 +60,7 @@
 	isSpent := o.MayHaveStarted && (lane.CountsEveryRun || o.Kind == string(errs.Unhealthy))
 	back := place.Command{Kind: place.CmdRunFailed, Id: e.Id, Attempt: o.Proof.Attempt, Cause: o.Kind, CountsAsAttempt: isSpent, Retain: retain}
 	back.HoldsKey = o.MayHaveStarted && e.Ordered && o.Wait > 0 && place.MayStillRun(errs.Kind(o.Kind))
-	// A failure told again, of a run that was already brought back, counts no more.
+	// A repeated failure, of a run that was requeued before, does not count again.
 	isOpen := e.State == place.Started && e.Attempt == o.Proof.Attempt
 	isLast := isSpent && isOpen && lane.MaxAttempts > 0 && e.CountedAttempts+1 >= lane.MaxAttempts
 	if o.MayHaveStarted && !back.HoldsKey && (o.Final || isLast) {
@@ -75,8 +75,8 @@
 	return back
 }
 
-// retryDelay is the time before the next run: it doubles, with jitter drawn from
-// the message's id, so that a recovering pool does not meet all at once.
+// retryDelay returns the delay before the next run: exponential backoff with jitter from a hash of the message's id,
+// so that a recovering pool does not get all runs at once.
 func retryDelay(l config.Lane, id string, spent int64) int64 {
 	d := l.Backoff << min(max(spent-1, 0), 20)
 	d = min(max(d, l.Backoff), l.MaxBackoff)
--- a/internal/store/outstanding.go
+++ b/internal/store/outstanding.go
@@ -1,6 +1,6 @@
 package store
 
-// CountRequests returns how many asks for slots are under way.
+// CountRequests returns the number of open slot requests.
 func (d *Dispatcher) CountRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -11,15 +11,15 @@
 	return out
 }
 
-// Outstanding count what a place's owner holds for others.
+// Outstanding counts what a place's owner has not finished yet. Tests use it to find leaks.
 type Outstanding struct {
-	OpenRuns          int // runs that have begun and not ended, of lanes that there are
-	PendingRequests   int // asks whose proposals are not decided
-	Waiters           int // callers who wait for a message's end
-	OwedNotifications int // words about ends that are owed
+	OpenRuns          int // open runs, of lanes that are configured
+	PendingRequests   int // requests whose proposal is not decided
+	Waiters           int // callers that wait for a message's end
+	OwedNotifications int // notifications that are not accepted yet
 }
 
-// Outstanding returns what the place's owner holds; to be called on the place's goroutine.
+// Outstanding returns what the place's owner has not finished yet. It must be called on the place's goroutine.
 func (p *PlaceHost) Outstanding() Outstanding {
 	open, lanes := 0, p.environment.Compiled().Rules.Lanes
 	for _, e := range p.machine.Running() {
--- a/internal/store/owner_test.go
+++ b/internal/store/owner_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestReplacedOwner: an owner that had been replaced without knowing once
-// acknowledged results of messages that it had never heard of.
+// TestReplacedOwner guards against an owner that was replaced without noticing it acknowledging results of messages
+// that it has never received.
 func TestReplacedOwner(t *testing.T) {
 	cases := []struct {
 		name string
@@ -19,10 +19,10 @@
 	}{
 		{"a message", func(p *PlaceHost, answer func(any)) { p.Take(&wire.Take{Id: "0-n", Lane: "l"}, answer) }},
 		{"a settlement", func(p *PlaceHost, answer func(any)) { p.Settle(&wire.Settle{Id: "0-n"}, answer) }},
-		{"a result of a message it knows", func(p *PlaceHost, answer func(any)) {
+		{"a result of a message it holds", func(p *PlaceHost, answer func(any)) {
 			p.Outcome(&wire.Outcome{Id: "0-x", Proof: wire.Proof{Attempt: 1}}, answer)
 		}},
-		{"a result of a message it never heard of", func(p *PlaceHost, answer func(any)) {
+		{"a result of a message it never received", func(p *PlaceHost, answer func(any)) {
 			p.Outcome(&wire.Outcome{Id: "0-stranger", Proof: wire.Proof{Attempt: 1}}, answer)
 		}},
 	}
@@ -46,8 +46,7 @@
 	})
 }
 
-// TestOpenRuns is the table of what an owner does about a run that it does not
-// know to be in hand.
+// TestOpenRuns checks what an owner does about a run that its adapter has not confirmed.
 func TestOpenRuns(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -58,24 +57,24 @@
 		isAsk  bool
 		state2 place.State
 	}{
-		{"an adapter that is away is waited for where others keep results", "kept", "", "", 9 * time.Minute, false, place.Started},
-		{"… there, too, until the message's patience is over", "kept", "", "", time.Hour, false, place.Expired},
-		{"an adapter that is away is waited for a little", "l", "", "", 2900 * time.Millisecond, false, place.Started},
-		{"… and its run is then held again", "l", "", "", 3 * time.Second, false, place.Held},
-		{"… or waited for, if its lane does not allow a rerun", "once", "", "", 9 * time.Minute, false, place.Started},
-		{"… until the message's patience is over", "once", "", "", time.Hour, false, place.Expired},
+		{"an absent adapter is waited for if results are also kept elsewhere", "kept", "", "", 9 * time.Minute, false, place.Started},
+		{"an absent adapter is waited for until the patience is over if results are also kept elsewhere", "kept", "", "", time.Hour, false, place.Expired},
+		{"an absent adapter is waited for shortly", "l", "", "", 2900 * time.Millisecond, false, place.Started},
+		{"the message is requeued if its adapter stays absent", "l", "", "", 3 * time.Second, false, place.Held},
+		{"an absent adapter is waited for if the lane does not allow a rerun", "once", "", "", 9 * time.Minute, false, place.Started},
+		{"an absent adapter is waited for until the patience is over if the lane does not allow a rerun", "once", "", "", time.Hour, false, place.Expired},
 		{"a run still open is waited for", "l", "1", "open", time.Hour, true, place.Started},
-		{"a run that never began is held again", "l", "1", "never", 0, true, place.Held},
-		{"a run kept beside the next life is waited for", "l", "2", "open", time.Hour, true, place.Started},
-		{"a run that is gone is waited for a little", "l", "2", "gone", time.Second, true, place.Started},
-		{"… and is then held again", "l", "2", "gone", 5 * time.Second, true, place.Held},
-		{"… or has failed, if its lane does not allow a rerun", "once", "2", "gone", 5 * time.Second, true, place.Failed},
+		{"a message whose run never began is requeued", "l", "1", "never", 0, true, place.Held},
+		{"a run whose result the next incarnation's agent keeps is waited for", "l", "2", "open", time.Hour, true, place.Started},
+		{"a run that the restarted adapter does not have is waited for shortly", "l", "2", "gone", time.Second, true, place.Started},
+		{"the message is requeued if the restarted adapter still does not have the run", "l", "2", "gone", 5 * time.Second, true, place.Held},
+		{"the message fails if the lane does not allow a rerun", "once", "2", "gone", 5 * time.Second, true, place.Failed},
 	}
 	Convey("Given a started message and a new owner,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b, e := startedHarness(c.lane)
-				takeOwnership(b.place) // nothing is in hand any more
+				takeOwnership(b.place) // clears the confirmations
 				b.posted, b.answers = nil, nil
 				if c.boot != "" {
 					b.members["a"] = wire.Who{Name: "a", Boot: c.boot}
@@ -96,7 +95,7 @@
 	})
 }
 
-// TestJudge is the table of what a result means.
+// TestJudge checks what a result means for its message.
 func TestJudge(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -105,10 +104,10 @@
 		state   place.State
 	}{
 		{"a success ends it", wire.Outcome{}, 0, place.Ended},
-		{"a mishap with attempts left holds it again", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 0, place.Held},
-		{"the last attempt's mishap fails it", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 1, place.Failed},
-		{"a run that never reached the worker costs nothing", wire.Outcome{Kind: "lost"}, 1, place.Held},
-		{"an answer that blames the message fails it at once", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, 0, place.Failed},
+		{"a failure with attempts left requeues it", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 0, place.Held},
+		{"the last attempt's failure fails it", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, 1, place.Failed},
+		{"a run that never reached the worker costs no attempt", wire.Outcome{Kind: "lost"}, 1, place.Held},
+		{"an answer that rejects the message fails it at once", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, 0, place.Failed},
 	}
 	Convey("Given a started message,", t, func() {
 		for _, c := range cases {
@@ -127,8 +126,8 @@
 func TestFullDiskRejectsIntakeOnly(t *testing.T) {
 	Convey("Given a disk that is nearly full", t, func() {
 		b, e := startedHarness("l")
-		b.isFull = true
-		Convey("nothing more is taken, and what is held comes to its end", func() {
+		b.isDiskFull = true
+		Convey("nothing more is accepted, and held messages come to their end", func() {
 			answers := []*wire.Taken{}
 			b.place.Take(&wire.Take{Id: "0-y", Lane: "l"}, func(reply any) { answers = append(answers, reply.(*wire.Taken)) })
 			So(answers[0].Kind, ShouldEqual, "disk_full")
--- a/internal/store/ownership.go
+++ b/internal/store/ownership.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Owned starts or ends an ownership. One of a place that holds messages starts once the place's
+// OwnershipChanged starts or ends an ownership. If the place holds messages, the ownership starts once the place's
 // time is known.
 func (p *PlaceHost) OwnershipChanged(isOwner bool) {
 	p.host.recovery, p.time = nil, newTimeReplication()
@@ -14,8 +14,8 @@
 	p.beginOwnership(isOwner)
 }
 
-// begin starts or ends what an owner does. Runs that an earlier owner began are not
-// in hand: their adapters are asked before anything is run again.
+// beginOwnership resets the owner's state at the start or the end of an ownership. Runs that an earlier owner started
+// count as not confirmed, so their adapters are asked before anything is run again.
 func (p *PlaceHost) beginOwnership(isOwner bool) {
 	p.confirmed, p.nextQueryAt = map[string]runConfirmation{}, map[string]time.Duration{}
 	p.notifier, p.absentSince, p.proposedLevel = newNotifier(), nil, 0
@@ -32,10 +32,10 @@
 	p.publishReady()
 }
 
-// Ready reports what may run now, by lane.
+// Ready returns the number of ready messages by lane.
 func (p *PlaceHost) Ready() map[string]int { return *p.ready.Load() }
 
-// publishReady tells the dispatcher what may run.
+// publishReady publishes the ready messages to the dispatcher, and wakes it if they have changed.
 func (p *PlaceHost) publishReady() {
 	counts := map[string]int{}
 	if p.host != nil && p.host.IsOwner() {
--- a/internal/store/part.go
+++ b/internal/store/part.go
@@ -10,22 +10,22 @@
 	"caperwheel/internal/wire"
 )
 
-// PartHost is a part of the control state on this store.
+// PartHost is the replica of a part (a partition of the control state) on this store.
 type PartHost struct {
 	environment     Environment
 	number          int64
 	host            Group
 	part            *feed.Part
 	clock           groupclock.Clock
-	timeCommittedAt time.Duration // when the part's time was last proposed by itself
+	timeCommittedAt time.Duration // when the owner last proposed the part's time by itself
 }
 
-// NewPartHost gives an empty part.
+// NewPartHost returns an empty part.
 func NewPartHost(environment Environment, number int64) *PartHost {
 	return &PartHost{environment: environment, number: number, part: feed.NewPart(), clock: groupclock.New(environment.Now())}
 }
 
-// Apply takes one committed edit in.
+// Apply applies a committed edit.
 func (p *PartHost) Apply(data []byte, isOwn bool) any {
 	e, err := feed.DecodeEdit(data)
 	if err != nil {
@@ -34,20 +34,20 @@
 	}
 	out := p.part.Apply(e)
 	heldAt := p.environment.Now()
-	if p.host != nil { // else the replica is only beginning
+	if p.host != nil { // nil while the replica is being opened
 		heldAt = p.host.LoggedAt()
 	}
 	p.clock.Apply(p.part.Clock(), isOwn, heldAt)
 	return out
 }
 
-// now is the part time, as package groupclock has it.
+// now returns the part's time; see package groupclock.
 func (p *PartHost) now() int64 { return p.clock.At(p.environment.Now()) }
 
-// Image gives the state for a slot.
+// Snapshot returns the state as a snapshot.
 func (p *PartHost) Snapshot() []byte { return p.part.Snapshot() }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot.
 func (p *PartHost) Restore(image []byte) error {
 	part, err := feed.RestorePart(image)
 	if err == nil {
@@ -57,11 +57,11 @@
 	return err
 }
 
-// Owned has nothing to do: a part has no work of its own.
+// OwnershipChanged does nothing, since the owner of a part has no state of its own.
 func (p *PartHost) OwnershipChanged(bool) {}
 
-// Tick commits the part time while the age of an order still matters and no edit has
-// told it for a while: an owner that has only its log would begin there again.
+// Tick commits the part's time if the age of an order still matters and no edit has committed it for a while. Without
+// that, a new owner would go on from the old time in its log.
 func (p *PartHost) Tick(now time.Duration) {
 	bounds := p.environment.Bounds()
 	if !p.host.IsOwner() || !p.part.HasRecentOrder(p.now(), bounds.Of(timing.OrderMaxAge)) {
@@ -75,13 +75,13 @@
 	p.host.Propose(feed.EncodeEdit(feed.TimeMark(p.now())), func(any, error) {})
 }
 
-// Attach joins a part to its group; called once, before anything else.
+// Attach sets the part's group. It is called once, before any other method.
 func (p *PartHost) Attach(h Group) { p.host = h }
 
-// Do has work done on the part's goroutine.
+// Do runs work on the part's goroutine.
 func (p *PartHost) Do(work func()) error { return p.host.Do(work) }
 
-// Edit changes a key.
+// Edit changes a key and answers once the change is committed.
 func (p *PartHost) Edit(e wire.Edit, answer func(any)) {
 	if e.OperationId != "" {
 		e.At = p.now()
@@ -96,8 +96,8 @@
 	})
 }
 
-// Pull reads a key. Only an owner that a majority has confirmed after the ask
-// came may answer, so what was acknowledged before is always seen.
+// Pull reads a key. It answers only after a majority has confirmed this owner since the query arrived, so that a read
+// always returns what was acknowledged before it.
 func (p *PartHost) Pull(key string, askedAt time.Duration, answer func(any)) {
 	v := p.host.View()
 	switch {
@@ -119,8 +119,8 @@
 	}
 }
 
-// News answers a follower: what it misses, and how long ago a majority
-// confirmed that this owner's state is the newest acknowledged.
+// News returns the changes that a follower lacks, and how long ago a majority confirmed that this owner has the newest
+// acknowledged state.
 func (p *PartHost) News(from int64) (wire.PartNews, bool) {
 	v := p.host.View()
 	if !p.host.IsOwner() || !v.IsConfirmed {
@@ -150,11 +150,12 @@
 	}
 }
 
+// withPart runs work on the goroutine of a part held here, or rejects.
 func (s *Store) withPart(number int64, work func(*PartHost), reject func(errs.Kind)) {
 	withHeld(s, s.parts, number, work, reject)
 }
 
-// follow gathers the news of all parts owned here.
+// follow collects the changes of all parts owned here.
 func (s *Store) follow(f *wire.Follow, answer func(any)) {
 	out := &wire.Followed{Parts: []wire.PartNews{}}
 	got := make(chan wire.PartNews, len(f.Revisions))
--- a/internal/store/part_test.go
+++ b/internal/store/part_test.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestPartTime: part time is told by the newest edit and what has passed since
-// here. It neither goes back nor leaps where this store was idle before.
+// TestPartTime checks that a part's time is that of the newest edit plus the time that has passed since on this store.
+// It neither goes back nor jumps by the time for which the store was idle before.
 func TestPartTime(t *testing.T) {
 	Convey("On a store that has run for a minute before it held a part,", t, func() {
 		b := newHarness()
@@ -23,7 +23,7 @@
 		}
 		taken("1", 5000)
 		Convey("part time is the newest edit's", func() { So(p.now(), ShouldEqual, 5000) })
-		Convey("part time goes on", func() {
+		Convey("part time advances", func() {
 			b.now += 2 * time.Second
 			So(p.now(), ShouldEqual, 7000)
 		})
@@ -52,16 +52,16 @@
 			So(h.edits[len(h.edits)-1].At, ShouldBeBetween, 5000+(age-time.Second).Milliseconds(), 5001+age.Milliseconds())
 			So(p.part.Revision(), ShouldEqual, 1)
 		})
-		Convey("part time goes forward with an edit of an owner that was ahead", func() {
+		Convey("part time advances with an edit of an owner that was ahead", func() {
 			taken("2", 9000)
 			So(p.now(), ShouldEqual, 9000)
 		})
-		Convey("part time comes with an image", func() {
+		Convey("part time is restored from a snapshot", func() {
 			other := NewPartHost(newHarness(), 0)
 			So(other.Restore(p.Snapshot()), ShouldBeNil)
 			So(other.now(), ShouldEqual, 5000)
 		})
-		Convey("an edit that is remembered tells when the owner took it in, and another is as it always was", func() {
+		Convey("an edit with an order carries the part time, and another edit does not", func() {
 			h := &proposals{harness: b}
 			p.Attach(h)
 			b.now += time.Second
@@ -72,7 +72,7 @@
 	})
 }
 
-// proposals keeps the edits that were proposed.
+// proposals records the edits that were proposed.
 type proposals struct {
 	*harness
 	edits []wire.Edit
--- a/internal/store/pending.go
+++ b/internal/store/pending.go
@@ -6,26 +6,24 @@
 	"caperwheel/internal/wire"
 )
 
-// underWay are the asks whose proposals are not decided yet, by what they ask,
-// and who waits for each. An ask that is sent again meanwhile waits with the
-// first: it must not go into the log once more, least of all when disks or
-// links are slow, which is when asks are sent again.
+// pendingRequests holds, by content, the requests whose proposals are not decided yet, and who waits for each. A
+// repeated request waits together with the first one. It must not be appended to the log a second time, least of all
+// while disks or links are slow, which is when requests are repeated.
 //
-// Invariant: whoever joined is answered when the proposal is decided, which each
-// is once; the links' windows bound how many wait.
+// Invariant: everyone who joined is answered when the proposal is decided, which happens once for each proposal; the
+// windows of the links limit how many wait.
 type pendingRequests map[string][]func(any)
 
-// join has answer wait for the ask under way, if there is one.
+// join has answer called with the result of the pending request, and reports whether there is one.
 func (u pendingRequests) join(key string, answer func(any)) bool {
-	_, isUnderWay := u[key]
-	if isUnderWay {
+	_, isPending := u[key]
+	if isPending {
 		u[key] = append(u[key], answer)
 	}
-	return isUnderWay
+	return isPending
 }
 
-// begin notes an ask that is about to be proposed, and gives what answers
-// everybody who waits for it.
+// begin records a request that is about to be proposed, and returns a function that answers everyone who waits for it.
 func (u pendingRequests) begin(key string, answer func(any)) (answerAll func(any)) {
 	u[key] = []func(any){answer}
 	return func(reply any) {
@@ -37,7 +35,7 @@
 	}
 }
 
-// markRepeat tells whoever joined an ask that it was asked before.
+// markRepeat wraps answer so that the reply to an accepted message says that the request was a repeat.
 func markRepeat(answer func(any)) func(any) {
 	return func(reply any) {
 		if taken, isTaken := reply.(*wire.Taken); isTaken {
@@ -49,9 +47,10 @@
 	}
 }
 
+// takeKey identifies the content of a message.
 func takeKey(t *wire.Take) string { return t.Id + "\x00" + t.Lane + "\x00" + t.Checksum }
 
-// outcomeKey tells results of a run apart: only the same one again is the same.
+// outcomeKey identifies the content of a result; only an identical result is a repeat.
 func outcomeKey(o *wire.Outcome) string {
 	f := &o.Proof
 	return fmt.Sprintf("%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%s\x00%d %d %d %t %t", o.Id, o.Boot, o.Kind, f.Worker, f.Adapter, f.ContentType, f.Checksum,
--- a/internal/store/pending_test.go
+++ b/internal/store/pending_test.go
@@ -10,30 +10,29 @@
 	"caperwheel/internal/wire"
 )
 
-// TestSentAgain: a message that was sent again before its first send was
-// committed once went into the log again, with its bytes: the slower the disks,
-// the more they had to write.
+// TestSentAgain guards against a repeated message being appended to the log again while its first request is not
+// committed: the slower the disks, the more would have to be written.
 func TestSentAgain(t *testing.T) {
-	Convey("Given a place with a message whose taking is under way", t, func() {
+	Convey("Given a place with a message whose acceptance is not committed", t, func() {
 		b, answers := newHarness(), []*wire.Taken{}
 		take := func(sum string) {
 			b.place.Take(&wire.Take{Id: "0-y", Lane: "l", Checksum: sum, Deadline: 600_000},
 				func(reply any) { answers = append(answers, reply.(*wire.Taken)) })
 		}
 		take("s")
-		Convey("it is not proposed again, and each send gets the answer", func() {
+		Convey("a repeat is not proposed again, and each request gets the answer", func() {
 			take("s")
 			take("s")
 			So(len(b.proposed), ShouldEqual, 1)
 			b.commit(true)
 			So(len(answers), ShouldEqual, 3)
-			for i, a := range answers { // each but the first is told that it is a repeat
+			for i, a := range answers { // all but the first are marked as repeats
 				So(*a, ShouldResemble, wire.Taken{Id: "0-y", State: string(place.Held), IsRepeat: i > 0})
 			}
 			take("s")
 			So(len(answers), ShouldEqual, 4)
 		})
-		Convey("each is told when the owner is replaced over it", func() {
+		Convey("each request is answered when the owner is replaced meanwhile", func() {
 			take("s")
 			b.commit(false)
 			So(len(answers), ShouldEqual, 2)
@@ -41,19 +40,19 @@
 			take("s")
 			So(len(b.proposed), ShouldEqual, 1)
 		})
-		Convey("other bytes under the same id are judged by themselves", func() {
+		Convey("other bytes under the same id are proposed separately", func() {
 			take("other")
 			So(len(b.proposed), ShouldEqual, 2)
 		})
-		Convey("a stalled place answers each send alike", func() {
-			b.isBusy = true
+		Convey("a stalled place answers each request alike", func() {
+			b.isDiskBusy = true
 			take("s")
-			So(len(answers), ShouldEqual, 0) // as the first: it may be held yet
+			So(len(answers), ShouldEqual, 0) // as for the first request: the message may still be accepted
 			b.commit(true)
 			So(len(answers), ShouldEqual, 2)
 		})
 	})
-	Convey("Given a run whose result is under way", t, func() {
+	Convey("Given a run whose result is not committed", t, func() {
 		b, e := startedHarness("l")
 		acks := []*wire.OutcomeAck{}
 		outcome := func(kind errs.Kind) {
@@ -61,7 +60,7 @@
 				func(reply any) { acks = append(acks, reply.(*wire.OutcomeAck)) })
 		}
 		outcome("")
-		Convey("it is not proposed again, and each send is acknowledged once it is durable", func() {
+		Convey("a repeat is not proposed again, and each is acknowledged once it is durable", func() {
 			outcome("")
 			So(len(b.proposed), ShouldEqual, 1)
 			So(len(acks), ShouldEqual, 0)
@@ -69,7 +68,7 @@
 			So(len(acks), ShouldEqual, 2)
 			So(e.State, ShouldEqual, place.Ended)
 		})
-		Convey("another result of it is", func() {
+		Convey("another result of the run is proposed", func() {
 			outcome(errs.Unhealthy)
 			So(len(b.proposed), ShouldEqual, 2)
 		})
