--- a/internal/store/place.go
+++ b/internal/store/place.go
@@ -12,55 +12,57 @@
 	"caperwheel/internal/wire"
 )
 
-// PlaceHost is a place on this store: the state machine, and while this store
-// owns it, the runs under way.
+// PlaceHost is the replica of a place (a partition of the message queue) on this store: the state machine, and, while
+// this store owns the place, its open runs, waiters and notifications.
 //
-// Invariants: all but ready, open and isTimeUnknown is touched by the host's goroutine alone; inHand
-// has a run only after its adapter said so in this ownership.
+// Invariants: all fields but ready, open and isTimeUnknown are used by the host's goroutine alone; a run is in
+// confirmed only after its adapter has confirmed it in this ownership.
 type PlaceHost struct {
 	environment     Environment
 	number          int64
 	host            *timedGroup
 	machine         *place.Machine
 	clock           groupclock.Clock
-	timeCommittedAt time.Duration // when the place's time was last proposed by itself
+	timeCommittedAt time.Duration // when the owner last proposed the place's time by itself
 	time            timeReplication
-	isTimeUnknown   atomic.Bool // nobody knew the place's time as this ownership began
+	isTimeUnknown   atomic.Bool // no adapter knew the place's time when this ownership began
 	proposedLevel   int64       // the feature level that this owner has proposed
 	levelProposedAt time.Duration
 	confirmed       map[string]runConfirmation
 	nextQueryAt     map[string]time.Duration
 	lostSince       map[string]time.Duration
 	notifier        notifier
-	missingSince    map[string]time.Duration // since when nobody has told of an open run
-	absentSince     map[string]time.Duration // since when adapters of open runs have been no members
+	missingSince    map[string]time.Duration // since when no adapter has reported an open run
+	absentSince     map[string]time.Duration // since when adapters of open runs have had no session
 	sendingChildren map[string]bool
 	trimmedAt       time.Duration
 	pending         pendingRequests
-	// Those who wait for a message's end, by its id, and how many: at most maxWaiters.
+	// Callers that wait for a message's end, by its id, and their number, at most maxWaiters.
 	waiters     map[string][]waiter
 	waiterCount int
 	quota       *quotaBatcher
 	ready       atomic.Pointer[map[string]int]
-	open        atomic.Int64 // runs that are under way, by what is applied here, as of the last tick
+	open        atomic.Int64 // open runs in the applied state, as of the last tick
 }
 
+// runConfirmation is an adapter's confirmation that it has a run.
 type runConfirmation struct {
 	attempt int64
 	until   time.Duration
 }
 
-// Limits of one place.
+// Limits of one place, and of the store's disk.
 const (
 	maxMessages         = 20000
 	maxBytes            = 64 << 20
 	maxPendingProposals = 2000
-	maxExtraTombstones  = 2000 // settled messages that a full place takes besides
+	maxExtraTombstones  = 2000 // settled messages that a full place accepts beyond maxMessages
 	trimBatchLimit      = 200
 
-	maxUnsyncedBytes = 16 << 20 // bytes of all groups that may wait for the store's disk
+	maxUnsyncedBytes = 16 << 20 // bytes of all groups that may be queued for the store's disk
 )
 
+// NewPlaceHost returns an empty place.
 func NewPlaceHost(environment Environment, number int64) *PlaceHost {
 	p := &PlaceHost{environment: environment, number: number, machine: place.New(), clock: groupclock.New(environment.Now()), waiters: map[string][]waiter{}, pending: pendingRequests{},
 		quota: &quotaBatcher{}}
@@ -68,16 +70,16 @@
 	return p
 }
 
-// Apply takes one committed command in.
+// Apply applies a committed command.
 func (p *PlaceHost) Apply(data []byte, isOwn bool) any {
 	c, err := place.Decode(data)
 	if err != nil {
-		p.environment.Fail(err) // a replica that cannot follow must stop, not guess
+		p.environment.Fail(err) // a replica that cannot apply a command must stop: its state would differ from the others'
 		return nil
 	}
 	v := p.machine.Apply(c)
 	heldAt := p.environment.Now()
-	if p.host != nil { // else the replica is only beginning
+	if p.host != nil { // nil while the replica is being opened
 		heldAt = p.host.LoggedAt()
 	}
 	p.clock.Apply(p.machine.Clock(), isOwn, heldAt)
@@ -87,10 +89,10 @@
 	return v
 }
 
-// Image gives the state for a slot.
+// Snapshot returns the state as a snapshot.
 func (p *PlaceHost) Snapshot() []byte { return p.machine.Snapshot() }
 
-// Restore replaces the state.
+// Restore replaces the state by a snapshot.
 func (p *PlaceHost) Restore(image []byte) error {
 	m, err := place.Restore(image)
 	if err == nil {
@@ -100,11 +102,11 @@
 	return err
 }
 
-// now is the place time, as package groupclock has it.
+// now returns the place's time; see package groupclock.
 func (p *PlaceHost) now() int64 { return p.clock.At(p.environment.Now()) }
 
-// commitTime commits the place time where messages are under way and no command has
-// told it for a while: an owner that has only its log would begin there again.
+// commitTime commits the place's time if the place holds messages and no command has committed it for a while. Without
+// that, a new owner would go on from the old time in its log.
 func (p *PlaceHost) commitTime(now time.Duration) {
 	span := p.environment.Bounds().Of(timing.TimeCommitInterval)
 	if p.machine.IsIdle() || p.clock.Lag(p.machine.Clock(), now) < span || now-p.timeCommittedAt < span {
@@ -114,12 +116,13 @@
 	p.propose(place.TimeMark(), nil)
 }
 
-func (p *PlaceHost) propose(c place.Command, tell func(place.Result, error)) {
+// propose proposes a command with the place's time, and publishes the ready messages once it is committed.
+func (p *PlaceHost) propose(c place.Command, done func(place.Result, error)) {
 	c.At = p.now()
 	p.host.Propose(c.Encode(), func(verdict any, err error) {
 		v, _ := verdict.(place.Result)
-		if tell != nil {
-			tell(v, err)
+		if done != nil {
+			done(v, err)
 		}
 		if err == nil {
 			p.publishReady()
@@ -127,7 +130,7 @@
 	})
 }
 
-// Take holds a message, or says definitely that it does not.
+// Take accepts a message, or answers definitely that it is not accepted.
 func (p *PlaceHost) Take(t *wire.Take, answer func(any)) {
 	reject := func(kind errs.Kind, text string, retry time.Duration) {
 		answer(&wire.Taken{Id: t.Id, Kind: string(kind), Text: text, Owner: p.ownerName(), Retry: int64(retry / time.Millisecond)})
@@ -137,13 +140,13 @@
 	case !p.host.IsOwner():
 		reject(errs.NotOwner, "", 0)
 		return
-	case p.isDuplicate(t): // sent again: what is committed stays, full or not
+	case p.isDuplicate(t): // a repeat: a committed message stays accepted even if the place is full
 		answer(&wire.Taken{Id: t.Id, State: string(p.machine.Find(t.Id).State), IsRepeat: true})
 		return
-	case p.pending.join(takeKey(t), markRepeat(answer)): // sent again: it may be held yet
+	case p.pending.join(takeKey(t), markRepeat(answer)): // a repeat: the first request may still be accepted
 		return
-	case !p.environment.IsFresh(): // the lane may be another by now
-		reject(errs.NotOwner, "", 0) // no more definite than that: an older adapter would believe it
+	case !p.environment.IsFresh(): // the lane may have changed meanwhile
+		reject(errs.NotOwner, "", 0) // not a definite refusal, which an older adapter would pass on
 		return
 	case p.environment.IsMemoryLow():
 		reject(errs.Full, "the store's memory is nearly used up", 2*time.Second)
@@ -175,13 +178,13 @@
 	})
 }
 
-// isDuplicate reports whether a message is held here already, or has been.
+// isDuplicate reports whether the place holds the message, or has held it.
 func (p *PlaceHost) isDuplicate(t *wire.Take) bool {
 	e := p.machine.Find(t.Id)
 	return e != nil && e.State != place.Tombstone && e.Checksum == t.Checksum
 }
 
-// Settle makes an undecided message's fate definite: held, or never.
+// Settle decides the fate of a message whose acceptance is undecided: accepted, or never accepted.
 func (p *PlaceHost) Settle(t *wire.Settle, answer func(any)) {
 	if count, _ := p.machine.Count(); p.machine.Find(t.Id) == nil && count >= maxMessages+maxExtraTombstones {
 		answer(&wire.Taken{Id: t.Id, Kind: string(errs.Full), Text: "the place holds as much as it may"})
@@ -201,14 +204,15 @@
 
 func (p *PlaceHost) ownerName() string { return ownerOf(p.host) }
 
-// lane returns a lane's rules, or false when they are not known now: a store
-// that has just started must wait for its view rather than take every lane for
-// one that was removed.
+// lane returns a lane's configuration, or false if it is not known now: a store that has just started must wait for
+// its view instead of treating every lane as removed.
 func (p *PlaceHost) lane(name string) (config.Lane, bool) {
-	isFresh := p.environment.IsFresh() // before the configuration: what is fresh now is in it
+	isFresh := p.environment.IsFresh() // read before the configuration, so that the configuration is at least as new
 	return laneOf(p.environment.Compiled().Rules, name, isFresh)
 }
 
+// laneOf returns a lane's configuration. A lane that is missing from a fresh view was removed; its messages get a
+// default without reruns.
 func laneOf(rules *config.Rules, name string, isFresh bool) (config.Lane, bool) {
 	if l, isKnown := rules.Lanes[name]; isKnown {
 		return l, true
--- a/internal/store/placetime_test.go
+++ b/internal/store/placetime_test.go
@@ -12,10 +12,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TestPlaceTime: a command takes time to be committed; place time once stood
-// still meanwhile, and delays ran late by a quarter on a busy place.
+// TestPlaceTime guards against place time standing still while commands are committed, which made delays a quarter too
+// long on a busy place.
 func TestPlaceTime(t *testing.T) {
-	Convey("Place time goes on while commands are committed", t, func() {
+	Convey("Place time advances while commands are committed", t, func() {
 		b := newHarness()
 		began := b.place.now()
 		for i := range 100 {
@@ -25,7 +25,7 @@
 		}
 		So(b.place.now()-began, ShouldEqual, 1000)
 	})
-	Convey("It does not leap on a store that ran for long before it held the place", t, func() {
+	Convey("It does not jump on a store that ran for long before it held the place", t, func() {
 		b := newHarness()
 		b.now = time.Minute
 		p := NewPlaceHost(b, 0)
@@ -38,13 +38,13 @@
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 5}.Encode(), true)
 		So(b.place.now(), ShouldEqual, 1000)
 	})
-	Convey("It goes on from when the log had a command, where that is applied only later", t, func() {
+	Convey("It advances from when the log received a command, even if the command is applied later", t, func() {
 		b := newHarness()
 		b.appendedAgo = 2 * time.Second
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 5000}.Encode(), false)
 		So(b.place.now(), ShouldEqual, 7000)
 	})
-	Convey("A replica follows the command of another owner, whether that is ahead of its own count or behind", t, func() {
+	Convey("A replica follows the command of another owner, whether that is ahead of its own time or behind", t, func() {
 		b := newHarness()
 		b.now += time.Second
 		b.place.Apply(place.Command{Kind: place.CmdTrim, At: 90_000}.Encode(), false)
@@ -55,7 +55,7 @@
 	})
 }
 
-// proposalLog lists what was proposed to a group, which commits none of it by itself.
+// proposalLog records what was proposed to a group, and commits nothing.
 type proposalLog struct {
 	*harness
 	list [][]byte
@@ -63,7 +63,7 @@
 
 func (c *proposalLog) Propose(data []byte, _ func(any, error)) { c.list = append(c.list, data) }
 
-// newReplica returns a place of its own on a store of its own.
+// newReplica returns a place on a store of its own.
 func newReplica() (*PlaceHost, *proposalLog) {
 	b := newHarness()
 	group := &proposalLog{harness: b}
@@ -72,18 +72,18 @@
 	return replica, group
 }
 
-// TestDelayAcrossOwners: a store that had gone on alone once kept its own count of the
-// time when an owner that began behind it took a message with a delay. When it
-// became owner itself, the delay was over at once.
+// TestDelayAcrossOwners guards against a delay that ends early. A store that was partitioned keeps advancing its own
+// time, while an owner that is behind it accepts a message with a delay. When the first store becomes the owner, the
+// delay must not count as over.
 func TestDelayAcrossOwners(t *testing.T) {
-	Convey("Given a place at 1,000, and a store that has since counted ten seconds alone", t, func() {
+	Convey("Given a place at 1,000, and a store that has advanced by ten seconds while partitioned", t, func() {
 		behind, behindGroup := newReplica()
 		ahead, aheadGroup := newReplica()
 		mark := place.Command{Kind: place.CmdTrim, At: 1000}.Encode()
 		behind.Apply(mark, false)
 		ahead.Apply(mark, false)
 		aheadGroup.now += 10 * time.Second
-		Convey("a delay that begins under the other one ends no earlier under it", func() {
+		Convey("a delay that begins under the other owner ends no earlier under it", func() {
 			takeOwnership(behind)
 			behind.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 600_000, Delay: 5000}, func(any) {})
 			behind.Apply(behindGroup.list[0], true)
@@ -97,7 +97,7 @@
 			ahead.publishReady()
 			So(ahead.Ready(), ShouldResemble, map[string]int{"l": 1})
 		})
-		Convey("a patience that begins under the other one ends no earlier under it", func() {
+		Convey("a patience that begins under the other owner ends no earlier under it", func() {
 			takeOwnership(behind)
 			behind.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 5000}, func(any) {})
 			behind.Apply(behindGroup.list[0], true)
@@ -108,8 +108,8 @@
 	})
 }
 
-// TestTimeMarks: an owner that has only its log begins at the newest command, so that
-// one must not be long ago while a delay runs.
+// TestTimeMarks checks that an owner commits its time at intervals while a delay runs, because a new owner that has
+// only its log begins at the newest command.
 func TestTimeMarks(t *testing.T) {
 	Convey("Given an owner", t, func() {
 		owner, group := newReplica()
@@ -130,8 +130,8 @@
 			}
 			return out
 		}
-		Convey("with nothing under way it commits nothing", func() { So(quiet(), ShouldBeEmpty) })
-		Convey("with a message that waits it commits the time, and no more often than is needed", func() {
+		Convey("without messages it commits nothing", func() { So(quiet(), ShouldBeEmpty) })
+		Convey("with a waiting message it commits the time, no more often than needed", func() {
 			owner.Take(&wire.Take{Id: "0-x", Lane: "l", Deadline: 600_000, Delay: 500_000}, func(any) {})
 			owner.Apply(group.list[0], true)
 			marks := quiet()
--- a/internal/store/quotabatch.go
+++ b/internal/store/quotabatch.go
@@ -19,37 +19,37 @@
 
 func init() { prometheus.MustRegister(quotaBatches, quotaAsks) }
 
-// counting gathers, in one ownership, what adapters tell and ask of tenants' limits while a batch of it is under
-// way: however many ask, a place has one batch in its log at a time.
+// quotaBatcher collects the adapters' quota requests of one ownership while a batch is being committed. However many
+// adapters send requests, a place has one batch in its log at a time.
 //
-// Invariant: at most maxQueuedQuotaRequests asks wait.
+// Invariant: at most maxQueuedQuotaRequests requests are queued.
 type quotaBatcher struct {
-	queued     []quotaRequest
-	isUnderWay bool
+	queued       []quotaRequest
+	isCommitting bool
 }
 
-// quotaRequest is one adapter's ask.
+// quotaRequest is the request of one adapter.
 type quotaRequest struct {
 	ask    *wire.QuotaAsk
 	answer func(any)
 }
 
-// Limits of asks.
+// Limits of quota requests.
 const (
 	maxQueuedQuotaRequests = 2000
 	maxTenantsPerRequest   = 500
 	maxHolderNameBytes     = 200
-	leaseLimitMs           = 60_000 // milliseconds
+	leaseLimitMs           = 60_000
 )
 
-// RequestQuota decides what an adapter tells and asks of tenants' limits. It answers once that is committed.
+// RequestQuota decides an adapter's request for tokens of tenants' limits. It answers once the decision is committed.
 func (p *PlaceHost) RequestQuota(ask *wire.QuotaAsk, answer func(any)) {
 	switch {
 	case !p.host.IsOwner():
 		p.refuseQuota(answer, errs.NotOwner)
 	case ask.Lease < 1 || ask.Lease > leaseLimitMs || len(ask.Counts) > maxTenantsPerRequest || ask.Holder == "" || len(ask.Holder) > maxHolderNameBytes:
 		p.refuseQuota(answer, errs.Invalid)
-	case p.machine.Level() < place.LevelQuotas: // a replica would not know the command
+	case p.machine.Level() < place.LevelQuotas: // an older replica would not support the command
 		p.refuseQuota(answer, errs.Stale)
 	case len(p.quota.queued) >= maxQueuedQuotaRequests:
 		p.refuseQuota(answer, errs.Full)
@@ -59,30 +59,31 @@
 	}
 }
 
+// refuseQuota answers a quota request with an error.
 func (p *PlaceHost) refuseQuota(answer func(any), kind errs.Kind) {
 	answer(&wire.QuotaGrants{Kind: string(kind), Owner: p.ownerName(), Grants: []wire.QuotaGrant{}})
 }
 
-// proposeQuotaBatch proposes what has been gathered, unless a batch is under way.
+// proposeQuotaBatch proposes the queued requests as a batch, unless a batch is being committed.
 func (p *PlaceHost) proposeQuotaBatch() {
 	c := p.quota
-	if c.isUnderWay || len(c.queued) == 0 {
+	if c.isCommitting || len(c.queued) == 0 {
 		return
 	}
 	all := c.queued
 	c.queued = nil
-	if !p.environment.IsFresh() { // limits may be others by now
+	if !p.environment.IsFresh() { // the limits may have changed meanwhile
 		for _, one := range all {
 			p.refuseQuota(one.answer, errs.Stale)
 		}
 		return
 	}
 	batch := newQuotaBatch(all, p.environment.Compiled().Rules)
-	c.isUnderWay = true
+	c.isCommitting = true
 	quotaBatches.Inc()
 	quotaAsks.Add(float64(len(batch.Asks)))
 	p.propose(place.CountCommand(batch.Batch), func(v place.Result, err error) {
-		c.isUnderWay = false
+		c.isCommitting = false
 		p.answerQuotaBatch(all, batch, v, err)
 		if c == p.quota {
 			p.proposeQuotaBatch()
@@ -90,13 +91,13 @@
 	})
 }
 
-// quotaBatch is what several adapters ask, and whose each ask is, by its number among them.
+// quotaBatch is a batch of the requests of several adapters, with the index of the request that each ask belongs to.
 type quotaBatch struct {
 	quota.Batch
 	requestOf []int
 }
 
-// newQuotaBatch joins the asks of tenants that have a limit now.
+// newQuotaBatch joins the requests, and leaves out tenants that have no limit now.
 func newQuotaBatch(all []quotaRequest, rules *config.Rules) quotaBatch {
 	out := quotaBatch{Batch: quota.Batch{Limits: []quota.Limit{}, Asks: []quota.Ask{}}}
 	isNamed := map[string]bool{}
@@ -117,7 +118,7 @@
 	return out
 }
 
-// answerQuotaBatch tells each adapter what a batch has come to.
+// answerQuotaBatch answers each adapter with the result of a batch.
 func (p *PlaceHost) answerQuotaBatch(all []quotaRequest, batch quotaBatch, v place.Result, err error) {
 	kind := v.Kind
 	if err != nil {
@@ -143,7 +144,7 @@
 	}
 }
 
-// resetQuota ends the counting of an ownership.
+// resetQuota drops the state of an ownership and refuses the requests that are queued.
 func (p *PlaceHost) resetQuota() {
 	old := p.quota
 	p.quota = &quotaBatcher{}
--- a/internal/store/quotabatch_test.go
+++ b/internal/store/quotabatch_test.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/wire"
 )
 
-// quotaHarness is a place whose group has agreed to count, with a tenant of 10 messages a second and 10 at once.
+// quotaHarness returns a harness whose group supports quotas, with a tenant of 10 messages a second and a burst of 10.
 func quotaHarness() *harness {
 	b := newHarness()
 	b.rules.Tenants = map[string]config.Tenant{"halls": {Name: "halls", Rate: 10, Burst: 10}, "free": {Name: "free"}}
@@ -20,7 +20,7 @@
 	return b
 }
 
-// count asks for tokens; the reply stands in what it returns once it has come.
+// askQuota requests tokens. The reply is stored in the returned value once it has come.
 func askQuota(b *harness, holder string, counts ...wire.QuotaCount) *wire.QuotaGrants {
 	got := &wire.QuotaGrants{}
 	b.place.RequestQuota(&wire.QuotaAsk{Holder: holder, Lease: 1500, Counts: counts}, func(reply any) { *got = *reply.(*wire.QuotaGrants) })
@@ -32,16 +32,16 @@
 }
 
 func TestCountsOfTenants(t *testing.T) {
-	Convey("Given a place that counts", t, func() {
+	Convey("Given a place that supports quotas", t, func() {
 		b := quotaHarness()
-		Convey("an ask is answered once its batch is committed, and not before", func() {
+		Convey("a request is answered once its batch is committed, and not before", func() {
 			got := askQuota(b, "a", quotaNeed("halls", 4))
 			So(got.Grants, ShouldBeNil)
 			b.commit(true)
 			So(got.Kind, ShouldBeBlank)
 			So(got.Grants[0].Granted, ShouldEqual, 4)
 		})
-		Convey("asks that come while a batch is under way are one batch", func() {
+		Convey("requests that arrive while a batch is being committed form one batch", func() {
 			first := askQuota(b, "a", quotaNeed("halls", 1))
 			second, third := askQuota(b, "b", quotaNeed("halls", 2), quotaNeed("free", 9)), askQuota(b, "c", quotaNeed("unknown", 1), quotaNeed("halls", 3))
 			So(len(b.proposed), ShouldEqual, 1)
@@ -50,7 +50,7 @@
 			So(first.Grants[0].Granted, ShouldEqual, 1)
 			So(len(b.proposed), ShouldEqual, 1)
 			b.commit(true)
-			So(len(second.Grants), ShouldEqual, 1) // a tenant without a limit, or unknown, has no grant
+			So(len(second.Grants), ShouldEqual, 1) // a tenant that is unknown or has no limit gets no grant
 			So(len(third.Grants), ShouldEqual, 1)
 			So([]int64{second.Grants[0].Granted, third.Grants[0].Granted}, ShouldResemble, []int64{2, 3})
 			So(b.place.machine.HeldTokens(), ShouldEqual, 6)
@@ -62,7 +62,7 @@
 			So(got.Grants, ShouldBeEmpty)
 			So(b.place.machine.HeldTokens(), ShouldEqual, 0)
 		})
-		Convey("the next owner goes on with what was granted", func() {
+		Convey("the next owner takes over the tokens granted before", func() {
 			askQuota(b, "a", quotaNeed("halls", 8))
 			b.commit(true)
 			next := NewPlaceHost(b, 0)
@@ -74,7 +74,7 @@
 			b.commit(true)
 			So(got.Grants[0].Granted, ShouldEqual, 2)
 		})
-		Convey("an ownership that ends answers what it has gathered", func() {
+		Convey("an ownership that ends answers the queued requests", func() {
 			askQuota(b, "a", quotaNeed("halls", 1))
 			got := askQuota(b, "b", quotaNeed("halls", 1))
 			b.place.OwnershipChanged(false)
@@ -82,7 +82,7 @@
 			b.commit(false)
 			So(b.proposed, ShouldBeEmpty)
 		})
-		Convey("a lower limit in the owner's view counts with its next batch", func() {
+		Convey("a lower limit in the owner's view applies to its next batch", func() {
 			b.rules.Tenants["halls"] = config.Tenant{Name: "halls", Rate: 1, Burst: 2}
 			got := askQuota(b, "a", quotaNeed("halls", 8))
 			b.commit(true)
@@ -96,11 +96,11 @@
 				kind  errs.Kind
 			}{
 				{"by a store that does not own the place", func() { b.isFollower = true }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.NotOwner},
-				{"by limits that may have changed", func() { b.freshAnswers = []bool{false} }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
+				{"while the owner's view is stale", func() { b.freshAnswers = []bool{false} }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
 				{"for no lease", func() {}, wire.QuotaAsk{Holder: "a"}, errs.Invalid},
-				{"for a lease beyond reason", func() {}, wire.QuotaAsk{Holder: "a", Lease: leaseLimitMs + 1}, errs.Invalid},
-				{"to nobody", func() {}, wire.QuotaAsk{Lease: 1}, errs.Invalid},
-				{"before the group has agreed to count", func() { b.place.machine = place.New() }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
+				{"for a lease above the limit", func() {}, wire.QuotaAsk{Holder: "a", Lease: leaseLimitMs + 1}, errs.Invalid},
+				{"to an empty holder name", func() {}, wire.QuotaAsk{Lease: 1}, errs.Invalid},
+				{"before the group's feature level supports quotas", func() { b.place.machine = place.New() }, wire.QuotaAsk{Holder: "a", Lease: 1}, errs.Stale},
 			} {
 				Convey(c.name, func() {
 					c.given()
@@ -112,7 +112,7 @@
 				})
 			}
 		})
-		Convey("asks beyond what may wait are refused", func() {
+		Convey("requests beyond the queue limit are refused", func() {
 			for range maxQueuedQuotaRequests + 1 {
 				askQuota(b, "a", quotaNeed("halls", 1))
 			}
@@ -121,9 +121,10 @@
 	})
 }
 
-// TestRepeatsAreTold: whoever sends a message that is held is told so, since it counts against a limit once.
+// TestRepeatsAreTold checks that the reply to a repeated message says so, since a repeat must not count against a
+// limit.
 func TestRepeatsAreTold(t *testing.T) {
-	Convey("A message that is sent", t, func() {
+	Convey("A repeated message is reported as a repeat", t, func() {
 		b := newHarness()
 		send := func() *wire.Taken {
 			got := &wire.Taken{}
@@ -136,7 +137,7 @@
 		b.now += time.Second
 		So(send().IsRepeat, ShouldBeTrue)
 	})
-	Convey("A message that is not held the first time is no repeat for those who waited with it", t, func() {
+	Convey("A message that is not accepted is not reported as a repeat to those who joined its request", t, func() {
 		b := newHarness()
 		answers := []*wire.Taken{}
 		for range 2 {
--- a/internal/store/receiverqueues.go
+++ b/internal/store/receiverqueues.go
@@ -11,16 +11,17 @@
 	"caperwheel/internal/timing"
 )
 
-// receiverHealth is what is known of a receiver that has let words go without an answer.
+// receiverHealth counts the notifications that a receiver has left unanswered.
 type receiverHealth struct {
-	unanswered int // words in turn
+	unanswered int // notifications in a row
 	backoff    backoff
 }
 
-// throttleAfterUnanswered is after how many unanswered words in turn a receiver is told one word at a time.
+// throttleAfterUnanswered is the number of unanswered notifications in a row after which a receiver gets one
+// notification at a time.
 const throttleAfterUnanswered = 3
 
-// receiverAddress returns the host and port that a URL names, by which its receiver is known.
+// receiverAddress returns the host and port of a URL, which identify the receiver.
 func receiverAddress(notify string) string {
 	_, rest, _ := strings.Cut(notify, "://")
 	if end := strings.IndexAny(rest, "/?#"); end >= 0 {
@@ -29,16 +30,17 @@
 	return rest[strings.LastIndexByte(rest, '@')+1:]
 }
 
-// receiverQueue is what one receiver is still to be told.
+// receiverQueue holds the notifications that are due to one receiver.
 type receiverQueue struct {
 	address        string
-	capacity       int  // words that may go to it beside those under way
-	isUnresponsive bool // it has let its newest word go without an answer
+	capacity       int  // further notifications that may be in flight to it
+	isUnresponsive bool // it has not answered its newest notification
 	messages       []*place.Message
 }
 
-// queues gives the words that may go out now, by receiver, in the order of the addresses from the one behind the
-// last that was told on. Receivers share what may be under way, and a silent one is told one word at a time.
+// queues returns the due notifications by receiver, sorted by address and beginning after the receiver that was
+// notified last. Receivers share the limit on notifications in flight, and an unresponsive one gets one notification
+// at a time.
 func (t *notifier) queues(owed []*place.Message, now time.Duration) []*receiverQueue {
 	queues := map[string]*receiverQueue{}
 	for _, e := range owed {
@@ -56,26 +58,26 @@
 	for address, q := range queues {
 		q.capacity = t.concurrencyFor(address, len(queues), now)
 	}
-	for _, word := range t.inFlight {
-		if q := queues[word.address]; q != nil && now < word.until && !word.isAccepted {
+	for _, sent := range t.inFlight {
+		if q := queues[sent.address]; q != nil && now < sent.until && !sent.isAccepted {
 			q.capacity--
 		}
 	}
 	return t.roundRobin(queues)
 }
 
-// countUnresponsive counts the words under way to receivers that have let their newest one go without an answer.
+// countUnresponsive counts the notifications in flight to receivers that did not answer their last one.
 func (t *notifier) countUnresponsive() int {
 	count := 0
-	for _, word := range t.inFlight {
-		if t.receivers[word.address].unanswered > 0 && !word.isAccepted {
+	for _, sent := range t.inFlight {
+		if t.receivers[sent.address].unanswered > 0 && !sent.isAccepted {
 			count++
 		}
 	}
 	return count
 }
 
-// concurrencyFor returns how many words may be under way to one of so many receivers.
+// concurrencyFor returns how many notifications may be in flight to one of this many receivers.
 func (t *notifier) concurrencyFor(address string, receivers int, now time.Duration) int {
 	known := t.receivers[address]
 	switch {
@@ -87,6 +89,7 @@
 	return max(1, min(maxReceiverNotifications, maxNotifications/receivers))
 }
 
+// roundRobin sorts the queues by address, beginning after the last address.
 func (t *notifier) roundRobin(queues map[string]*receiverQueue) []*receiverQueue {
 	out := []*receiverQueue{}
 	for _, address := range slices.Sorted(maps.Keys(queues)) {
@@ -96,7 +99,7 @@
 	return slices.Concat(out[next:], out[:next])
 }
 
-// recordResponse takes in whether a receiver has answered a word, whatever it said.
+// recordResponse records whether a receiver has answered a notification at all.
 func (t *notifier) recordResponse(address string, isSilent bool, now time.Duration, bounds timing.Bounds) {
 	if !isSilent {
 		delete(t.receivers, address)
@@ -110,7 +113,7 @@
 	t.receivers[address] = known
 }
 
-// isUnanswered reports whether a word that was not accepted has had no answer.
+// isUnanswered reports whether a notification that was not accepted got no answer.
 func isUnanswered(kind errs.Kind) bool {
 	return kind == errs.DeadlineExceeded || kind == errs.Lost || kind == errs.Truncated
 }
--- a/internal/store/receiverqueues_test.go
+++ b/internal/store/receiverqueues_test.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// addOwed has messages that are over, and of whose ends an address is to be told.
+// addOwed adds ended messages whose notifications are owed to an address.
 func (b *harness) addOwed(address string, first, count int) {
 	for i := range count {
 		id := fmt.Sprintf("0-%05d", first+i)
@@ -23,16 +23,16 @@
 	}
 }
 
-// timedOutAnswer is one that comes once its receiver was given up.
+// timedOutAnswer is an answer that arrives after the notification timed out.
 type timedOutAnswer struct {
 	at    time.Duration
 	reply func(any, error)
 }
 
-// notifyFor lets an owner tell for a span, while the receivers in silent say nothing and all others accept at once. It counts
-// the words that each address was told, and the most that were under way to it.
-func (b *harness) notifyFor(span time.Duration, silent map[string]bool) (told, most map[string]int) {
-	told, most = map[string]int{}, map[string]int{}
+// notifyFor has an owner send notifications for a span. The receivers in silent do not answer, and all others accept
+// at once. It returns the accepted notifications and the most that were in flight, by address.
+func (b *harness) notifyFor(span time.Duration, silent map[string]bool) (accepted, maxInFlight map[string]int) {
+	accepted, maxInFlight = map[string]int{}, map[string]int{}
 	late, underWay := []timedOutAnswer{}, map[string]int{}
 	for until := b.now + span; b.now < until; {
 		b.now += timing.Default.Of(timing.SlotRequestHold)
@@ -47,12 +47,12 @@
 			u, err := url.Parse(ask.(*wire.Tell).Url)
 			So(err, ShouldBeNil)
 			if !silent[u.Host] {
-				told[u.Host]++
+				accepted[u.Host]++
 				answers[i](&wire.Told{}, nil)
 				continue
 			}
 			underWay[u.Host]++
-			most[u.Host] = max(most[u.Host], underWay[u.Host])
+			maxInFlight[u.Host] = max(maxInFlight[u.Host], underWay[u.Host])
 			late = append(late, timedOutAnswer{b.now + timing.Default.Of(timing.CallbackTimeout), func(reply any, err error) {
 				underWay[u.Host]--
 				answers[i](reply, err)
@@ -62,42 +62,42 @@
 			b.commit(true)
 		}
 	}
-	return told, most
+	return accepted, maxInFlight
 }
 
-// TestSilentReceivers guards against words that wait behind those of a receiver that is silent: each pass began with the
-// least id, and the words of one silent receiver took up all that may be under way.
+// TestSilentReceivers guards against notifications that wait behind those to a receiver which does not answer: when
+// each pass began with the smallest id, that receiver's notifications took up the whole limit on those in flight.
 func TestSilentReceivers(t *testing.T) {
-	const words = 20
-	Convey("Beside a silent receiver of 1,000 words that came first, ten others are told all of theirs in time", t, func() {
+	const notifications = 20
+	Convey("Beside a silent receiver with 1,000 earlier notifications, ten others get all of theirs in time", t, func() {
 		b := owingHarness(0)
 		b.addOwed("10.0.0.1:9", 0, 1000)
 		for i := range 10 {
-			b.addOwed(fmt.Sprintf("10.0.1.%d:9", i), 1000+words*i, words)
+			b.addOwed(fmt.Sprintf("10.0.1.%d:9", i), 1000+notifications*i, notifications)
 		}
-		told, most := b.notifyFor(timing.Default.ConfigApply, map[string]bool{"10.0.0.1:9": true})
+		accepted, most := b.notifyFor(timing.Default.ConfigApply, map[string]bool{"10.0.0.1:9": true})
 		for i := range 10 {
-			So(told[fmt.Sprintf("10.0.1.%d:9", i)], ShouldEqual, words)
+			So(accepted[fmt.Sprintf("10.0.1.%d:9", i)], ShouldEqual, notifications)
 		}
 		So(most["10.0.0.1:9"], ShouldBeBetweenOrEqual, 1, maxReceiverNotifications)
-		Convey("and it is told of its own once it hears", func() {
-			told, _ = b.notifyFor(time.Minute, nil)
-			So(told["10.0.0.1:9"], ShouldEqual, 1000)
+		Convey("and it gets its own once it answers", func() {
+			accepted, _ = b.notifyFor(time.Minute, nil)
+			So(accepted["10.0.0.1:9"], ShouldEqual, 1000)
 			So(b.place.machine.CountPendingNotifications(), ShouldEqual, 0)
 			b.notifyFor(time.Second, nil)
 			So(b.place.notifier.receivers, ShouldBeEmpty)
 		})
 	})
-	Convey("Beside two hundred silent receivers, a sound one is told within two bounds", t, func() {
+	Convey("Beside two hundred silent receivers, a responsive one gets its notifications within two bounds", t, func() {
 		b, silent := owingHarness(0), map[string]bool{}
 		for i := range 200 {
 			address := fmt.Sprintf("10.0.0.%d:9", i)
 			silent[address] = true
 			b.addOwed(address, 10*i, 10)
 		}
-		b.addOwed("10.0.1.1:9", 9000, words)
-		told, most := b.notifyFor(2*timing.Default.ConfigApply, silent)
-		So(told["10.0.1.1:9"], ShouldEqual, words)
+		b.addOwed("10.0.1.1:9", 9000, notifications)
+		accepted, most := b.notifyFor(2*timing.Default.ConfigApply, silent)
+		So(accepted["10.0.1.1:9"], ShouldEqual, notifications)
 		for _, count := range most {
 			So(count, ShouldEqual, 1)
 		}
--- a/internal/store/repeated_test.go
+++ b/internal/store/repeated_test.go
@@ -9,9 +9,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRepeatedResults: an adapter brings a result home again when its
-// acknowledgement was lost. The repeat of a failure once counted as another
-// attempt, and a message was dead before its last one.
+// TestRepeatedResults guards against a repeated result counting again. An adapter repeats a result if its
+// acknowledgement was lost; a failure that counted twice failed the message before its last attempt.
 func TestRepeatedResults(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -20,8 +19,8 @@
 		spent   int64
 	}{
 		{"a failed attempt counts once", wire.Outcome{Kind: "unsound", MayHaveStarted: true}, place.Held, 1},
-		{"a run that never began costs nothing", wire.Outcome{Kind: "lost"}, place.Held, 0},
-		{"a refusal for good ends it", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, place.Failed, 0},
+		{"a run that never began costs no attempt", wire.Outcome{Kind: "lost"}, place.Held, 0},
+		{"a permanent refusal ends it", wire.Outcome{Kind: "rejected", MayHaveStarted: true, Final: true}, place.Failed, 0},
 		{"a success ends it", wire.Outcome{}, place.Ended, 0},
 	}
 	Convey("Given a message of two attempts whose first run's result comes three times,", t, func() {
@@ -51,17 +50,17 @@
 	})
 }
 
-// TestToldAgain: an adapter that had no acknowledgement tells a result again, to
-// the next owner. The failure of a message's last but one attempt, told twice, once
-// failed the message with an attempt left, and the next of its key began.
+// TestToldAgain guards against a repeated failure ending a message with an attempt left. An adapter without an
+// acknowledgement repeats a result to the next owner; when the failure of the last but one attempt counted twice, the
+// message failed and the next message of its key started.
 func TestToldAgain(t *testing.T) {
-	Convey("Given a message whose last but one attempt was told to have failed", t, func() {
+	Convey("Given a message whose last but one attempt was reported to have failed", t, func() {
 		b, e := startedHarness("l") // its lane has two attempts
 		told := wire.Outcome{Id: "0-x", Kind: "unsound", MayHaveStarted: true, Proof: wire.Proof{Attempt: 1}}
 		b.place.Outcome(&told, func(any) {})
 		b.commit(true)
 		So(e.CountedAttempts, ShouldEqual, 1)
-		Convey("the same word again changes nothing, and is acknowledged", func() {
+		Convey("the same report again changes nothing, and is acknowledged", func() {
 			var ack any
 			b.place.Outcome(&told, func(reply any) { ack = reply })
 			b.commit(true)
--- a/internal/store/rosterplan.go
+++ b/internal/store/rosterplan.go
@@ -5,25 +5,24 @@
 	"caperwheel/internal/repair"
 )
 
-// noteMembers tells the planner of rosters which stores are members, while that
-// is known well enough.
+// noteMembers updates the roster planner with the current member stores, if the view is fresh.
 func (s *Store) noteMembers() {
 	if s.d.IsFresh() {
 		s.rosters.NoteMembers(s.d.Membership.OfKind("store"), s.configs.Current().RetiredStores, s.d.Now())
 	}
 }
 
-// rosterPlan returns the member ids of the stores that are here and the names of
-// those that should hold the group; neither while this store's view is not fresh.
+// rosterPlan returns the member ids of the current stores and the names of the stores that should hold the group. Both
+// are empty while this store's view is not fresh.
 func (s *Store) rosterPlan(groupId int64, silence repair.Silence) (map[string]string, []string) {
-	if !s.d.IsFresh() { // who is here, and who is retired, is not known well enough
+	if !s.d.IsFresh() { // members and retired stores are not known well enough
 		return map[string]string{}, nil
 	}
 	s.noteMembers()
 	return s.rosters.Plan(groupId, s.hostOf(groupId).View().Roster, s.countChanging(), silence, s.d.Now())
 }
 
-// countChanging counts the groups owned here whose roster is being changed.
+// countChanging counts the groups owned here whose roster change is not finished.
 func (s *Store) countChanging() int {
 	out := 0
 	for _, id := range s.groupIds() {
--- a/internal/store/rosters.go
+++ b/internal/store/rosters.go
@@ -11,24 +11,23 @@
 	"caperwheel/internal/wire"
 )
 
-// RosterPlanner plans which stores should hold the groups that one store owns. It does
-// no I/O; the simulation uses it as it is. Safe for use by several goroutines.
+// RosterPlanner plans which stores should hold the groups that one store owns. It does no I/O, and the simulation uses
+// it unchanged. It is safe for use by several goroutines.
 type RosterPlanner struct {
 	replicas int
 
 	mu        sync.Mutex
 	planner   *repair.Planner
-	memberIds map[string]string // member ids of the stores that are here, by name
+	memberIds map[string]string // member ids of the current stores by name
 	retired   map[string]bool
 }
 
-// NewRosterPlanner makes one for groups of so many copies.
+// NewRosterPlanner returns a planner for groups of this many replicas.
 func NewRosterPlanner(bounds timing.Bounds, copies int) *RosterPlanner {
 	return &RosterPlanner{replicas: copies, planner: repair.NewPlanner(bounds, copies), memberIds: map[string]string{}, retired: map[string]bool{}}
 }
 
-// NoteMembers takes in which stores are members now, and which are retired; only while
-// both are known well enough.
+// NoteMembers sets the current member stores and the retired stores. It must be called only with a fresh view.
 func (r *RosterPlanner) NoteMembers(here []wire.Who, retired map[string]bool, now time.Duration) {
 	known, members := map[string]string{}, []repair.Store{}
 	for _, who := range here {
@@ -41,9 +40,9 @@
 	r.planner.UpdateMembers(members, now)
 }
 
-// Plan returns the member ids of the stores that are here and the names of those
-// that should hold a group of these members. changing is how many of the owner's
-// groups are being changed; silence is the group owner's, of each holder.
+// Plan returns the member ids of the current stores, and the names of the stores that should hold a group with these
+// members. changing is the number of the owner's groups whose rosters are being changed; silence is how long the
+// group's owner has not heard from each holder.
 func (r *RosterPlanner) Plan(groupId int64, members []string, changing int, silence repair.Silence, now time.Duration) (known map[string]string, wanted []string) {
 	g := repair.Group{Id: groupId, Holders: storeNames(members), IsChanging: IsChanging(members, r.replicas), Silence: silence}
 	r.mu.Lock()
@@ -51,12 +50,12 @@
 	return r.memberIds, r.planner.HoldersFor(g, r.retired, changing, now)
 }
 
-// IsChanging tells a roster whose change is not finished.
+// IsChanging reports whether a roster change is not finished.
 func IsChanging(members []string, copies int) bool {
 	return len(members) > copies || slices.ContainsFunc(members, group.IsLearner)
 }
 
-// storeNames gives the stores of a roster, each once.
+// storeNames returns the names of a roster's stores without repeats.
 func storeNames(members []string) []string {
 	out := []string{}
 	for _, m := range members {
--- a/internal/store/runs.go
+++ b/internal/store/runs.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// SlotGrant is a permitted slot on a worker, held by an adapter.
+// SlotGrant is a slot on a worker that the worker's holder, an adapter, has granted.
 type SlotGrant struct {
 	Pool, Worker string
 	Holder       wire.Who
@@ -17,8 +17,8 @@
 	Until        time.Duration
 }
 
-// Start runs the lane's next message in a granted slot. The run is durable
-// before its adapter hears of it.
+// Start starts the lane's next message in a granted slot. The start is committed before the run is sent to the
+// adapter.
 func (p *PlaceHost) Start(lane string, g SlotGrant) {
 	now := p.environment.Now()
 	if !p.host.IsOwner() || now > g.Until || !p.environment.IsFresh() {
@@ -32,7 +32,7 @@
 		return
 	}
 	if rules, isKnown := p.lane(lane); isKnown && rules.MaxAttempts > 0 && e.CountedAttempts >= rules.MaxAttempts {
-		p.environment.Release(g) // its last run might have gone on; now it cannot
+		p.environment.Release(g) // its last run might still have been going on before; now it cannot
 		p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Failed), Cause: e.Cause,
 			HoldsKey: rules.HoldsAfterFailure, Retain: int64(rules.Retention / time.Millisecond)}, nil)
 		return
@@ -50,10 +50,9 @@
 	})
 }
 
-// maxOrderedRunMs returns for how many milliseconds an ordered run may go on at its worker
-// though its adapter or its connection is lost: it begins within the bound on configurations,
-// since its permit lapses and its adapter grows stale, and its adapter allows it no more
-// than the bound (in milliseconds) that it is sent with.
+// maxOrderedRunMs returns for how many milliseconds an ordered run may go on at its worker although its adapter or its
+// connection is lost. The run begins within the bound on configuration changes, because by then its permit has expired
+// and its adapter is stale, and the adapter allows it no more than the bound (in milliseconds) that it is sent with.
 func (p *PlaceHost) maxOrderedRunMs(e *place.Message, bound int64) int64 {
 	if !e.Ordered {
 		return 0
@@ -62,8 +61,7 @@
 	return (p.environment.Bounds().ConfigApply + busy).Milliseconds()
 }
 
-// sendRun hands a started run to the adapter that granted the slot, with the bound that its
-// start was committed with.
+// sendRun sends a started run to the adapter that granted the slot, with the bound that the start was committed with.
 func (p *PlaceHost) sendRun(e *place.Message, attempt, bound int64, g SlotGrant) {
 	run := &wire.Run{Place: p.number, Term: p.host.Term(), Id: e.Id, Attempt: attempt, Lane: e.Lane, Key: e.Key,
 		Pool: g.Pool, Worker: g.Worker, ContentType: e.ContentType, Body: e.Body, Checksum: e.Checksum, Permit: g.Permit,
@@ -71,7 +69,7 @@
 	err := p.environment.Post(g.Holder, run, func(reply any, err error) {
 		ack, isAck := reply.(*wire.RunAck)
 		if err != nil || !isAck {
-			return // its fate is unknown: the tick asks the adapter
+			return // its state is unknown: Tick asks the adapter
 		}
 		_ = p.host.Do(func() {
 			if ack.Kind == "" {
@@ -86,6 +84,7 @@
 	}
 }
 
+// confirmRun records an adapter's confirmation of a run, which holds for the bound on configuration changes.
 func (p *PlaceHost) confirmRun(id string, attempt int64) {
 	if p.confirmed != nil {
 		p.confirmed[id] = runConfirmation{attempt, p.environment.Now() + p.environment.Bounds().ConfigApply}
@@ -93,8 +92,8 @@
 	}
 }
 
-// undoStart brings a run back that never started. It costs no attempt. Where an older run has succeeded
-// meanwhile it ends the message, so it tells how long the end is kept, as each Back does.
+// undoStart requeues a message whose run never began, which costs no attempt. If an older run has succeeded meanwhile,
+// the command ends the message, so it carries the retention of the end, as each requeue command does.
 func (p *PlaceHost) undoStart(id string, attempt int64, cause string) {
 	back := place.Command{Kind: place.CmdRunFailed, Id: id, Attempt: attempt, Cause: cause,
 		Deadline: int64(p.environment.Bounds().Of(timing.SlotRequestHold) / time.Millisecond)}
@@ -105,7 +104,7 @@
 	p.propose(back, nil)
 }
 
-// Tick does the periodic work, most of it the owner's.
+// Tick does the periodic work, most of which is the owner's.
 func (p *PlaceHost) Tick(now time.Duration) {
 	p.open.Store(int64(p.machine.CountRunning()))
 	p.stepTimeRecovery(now)
@@ -121,7 +120,7 @@
 	p.commitTime(now)
 	p.raiseLevel(now)
 	at := p.now()
-	for _, e := range p.machine.TakeExpired(at) { // each is told once, so its lane must be known now: the view was fresh above
+	for _, e := range p.machine.TakeExpired(at) { // each message is listed once, so its lane must be known now: the view was fresh above
 		lane, _ := laneOf(p.environment.Compiled().Rules, e.Lane, true)
 		p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Expired), Cause: "patience",
 			Retain: int64(lane.Retention / time.Millisecond)}, nil)
@@ -138,7 +137,7 @@
 	p.publishReady()
 }
 
-// sendChildren gives call-backs to the places that they belong to.
+// sendChildren submits call-back messages to the places that they belong to.
 func (p *PlaceHost) sendChildren() {
 	for id, child := range p.machine.Outbox() {
 		if p.sendingChildren[id] {
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -7,6 +7,7 @@
 	"caperwheel/internal/wire"
 )
 
+// ownerOf returns the name of the store that owns a group, empty if it is not known.
 func ownerOf(h Group) string {
 	if owner := h.View().Owner; owner != "" {
 		return group.Name(owner)
@@ -14,8 +15,7 @@
 	return ""
 }
 
-// withHeld does work on a place or part held here, on its own goroutine, or
-// rejects.
+// withHeld runs work on the goroutine of a place or part held here, or rejects.
 func withHeld[P interface{ Do(work func()) error }](s *Store, held map[int64]P, number int64, work func(P), reject func(errs.Kind)) {
 	s.mu.RLock()
 	p, isHeld := held[number]
@@ -29,7 +29,7 @@
 	}
 }
 
-// onPlace serves adapters, and stores that send call-backs.
+// onPlace serves adapters, and stores that submit call-back messages.
 func (s *Store) onPlace(_ wire.Who, body any, answer func(any)) {
 	with := func(number int64, work func(*PlaceHost), reject func(errs.Kind)) {
 		withHeld(s, s.places, number, work, reject)
@@ -58,11 +58,11 @@
 	}
 }
 
-// submitToPlace gives a message to the owner of its place, which may be here.
-func (s *Store) submitToPlace(t *wire.Take, tell func(isTaken bool)) {
+// submitToPlace submits a message to the owner of its place, which may be this store.
+func (s *Store) submitToPlace(t *wire.Take, report func(isTaken bool)) {
 	who, isKnown := s.d.Membership.Owner(wire.FirstPlaceGroup + t.Place)
 	if !isKnown {
-		tell(false)
+		report(false)
 		return
 	}
 	if t.Body == nil {
@@ -70,25 +70,24 @@
 	}
 	done := func(reply any, err error) {
 		taken, isTaken := reply.(*wire.Taken)
-		tell(err == nil && isTaken && taken.Kind == "")
+		report(err == nil && isTaken && taken.Kind == "")
 	}
 	if who.Name == s.d.Who.Name {
 		s.onPlace(who, t, func(reply any) { done(reply, nil) })
 		return
 	}
 	if err := s.d.Node.Peer(wire.PlaceLink, who.Addr).Post(t, done); err != nil {
-		tell(false)
+		report(false)
 	}
 }
 
-// UnknownTimeCount is the count by which a store tells how many of its places began their ownership with
-// nobody who knew their time.
+// UnknownTimeCount is the name of the count of places whose time no adapter knew when this store's ownership began.
 const UnknownTimeCount = "untimed"
 
-// ClusterCount is the count by which a store tells which deployment it belongs to.
+// ClusterCount is the name of the count that identifies the store's deployment.
 const ClusterCount = "cluster"
 
-// sessionPoll is what the store tells of itself in its session.
+// sessionPoll returns the poll that the store sends in its session.
 func (s *Store) sessionPoll() wire.Poll {
 	s.noteMembers()
 	poll := s.d.NewPoll()
@@ -119,11 +118,11 @@
 	if s.d.IsDraining() {
 		poll.Fact.Counts[session.DrainingCount] = 1
 	}
-	if untimed > 0 { // seldom: what is always told costs each poll its bytes
+	if untimed > 0 { // it is rarely above 0, and each count in a poll costs bytes
 		poll.Fact.Counts[UnknownTimeCount] = untimed
 	}
 	return poll
 }
 
-// replicas is how many replicas a group should have.
+// replicas returns how many replicas a group should have.
 func (s *Store) replicas() int { return s.d.Settings.Replicas() }
--- a/internal/store/stall_test.go
+++ b/internal/store/stall_test.go
@@ -11,17 +11,17 @@
 	"caperwheel/internal/wire"
 )
 
-// TestStalledIntake: a place whose disks had stalled once took messages on until
-// their callers gave up, and told none of them that it was not held.
+// TestStalledIntake guards against a place with stalled disks accepting messages until their callers time out, without
+// telling any of them that its message is not accepted.
 func TestStalledIntake(t *testing.T) {
 	cases := []struct {
 		name   string
 		stall  func(b *harness)
 		isHeld bool
 	}{
-		{"whose disk has too much to write", func(b *harness) { b.isBusy = true }, false},
-		{"whose proposals are not committed", func(b *harness) { b.oldest = time.Second }, false},
-		{"whose proposals take a moment", func(b *harness) { b.oldest = 100 * time.Millisecond }, true},
+		{"whose disk has too much to write rejects messages", func(b *harness) { b.isDiskBusy = true }, false},
+		{"whose proposals are not committed rejects messages", func(b *harness) { b.oldest = time.Second }, false},
+		{"whose proposals take a moment accepts messages", func(b *harness) { b.oldest = 100 * time.Millisecond }, true},
 	}
 	Convey("A place", t, func() {
 		for _, c := range cases {
@@ -33,13 +33,13 @@
 				if c.isHeld {
 					b.commit(true)
 					So(taken.Kind, ShouldEqual, "")
-				} else { // at once, and nothing of it can run later
+				} else { // rejected at once, and the message can never run
 					So(taken.Kind, ShouldEqual, string(errs.Full))
 					So(taken.Retry, ShouldBeGreaterThan, 0)
 					So(len(b.proposed), ShouldEqual, 0)
 				}
 				b.place.Take(&wire.Take{Id: "0-x", Lane: "l"}, func(reply any) { taken = reply.(*wire.Taken) })
-				So(taken.Kind, ShouldEqual, "") // held before
+				So(taken.Kind, ShouldEqual, "") // accepted before
 				b.place.Outcome(&wire.Outcome{Id: "0-x", Proof: wire.Proof{Attempt: 1}}, func(any) {})
 				b.commit(true)
 				So(e.State, ShouldEqual, place.Ended)
--- a/internal/store/standings.go
+++ b/internal/store/standings.go
@@ -10,26 +10,26 @@
 	"caperwheel/internal/wire"
 )
 
-// standingsWithout reports how the groups owned here stand without a store. Only groups
-// whose ownership a majority has confirmed since the ask came are told of: an
-// owner that was replaced meanwhile knows an old roster.
+// standingsWithout reports the state of the groups owned here as it would be without a store. It reports only groups
+// whose ownership a majority has confirmed since the request arrived, because an owner that was replaced meanwhile has
+// an old roster.
 func (s *Store) standingsWithout(without string, askedAt time.Duration) *wire.Retired {
 	out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.d.IsFresh() && s.configs.Current().RetiredStores[without]}
 	until := askedAt + s.d.Bounds.Of(timing.AnswerTimeout)
 	waiting := s.groupIds()
 	for {
-		left := []int64{}
+		unconfirmed := []int64{}
 		for _, id := range waiting {
 			v := s.hostOf(id).View()
 			switch {
 			case v.Role != group.Owner:
 			case !v.IsConfirmed || v.ConfirmedAt < askedAt:
-				left = append(left, id)
+				unconfirmed = append(unconfirmed, id)
 			default:
 				out.Groups = append(out.Groups, NewStanding(id, v, without))
 			}
 		}
-		if waiting = left; len(waiting) == 0 || s.d.Now() > until {
+		if waiting = unconfirmed; len(waiting) == 0 || s.d.Now() > until {
 			break
 		}
 		timing.Wait(context.Background(), s.d.Bounds.Of(timing.Heartbeat)/4)
@@ -42,7 +42,7 @@
 	return out
 }
 
-// NewStanding reports how a group stands without a store.
+// NewStanding reports the state of a group as it would be without a store.
 func NewStanding(id int64, v group.View, without string) wire.Standing {
 	out := wire.Standing{Group: id, Term: v.Term, Stores: storeNames(v.Roster)}
 	for _, member := range v.CaughtUp {
--- a/internal/store/startguards_test.go
+++ b/internal/store/startguards_test.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestStartNeedsAFreshView: an adapter refuses a run on a view that is not fresh as well, so no
-// simulated world tells whether an owner looks at its own.
+// TestStartNeedsAFreshView checks that an owner starts nothing on a stale view. An adapter rejects such a run as well,
+// so the simulation cannot show whether the owner checks its own view.
 func TestStartNeedsAFreshView(t *testing.T) {
 	grant := SlotGrant{Pool: "p", Worker: "w", Holder: wire.Who{Name: "a", Boot: "1"}, Until: 2 * time.Minute}
 	held := func() *harness {
@@ -30,10 +30,10 @@
 		starts  int
 	}{
 		{"starts on a fresh view", true, 2 * time.Minute, 1},
-		{"starts nothing on one that is not fresh, and gives the slot back", false, 2 * time.Minute, 0},
-		{"starts nothing in a slot that has lapsed, and gives it back", true, time.Second, 0},
+		{"starts nothing on a stale view, and releases the slot", false, 2 * time.Minute, 0},
+		{"starts nothing in an expired slot, and releases it", true, time.Second, 0},
 	}
-	Convey("An owner with a message that may run", t, func() {
+	Convey("An owner with a ready message", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				b := held()
@@ -46,7 +46,7 @@
 	})
 }
 
-// callbackHarness gives a bench with messages that have ended and whose call-backs are to be taken elsewhere.
+// callbackHarness returns a harness with ended messages whose call-backs are to be submitted to other places.
 func callbackHarness(lanes ...string) *harness {
 	b := newHarness()
 	b.rules.Lanes["back"] = config.Lane{Name: "back", Pools: []string{"p"}}
@@ -59,59 +59,59 @@
 	return b
 }
 
-// TestChildIsAskedForAgain: a call-back is offered until it was taken, one offer at a time. No lane of
-// the simulated deliveries has such children.
+// TestChildIsAskedForAgain checks that a call-back is submitted until it is accepted, one submission at a time. No
+// lane of the simulated deliveries has call-backs.
 func TestChildIsAskedForAgain(t *testing.T) {
-	Convey("A call-back that is to be taken elsewhere", t, func() {
+	Convey("A call-back for another place", t, func() {
 		b := callbackHarness("back")
 		b.place.sendChildren()
-		So(b.offered, ShouldResemble, []string{"child of 0-0"})
-		Convey("is offered once at a time", func() {
+		So(b.submitted, ShouldResemble, []string{"child of 0-0"})
+		Convey("is submitted once at a time", func() {
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 1)
+			So(b.submitted, ShouldHaveLength, 1)
 		})
-		Convey("is offered again where it was not taken", func() {
-			b.offerReplies[0](false)
+		Convey("is submitted again if it was not accepted", func() {
+			b.submitReplies[0](false)
 			So(b.proposed, ShouldBeEmpty)
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 2)
-			b.offerReplies[1](true)
+			So(b.submitted, ShouldHaveLength, 2)
+			b.submitReplies[1](true)
 			b.commit(true)
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 2)
+			So(b.submitted, ShouldHaveLength, 2)
 			So(b.place.machine.Outbox(), ShouldBeEmpty)
 		})
-		Convey("is offered again where that it was taken could not be committed", func() {
-			b.offerReplies[0](true)
+		Convey("is submitted again if its acceptance could not be committed", func() {
+			b.submitReplies[0](true)
 			b.commit(false)
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 2)
+			So(b.submitted, ShouldHaveLength, 2)
 		})
-		Convey("is offered anew by the next ownership, whatever became of the offer before", func() {
+		Convey("is submitted again by the next ownership, whatever the result of the earlier submission", func() {
 			takeOwnership(b.place)
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 2)
+			So(b.submitted, ShouldHaveLength, 2)
 		})
 	})
 }
 
-// TestChildOfARemovedLane is the table of call-backs whose lane the configuration does not have.
+// TestChildOfARemovedLane checks call-backs whose lane is not in the configuration.
 func TestChildOfARemovedLane(t *testing.T) {
-	Convey("Of call-backs of which some have a lane that the view does not know,", t, func() {
+	Convey("Given call-backs, some of which have a lane that is not in the view,", t, func() {
 		b := callbackHarness("back", "gone", "back", "gone")
-		Convey("all are offered where the view is fresh: the lane was removed", func() {
+		Convey("all are submitted if the view is fresh, since the lane was removed", func() {
 			b.place.sendChildren()
-			slices.Sort(b.offered)
-			So(b.offered, ShouldResemble, []string{"child of 0-0", "child of 0-1", "child of 0-2", "child of 0-3"})
+			slices.Sort(b.submitted)
+			So(b.submitted, ShouldResemble, []string{"child of 0-0", "child of 0-1", "child of 0-2", "child of 0-3"})
 		})
-		Convey("those are not offered where it is not: it may not have come yet", func() {
+		Convey("those are not submitted if the view is stale, since the lane may be new", func() {
 			b.freshAnswers = []bool{false, false, false, false}
 			b.place.sendChildren()
-			So(b.offered, ShouldNotContain, "child of 0-1")
-			So(b.offered, ShouldNotContain, "child of 0-3")
+			So(b.submitted, ShouldNotContain, "child of 0-1")
+			So(b.submitted, ShouldNotContain, "child of 0-3")
 			b.freshAnswers = nil
 			b.place.sendChildren()
-			So(b.offered, ShouldHaveLength, 4)
+			So(b.submitted, ShouldHaveLength, 4)
 		})
 	})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,14 +27,14 @@
 	"caperwheel/internal/wire"
 )
 
-// Store is the daemon.
+// Store is the store daemon.
 type Store struct {
 	d            *daemon.Daemon
 	disk         *storage.Log
 	bootstrapper *bootstrapper
 	configs      *config.Cache
 	dispatcher   *Dispatcher
-	results      *repair.ResultBuffer // results that adapters could not deliver to their owner
+	results      *repair.ResultBuffer // results that adapters could not deliver to the owner of their place
 	diskFull     atomic.Bool
 	rosters      *RosterPlanner
 	ctx          context.Context
@@ -47,11 +47,11 @@
 	heldPlaces atomic.Pointer[[]*PlaceHost]
 	openOnce   sync.Once
 	isOpen     atomic.Bool
-	// Intake is rejected for want of memory.
+	// Intake is rejected for lack of memory.
 	isMemoryLow atomic.Bool
 }
 
-// Run is the store's main; a source gives its settings another way.
+// Run runs the store daemon; source provides its settings.
 func Run(source *settings.Source) {
 	raiseMaxProcs()
 	d := daemon.New("store", source)
@@ -92,7 +92,7 @@
 	d.Serve(s.drain)
 }
 
-// begin opens the groups once the store belongs to a deployment.
+// openGroups opens the groups once the store belongs to a deployment.
 func (s *Store) openGroups() {
 	s.openOnce.Do(func() {
 		id := s.bootstrapper.snapshot()
@@ -100,7 +100,7 @@
 			s.mu.Lock()
 			ids := slices.Collect(maps.Keys(s.unopened))
 			s.mu.Unlock()
-			for _, groupId := range ids { // a joiner opens what it holds; the rest comes by message
+			for _, groupId := range ids { // a store that joined later opens what it holds; other groups open when their owner sends entries
 				s.openGroup(groupId)
 			}
 		} else {
@@ -112,12 +112,12 @@
 			}
 		}
 		s.isOpen.Store(true)
-		klog.Infof("store: %d groups are open.", len(s.groupIds()))
+		klog.Infof("store: Opened the replicas of %d groups.", len(s.groupIds()))
 	})
 }
 
-// open starts the replica of a group on this store. A replica that lost what
-// it had promised starts blank, under a new member id that has no vote.
+// openGroup starts the replica of a group on this store. A replica that lost its persisted votes and entries starts
+// blank, under a new member id that has no vote.
 func (s *Store) openGroup(groupId int64) *host.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 	held := s.unopened[groupId]
 	if held == nil && s.disk.HasLostData() || held != nil && held.IsDamaged {
-		klog.Errorf("store: Group %d has lost what was on disk; it is rebuilt from its peers.", groupId)
+		klog.Errorf("store: The replica of group %d lost its data on disk; it is rebuilt from the other replicas.", groupId)
 		s.d.Must(s.bootstrapper.recordRebuild(groupId))
 		done := make(chan error, 1)
 		s.disk.SaveSlot(groupId, group.HardState{}, nil, &group.DurableUpdate{}, func(err error) { done <- err })
@@ -161,14 +161,14 @@
 	}
 	s.d.Must(err)
 	s.hosts[groupId] = h
-	delete(s.unopened, groupId) // the host has it now
+	delete(s.unopened, groupId) // owned by the host now
 	go h.Run(s.ctx)
 	all := slices.Collect(maps.Values(s.places))
 	s.heldPlaces.Store(&all)
 	return h
 }
 
-// fail stops the whole store: a disk that fails may have lost anything.
+// fail stops the whole store, because after a disk error any data may be lost.
 func (s *Store) fail(err error) { s.d.Must(err) }
 
 func (s *Store) groupIds() []int64 {
@@ -183,11 +183,11 @@
 	return s.hosts[groupId]
 }
 
-// listPlaces lists the places held here; those not owned have nothing ready.
+// listPlaces lists the places held here, including those that are owned elsewhere.
 func (s *Store) listPlaces() []*PlaceHost { return *s.heldPlaces.Load() }
 
-// preferredOwner spreads ownership evenly: by hash of group and member, over the
-// members that are here, not asked to stop, not retired, and not in an emptied zone.
+// preferredOwner returns the member that should own a group. It spreads ownerships evenly by a hash of group and
+// member, over the members that have a session, are not asked to stop or retired, and are not in an emptied zone.
 func (s *Store) preferredOwner(groupId int64, roster []string) string {
 	compiled, best, top := s.configs.Current(), "", uint64(0)
 	for _, m := range group.Voters(roster) {
--- a/internal/store/timerecovery_test.go
+++ b/internal/store/timerecovery_test.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/wire"
 )
 
-// recoveringHarness returns a place with a message whose newest command is at 1,000 in term 5, just owned in term 7, with
-// so many adapters as members.
+// recoveringHarness returns the harness of a place with one message, whose newest command is at 1,000 in term 5, which
+// has just been owned in term 7, with this many adapters as members.
 func recoveringHarness(adapters int) *harness {
 	b := newHarness()
 	b.dataTerm, b.term = 5, 7
@@ -28,7 +28,7 @@
 	return b
 }
 
-// asked lists the answers to the asks for the time, or to words of it, and forgets them.
+// takeReplies returns the reply functions of the posted messages of a type, and clears all posted messages.
 func takeReplies[T any](b *harness) (out []func(any, error)) {
 	for i, ask := range b.posted {
 		if _, is := ask.(T); is {
@@ -45,7 +45,7 @@
 	b.place.OwnershipChanged(false)
 }
 
-// storeTime has the first adapter that is told the time keep it.
+// storeTime has the first adapter that was sent the time confirm that it has stored it.
 func (b *harness) storeTime() { takeReplies[*wire.TellTime](b)[0](&wire.TimeTold{}, nil) }
 
 func (b *harness) advance(span time.Duration) {
@@ -53,23 +53,24 @@
 	b.place.Tick(b.now)
 }
 
-// TestRecallBeforeOwnership: a new owner once began at the newest command in its log, however long ago that was.
+// TestRecallBeforeOwnership guards against a new owner beginning at the time of the newest command in its log, however
+// old that is.
 func TestRecallBeforeOwnership(t *testing.T) {
 	redial := timing.Default.Of(timing.RedialDelay)
-	rest, listen := timing.Default.Of(timing.TimeQueryGrace), timing.Default.Of(timing.TimeQueryTimeout)
+	rest, queryTimeout := timing.Default.Of(timing.TimeQueryGrace), timing.Default.Of(timing.TimeQueryTimeout)
 	limit, alone := timing.Default.Of(timing.TimeRecoveryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
 	known := &wire.TimeKept{Term: 5, Reading: 9000}
-	Convey("The owner of a place that holds nothing owns it at once", t, func() {
+	Convey("The owner of a place without messages owns it at once", t, func() {
 		b := newHarness()
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
-	Convey("The owner of one that holds a message", t, func() {
+	Convey("The owner of a place with a message", t, func() {
 		b := recoveringHarness(2)
-		asks := takeReplies[*wire.AskTime](b)
-		So(asks, ShouldHaveLength, 2)
+		replies := takeReplies[*wire.AskTime](b)
+		So(replies, ShouldHaveLength, 2)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
-		Convey("goes on from what an adapter tells that knows, and waits for others only shortly", func() {
-			asks[1](known, nil)
+		Convey("goes on from the time that an adapter reports, and waits for others only shortly", func() {
+			replies[1](known, nil)
 			b.advance(rest - time.Millisecond)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 			b.advance(time.Millisecond)
@@ -78,8 +79,8 @@
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
 			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
-			Convey("and from none that comes later", func() {
-				asks[0](&wire.TimeKept{Term: 6, Reading: 20_000}, nil)
+			Convey("and ignores a later answer", func() {
+				replies[0](&wire.TimeKept{Term: 6, Reading: 20_000}, nil)
 				So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
 			})
 			Convey("so that a delay ends in time", func() {
@@ -88,36 +89,36 @@
 				So(b.place.Ready(), ShouldResemble, map[string]int{"l": 1})
 			})
 		})
-		Convey("goes on from the farthest of several words, since an adapter that stood still as it was told is behind", func() {
-			asks[1](known, nil)
-			asks[0](&wire.TimeKept{Term: 5, Reading: 11_000}, nil)
+		Convey("goes on from the latest of several readings, since an adapter that was frozen when it was sent the time is behind", func() {
+			replies[1](known, nil)
+			replies[0](&wire.TimeKept{Term: 5, Reading: 11_000}, nil)
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.now(), ShouldEqual, 11_000)
 		})
-		Convey("does not wait for one whose answer was lost, once it knows", func() {
-			asks[0](nil, errs.New(errs.Lost, "gone"))
-			asks[1](known, nil)
+		Convey("does not wait for an adapter whose answer was lost, once the time is known", func() {
+			replies[0](nil, errs.New(errs.Lost, "gone"))
+			replies[1](known, nil)
 			b.storeTime()
 			So(b.place.now(), ShouldEqual, 9000)
 		})
-		Convey("goes on by itself where all have answered that they know nothing, once it has listened for a while", func() {
-			asks[0](&wire.TimeKept{}, nil)
-			asks[1](&wire.TimeKept{}, nil)
-			b.advance(listen - time.Millisecond)
+		Convey("goes on from its own log if no adapter knows the time, after the query timeout", func() {
+			replies[0](&wire.TimeKept{}, nil)
+			replies[1](&wire.TimeKept{}, nil)
+			b.advance(queryTimeout - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			b.advance(time.Millisecond)
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
-			So(b.place.now(), ShouldEqual, 1000+listen.Milliseconds())
-			told, _ := b.place.MessageStatus("0-x")
-			So([]any{told.IsTimeUnknown, told.TimeMs}, ShouldResemble, []any{true, 1000 + listen.Milliseconds()})
+			So(b.place.now(), ShouldEqual, 1000+queryTimeout.Milliseconds())
+			status, _ := b.place.MessageStatus("0-x")
+			So([]any{status.IsTimeUnknown, status.TimeMs}, ShouldResemble, []any{true, 1000 + queryTimeout.Milliseconds()})
 		})
 		Convey("waits for an adapter that is slow to answer", func() {
-			asks[0](&wire.TimeKept{}, nil)
+			replies[0](&wire.TimeKept{}, nil)
 			b.advance(limit - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			asks[1](known, nil) // it may be from long ago
+			replies[1](known, nil) // it may be old
 			b.advance(0)
 			again := takeReplies[*wire.AskTime](b)
 			So(again, ShouldHaveLength, 1)
@@ -127,35 +128,35 @@
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 		})
-		Convey("goes on from an old word where no newer one comes", func() {
-			b.advance(listen + time.Millisecond)
-			asks[1](known, nil)
+		Convey("goes on from an old reading if no newer one comes", func() {
+			b.advance(queryTimeout + time.Millisecond)
+			replies[1](known, nil)
 			b.advance(limit)
 			So(b.place.now(), ShouldEqual, 9000+limit.Milliseconds())
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 		})
-		Convey("waits for an answer no longer than a while where another has answered, nor for one that keeps the time", func() {
-			asks[0](&wire.TimeKept{}, nil)
+		Convey("waits for a silent adapter only for a limited time once another has answered, and also for an adapter that stores the time", func() {
+			replies[0](&wire.TimeKept{}, nil)
 			b.advance(limit)
 			So(takeReplies[*wire.TellTime](b), ShouldNotBeEmpty)
-			b.advance(listen - time.Millisecond)
+			b.advance(queryTimeout - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			b.advance(time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 			So(b.place.isTimeUnknown.Load(), ShouldBeTrue)
 		})
-		Convey("waits for longer where none has answered, but not for ever", func() {
+		Convey("waits longer if none has answered, but not forever", func() {
 			b.advance(alone - time.Millisecond)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 			b.advance(time.Millisecond)
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
-		Convey("asks an adapter again whose answer was lost", func() {
-			asks[0](&wire.TimeKept{}, nil)
-			asks[1](nil, errs.New(errs.Lost, "reset"))
+		Convey("queries an adapter again whose answer was lost", func() {
+			replies[0](&wire.TimeKept{}, nil)
+			replies[1](nil, errs.New(errs.Lost, "reset"))
 			b.advance(redial - time.Millisecond)
 			So(takeReplies[*wire.AskTime](b), ShouldBeEmpty)
 			b.advance(time.Millisecond)
@@ -165,17 +166,17 @@
 			again[0](known, nil)
 			So(b.place.now(), ShouldEqual, 9000)
 		})
-		Convey("waits no more for one whose answer was lost and that is no member any more", func() {
-			asks[0](&wire.TimeKept{}, nil)
-			asks[1](nil, errs.New(errs.Lost, "gone"))
+		Convey("does not wait for an adapter whose answer was lost and that is no longer a member", func() {
+			replies[0](&wire.TimeKept{}, nil)
+			replies[1](nil, errs.New(errs.Lost, "gone"))
 			b.adapters = b.adapters[:1]
-			b.advance(listen)
+			b.advance(queryTimeout)
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
-		Convey("has an adapter keep what it knows before it begins, and tells those again that are slow", func() {
-			asks[0](known, nil)
-			asks[1](&wire.TimeKept{}, nil)
+		Convey("has an adapter store the time before it begins, and sends it again to slow adapters", func() {
+			replies[0](known, nil)
+			replies[1](&wire.TimeKept{}, nil)
 			So(takeReplies[*wire.TellTime](b), ShouldHaveLength, 2)
 			b.advance(limit - time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
@@ -183,32 +184,32 @@
 			takeReplies[*wire.TellTime](b)[0](&wire.TimeTold{}, nil)
 			So(b.place.host.IsOwner(), ShouldBeTrue)
 		})
-		Convey("asks those that become members meanwhile", func() {
+		Convey("queries adapters that become members meanwhile", func() {
 			b.adapters = append(b.adapters, wire.Who{Name: "late", Boot: "late.1"})
-			b.advance(listen)
+			b.advance(queryTimeout)
 			late := takeReplies[*wire.AskTime](b)
 			So(late, ShouldHaveLength, 1)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			late[0](known, nil)
 			So(b.place.now(), ShouldEqual, 9000)
 		})
-		Convey("asks again where it stood still before it had the answer, since that is old", func() {
-			b.now += listen + time.Millisecond
-			asks[0](known, nil)
+		Convey("queries again if it was frozen before it got the answer, since the answer is old", func() {
+			b.now += queryTimeout + time.Millisecond
+			replies[0](known, nil)
 			b.place.Tick(b.now)
 			again := takeReplies[*wire.AskTime](b)
 			So(again, ShouldHaveLength, 1)
 			again[0](&wire.TimeKept{Term: 5, Reading: 9300}, nil)
 			So(b.place.now(), ShouldEqual, 9300)
 		})
-		Convey("does not count words of another ownership than that of its newest command", func() {
-			asks[0](&wire.TimeKept{Term: 4, Reading: 20_000}, nil)
-			asks[1](&wire.TimeKept{Term: 7, Reading: 20_000}, nil)
+		Convey("rejects readings of another ownership than that of its newest command", func() {
+			replies[0](&wire.TimeKept{Term: 4, Reading: 20_000}, nil)
+			replies[1](&wire.TimeKept{Term: 7, Reading: 20_000}, nil)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
-			b.advance(listen)
-			So(b.place.now(), ShouldEqual, 1000+listen.Milliseconds())
+			b.advance(queryTimeout)
+			So(b.place.now(), ShouldEqual, 1000+queryTimeout.Milliseconds())
 		})
-		Convey("proposes, takes and answers nothing before", func() {
+		Convey("proposes, accepts and answers nothing before", func() {
 			taken, looked := &wire.Taken{}, &wire.Sight{}
 			b.place.Take(&wire.Take{Id: "0-y", Lane: "l", Deadline: 9}, func(reply any) { taken = reply.(*wire.Taken) })
 			b.place.Look(&wire.Look{Id: "0-x"}, func(reply any) { looked = reply.(*wire.Sight) })
@@ -218,9 +219,9 @@
 			So([]string{taken.Kind, looked.Kind, settled.Kind}, ShouldResemble, []string{"not_owner", "not_owner", "not_owner"})
 			So(b.proposed, ShouldBeEmpty)
 		})
-		Convey("that has lost its ownership meanwhile does not go on with it", func() {
+		Convey("stops the recovery if it loses its ownership", func() {
 			b.loseOwnership()
-			asks[0](known, nil)
+			replies[0](known, nil)
 			b.advance(limit)
 			So(b.place.now(), ShouldEqual, 1000+limit.Milliseconds())
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
--- a/internal/store/timerecoveryviews_test.go
+++ b/internal/store/timerecoveryviews_test.go
@@ -11,10 +11,11 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRecallByView: an owner asks the adapters that its view names, and knows of none before that is fresh.
+// TestRecallByView checks that an owner queries the adapters that its view names, and knows of none before the view is
+// fresh.
 func TestRecallByView(t *testing.T) {
-	listen, alone := timing.Default.Of(timing.TimeQueryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
-	Convey("An owner that knows of no adapter waits for some, but not for ever", t, func() {
+	queryTimeout, alone := timing.Default.Of(timing.TimeQueryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
+	Convey("An owner without known adapters waits for some, but not forever", t, func() {
 		b := recoveringHarness(0)
 		b.advance(alone - time.Millisecond)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
@@ -25,20 +26,20 @@
 		b := recoveringHarness(0)
 		b.rejectsTimeMessages, b.adapters = true, []wire.Who{{Name: "old", Boot: "old.1"}}
 		b.advance(0)
-		b.advance(listen)
+		b.advance(queryTimeout)
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
 	Convey("An owner whose view is stale waits for a fresh one, since it may name more adapters", t, func() {
 		b := recoveringHarness(1)
 		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
 		b.freshAnswers = []bool{false}
-		b.advance(listen)
+		b.advance(queryTimeout)
 		So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 		b.advance(time.Millisecond)
 		b.storeTime()
 		So(b.place.host.IsOwner(), ShouldBeTrue)
 	})
-	Convey("An owner that has no fresh view for long asks those that it names then", t, func() {
+	Convey("An owner without a fresh view for long queries the adapters that the view names once it is fresh", t, func() {
 		b := recoveringHarness(0)
 		b.place.OwnershipChanged(false)
 		b.freshAnswers = []bool{false, false, false}
@@ -51,16 +52,16 @@
 		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 90_000}, nil)
 		So(b.place.now(), ShouldEqual, 90_000)
 	})
-	Convey("An owner whose view names ever more adapters goes on listening for others", t, func() {
+	Convey("An owner whose view keeps naming more adapters goes on waiting for others", t, func() {
 		b := recoveringHarness(0)
 		for i := range 3 {
-			b.advance(listen - time.Millisecond)
+			b.advance(queryTimeout - time.Millisecond)
 			name := fmt.Sprint("new", i)
 			b.adapters = append(b.adapters, wire.Who{Name: name, Boot: name + ".1"})
 			b.advance(0)
 			takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{}, nil)
 		}
-		b.advance(listen - time.Millisecond)
+		b.advance(queryTimeout - time.Millisecond)
 		So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 		b.advance(time.Millisecond)
 		So(takeReplies[*wire.TellTime](b), ShouldHaveLength, 3)
--- a/internal/store/timereplication.go
+++ b/internal/store/timereplication.go
@@ -12,15 +12,15 @@
 	"caperwheel/internal/wire"
 )
 
-// maxTimeHolders is how many adapters keep a place's time; a new owner asks twice as many, since
-// which adapters are members may have changed.
+// maxTimeHolders is the number of adapters that store a place's time. A new owner queries twice as many, since the
+// member adapters may have changed.
 const maxTimeHolders = 8
 
-// timeReplication is whom an owner has told its place's time. Once is enough: the time of one
-// ownership goes on with any steady clock.
+// timeReplication records the adapters that an owner has sent its place's time to. Sending it once is enough, because
+// the time of one ownership advances with any steady clock.
 type timeReplication struct {
-	told   map[string]bool          // by life of an adapter
-	sentAt map[string]time.Duration // when each was sent the word last, unless it has answered too late
+	told   map[string]bool          // adapters that have stored the time, by incarnation
+	sentAt map[string]time.Duration // when each adapter was last sent the time, unless its answer came too late
 	lookAt time.Duration
 }
 
@@ -28,13 +28,13 @@
 	return timeReplication{told: map[string]bool{}, sentAt: map[string]time.Duration{}}
 }
 
-// isUnderWay reports whether an adapter was sent the word a moment ago.
+// isUnderWay reports whether the time was sent to an adapter within the span.
 func (t *timeReplication) isUnderWay(boot string, now, span time.Duration) bool {
 	at, isSent := t.sentAt[boot]
 	return isSent && now-at < span
 }
 
-// timeHolders returns the adapters that keep the place's time, or should.
+// timeHolders returns the adapters that should store the place's time: those that rank highest for the place.
 func (p *PlaceHost) timeHolders(most int) []wire.Who {
 	all := p.environment.Adapters()
 	if len(all) <= most {
@@ -47,36 +47,38 @@
 	return ranked[:most]
 }
 
+// groupId returns the id of the place's group.
 func (p *PlaceHost) groupId() int64 { return wire.FirstPlaceGroup + p.number }
 
-// replicateTime has adapters keep the place's time.
+// replicateTime sends the place's time to the adapters that should store it and have not confirmed it.
 func (p *PlaceHost) replicateTime(now time.Duration) {
 	if now < p.time.lookAt {
 		return
 	}
 	span := p.environment.Bounds().Of(timing.TimeCommitInterval)
 	p.time.lookAt = now + span
-	told := p.time.told
+	stored := p.time.told
 	for _, who := range p.timeHolders(maxTimeHolders) {
-		if told[who.Boot] || p.time.isUnderWay(who.Boot, now, span) {
+		if stored[who.Boot] || p.time.isUnderWay(who.Boot, now, span) {
 			continue
 		}
 		p.time.sentAt[who.Boot] = now
-		word := &wire.TellTime{Group: p.groupId(), Term: p.host.Term(), Reading: p.now()}
-		err := p.environment.Post(who, word, func(reply any, err error) {
+		reading := &wire.TellTime{Group: p.groupId(), Term: p.host.Term(), Reading: p.now()}
+		err := p.environment.Post(who, reading, func(reply any, err error) {
 			if ack, isAck := reply.(*wire.TimeTold); err == nil && isAck && ack.Kind == "" {
-				_ = p.host.Do(func() { p.onTimeStored(told, who, now) })
+				_ = p.host.Do(func() { p.onTimeStored(stored, who, now) })
 			}
 		})
-		if errs.Is(err, errs.Rejected) { // an older build
-			told[who.Boot] = true
+		if errs.Is(err, errs.Rejected) { // an older build without the message
+			stored[who.Boot] = true
 		}
 	}
 }
 
-// onTimeStored notes that an adapter keeps the time that it was told at a moment. The first that does lets the ownership
-// begin. One that answers late may have heard the word late, and be behind by that: it is told again.
-func (p *PlaceHost) onTimeStored(told map[string]bool, who wire.Who, at time.Duration) {
+// onTimeStored records that an adapter has stored the time that was sent at a moment. The first such adapter lets the
+// ownership begin. An adapter that answers late may have received the time late and be behind by that much, so the
+// time is sent to it again.
+func (p *PlaceHost) onTimeStored(stored map[string]bool, who wire.Who, at time.Duration) {
 	if p.environment.Now()-at > p.environment.Bounds().Of(timing.TimeQueryTimeout) {
 		if sentAt, isSent := p.time.sentAt[who.Boot]; isSent && sentAt == at {
 			delete(p.time.sentAt, who.Boot)
@@ -84,23 +86,24 @@
 		}
 		return
 	}
-	told[who.Boot] = true
+	stored[who.Boot] = true
 	if r := p.host.recovery; r != nil && r.isReplicating && p.time.told[who.Boot] {
 		p.endTimeRecovery()
 	}
 }
 
-// replicateRecoveredTime has adapters keep the time, now that it is known or cannot be, before the first command is proposed.
+// replicateRecoveredTime sends the time, once it is known or cannot be recovered, to adapters before the first command
+// is proposed.
 func (p *PlaceHost) replicateRecoveredTime(now time.Duration) {
 	r := p.host.recovery
 	limit := timing.TimeQueryTimeout
-	if r.isTimeKnown { // so much would be lost with the next loss of all stores
+	if r.isTimeKnown { // if all stores failed again, the recovered time would be lost
 		limit = timing.TimeRecoveryTimeout
 	}
 	r.isReplicating, r.replicateUntil = true, now+p.environment.Bounds().Of(limit)
 	p.time = newTimeReplication()
 	p.replicateTime(now)
-	if len(p.time.told) == len(p.timeHolders(maxTimeHolders)) { // nobody is to answer: there are none, or of older builds
+	if len(p.time.told) == len(p.timeHolders(maxTimeHolders)) { // no answer is pending: there are no adapters, or only older builds
 		p.endTimeRecovery()
 	}
 }
--- a/internal/store/timereplication_test.go
+++ b/internal/store/timereplication_test.go
@@ -10,21 +10,22 @@
 	"caperwheel/internal/wire"
 )
 
-// TestTimeIsTold: an owner tells its time to adapters once in their lives, and to no more than a few.
+// TestTimeIsTold checks that an owner sends its time once to each incarnation of an adapter, and to a limited number
+// of adapters.
 func TestTimeIsTold(t *testing.T) {
 	span := timing.Default.Of(timing.TimeCommitInterval)
-	Convey("An owner tells its place's time", t, func() {
+	Convey("An owner sends its place's time", t, func() {
 		b := recoveringHarness(maxTimeHolders + 3)
-		asks := takeReplies[*wire.AskTime](b)
-		asks[0](&wire.TimeKept{Term: 5, Reading: 9000}, nil)
+		replies := takeReplies[*wire.AskTime](b)
+		replies[0](&wire.TimeKept{Term: 5, Reading: 9000}, nil)
 		b.advance(timing.Default.Of(timing.TimeQueryGrace))
-		told := takeReplies[*wire.TellTime](b)
-		So(told, ShouldHaveLength, maxTimeHolders)
+		timeReplies := takeReplies[*wire.TellTime](b)
+		So(timeReplies, ShouldHaveLength, maxTimeHolders)
 		So(b.proposed, ShouldBeEmpty)
-		for _, answer := range told[1:] {
+		for _, answer := range timeReplies[1:] {
 			answer(&wire.TimeTold{}, nil)
 		}
-		Convey("again to those that have not said that they keep it", func() {
+		Convey("again to adapters that have not confirmed that they store it", func() {
 			b.advance(span / 2)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 			b.advance(span)
@@ -34,10 +35,10 @@
 			b.advance(span)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 		})
-		Convey("again to one that answers late, since it may have heard the word late", func() {
+		Convey("again to an adapter that answers late, since it may have received the time late", func() {
 			b.advance(timing.Default.Of(timing.TimeQueryTimeout) + time.Millisecond)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
-			told[0](&wire.TimeTold{}, nil)
+			timeReplies[0](&wire.TimeTold{}, nil)
 			b.advance(0)
 			again := takeReplies[*wire.TellTime](b)
 			So(again, ShouldHaveLength, 1)
@@ -45,8 +46,8 @@
 			b.advance(span)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 		})
-		Convey("to another life of one", func() {
-			told[0](&wire.TimeTold{}, nil)
+		Convey("to another incarnation of an adapter", func() {
+			timeReplies[0](&wire.TimeTold{}, nil)
 			for i := range b.adapters {
 				b.adapters[i].Boot += "+"
 			}
--- a/internal/store/timereplicationlate_test.go
+++ b/internal/store/timereplicationlate_test.go
@@ -10,16 +10,16 @@
 	"caperwheel/internal/wire"
 )
 
-// delayedAnswer is an adapter's answer that comes at a moment.
+// delayedAnswer is an adapter's answer that arrives at a moment.
 type delayedAnswer struct {
 	at     time.Duration
 	answer func(any, error)
 }
 
-// TestLateAnswersAreNotAnsweredByAll guards against a load that fed itself: each late answer of one adapter had the time sent again
-// to all that had not answered yet.
+// TestLateAnswersAreNotAnsweredByAll guards against a load that amplifies itself: each late answer of one adapter had
+// the time sent again to all adapters that had not answered yet.
 func TestLateAnswersAreNotAnsweredByAll(t *testing.T) {
-	Convey("Of eight adapters that answer late, each is told again no sooner than it answers, or the time is marked", t, func() {
+	Convey("The time is sent again to each of eight adapters that answer late no sooner than it answers, or after the commit interval", t, func() {
 		b, random := recoveringHarness(maxTimeHolders), rand.New(rand.NewPCG(1, 2))
 		takeReplies[*wire.AskTime](b)[0](&wire.TimeKept{Term: 5, Reading: 9000}, nil)
 		queue, posts := []delayedAnswer{}, 0
--- a/internal/store/upkeep.go
+++ b/internal/store/upkeep.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// maintain founds, watches the disk, and keeps the log short.
+// maintain joins or founds a deployment, watches disk and memory, and compacts the log.
 func (s *Store) maintain(ctx context.Context) {
 	go timing.Every(ctx, s.d.Bounds.Of(timing.JoinInterval), func() { s.bootstrapper.joinOrBootstrap(s.d.Now()) })
 	timing.Every(ctx, s.d.Bounds.Of(timing.AnswerTimeout), func() {
@@ -23,11 +23,11 @@
 		}
 		isFull := s.disk.IsDiskFull()
 		if s.diskFull.Swap(isFull) != isFull {
-			klog.Warningf("store: Disk nearly full is now %t; intake follows.", isFull)
+			klog.Warningf("store: The disk is nearly full: %t; intake is rejected while it is.", isFull)
 		}
 		isLow := isMemoryLow(liveHeapBytes(), s.d.Settings.MemoryLimit)
 		if s.isMemoryLow.Swap(isLow) != isLow {
-			klog.Warningf("store: Memory nearly used up is now %t; intake follows.", isLow)
+			klog.Warningf("store: The memory is nearly used up: %t; intake is rejected while it is.", isLow)
 		}
 		if s.disk.Segments() > 4 {
 			for _, id := range s.disk.GroupsHoldingSegments(s.groupIds()) {
@@ -37,8 +37,7 @@
 	})
 }
 
-// reportMissingStore tells all groups that a store's process has ended: nobody listens
-// where it was.
+// reportMissingStore tells all groups that a store's process has ended, because its address refuses connections.
 func (s *Store) reportMissingStore(addr string) {
 	for _, who := range s.d.Membership.OfKind("store") {
 		if who.Addr != addr || who.Name == s.d.Who.Name {
@@ -50,8 +49,8 @@
 	}
 }
 
-// drain goes in order. The store stays a follower, with its disk, until its process ends:
-// others go on sending it entries.
+// drain drains the store. The store remains a follower, with its disk, until its process ends, because owners go on
+// sending it entries.
 func (s *Store) drain(ctx context.Context) {
 	drain := NewDrain(DrainOptions{Daemon: s.d, Hosts: s.heldHosts, Places: s.listPlaces})
 	for ctx.Err() == nil && !drain.Step() {
@@ -64,20 +63,20 @@
 	case !s.isOpen.Load():
 		return false, string(errs.NotBootstrapped)
 	case !s.d.IsFresh():
+		// ready reports whether the store is ready, and otherwise why not.
 		return false, string(errs.Stale)
 	}
 	return true, ""
 }
 
-// placeOfId reads the place out of a message's id.
+// placeOfId parses the place out of a message's id.
 func (s *Store) placeOfId(id string) int64 {
 	text, _, _ := strings.Cut(id, "-")
 	n, _ := strconv.ParseInt(text, 10, 64)
 	return n
 }
 
-// childId gives a call-back's id: derived from its parent's, so that it is the
-// same whoever derives it.
+// childId returns the id of a call-back message. It is derived from the parent's id, so it is the same on every store.
 func (s *Store) childId(parent string) string {
 	h := fnv.New32a()
 	h.Write([]byte(parent))
--- a/internal/timing/clock.go
+++ b/internal/timing/clock.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Clock measures deadlines and pauses. Code that waits takes the clock from its
-// context, so that the simulation runs the same code on simulated time.
+// Clock measures deadlines and waits. Code that waits takes the clock from its context, so that the simulation can run
+// it on simulated time.
 type Clock interface {
 	Within(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc)
 	Wait(ctx context.Context, span time.Duration)
@@ -14,12 +14,12 @@
 
 type clockKey struct{}
 
-// WithClock gives a context a clock of its own.
+// WithClock returns a context that carries a clock.
 func WithClock(ctx context.Context, clock Clock) context.Context {
 	return context.WithValue(ctx, clockKey{}, clock)
 }
 
-// Within returns a context that ends after a time by its clock, or with ctx.
+// Within returns a context that ends after a span by the clock of ctx, or with ctx.
 func Within(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 	if clock, isGiven := ctx.Value(clockKey{}).(Clock); isGiven {
 		return clock.Within(ctx, span)
--- a/internal/timing/timeout.go
+++ b/internal/timing/timeout.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// timeoutSlices is into how many turns a bound is cut.
+// timeoutSlices is the number of timer slices that a timeout is divided into.
 const timeoutSlices = 20
 
-// WithRunningTimeout returns a context that ends once the process has been running for so
-// long. Time for which the whole process stood still counts as one turn at
-// most: an answer that came in meanwhile is read and not given up.
+// WithRunningTimeout returns a context that ends once the process has been running for the bound. Time for which the
+// process was frozen counts as one slice at most, so that an answer which arrived meanwhile is read instead of being
+// given up.
 //
-// A context with a clock of its own ends by that clock.
+// A context with a clock ends by that clock.
 func WithRunningTimeout(parent context.Context, bound time.Duration) (context.Context, context.CancelFunc) {
 	if clock, isGiven := parent.Value(clockKey{}).(Clock); isGiven {
 		return clock.Within(parent, bound)
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing derives every time constant of the system from the few bounds
-// in the settings, as ratios, and runs periodic work.
+// Package timing derives the time constants of the system, as ratios, from the few bounds in the settings. It also
+// provides timeouts, waits and periodic work on a clock that the simulation can replace. All daemons use it.
 package timing
 
 import (
@@ -8,86 +8,85 @@
 	"time"
 )
 
-// Bounds are the times an operator promises to users. All else is a ratio.
+// Bounds are the time limits that an operator guarantees to users. All other times are ratios of them.
 type Bounds struct {
-	// Config is the time within which an acknowledged configuration holds everywhere.
+	// ConfigApply is the time within which an acknowledged configuration is in effect everywhere.
 	ConfigApply time.Duration
 }
 
-// Default is the bound of the brief.
+// Default is the bound that the system is specified for.
 var Default = Bounds{ConfigApply: 3 * time.Second}
 
-// Ratio is a part of a bound, in thousandths.
+// Ratio is a fraction of a bound, in thousandths.
 type Ratio int64
 
-// Ratios to the configuration bound. Invariant: Fresh + Poll*3 stays below 1000, so
-// a daemon that hears nothing stops before the bound has passed.
+// Ratios to the configuration bound. Invariant: ViewAgeLimit + Poll*3 stays below 1000, so that a daemon which
+// receives no more changes stops before the bound has passed.
 const (
-	ViewAgeLimit        Ratio = 700   // a view older than this stops its daemon
-	StalePoll           Ratio = 10    // a daemon whose view is not fresh asks this often
-	Poll                Ratio = 80    // one hop of the feed asks this often
-	AnswerTimeout       Ratio = 250   // most waits for one daemon's word end by then
-	Heartbeat           Ratio = 40    // an owner's heartbeat
-	Tick                Ratio = 10    // how finely a replica and its place look at the time
-	DispatchInterval    Ratio = 10    // a store looks this often for slots that it could not have at once
-	FinalReadTimeout    Ratio = 10    // a waiting connection is read for so long once more before a stopping server ends it
-	SlotScanInterval    Ratio = 5     // a duty's holder looks this often for slots that have come free with time
-	BatchDelayLimit     Ratio = 3     // proposals of a group are gathered for so long at most
-	TransferTimeout     Ratio = 100   // a successor that has not taken over by then does not
+	ViewAgeLimit        Ratio = 700   // a daemon whose view is older stops working
+	StalePoll           Ratio = 10    // interval at which a daemon polls while its view is not fresh
+	Poll                Ratio = 80    // interval at which one hop of the feed polls
+	AnswerTimeout       Ratio = 250   // most requests to one daemon time out after this
+	Heartbeat           Ratio = 40    // interval of an owner's heartbeats
+	Tick                Ratio = 10    // interval at which a replica and its place check the time
+	DispatchInterval    Ratio = 10    // interval at which a store requests slots that it did not get at once
+	FinalReadTimeout    Ratio = 10    // a stopping server reads an idle connection once more for this long before it closes it
+	SlotScanInterval    Ratio = 5     // interval at which the holder of a duty checks for slots that have become free with time
+	BatchDelayLimit     Ratio = 3     // proposals of a group are batched for no longer than this
+	TransferTimeout     Ratio = 100   // an ownership transfer is abandoned after this
 	ElectionTimeout     Ratio = 130   // least silence of an owner before a replica campaigns
-	ElectionSpread      Ratio = 130   // random spread added to Silence
-	SessionTimeout      Ratio = 700   // a daemon silent this long has lost its session
-	DrainNotice         Ratio = 300   // a stopping store waits this long for word of others that stop: a poll, a share between managers, a poll
-	ReplaceTimeout      Ratio = 300   // a store that has had no session this long gives its seats to its successor
-	ReassignTimeout     Ratio = 4000  // and after this to any other store, if its zone has not gone with it
-	AdapterLossTimeout  Ratio = 1000  // runs of an adapter that has had no session this long are begun anew elsewhere
-	TimeCommitInterval  Ratio = 250   // an owner commits its group's time this often while a span runs in it
-	TimeQueryTimeout    Ratio = 100   // a new owner listens this long for what its group's time is, and as long for one adapter's word
-	TimeQueryGrace      Ratio = 50    // and for what others know, once one has told it
-	TimeRecoveryTimeout Ratio = 1000  // once an adapter has answered, it waits no longer than this for others that are silent
-	TimeRecoveryMaxWait Ratio = 4000  // nor longer than this where none has answered, without which nothing is served
-	OrderMaxAge         Ratio = 10000 // the age of an operators' order without a number matters for so long
-	ZoneOutageTimeout   Ratio = 40000 // a zone without any store is waited for so long
-	JoinInterval        Ratio = 50    // a store that belongs to no deployment looks for one this often
-	KeepAlive           Ratio = 150   // an idle transport session sends an empty frame
-	ConnectionTimeout   Ratio = 600   // a transport session that hears nothing is closed
+	ElectionSpread      Ratio = 130   // random spread added to ElectionTimeout
+	SessionTimeout      Ratio = 700   // a daemon that is silent for this long loses its session
+	DrainNotice         Ratio = 300   // a stopping store waits this long to learn which others stop: a poll, an exchange between managers, a poll
+	ReplaceTimeout      Ratio = 300   // a store without a session for this long is replaced by its successor, if it has one
+	ReassignTimeout     Ratio = 4000  // and after this by any other store, unless its whole zone is absent
+	AdapterLossTimeout  Ratio = 1000  // runs of an adapter without a session for this long are started elsewhere
+	TimeCommitInterval  Ratio = 250   // interval at which an owner commits its group's time while a delay or patience runs
+	TimeQueryTimeout    Ratio = 100   // a new owner waits this long for more adapters to report its group's time, and for one adapter to store it
+	TimeQueryGrace      Ratio = 50    // and this long for other answers, once one adapter has reported the time
+	TimeRecoveryTimeout Ratio = 1000  // limit on waiting for silent adapters, once one adapter has answered
+	TimeRecoveryMaxWait Ratio = 4000  // limit if none has answered; until then nothing is served
+	OrderMaxAge         Ratio = 10000 // how long the age of an operator's order without a number matters
+	ZoneOutageTimeout   Ratio = 40000 // a store is replaced only after this if its whole zone is absent
+	JoinInterval        Ratio = 50    // interval at which a store without a deployment looks for one
+	KeepAlive           Ratio = 150   // an idle transport session sends an empty frame after this
+	ConnectionTimeout   Ratio = 600   // a transport session that receives nothing for this long is closed
 	RedialDelay         Ratio = 60    // pause before a new dial
-	AttemptTimeout      Ratio = 50    // one try to have a message held waits this long for a store's word
-	StallTimeout        Ratio = 100   // a place whose proposals wait longer for their commit takes no message on; over Try
-	DialTimeout         Ratio = 170   // a worker that takes no connection within this cannot be asked
-	CallbackTimeout     Ratio = 500   // whoever is told of an end answers within this
-	SettleTimeout       Ratio = 500   // an adapter tries this long to settle a batch's fate
-	Fence               Ratio = 1000  // a new duty holder waits this long before it acts
-	Permit              Ratio = 300   // a granted slot lapses unused after this
-	SlotRequestHold     Ratio = 30    // an ask for a slot waits at the holder this long
-	LongPollTimeout     Ratio = 300   // an owner keeps who waits for a message's end this long; less than Settle
-	SettingsReload      Ratio = 500   // the settings file is looked at this often
-	ProbeIdle           Ratio = 330   // a connection that was idle this long is probed, and again after as long; at least 1 s
-	ListInterval        Ratio = 160   // the source of workers is read this often
-	QuotaLease          Ratio = 500   // an adapter may spend the tokens of a tenant for so long after it asked
-	QuotaMinInterval    Ratio = 30    // least pause between two asks for a tenant that no message waits for
+	AttemptTimeout      Ratio = 50    // one attempt to have a message accepted waits this long for a store's answer
+	StallTimeout        Ratio = 100   // a place whose proposals wait longer for their commit accepts no messages; above AttemptTimeout
+	DialTimeout         Ratio = 170   // a worker that accepts no connection within this is unreachable
+	CallbackTimeout     Ratio = 500   // the receiver of a notification must answer within this
+	SettleTimeout       Ratio = 500   // an adapter tries this long to settle whether a batch was accepted
+	Fence               Ratio = 1000  // a new duty holder waits this long before it acts, until the old holder's view is stale
+	Permit              Ratio = 300   // a granted slot that is not used expires after this
+	SlotRequestHold     Ratio = 30    // a slot request waits at the holder for this long
+	LongPollTimeout     Ratio = 300   // limit on how long an owner holds a query that waits for a message's end; below SettleTimeout
+	SettingsReload      Ratio = 500   // interval at which the settings file is checked
+	ProbeIdle           Ratio = 330   // a connection idle for this long is probed, and again after as long; at least 1 s
+	ListInterval        Ratio = 160   // interval at which the source of workers is read
+	QuotaLease          Ratio = 500   // an adapter may spend a tenant's tokens for this long after its request
+	QuotaMinInterval    Ratio = 30    // least pause between two requests for a tenant without waiting messages
 	QuotaHorizon        Ratio = 400   // tokens are held for the messages of this span
 	QuotaWaitTimeout    Ratio = 40    // a message waits this long for a token
-	QuotaAnswerTimeout  Ratio = 100   // an ask that is not answered within this is sent again, and counts should it be answered yet
-	QuotaPollInterval   Ratio = 25    // an adapter looks this often for what to ask and tell
-	Resend              Ratio = 60    // a result not yet acknowledged is sent again
+	QuotaAnswerTimeout  Ratio = 100   // a request not answered within this is sent again; a later answer still counts
+	QuotaPollInterval   Ratio = 25    // interval at which an adapter checks what to request and report
+	Resend              Ratio = 60    // a result that is not acknowledged is sent again after this
 )
 
-// AnswerMarginDivisor: a worker's answer is waited for so much of a run's bound longer
-// than the worker has, since the answer has a way to come.
+// AnswerMarginDivisor is the divisor of a run's bound that gives the extra time to wait for the worker's answer, which
+// the answer needs in transit.
 const AnswerMarginDivisor = 10
 
-// Of gives the ratio's share of the configuration bound.
+// Of returns the ratio's share of the configuration bound.
 func (b Bounds) Of(r Ratio) time.Duration { return b.ConfigApply * time.Duration(r) / 1000 }
 
-// KeepAliveConfig have the system probe a silent TCP connection, so that a dead peer is
-// noticed though nothing is written to it.
+// KeepAliveConfig makes the system probe a silent TCP connection, so that a dead peer is noticed although nothing is
+// written to it.
 func (b Bounds) KeepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: b.Of(ProbeIdle), Interval: b.Of(ProbeIdle), Count: 2}
 }
 
-// EveryPaced calls work at once and then after each pause that it asks for, until
-// ctx ends.
+// EveryPaced calls work at once and then after each pause that the pause function returns, until ctx ends.
 func EveryPaced(ctx context.Context, pause func() time.Duration, work func()) {
 	for ctx.Err() == nil {
 		work()
@@ -95,7 +94,7 @@
 	}
 }
 
-// Wait returns after a time by the clock of ctx, or when ctx ends.
+// Wait returns after a span by the clock of ctx, or when ctx ends.
 func Wait(ctx context.Context, span time.Duration) {
 	if span <= 0 {
 		return
@@ -112,7 +111,7 @@
 	}
 }
 
-// Every calls work once per period until ctx ends.
+// Every calls work once per period until ctx ends. The first call is after one period.
 func Every(ctx context.Context, period time.Duration, work func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestRatiosStopADaemonInTime(t *testing.T) {
-	Convey("A daemon that hears nothing more stops before the bound has passed", t, func() {
+	Convey("A daemon that receives nothing more stops before the bound has passed", t, func() {
 		So(int(ViewAgeLimit+3*Poll), ShouldBeLessThan, 1000)
 	})
-	Convey("A duty's fence is no shorter than a stale holder may go on", t, func() {
+	Convey("A duty's fence is no shorter than the time for which a stale holder may go on", t, func() {
 		So(int(Fence), ShouldBeGreaterThanOrEqualTo, int(ViewAgeLimit))
 	})
 }
 
-// TestPatience: a frozen adapter once gave runs up as it thawed, though their
-// answers had come in, and the messages were run again.
+// TestPatience guards against a frozen adapter timing out its runs when it resumes, although their answers have
+// arrived, so that the messages are run again.
 func TestPatience(t *testing.T) {
 	Convey("Given a bound of one second", t, func() {
 		var next func()
@@ -35,7 +35,7 @@
 			So(context.Cause(ctx), ShouldEqual, context.DeadlineExceeded)
 			So(spans, ShouldEqual, time.Second)
 		})
-		Convey("a freeze, however long, is one late turn and does not end it", func() {
+		Convey("a freeze, however long, counts as one slice and does not end it", func() {
 			next()
 			So(ctx.Err(), ShouldBeNil)
 		})
--- a/internal/verdict/evaluator.go
+++ b/internal/verdict/evaluator.go
@@ -15,40 +15,42 @@
 // knownFailure is a test that is known to fail.
 type knownFailure struct{ test, cause, issue string }
 
-// parseKnownFailures reads a line for each red test: test, cause, issue.
-func parseKnownFailures(text string, isThere bool) ([]knownFailure, error) {
+// parseKnownFailures parses the list of known failures, one a line: test, cause, issue.
+func parseKnownFailures(text string, exists bool) ([]knownFailure, error) {
 	known := []knownFailure{}
 	for line := range strings.Lines(text) {
 		first, rest, _ := strings.Cut(strings.TrimSpace(line), ",")
 		at := strings.LastIndex(rest, ",")
 		if at < 0 || first == "" || strings.TrimSpace(rest[:at]) == "" || strings.TrimSpace(rest[at+1:]) == "" {
-			return nil, errs.New(errs.Invalid, "%s: %q is not: test, cause, issue", knownFailuresFile, strings.TrimSpace(line))
+			return nil, errs.New(errs.Invalid, "%s: line %q does not have the form: test, cause, issue", knownFailuresFile, strings.TrimSpace(line))
 		}
 		known = append(known, knownFailure{first, strings.TrimSpace(rest[:at]), strings.TrimSpace(rest[at+1:])})
 	}
-	if isThere && len(known) == 0 {
-		return nil, errs.New(errs.Invalid, "%s lists nothing; remove it", knownFailuresFile)
+	if exists && len(known) == 0 {
+		return nil, errs.New(errs.Invalid, "%s lists no test; remove the file", knownFailuresFile)
 	}
 	return known, nil
 }
 
-// packageResult is what came of a package. A package whose tests all ran says FAIL or
-// PASS itself; one that panicked says neither.
+// packageResult is the result of a package. A package whose tests have all run prints FAIL or PASS itself; a package
+// that panicked prints neither.
 type packageResult struct {
 	result, summary string
-	tests           map[string]string   // the result of each test, none while it runs
-	output          map[string][]string // of each test, its parts included
+	tests           map[string]string   // the result of each test, empty while it runs
+	output          map[string][]string // of each test, its subtests included
 }
 
+// event is one line of the output of go test -json.
 type event struct{ Action, Package, Test, Output string }
 
-// evaluator hears what go test -json tells.
+// evaluator evaluates the output of go test -json.
 type evaluator struct {
-	known    []knownFailure
-	print    func(text string)
-	packages map[string]*packageResult
+	knownFailures []knownFailure
+	print         func(text string)
+	packages      map[string]*packageResult
 }
 
+// readLine takes in one line of the output.
 func (j *evaluator) readLine(line string) {
 	var e event
 	if json.Unmarshal([]byte(line), &e) != nil || e.Package == "" {
@@ -88,18 +90,18 @@
 	}
 }
 
-// failures tells all that speaks against the whole.
+// failures returns every reason why the run fails; isFine tells whether the test command succeeded.
 func (j *evaluator) failures(isFine bool) (faults []string) {
 	excused := map[string]bool{}
-	for _, k := range j.known {
+	for _, k := range j.knownFailures {
 		at := strings.LastIndex(k.test, "/")
 		p := j.packages[module+k.test[:max(at, 0)]]
-		result, isThere := "", false
+		result, exists := "", false
 		if p != nil {
-			result, isThere = p.tests[k.test[at+1:]]
+			result, exists = p.tests[k.test[at+1:]]
 		}
 		switch {
-		case !isThere:
+		case !exists:
 			faults = append(faults, "known to be red, but there is no such test: "+k.test)
 		case result != "fail":
 			faults = append(faults, "known to be red, but it does not fail: "+k.test)
@@ -112,7 +114,7 @@
 	for _, name := range slices.Sorted(maps.Keys(j.packages)) {
 		p := j.packages[name]
 		hasFailed = hasFailed || p.result == "fail"
-		isExplained := p.result == "fail" && p.summary == "FAIL" // by tests that are known
+		isExplained := p.result == "fail" && p.summary == "FAIL" // by tests that are known to fail
 		for _, test := range slices.Sorted(maps.Keys(p.tests)) {
 			switch result := p.tests[test]; {
 			case result == "fail" && !excused[name+"/"+test]:
--- a/internal/verdict/evaluator_test.go
+++ b/internal/verdict/evaluator_test.go
@@ -7,8 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// packageStream is a package's stream: each test with its result, then what the package
-// says itself and its result.
+// packageStream returns a package's output: each test with its result, then the package's summary line and its result.
 func packageStream(tests, said, result string) string {
 	out := `{"Action":"start","Package":"caperwheel/internal/a"}` + "\n"
 	for _, test := range strings.Fields(tests) {
@@ -23,12 +22,12 @@
 	return out + `{"Action":"` + result + `","Package":"caperwheel/internal/a"}` + "\n"
 }
 
-// TestVerdict is the table of what speaks against a run, and what does not.
+// TestVerdict checks which results fail a run.
 func TestVerdict(t *testing.T) {
 	const one = "internal/a/TestX, it is slow, and known, #7\n"
 	cases := []struct {
 		name, known, stream string
-		isFine              bool // what the command's exit tells
+		isFine              bool // whether the command succeeded
 		faults              string
 	}{
 		{"all pass", "", packageStream("TestX=pass", "PASS", "pass"), true, ""},
@@ -37,13 +36,13 @@
 		{"a known and another one fail", one, packageStream("TestX=fail TestY=fail", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestY"},
 		{"a known one passes", one, packageStream("TestX=pass", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
 		{"a known one is skipped", one, packageStream("TestX=skip", "PASS", "pass"), true, "it does not fail: internal/a/TestX"},
-		{"a known one is not there", one, packageStream("TestY=pass", "PASS", "pass"), true, "no such test: internal/a/TestX"},
-		{"a known one of no package", "TestX, c, #1", packageStream("TestX=fail", "FAIL", "fail"), false, "no such test: TestX; failed: caperwheel/internal/a/TestX"},
-		{"a known one takes the others down", one, packageStream("TestX=fail", "panic: x", "fail"), false, "failed as a whole: caperwheel/internal/a"},
+		{"a known one does not exist", one, packageStream("TestY=pass", "PASS", "pass"), true, "no such test: internal/a/TestX"},
+		{"a known one without a package", "TestX, c, #1", packageStream("TestX=fail", "FAIL", "fail"), false, "no such test: TestX; failed: caperwheel/internal/a/TestX"},
+		{"a known one ends the whole package", one, packageStream("TestX=fail", "panic: x", "fail"), false, "failed as a whole: caperwheel/internal/a"},
 		{"one never ends", "", packageStream("TestX=", "panic: timed out", "fail"), false, "never ended: caperwheel/internal/a/TestX; failed as a whole"},
-		{"a package is not built", one, packageStream("TestX=fail", "FAIL", "fail") + `{"Action":"fail","Package":"caperwheel/internal/b"}`, false,
+		{"a package does not build", one, packageStream("TestX=fail", "FAIL", "fail") + `{"Action":"fail","Package":"caperwheel/internal/b"}`, false,
 			"failed as a whole: caperwheel/internal/b"},
-		{"a package is cut short", "", `{"Action":"start","Package":"caperwheel/internal/b"}`, false, "failed as a whole: caperwheel/internal/b"},
+		{"a package's output ends early", "", `{"Action":"start","Package":"caperwheel/internal/b"}`, false, "failed as a whole: caperwheel/internal/b"},
 		{"nothing runs", "", "", true, "could not be run"},
 		{"the command fails by itself", "", packageStream("TestX=pass", "PASS", "pass"), false, "could not be run"},
 	}
@@ -53,7 +52,7 @@
 				known, err := parseKnownFailures(c.known, c.known != "")
 				So(err, ShouldBeNil)
 				printed := ""
-				j := &evaluator{known: known, print: func(text string) { printed += text }, packages: map[string]*packageResult{}}
+				j := &evaluator{knownFailures: known, print: func(text string) { printed += text }, packages: map[string]*packageResult{}}
 				for line := range strings.Lines(c.stream) {
 					j.readLine(strings.TrimSpace(line))
 				}
--- a/internal/verdict/main.go
+++ b/internal/verdict/main.go
@@ -1,5 +1,5 @@
-// Command verdict runs the tests and gives one verdict. A test that is listed
-// in KNOWN-RED.txt is passed over, but only while it fails.
+// Command verdict runs the tests and reports one verdict. A test that is listed in KNOWN-RED.txt does not fail the
+// run, provided that it does fail; a listed test that passes fails the run. It is called by test.sh.
 //
 //	verdict go test -json ./...
 package main
@@ -17,14 +17,14 @@
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
-	faults, err := run(os.Args[1:])
+	failures, err := run(os.Args[1:])
 	if err != nil {
-		faults = append(faults, err.Error())
+		failures = append(failures, err.Error())
 	}
-	for _, fault := range faults {
+	for _, fault := range failures {
 		fmt.Println("verdict: " + fault)
 	}
-	if len(faults) > 0 {
+	if len(failures) > 0 {
 		os.Exit(1)
 	}
 }
@@ -45,12 +45,12 @@
 	tests.Stderr = os.Stderr
 	out, err := tests.StdoutPipe()
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "tests")
+		return nil, errs.Wrap(err, errs.Internal, "connect to the output of the test command")
 	}
 	if err := tests.Start(); err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "tests")
+		return nil, errs.Wrap(err, errs.Invalid, "start the test command")
 	}
-	j := &evaluator{known: known, print: func(text string) { fmt.Print(text) }, packages: map[string]*packageResult{}}
+	j := &evaluator{knownFailures: known, print: func(text string) { fmt.Print(text) }, packages: map[string]*packageResult{}}
 	lines := bufio.NewReader(out)
 	for {
 		line, err := lines.ReadString('\n')
