--- a/internal/sim/deliverydelays_test.go
+++ b/internal/sim/deliverydelays_test.go
@@ -168,10 +168,10 @@
 		"	k.words[group] = keptWord{word, now}\n", "", "", "delays"}, "LATE"},
 	"owners ask before they begin": {sourceMutant{"internal/store/ownership.go",
 		"if isOwner && !p.machine.IsIdle() {", "if false {", "", "delays"}, "LATE"},
-	"owners wait for those that are slow": {sourceMutant{"internal/store/recall.go", "limit := timing.RecallAlone", "limit := timing.Recall", "39", "delays"}, "LATE"},
-	"owners hear several adapters": {sourceMutant{"internal/store/recall.go",
-		"return now-r.knownAt >= bounds.Of(timing.RecallRest) ||", "return true ||", "55", "delays"}, "LATE"},
-	"owners listen on while more are named": {sourceMutant{"internal/store/recall.go", "now-r.grownAt <", "now-r.freshAt <", "114", "delays"}, "LATE"},
+	"owners wait for those that are slow": {sourceMutant{"internal/store/timerecovery.go", "limit := timing.TimeRecoveryMaxWait", "limit := timing.TimeQueryTimeout", "39", "delays"}, "LATE"},
+	"owners hear several adapters": {sourceMutant{"internal/store/timerecovery.go",
+		"return now-r.freshTimeAt >= bounds.Of(timing.TimeQueryGrace) ||", "return true ||", "55", "delays"}, "LATE"},
+	"owners listen on while more are named": {sourceMutant{"internal/store/timerecovery.go", "now-r.adapterAddedAt <", "now-r.freshAt <", "114", "delays"}, "LATE"},
 }
 
 // TestDelayMutants: each guard that is taken out is found.
--- a/internal/sim/deliverystops_test.go
+++ b/internal/sim/deliverystops_test.go
@@ -40,13 +40,13 @@
 
 // stopMutants are guards of a store's departure, each with a text of the source that is its loss.
 var stopMutants = map[string]sourceMutant{
-	"a store waits for open runs": {"internal/store/departure.go",
-		"return d.isQuiet && now-d.quietSince >= bounds.Of(timing.AnswerTimeout)", "return true", "", "stops"},
+	"a store waits for open runs": {"internal/store/drain.go",
+		"return d.isIdle && now-d.idleSince >= bounds.Of(timing.AnswerTimeout)", "return true", "", "stops"},
 	"stores are told who else stops": {"internal/session/news.go", "		counts[LeavingCount] = 1\n", "", "", "stops"},
-	"a store waits for word of others that stop": {"internal/store/departure.go",
-		"hasHeard := now-d.asked >= bounds.Of(timing.Departure)", "hasHeard := bounds.Of(timing.Departure) > 0", "", "stops"},
-	"no run is begun where too few stay": {"internal/store/departure.go",
-		"if !d.o.Daemon.IsLeaving() && !d.o.Daemon.Membership.HasLeavingStores() {", "if len(all) > 0 {", "", "stops"},
+	"a store waits for word of others that stop": {"internal/store/drain.go",
+		"isNoticeOver := now-d.startedAt >= bounds.Of(timing.DrainNotice)", "isNoticeOver := bounds.Of(timing.DrainNotice) > 0", "", "stops"},
+	"no run is begun where too few stay": {"internal/store/drain.go",
+		"if !d.o.Daemon.IsDraining() && !d.o.Daemon.Membership.HasDrainingStores() {", "if len(all) > 0 {", "", "stops"},
 }
 
 // TestStopMutants: each guard that is taken out is found.
