--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -31,7 +31,7 @@
 	Truncated        Kind = "cut_short"    // an answer ended before its declared length
 	Unhealthy        Kind = "unsound"      // a worker or endpoint answered with a failure
 	Internal         Kind = "internal"     // a bug
-	NotBootstrapped  Kind = "unfounded"    // the deployment has not been founded yet
+	NotBootstrapped  Kind = "unfounded"    // the deployment has not been bootstrapped yet
 	Undecided        Kind = "undecided"    // the result is not known yet; query it by id
 	BadMethod        Kind = "bad_method"   // wrong HTTP method
 	Unauthorized     Kind = "unauthorized" // the caller holds no API key of a tenant that may do this
--- a/internal/pipeline/path.go
+++ b/internal/pipeline/path.go
@@ -73,6 +73,7 @@
 	return p.get(rules, "out "+lane, func() Program { return Delivery(rules.Lanes[lane]) })
 }
 
+// get returns the program of a key, and compiles it if it is not cached.
 func (p *Programs) get(rules *config.Rules, key string, compile func() Program) Program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -35,6 +35,7 @@
 	Until    int64  `avro:"until"`    // place time at which it is dropped
 }
 
+// held returns how many tokens the holder holds.
 func (h *holder) held() int64  { return h.Granted - h.Spent - h.Returned }
 func (h *holder) unmet() int64 { return max(0, h.Need-h.Granted) }
 
@@ -53,6 +54,7 @@
 	pauseDivisor    = 16
 )
 
+// newBucket returns a full bucket.
 func newBucket(limit Limit, at int64) *bucket {
 	return &bucket{Tenant: limit.Tenant, Rate: limit.Rate, Burst: limit.Burst, Free: limit.Burst, At: at}
 }
@@ -88,29 +90,30 @@
 // isUnused reports whether the bucket is in the state of a new one.
 func (a *bucket) isUnused() bool { return len(a.Holders) == 0 && a.Free >= a.Burst }
 
+// find returns the index of a holder, and whether it is there.
 func (a *bucket) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(a.Holders, name, func(h holder, name string) int { return cmp.Compare(h.Name, name) })
 }
 
 // report applies a holder's report. It returns nil for an ask of an earlier epoch.
 func (a *bucket) report(ask Ask, at int64) *holder {
-	c := ask.Count
+	count := ask.Count
 	i, isKnown := a.find(ask.Holder)
 	if !isKnown {
-		a.Holders = slices.Insert(a.Holders, i, holder{Name: ask.Holder, Epoch: c.Epoch})
+		a.Holders = slices.Insert(a.Holders, i, holder{Name: ask.Holder, Epoch: count.Epoch})
 	}
 	h := &a.Holders[i]
-	if c.Epoch < h.Epoch {
+	if count.Epoch < h.Epoch {
 		return nil
 	}
-	if c.Epoch > h.Epoch { // the holder has forgotten its earlier tokens, which count as spent
-		*h = holder{Name: ask.Holder, Epoch: c.Epoch}
+	if count.Epoch > h.Epoch { // the holder has forgotten its earlier tokens, which count as spent
+		*h = holder{Name: ask.Holder, Epoch: count.Epoch}
 	}
-	returned := max(0, min(c.Returned-h.Returned, h.held()))
+	returned := max(0, min(count.Returned-h.Returned, h.held()))
 	h.Returned += returned
 	a.refill(returned * tokenUnits)
-	h.Spent += max(0, min(c.Spent-h.Spent, h.held()))
-	h.Need, h.Target, h.AskedAt = max(h.Need, c.Need), max(0, c.Target), at
+	h.Spent += max(0, min(count.Spent-h.Spent, h.held()))
+	h.Need, h.Target, h.AskedAt = max(h.Need, count.Need), max(0, count.Target), at
 	h.Until = max(h.Until, at+ask.Lease+ask.Lease/marginDivisor)
 	return h
 }
@@ -178,6 +181,7 @@
 	}
 }
 
+// targets returns how many tokens each holder would like to hold ahead.
 func (a *bucket) targets() []int64 {
 	out := make([]int64, 0, len(a.Holders))
 	for i := range a.Holders {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -26,7 +26,7 @@
 const (
 	tokenUnits        = 1_000_000
 	rateUnit          = 1_000
-	refillSpanLimitMs = 3_600_000     // limit on the span that a bucket is refilled for at once, so that no product overflows
+	refillSpanLimitMs = 3_600_000     // refilled at once at most, so that no product overflows
 	rateLimit         = 10_000_000    // tokens a second
 	burstLimit        = rateLimit * 4 // tokens
 )
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -25,6 +25,7 @@
 	do    func()
 }
 
+// events is a heap of events, by time and order.
 type events []event
 
 func (q events) Len() int { return len(q) }
--- a/internal/quota/tenanttokens.go
+++ b/internal/quota/tenanttokens.go
@@ -45,6 +45,7 @@
 	isShort           bool      // the allocator had fewer tokens than were needed
 }
 
+// held returns how many tokens can be spent now.
 func (p *tenantTokens) held() int64 { return p.granted - p.spent - p.returned - p.inFlight }
 
 // target returns how many tokens should be held ahead.
@@ -57,6 +58,7 @@
 	return p.demand.expectedWithin(now, p.times.Pause, p.times.Horizon)
 }
 
+// isDue reports whether an ask should be sent now.
 func (p *tenantTokens) isDue(now time.Duration) bool {
 	switch {
 	case p.isAskOpen && now-p.askedAt < p.times.Answer:
@@ -94,6 +96,7 @@
 	}
 }
 
+// answer applies a grant and returns the waiting messages that it settles.
 func (p *tenantTokens) answer(now, sentAt time.Duration, grant wire.QuotaGrant) []Settled {
 	p.granted = max(p.granted, grant.Granted)
 	p.share, p.isLeased, p.leaseEnd = grant.Share, true, max(p.leaseEnd, sentAt+p.times.Lease)
@@ -157,12 +160,14 @@
 // minDemand is the number of expected messages within a horizon below which the demand counts as none.
 const minDemand = 0.25
 
+// note counts one message.
 func (d *demandEstimate) note(now, horizon time.Duration) {
 	span := 2 * horizon.Seconds()
 	d.perSecond = d.rateAt(now, horizon) + 1/span
 	d.notedAt = now
 }
 
+// rateAt returns the estimated messages a second.
 func (d *demandEstimate) rateAt(now, horizon time.Duration) float64 {
 	return d.perSecond * math.Exp(-(now-d.notedAt).Seconds()/(2*horizon.Seconds()))
 }
--- a/internal/sim/deliveryseeds_test.go
+++ b/internal/sim/deliveryseeds_test.go
@@ -80,7 +80,7 @@
 	says string // what is found
 }{
 	"runs of an adapter that is gone": {sourceMutant{"internal/store/openruns.go",
-		"return isAway && now-since >= p.environment.Bounds().Of(timing.AdapterLossTimeout)", "return false && isAway && since > 0", "", ""}, "is started"},
+		"return isAbsent && now-since >= p.environment.Bounds().Of(timing.AdapterLossTimeout)", "return false && isAbsent && since > 0", "", ""}, "is started"},
 	"runs nobody asks after": {sourceMutant{"internal/store/runs.go", "	p.checkOpenRuns(now)\n", "", "", ""}, "is started"},
 	"permits that lapse": {sourceMutant{"internal/deliver/slots.go",
 		"if p := s.permits[id]; now > p.deadline {", "if p := s.permits[id]; false && now > p.deadline {", "", ""}, "Permits"},
--- a/internal/store/ballot.go
+++ b/internal/store/ballot.go
@@ -68,7 +68,7 @@
 // joinOrBootstrap joins a deployment that exists. Otherwise it runs a ballot for a new one, if this store is the first
 // by name, enough blank stores are members, and the set of stores has not changed for a while. The wait is needed
 // because stores that start together discover each other one by one, and two stores with different views could both
-// found a deployment.
+// bootstrap a deployment.
 func (f *bootstrapper) joinOrBootstrap(now time.Duration) {
 	me := f.snapshot()
 	if me.IsBootstrapped {
@@ -76,14 +76,14 @@
 	}
 	stores := f.d.Membership.OfKind("store")
 	slices.SortFunc(stores, func(a, b wire.Who) int { return cmp.Compare(a.Name, b.Name) })
-	mayFound := f.isMembershipStable(stores, now)
+	mayBootstrap := f.isMembershipStable(stores, now)
 	ids, addrs := map[string]string{me.Name: me.Name + "/" + me.Incarnation}, map[string]string{me.Name: f.d.Who.Addr}
 	for _, who := range stores {
 		if who.Name == me.Name {
 			continue
 		}
-		ack, isHeard := f.sendBallot(who.Addr, &wire.Ballot{Step: "look", Roster: []string{}})
-		if !isHeard {
+		ack, isAnswered := f.sendBallot(who.Addr, &wire.Ballot{Step: "look", Roster: []string{}})
+		if !isAnswered {
 			continue
 		}
 		if ack.Founded {
@@ -95,7 +95,7 @@
 		}
 		ids[who.Name], addrs[who.Name] = ack.Roster[0], who.Addr
 	}
-	if me.Promised == promisedJoinOnly || !mayFound {
+	if me.Promised == promisedJoinOnly || !mayBootstrap {
 		return
 	}
 	roster := chooseRoster(stores, ids, f.d.Settings.Founders)
@@ -139,17 +139,18 @@
 	for _, step := range []string{"promise", "accept", "found"} {
 		b.Step = step
 		for _, member := range b.Roster {
-			name, ack, isHeard := group.Name(member), (*wire.BallotAck)(nil), true
+			name, ack, isAnswered := group.Name(member), (*wire.BallotAck)(nil), true
 			if name == f.d.Settings.Name {
 				ack = f.onBallot(&b)
 			} else {
-				ack, isHeard = f.sendBallot(addrs[name], &b)
+				ack, isAnswered = f.sendBallot(addrs[name], &b)
 			}
-			if !isHeard || !ack.Ok {
+			if !isAnswered || !ack.Ok {
 				klog.Infof("found: The ballot stopped because store %s has not acknowledged it; it is repeated later.", name)
 				return
 			}
-			if step == "promise" && ack.Number > best { // an older ballot may have been decided, so its value must be adopted
+			// An older ballot may have been decided, so its value must be adopted.
+			if step == "promise" && ack.Number > best {
 				best, b.Cluster, b.Roster = ack.Number, ack.Cluster, ack.Roster
 			}
 		}
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -31,7 +31,7 @@
 	Incarnation    string   `avro:"inc"`
 	IsBootstrapped bool     `avro:"founded"`
 	Cluster        string   `avro:"cluster"`
-	Roster         []string `avro:"roster"` // the members that the deployment was founded with
+	Roster         []string `avro:"roster"` // the members that the deployment was bootstrapped with
 	Promised       int64    `avro:"promised"`
 	Accepted       int64    `avro:"accepted"`
 	Rebuilt        []int64  `avro:"rebuilt"` // groups rebuilt on this disk; a group is listed once for each rebuild
@@ -40,9 +40,10 @@
 // promisedJoinOnly is a promise that is higher than the number of any ballot.
 const promisedJoinOnly = math.MaxInt64
 
+// identityCodec encodes the identity for the storage pair.
 var identityCodec = wire.NewRecordCodec(&identity{})
 
-// bootstrapper makes sure that a deployment is founded at most once: by one durable ballot that all stores of its
+// bootstrapper makes sure that a deployment is bootstrapped at most once: by one durable ballot that all stores of its
 // roster accept. It is safe for use by several goroutines.
 type bootstrapper struct {
 	d              *daemon.Daemon
@@ -57,6 +58,7 @@
 	id identity
 }
 
+// newBootstrapper reads the identity from the data folder, or creates it in a blank one.
 func newBootstrapper(d *daemon.Daemon, files storage.FileSystem, begin func()) (*bootstrapper, error) {
 	pair, raw, _, err := storage.OpenPair(files, "identity")
 	if err != nil {
@@ -81,13 +83,14 @@
 
 func (f *bootstrapper) save() error { return f.pair.Save(identityCodec.Encode(&f.id)) }
 
+// snapshot returns a copy of the identity.
 func (f *bootstrapper) snapshot() identity {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.id
 }
 
-// clusterNumber returns a number that identifies the deployment, 0 before it is founded.
+// clusterNumber returns a number that identifies the deployment, 0 before it is bootstrapped.
 func (f *bootstrapper) clusterNumber() int64 {
 	id := f.snapshot()
 	if !id.IsBootstrapped {
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -12,16 +12,16 @@
 	"caperwheel/internal/wire"
 )
 
-// TestBallotsOfJoiners checks that a blank store that may only join takes no part in founding a deployment, also after
-// a restart, and that a store which may found one votes.
+// TestBallotsOfJoiners checks that a blank store that may only join takes no part in bootstrapping a deployment, also after
+// a restart, and that a store which may bootstrap one votes.
 func TestBallotsOfJoiners(t *testing.T) {
 	cases := []struct {
 		name           string
-		first, second  bool // whether it may found a deployment, when its folder is created and when it is opened again
+		first, second  bool // whether it may bootstrap a deployment, when its folder is created and when it is opened again
 		isOk, isJoiner bool
 	}{
-		{"a store that may found votes", true, true, true, false},
-		{"a store that may found votes, also if restarted without that setting", true, false, true, false},
+		{"a store that may bootstrap votes", true, true, true, false},
+		{"a store that may bootstrap votes, also if restarted without that setting", true, false, true, false},
 		{"a store that may only join does not vote", false, false, false, true},
 		{"a store that may only join does not vote, also if restarted with that setting", false, true, false, true},
 	}
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestSettled checks that a store founds a deployment only after it has seen the same stores for a while. Stores that
-// start together discover each other one by one, and two stores with incomplete views could both found one.
+// TestSettled checks that a store bootstraps a deployment only after it has seen the same stores for a while. Stores that
+// start together discover each other one by one, and two stores with incomplete views could both bootstrap one.
 func TestSettled(t *testing.T) {
 	wait := timing.Default.Of(timing.AnswerTimeout)
 	who := func(names ...string) (out []wire.Who) {
@@ -62,7 +62,7 @@
 	Convey("Given a store that sees two others", t, func() {
 		f := &bootstrapper{d: &daemon.Daemon{Bounds: timing.Default}}
 		So(f.isMembershipStable(who("a", "b"), 0), ShouldBeFalse)
-		Convey("it may found a deployment once that has lasted for the timeout", func() {
+		Convey("it may bootstrap a deployment once that has lasted for the timeout", func() {
 			So(f.isMembershipStable(who("a", "b"), wait-1), ShouldBeFalse)
 			So(f.isMembershipStable(who("a", "b"), wait), ShouldBeTrue)
 		})
--- a/internal/store/candidates.go
+++ b/internal/store/candidates.go
@@ -20,7 +20,7 @@
 type candidateTable struct {
 	compiled      *config.Compiled
 	members       string      // hash of the membership
-	local, remote []candidate // remote is used only if no local worker may be asked; if the pool spills, all are in local
+	local, remote []candidate // remote is used if no local one may be asked; if the pool spills, all are local
 }
 
 // candidate is a worker that may be asked for a slot, with the adapter that holds it.
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -46,6 +46,7 @@
 // workerInstance is a worker as served by one incarnation of its holder.
 type workerInstance struct{ pool, worker, boot string }
 
+// maxSlotRequests limits the open slot requests of a pool.
 const maxSlotRequests = 128
 
 // openRequests are the open slot requests by id, with their deadlines. A request that is not answered by its deadline
@@ -147,27 +148,27 @@
 	}
 	bounds := d.o.Daemon.Bounds
 	hold, sentAt := bounds.Of(timing.SlotRequestHold), d.o.Daemon.Now()
-	serial := d.addRequest(pool, sentAt+hold+bounds.Of(timing.Permit))
+	requestId := d.addRequest(pool, sentAt+hold+bounds.Of(timing.Permit))
 	done := func(reply any, err error) {
 		grant, isGrant := reply.(*wire.Grant)
 		if err != nil || !isGrant {
 			grant = &wire.Grant{Kind: slotUnanswered, Retry: bounds.Of(timing.RedialDelay).Milliseconds()}
 		}
-		d.close(chosen.workerInstance, serial, grant)
+		d.close(chosen.workerInstance, requestId, grant)
 		if grant.Kind == "" {
 			d.assignSlot(SlotGrant{Pool: pool, Worker: chosen.worker, Holder: chosen.holder, Permit: grant.Permit,
 				Until: sentAt + bounds.Of(timing.Permit)/2})
 		}
 	}
-	ask := &wire.Want{Pool: pool, Worker: chosen.worker, Hold: hold.Milliseconds()}
-	if err := d.o.Post(chosen.holder, ask, done); err != nil {
+	request := &wire.Want{Pool: pool, Worker: chosen.worker, Hold: hold.Milliseconds()}
+	if err := d.o.Post(chosen.holder, request, done); err != nil {
 		done(nil, err)
 	}
 	return true
 }
 
 // addRequest records a slot request with its deadline.
-func (d *Dispatcher) addRequest(pool string, deadline time.Duration) (serial int64) {
+func (d *Dispatcher) addRequest(pool string, deadline time.Duration) (requestId int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastRequestId++
@@ -179,14 +180,14 @@
 }
 
 // close records the result of a slot request.
-func (d *Dispatcher) close(s workerInstance, serial int64, grant *wire.Grant) {
+func (d *Dispatcher) close(worker workerInstance, requestId int64, grant *wire.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.requests[s.pool], serial)
+	delete(d.requests[worker.pool], requestId)
 	if grant.Kind == "" {
-		slotRequestResults.WithLabelValues(s.pool, slotGranted).Inc()
+		slotRequestResults.WithLabelValues(worker.pool, slotGranted).Inc()
 		return
 	}
-	slotRequestResults.WithLabelValues(s.pool, grant.Kind).Inc()
-	d.blockedUntil[s] = d.o.Daemon.Now() + time.Duration(grant.Retry)*time.Millisecond
+	slotRequestResults.WithLabelValues(worker.pool, grant.Kind).Inc()
+	d.blockedUntil[worker] = d.o.Daemon.Now() + time.Duration(grant.Retry)*time.Millisecond
 }
--- a/internal/store/drain.go
+++ b/internal/store/drain.go
@@ -46,25 +46,28 @@
 func (d *Drain) Step() (isDone bool) {
 	now, bounds := d.o.Daemon.Now(), d.o.Daemon.Bounds
 	d.updateIdle(now)
-	isNoticeOver := now-d.startedAt >= bounds.Of(timing.DrainNotice) // the time for others to announce that they stop as well
-	remaining, isNeeded := 0, false
+	// By then, other stores have announced that they stop as well.
+	isNoticeOver := now-d.startedAt >= bounds.Of(timing.DrainNotice)
+	remaining, isMajorityLost := 0, false
 	for _, h := range d.o.Hosts() {
 		v := h.View()
 		voters := group.Voters(v.Roster)
-		isNeeded = isNeeded || !isMajority(voters, d.isStaying)
+		isMajorityLost = isMajorityLost || !isMajority(voters, d.isStaying)
 		d.ownedSinceStart[h] = d.ownedSinceStart[h] && v.Role == group.Owner
 		if v.Role != group.Owner || !d.hasSuccessor(voters) {
 			continue
 		}
 		remaining++
-		if isNoticeOver || d.ownedSinceStart[h] { // a group owned only since then may come from a store that stops, and would be handed back and forth
-			h.TransferOwnership(d.isLeaving)
+		// A group that is owned only since the start may come from another store that stops, and would be handed back
+		// and forth.
+		if isNoticeOver || d.ownedSinceStart[h] {
+			h.TransferOwnership(d.isDraining)
 		}
 	}
 	if !isNoticeOver {
 		return false
 	}
-	if !isNeeded {
+	if !isMajorityLost {
 		return remaining == 0
 	}
 	return d.isIdle && now-d.idleSince >= bounds.Of(timing.AnswerTimeout)
@@ -76,8 +79,8 @@
 	for _, p := range d.o.Places() {
 		open += p.open.Load()
 	}
-	if isQuiet := open == 0; isQuiet != d.isIdle {
-		d.isIdle, d.idleSince = isQuiet, now
+	if isIdle := open == 0; isIdle != d.isIdle {
+		d.isIdle, d.idleSince = isIdle, now
 	}
 }
 
@@ -99,8 +102,8 @@
 	return isInformed && isStaying(d.o.Daemon, member)
 }
 
-// isLeaving reports whether a voter is known to have been asked to stop.
-func (d *Drain) isLeaving(member string) bool {
+// isDraining reports whether a voter is known to have been asked to stop.
+func (d *Drain) isDraining(member string) bool {
 	name := group.Name(member)
 	return name == d.o.Daemon.Who.Name || d.o.Daemon.Membership.IsDraining(name)
 }
--- a/internal/store/environment.go
+++ b/internal/store/environment.go
@@ -11,37 +11,37 @@
 
 // Environment is what the owner of a place or a part needs of its daemon. The simulation provides its own.
 type Environment interface {
-	Now() time.Duration
-	After(span time.Duration, work func())
+	Now() time.Duration                    // the daemon's steady clock
+	After(span time.Duration, work func()) // runs work after a span
 	Bounds() timing.Bounds
-	IsFresh() bool
-	IsDiskFull() bool
-	IsDiskBusy() bool // the disk has more to write than may be queued
-	Compiled() *config.Compiled
-	Find(name string) (wire.Who, bool)
+	IsFresh() bool                                             // the view is recent enough to act on
+	IsDiskFull() bool                                          // intake is rejected for lack of disk space
+	IsDiskBusy() bool                                          // the disk has more to write than may be queued
+	Compiled() *config.Compiled                                // the configuration of the view
+	Find(name string) (wire.Who, bool)                         // the member of a name
 	Adapters() []wire.Who                                      // adapters that are members
 	Post(who wire.Who, ask any, answer func(any, error)) error // sends a request to an adapter
-	SubmitToPlace(t *wire.Take, tell func(isTaken bool))
-	Release(g SlotGrant)
-	Notifier(address string) (wire.Who, bool) // the adapter that sends notifications to an address
-	Wake()
-	PlaceOf(id string) int64
-	ChildId(parent string) string
-	Fail(err error)
-	IsMemoryLow() bool // the store has too little memory left to accept more
+	SubmitToPlace(t *wire.Take, tell func(isTaken bool))       // submits a message to its place's owner
+	Release(g SlotGrant)                                       // returns an unused slot to its holder
+	Notifier(address string) (wire.Who, bool)                  // the adapter that sends notifications to an address
+	Wake()                                                     // has the dispatcher run soon
+	PlaceOf(id string) int64                                   // the place that a message id belongs to
+	ChildId(parent string) string                              // the id of a message's call-back
+	Fail(err error)                                            // stops the daemon
+	IsMemoryLow() bool                                         // the store has too little memory left to accept more
 }
 
 // Group is the replicated group of a place or a part.
 type Group interface {
 	IsOwner() bool
 	Term() int64
-	DataTerm() int64         // term of the newest applied command, or a later term
-	LoggedAt() time.Duration // during Apply: when the replica received the command
-	PendingProposals() int
+	DataTerm() int64                  // term of the newest applied command, or a later term
+	LoggedAt() time.Duration          // during Apply: when the replica received the command
+	PendingProposals() int            // proposals that are not committed yet
 	OldestProposalAge() time.Duration // how long the oldest proposal has been pending
 	View() group.View
-	Propose(data []byte, tell func(verdict any, err error))
-	Do(work func()) error
+	Propose(data []byte, tell func(verdict any, err error)) // tell gets the result of Apply, or an error
+	Do(work func()) error                                   // runs work on the group's goroutine
 }
 
 // Attach sets the group of a place. It is called once, before any other method.
@@ -62,8 +62,8 @@
 func (a *environment) Compiled() *config.Compiled            { return a.store.configs.Current() }
 func (a *environment) Find(name string) (wire.Who, bool)     { return a.store.d.Membership.Find(name) }
 func (a *environment) Adapters() []wire.Who                  { return a.store.d.Membership.OfKind("adapter") }
-func (a *environment) Post(who wire.Who, ask any, answer func(any, error)) error {
-	return a.store.post(who, ask, answer)
+func (a *environment) Post(who wire.Who, request any, answer func(any, error)) error {
+	return a.store.post(who, request, answer)
 }
 func (a *environment) SubmitToPlace(t *wire.Take, tell func(bool)) { a.store.submitToPlace(t, tell) }
 func (a *environment) Release(g SlotGrant)                         { a.store.dispatcher.release(g) }
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -87,11 +87,11 @@
 	return group.View{ConfirmedAt: b.now - b.unconfirmed, IsConfirmed: true}
 }
 func (b *harness) Do(work func()) error { work(); return nil }
-func (b *harness) Post(_ wire.Who, ask any, answer func(any, error)) error {
+func (b *harness) Post(_ wire.Who, request any, answer func(any, error)) error {
 	if b.rejectsTimeMessages {
-		return errs.New(errs.Rejected, "the link has no %T", ask)
+		return errs.New(errs.Rejected, "the link has no %T", request)
 	}
-	b.posted, b.answers = append(b.posted, ask), append(b.answers, answer)
+	b.posted, b.answers = append(b.posted, request), append(b.answers, answer)
 	return nil
 }
 func (b *harness) Propose(data []byte, done func(any, error)) {
--- a/internal/store/lanescheduler.go
+++ b/internal/store/lanescheduler.go
@@ -64,7 +64,7 @@
 // Invariant: virtualTime is a lane's number of slots divided by its urgency. A lane that is new or was idle does not
 // catch up: its virtual time counts as no less than virtualFloor, the virtual time of the lane that had the last slot.
 type poolSchedule struct {
-	virtualTime  map[string]float64
+	virtualTime  map[string]float64 // by lane
 	virtualFloor float64
 }
 
--- a/internal/store/links.go
+++ b/internal/store/links.go
@@ -6,8 +6,8 @@
 )
 
 // post sends a request to an adapter.
-func (s *Store) post(who wire.Who, ask any, answer func(any, error)) error {
-	return s.d.Node.Peer(wire.RunLink, who.Addr).Post(ask, answer)
+func (s *Store) post(who wire.Who, request any, answer func(any, error)) error {
+	return s.d.Node.Peer(wire.RunLink, who.Addr).Post(request, answer)
 }
 
 // sendGroupMessage sends a message of a group to the store of the member that it is for.
--- a/internal/store/look.go
+++ b/internal/store/look.go
@@ -68,14 +68,14 @@
 }
 
 // answerWaiters answers the waiters for which isDue is true: their message has ended or their wait is over.
-func (p *PlaceHost) answerWaiters(isDue func(id string, o waiter) bool) {
+func (p *PlaceHost) answerWaiters(isDue func(id string, w waiter) bool) {
 	for id, list := range p.waiters {
-		p.waiters[id] = slices.DeleteFunc(list, func(o waiter) bool {
-			if !isDue(id, o) {
+		p.waiters[id] = slices.DeleteFunc(list, func(w waiter) bool {
+			if !isDue(id, w) {
 				return false
 			}
 			p.waiterCount--
-			p.answerLook(o.look, p.environment.Now(), o.answer)
+			p.answerLook(w.look, p.environment.Now(), w.answer)
 			return true
 		})
 		if len(p.waiters[id]) == 0 {
--- a/internal/store/messagestatus.go
+++ b/internal/store/messagestatus.go
@@ -24,11 +24,11 @@
 	Spent         int64            `json:"spent"`   // attempts that count against the lane's limit
 	Cause         string           `json:"cause,omitempty"`
 	Waits         place.WaitReason `json:"waits_for"`
-	Behind        string           `json:"behind,omitempty"` // the message with the same ordering key that this one waits behind
+	Behind        string           `json:"behind,omitempty"` // the message with the same ordering key that must end first
 	SinceMs       int64            `json:"since_ms"`         // -1 if not known
 	LeftMs        int64            `json:"left_ms"`          // -1 if not known
 	TimeMs        int64            `json:"time_ms"`          // the place's time, by which delays and patience pass
-	IsTimeUnknown bool             `json:"untimed"`          // no adapter knew the place's time when this ownership began
+	IsTimeUnknown bool             `json:"untimed"`          // no adapter knew the place's time at the start
 	Run           *RunStatus       `json:"run,omitempty"`
 	Pools         []PoolStatus     `json:"pools,omitempty"`
 	Ready         map[string]int   `json:"ready,omitempty"` // ready messages of the place by lane
@@ -40,7 +40,7 @@
 	Boot     string `json:"boot"`
 	IsMember bool   `json:"is_member"`  // the incarnation of the adapter that has the run has a session
 	AwayMs   int64  `json:"away_ms"`    // for how long the adapter has had no session
-	InHandMs int64  `json:"in_hand_ms"` // how long the adapter's last confirmation of the run still holds; below 0 if none holds
+	InHandMs int64  `json:"in_hand_ms"` // how long the adapter's confirmation still holds; below 0 if none does
 	Pool     string `json:"pool"`
 	Worker   string `json:"worker"`
 }
@@ -57,28 +57,29 @@
 // MessageStatus returns the status of a message. It reports false if this store does not own the message's place, or
 // the place does not hold the message. It must be called on the place's goroutine.
 func (p *PlaceHost) MessageStatus(id string) (MessageStatus, bool) {
-	where, isKnown := p.machine.WaitStatus(id, p.now())
+	wait, isKnown := p.machine.WaitStatus(id, p.now())
 	e := p.machine.Find(id)
 	if !p.host.IsOwner() || !isKnown || e == nil {
 		return MessageStatus{}, false
 	}
 	out := MessageStatus{Place: p.number, Term: p.host.Term(), Id: id, Lane: e.Lane, Key: wire.CallerKey(e.Key), State: e.State, Attempt: e.Attempt, Spent: e.CountedAttempts,
-		Cause: e.Cause, Waits: where.Reason, Behind: where.BlockedBy, SinceMs: where.Since, LeftMs: where.Remaining, TimeMs: p.now(), IsTimeUnknown: p.isTimeUnknown.Load(), Ready: p.Ready()}
+		Cause: e.Cause, Waits: wait.Reason, Behind: wait.BlockedBy, SinceMs: wait.Since, LeftMs: wait.Remaining, TimeMs: p.now(), IsTimeUnknown: p.isTimeUnknown.Load(), Ready: p.Ready()}
 	if e.State == place.Started {
 		out.Run = p.runStatus(e)
 	}
 	return out, true
 }
 
+// runStatus returns the status of an open run.
 func (p *PlaceHost) runStatus(e *place.Message) *RunStatus {
 	now := p.environment.Now()
 	out := &RunStatus{Adapter: e.Adapter, Boot: e.Boot, Pool: e.Pool, Worker: e.Worker, InHandMs: -1}
-	if h, isKnown := p.confirmed[e.Id]; isKnown && h.attempt == e.Attempt {
-		out.InHandMs = (h.until - now).Milliseconds()
+	if confirmation, isKnown := p.confirmed[e.Id]; isKnown && confirmation.attempt == e.Attempt {
+		out.InHandMs = (confirmation.until - now).Milliseconds()
 	}
 	who, isMember := p.environment.Find(e.Adapter)
 	out.IsMember = isMember && who.Boot == e.Boot
-	if since, isAway := p.absentSince[e.Adapter]; isAway {
+	if since, isAbsent := p.absentSince[e.Adapter]; isAbsent {
 		out.AwayMs = (now - since).Milliseconds()
 	}
 	return out
@@ -112,13 +113,13 @@
 	s.mu.RLock()
 	p, isHeld := s.places[s.placeOfId(id)]
 	s.mu.RUnlock()
-	type answer struct {
-		story   MessageStatus
+	type result struct {
+		status  MessageStatus
 		isKnown bool
 	}
-	got := make(chan answer, 1)
+	got := make(chan result, 1)
 	unknown := errs.New(errs.Unknown, "look up message %s: this store does not own its place, or the place does not hold it", id)
-	if !isHeld || p.Do(func() { story, isKnown := p.MessageStatus(id); got <- answer{story, isKnown} }) != nil {
+	if !isHeld || p.Do(func() { status, isKnown := p.MessageStatus(id); got <- result{status, isKnown} }) != nil {
 		web.WriteError(w, unknown)
 		return
 	}
@@ -128,11 +129,11 @@
 			web.WriteError(w, unknown)
 			return
 		}
-		a.story.Store = s.d.Who.Name
-		for _, pool := range s.configs.Current().Rules.Lanes[a.story.Lane].Pools {
-			a.story.Pools = append(a.story.Pools, s.dispatcher.PoolStatus(pool))
+		a.status.Store = s.d.Who.Name
+		for _, pool := range s.configs.Current().Rules.Lanes[a.status.Lane].Pools {
+			a.status.Pools = append(a.status.Pools, s.dispatcher.PoolStatus(pool))
 		}
-		web.WriteJson(w, http.StatusOK, a.story)
+		web.WriteJson(w, http.StatusOK, a.status)
 	case <-time.After(s.d.Bounds.Of(timing.SettleTimeout)):
 		web.WriteError(w, errs.New(errs.DeadlineExceeded, "look up message %s: its place did not answer in time", id))
 	}
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -13,6 +13,7 @@
 	"caperwheel/internal/timing"
 )
 
+// ownerships counts the ownerships of places that began on this store.
 var ownerships = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "place",
 	Name: "ownerships_total", Help: "Times that this store became the owner of a place."})
 
@@ -103,6 +104,7 @@
 		p.number, p.host.Term(), p.now(), count, first)
 }
 
+// placeStats are the statistics of one place; number is -1 if this store does not own it.
 type placeStats struct {
 	counts       map[string]map[place.State]int
 	patienceLeft map[string]time.Duration
@@ -120,12 +122,12 @@
 	}
 	now := p.now()
 	t.number, t.time = p.number, time.Duration(now)*time.Millisecond
-	held := p.machine.LaneStats(now)
-	t.counts = held.Counts
-	for lane, at := range held.Deadlines {
+	lanes := p.machine.LaneStats(now)
+	t.counts = lanes.Counts
+	for lane, at := range lanes.Deadlines {
 		t.patienceLeft[lane] = time.Duration(at-now) * time.Millisecond
 	}
-	for lane, wait := range held.LongestWaits {
+	for lane, wait := range lanes.LongestWaits {
 		t.longestWaits[lane] = time.Duration(wait) * time.Millisecond
 	}
 	for _, e := range p.machine.Running() {
@@ -141,18 +143,18 @@
 func (s *Store) collectStats() []placeStats {
 	places := s.listPlaces()
 	got := make(chan placeStats, len(places))
-	asked := 0
+	expected := 0
 	for _, p := range places {
 		err := p.Do(func() {
 			got <- p.stats()
 		})
 		if err == nil {
-			asked++
+			expected++
 		}
 	}
 	out := []placeStats{}
 	timeout := time.After(s.d.Bounds.Of(timing.SettleTimeout))
-	for range asked {
+	for range expected {
 		select {
 		case t := <-got:
 			out = append(out, t)
--- a/internal/store/notify.go
+++ b/internal/store/notify.go
@@ -19,9 +19,9 @@
 // messages whose notification was accepted and is not committed as accepted yet. A new owner sends those again, since
 // notifications are delivered at least once.
 type notifier struct {
-	inFlight            map[string]notification // by message id
-	accepted            []string
-	acceptedCommittedAt time.Duration
+	inFlight            map[string]notification   // by message id
+	accepted            []string                  // ids of the messages
+	acceptedCommittedAt time.Duration             // when acceptances were last proposed
 	backoffs            map[string]backoff        // by message id
 	receivers           map[string]receiverHealth // by address
 	lastAddress         string                    // address that the last notification was sent to
@@ -40,6 +40,7 @@
 	until, length time.Duration
 }
 
+// next returns the backoff after another failure.
 func (r backoff) next(now time.Duration, bounds timing.Bounds) backoff {
 	least := bounds.Of(timing.RedialDelay)
 	length := min(max(least, 2*r.length), 8*least)
@@ -49,7 +50,7 @@
 const (
 	maxReceiverNotifications = 64  // notifications in flight to one receiver
 	maxNotifications         = 128 // to all receivers; at most half of them to receivers that did not answer
-	acceptedBatch            = 100
+	acceptedBatch            = 100 // acceptances that are committed together
 )
 
 func newNotifier() notifier {
@@ -72,7 +73,8 @@
 		return
 	}
 	t.nextScanAt = now + p.environment.Bounds().Of(timing.SlotRequestHold)
-	if len(t.backoffs) > p.machine.CountPendingNotifications() { // some messages were forgotten before their notification was accepted
+	// Some messages were forgotten before their notification was accepted.
+	if len(t.backoffs) > p.machine.CountPendingNotifications() {
 		maps.DeleteFunc(t.backoffs, func(id string, _ backoff) bool { return p.machine.Find(id) == nil })
 	}
 	p.notifyRoundRobin(t.queues(p.machine.PendingNotifications(), now), now)
@@ -81,18 +83,18 @@
 // notifyRoundRobin sends one notification to each receiver in turn, as long as there is capacity.
 func (p *PlaceHost) notifyRoundRobin(queues []*receiverQueue, now time.Duration) {
 	t := &p.notifier
-	doubtful := t.countUnresponsive()
+	unresponsive := t.countUnresponsive()
 	for isMore := true; isMore; {
 		isMore = false
 		for _, q := range queues {
 			if len(t.inFlight)-len(t.accepted) >= maxNotifications {
 				return
 			}
-			if len(q.messages) == 0 || q.capacity <= 0 || q.isUnresponsive && doubtful >= maxNotifications/2 {
+			if len(q.messages) == 0 || q.capacity <= 0 || q.isUnresponsive && unresponsive >= maxNotifications/2 {
 				continue
 			}
 			if q.isUnresponsive {
-				doubtful++
+				unresponsive++
 			}
 			e := q.messages[0]
 			q.messages, q.capacity, isMore, t.lastAddress = q.messages[1:], q.capacity-1, true, q.address
@@ -101,20 +103,21 @@
 	}
 }
 
+// sendNotification sends the notification of a message through the adapter that notifies its address.
 func (p *PlaceHost) sendNotification(e *place.Message, address string, now time.Duration) {
 	id := e.Id
 	who, isHere := p.environment.Notifier(address)
 	if !isHere {
 		return
 	}
-	ask := &wire.Tell{Id: id, Url: e.Notify, State: string(e.State), Head: e.Head, Answer: e.Proof.Answer}
+	request := &wire.Tell{Id: id, Url: e.Notify, State: string(e.State), Head: e.Head, Answer: e.Proof.Answer}
 	fill := func(raw []byte) []byte {
 		if raw == nil {
 			return []byte{}
 		}
 		return raw
 	}
-	ask.Head, ask.Answer = fill(ask.Head), fill(ask.Answer)
+	request.Head, request.Answer = fill(request.Head), fill(request.Answer)
 	p.notifier.inFlight[id] = notification{address: address, until: now + 2*p.environment.Bounds().ConfigApply}
 	done := func(reply any, err error) {
 		told, isTold := reply.(*wire.Told)
@@ -126,7 +129,7 @@
 			}
 		})
 	}
-	if err := p.environment.Post(who, ask, done); err != nil {
+	if err := p.environment.Post(who, request, done); err != nil {
 		p.retryNotification(id)
 	}
 }
--- a/internal/store/openruns.go
+++ b/internal/store/openruns.go
@@ -35,7 +35,7 @@
 
 // trackAbsentAdapters records since when the adapters of open runs have had no session.
 func (p *PlaceHost) trackAbsentAdapters(open []*place.Message, now time.Duration) {
-	away := map[string]time.Duration(nil)
+	absent := map[string]time.Duration(nil)
 	for _, e := range open {
 		if _, isMember := p.environment.Find(e.Adapter); isMember {
 			continue
@@ -44,18 +44,18 @@
 		if !isKnown {
 			since = now
 		}
-		if away == nil {
-			away = map[string]time.Duration{}
+		if absent == nil {
+			absent = map[string]time.Duration{}
 		}
-		away[e.Adapter] = since
+		absent[e.Adapter] = since
 	}
-	p.absentSince = away
+	p.absentSince = absent
 }
 
 // isAdapterGone reports whether a run's adapter has had no session for so long that it is considered lost.
 func (p *PlaceHost) isAdapterGone(e *place.Message, now time.Duration) bool {
-	since, isAway := p.absentSince[e.Adapter]
-	return isAway && now-since >= p.environment.Bounds().Of(timing.AdapterLossTimeout)
+	since, isAbsent := p.absentSince[e.Adapter]
+	return isAbsent && now-since >= p.environment.Bounds().Of(timing.AdapterLossTimeout)
 }
 
 // requeueOrphan requeues a message whose run's adapter is lost, so that another adapter may run it, and reports
@@ -68,7 +68,8 @@
 		return false
 	}
 	if now >= p.nextQueryAt[e.Id] {
-		p.nextQueryAt[e.Id] = now + p.environment.Bounds().ConfigApply // not again at once, in case this is not committed
+		// Not again at once, in case this is not committed.
+		p.nextQueryAt[e.Id] = now + p.environment.Bounds().ConfigApply
 		p.proposeRequeue(e, lane)
 	}
 	return true
@@ -100,8 +101,8 @@
 		ids[e.Id] = true
 	}
 	maps.DeleteFunc(p.confirmed, func(id string, _ runConfirmation) bool { return !ids[id] })
-	for _, noted := range []map[string]time.Duration{p.nextQueryAt, p.lostSince, p.missingSince} {
-		maps.DeleteFunc(noted, func(id string, _ time.Duration) bool { return !ids[id] })
+	for _, times := range []map[string]time.Duration{p.nextQueryAt, p.lostSince, p.missingSince} {
+		maps.DeleteFunc(times, func(id string, _ time.Duration) bool { return !ids[id] })
 	}
 }
 
@@ -129,16 +130,16 @@
 // run at a worker that is frozen keeps the connection, and with it the worker, for longer.
 func (p *PlaceHost) mayStillOccupyWorker(e *place.Message) bool {
 	bound := time.Duration(p.environment.Compiled().Rules.RunTimeoutMs(e.Lane, e.Pool)) * time.Millisecond
-	more := place.AnswerTimeout(true, bound) - place.OrphanedRunLimit(bound)
-	return e.Ordered && p.now() < e.Due+more.Milliseconds()
+	extra := place.AnswerTimeout(true, bound) - place.OrphanedRunLimit(bound)
+	return e.Ordered && p.now() < e.Due+extra.Milliseconds()
 }
 
 // queryRun asks an adapter for the state of a run. A later incarnation of the adapter answers from the results that
 // the agent on its machine keeps.
 func (p *PlaceHost) queryRun(e *place.Message, who wire.Who) {
 	id, attempt := e.Id, e.Attempt
-	ask := &wire.Open{Place: p.number, Term: p.host.Term(), Id: id, Attempt: attempt, Boot: e.Boot}
-	_ = p.environment.Post(who, ask, func(reply any, err error) {
+	query := &wire.Open{Place: p.number, Term: p.host.Term(), Id: id, Attempt: attempt, Boot: e.Boot}
+	_ = p.environment.Post(who, query, func(reply any, err error) {
 		ack, isAck := reply.(*wire.OpenAck)
 		if err != nil || !isAck || ack.Kind != "" {
 			return
@@ -172,7 +173,8 @@
 	if p.lostSince[e.Id] == 0 {
 		p.lostSince[e.Id] = now
 	}
-	wait := p.environment.Bounds().Of(timing.SessionTimeout) // by then, a result that is kept elsewhere has been delivered
+	// By then, a result that is kept elsewhere has been delivered.
+	wait := p.environment.Bounds().Of(timing.SessionTimeout)
 	if now-p.lostSince[e.Id] < wait || p.mayStillRun(e) && !mayRepeat {
 		p.nextQueryAt[e.Id] = now + p.environment.Bounds().Of(timing.AnswerTimeout)
 		return
--- a/internal/store/outcome.go
+++ b/internal/store/outcome.go
@@ -57,31 +57,31 @@
 		}
 		return c
 	}
-	isSpent := o.MayHaveStarted && (lane.CountsEveryRun || o.Kind == string(errs.Unhealthy))
-	back := place.Command{Kind: place.CmdRunFailed, Id: e.Id, Attempt: o.Proof.Attempt, Cause: o.Kind, CountsAsAttempt: isSpent, Retain: retain}
-	back.HoldsKey = o.MayHaveStarted && e.Ordered && o.Wait > 0 && place.MayStillRun(errs.Kind(o.Kind))
+	isCounted := o.MayHaveStarted && (lane.CountsEveryRun || o.Kind == string(errs.Unhealthy))
+	command := place.Command{Kind: place.CmdRunFailed, Id: e.Id, Attempt: o.Proof.Attempt, Cause: o.Kind, CountsAsAttempt: isCounted, Retain: retain}
+	command.HoldsKey = o.MayHaveStarted && e.Ordered && o.Wait > 0 && place.MayStillRun(errs.Kind(o.Kind))
 	// A repeated failure, of a run that was requeued before, does not count again.
 	isOpen := e.State == place.Started && e.Attempt == o.Proof.Attempt
-	isLast := isSpent && isOpen && lane.MaxAttempts > 0 && e.CountedAttempts+1 >= lane.MaxAttempts
-	if o.MayHaveStarted && !back.HoldsKey && (o.Final || isLast) {
-		back.Kind, back.State, back.HoldsKey = place.CmdClose, string(place.Failed), lane.HoldsAfterFailure
-		return back
+	isLast := isCounted && isOpen && lane.MaxAttempts > 0 && e.CountedAttempts+1 >= lane.MaxAttempts
+	if o.MayHaveStarted && !command.HoldsKey && (o.Final || isLast) {
+		command.Kind, command.State, command.HoldsKey = place.CmdClose, string(place.Failed), lane.HoldsAfterFailure
+		return command
 	}
-	spent := e.CountedAttempts
-	if isSpent {
-		spent++
+	counted := e.CountedAttempts
+	if isCounted {
+		counted++
 	}
-	back.Deadline = max(retryDelay(lane, e.Id, spent), o.Wait)
-	return back
+	command.Deadline = max(retryDelay(lane, e.Id, counted), o.Wait)
+	return command
 }
 
 // retryDelay returns the delay before the next run: exponential backoff with jitter from a hash of the message's id,
 // so that a recovering pool does not get all runs at once.
-func retryDelay(l config.Lane, id string, spent int64) int64 {
-	d := l.Backoff << min(max(spent-1, 0), 20)
+func retryDelay(l config.Lane, id string, counted int64) int64 {
+	d := l.Backoff << min(max(counted-1, 0), 20)
 	d = min(max(d, l.Backoff), l.MaxBackoff)
 	h := fnv.New64a()
-	fmt.Fprint(h, id, spent)
+	fmt.Fprint(h, id, counted)
 	half := int64(d/time.Millisecond) / 2
 	return half + int64(h.Sum64()%uint64(half+1))
 }
--- a/internal/store/part.go
+++ b/internal/store/part.go
@@ -33,11 +33,11 @@
 		return nil
 	}
 	out := p.part.Apply(e)
-	heldAt := p.environment.Now()
+	loggedAt := p.environment.Now()
 	if p.host != nil { // nil while the replica is being opened
-		heldAt = p.host.LoggedAt()
+		loggedAt = p.host.LoggedAt()
 	}
-	p.clock.Apply(p.part.Clock(), isOwn, heldAt)
+	p.clock.Apply(p.part.Clock(), isOwn, loggedAt)
 	return out
 }
 
@@ -48,8 +48,8 @@
 func (p *PartHost) Snapshot() []byte { return p.part.Snapshot() }
 
 // Restore replaces the state by a snapshot.
-func (p *PartHost) Restore(image []byte) error {
-	part, err := feed.RestorePart(image)
+func (p *PartHost) Restore(snapshot []byte) error {
+	part, err := feed.RestorePart(snapshot)
 	if err == nil {
 		p.part = part
 		p.clock.Reset(part.Clock(), p.environment.Now())
@@ -159,9 +159,9 @@
 func (s *Store) follow(f *wire.Follow, answer func(any)) {
 	out := &wire.Followed{Parts: []wire.PartNews{}}
 	got := make(chan wire.PartNews, len(f.Revisions))
-	asked := 0
+	expected := 0
 	for _, revision := range f.Revisions {
-		asked++
+		expected++
 		s.withPart(revision.Part, func(p *PartHost) {
 			news, isOurs := p.News(revision.Revision)
 			if !isOurs {
@@ -170,7 +170,7 @@
 			got <- news
 		}, func(errs.Kind) { got <- wire.PartNews{Part: -1} })
 	}
-	for range asked {
+	for range expected {
 		if news := <-got; news.Part >= 0 {
 			out.Parts = append(out.Parts, news)
 		}
--- a/internal/store/place.go
+++ b/internal/store/place.go
@@ -21,28 +21,28 @@
 	environment     Environment
 	number          int64
 	host            *timedGroup
-	machine         *place.Machine
+	machine         *place.Machine // the replicated state
 	clock           groupclock.Clock
 	timeCommittedAt time.Duration // when the owner last proposed the place's time by itself
 	time            timeReplication
 	isTimeUnknown   atomic.Bool // no adapter knew the place's time when this ownership began
 	proposedLevel   int64       // the feature level that this owner has proposed
 	levelProposedAt time.Duration
-	confirmed       map[string]runConfirmation
-	nextQueryAt     map[string]time.Duration
-	lostSince       map[string]time.Duration
+	confirmed       map[string]runConfirmation // by message id
+	nextQueryAt     map[string]time.Duration   // when a run's adapter may be asked again, by message id
+	lostSince       map[string]time.Duration   // since when a run is lost with its adapter, by message id
 	notifier        notifier
 	missingSince    map[string]time.Duration // since when no adapter has reported an open run
 	absentSince     map[string]time.Duration // since when adapters of open runs have had no session
-	sendingChildren map[string]bool
-	trimmedAt       time.Duration
-	pending         pendingRequests
+	sendingChildren map[string]bool          // call-backs being submitted, by id
+	trimmedAt       time.Duration            // when forgettable messages were last removed
+	pending         pendingRequests          // requests whose proposals are not decided
 	// Callers that wait for a message's end, by its id, and their number, at most maxWaiters.
 	waiters     map[string][]waiter
 	waiterCount int
 	quota       *quotaBatcher
-	ready       atomic.Pointer[map[string]int]
-	open        atomic.Int64 // open runs in the applied state, as of the last tick
+	ready       atomic.Pointer[map[string]int] // ready messages by lane
+	open        atomic.Int64                   // open runs in the applied state, as of the last tick
 }
 
 // runConfirmation is an adapter's confirmation that it has a run.
@@ -54,10 +54,10 @@
 // Limits of one place, and of the store's disk.
 const (
 	maxMessages         = 20000
-	maxBytes            = 64 << 20
+	maxBytes            = 64 << 20 // of the messages
 	maxPendingProposals = 2000
 	maxExtraTombstones  = 2000 // settled messages that a full place accepts beyond maxMessages
-	trimBatchLimit      = 200
+	trimBatchLimit      = 200  // messages removed by one command
 
 	maxUnsyncedBytes = 16 << 20 // bytes of all groups that may be queued for the store's disk
 )
@@ -74,15 +74,16 @@
 func (p *PlaceHost) Apply(data []byte, isOwn bool) any {
 	c, err := place.Decode(data)
 	if err != nil {
-		p.environment.Fail(err) // a replica that cannot apply a command must stop: its state would differ from the others'
+		// A replica that cannot apply a command must stop, because its state would differ from the others'.
+		p.environment.Fail(err)
 		return nil
 	}
 	v := p.machine.Apply(c)
-	heldAt := p.environment.Now()
+	loggedAt := p.environment.Now()
 	if p.host != nil { // nil while the replica is being opened
-		heldAt = p.host.LoggedAt()
+		loggedAt = p.host.LoggedAt()
 	}
-	p.clock.Apply(p.machine.Clock(), isOwn, heldAt)
+	p.clock.Apply(p.machine.Clock(), isOwn, loggedAt)
 	if len(p.waiters[c.Id]) > 0 && v.State.IsOver() {
 		p.answerWaiters(func(id string, _ waiter) bool { return id == c.Id })
 	}
@@ -93,8 +94,8 @@
 func (p *PlaceHost) Snapshot() []byte { return p.machine.Snapshot() }
 
 // Restore replaces the state by a snapshot.
-func (p *PlaceHost) Restore(image []byte) error {
-	m, err := place.Restore(image)
+func (p *PlaceHost) Restore(snapshot []byte) error {
+	m, err := place.Restore(snapshot)
 	if err == nil {
 		p.machine = m
 		p.clock.Reset(m.Clock(), p.environment.Now())
@@ -202,6 +203,7 @@
 		})
 }
 
+// ownerName returns the name of the store that owns the place, empty if it is not known.
 func (p *PlaceHost) ownerName() string { return ownerOf(p.host) }
 
 // lane returns a lane's configuration, or false if it is not known now: a store that has just started must wait for
--- a/internal/store/quotabatch_test.go
+++ b/internal/store/quotabatch_test.go
@@ -27,6 +27,7 @@
 	return got
 }
 
+// quotaNeed is a report of a holder that needs tokens in its first epoch.
 func quotaNeed(tenant string, need int64) wire.QuotaCount {
 	return wire.QuotaCount{Tenant: tenant, Epoch: 1, Need: need}
 }
--- a/internal/store/receiverqueues.go
+++ b/internal/store/receiverqueues.go
@@ -22,12 +22,12 @@
 const throttleAfterUnanswered = 3
 
 // receiverAddress returns the host and port of a URL, which identify the receiver.
-func receiverAddress(notify string) string {
-	_, rest, _ := strings.Cut(notify, "://")
-	if end := strings.IndexAny(rest, "/?#"); end >= 0 {
-		rest = rest[:end]
+func receiverAddress(url string) string {
+	_, address, _ := strings.Cut(url, "://")
+	if end := strings.IndexAny(address, "/?#"); end >= 0 {
+		address = address[:end]
 	}
-	return rest[strings.LastIndexByte(rest, '@')+1:]
+	return address[strings.LastIndexByte(address, '@')+1:]
 }
 
 // receiverQueue holds the notifications that are due to one receiver.
@@ -79,11 +79,11 @@
 
 // concurrencyFor returns how many notifications may be in flight to one of this many receivers.
 func (t *notifier) concurrencyFor(address string, receivers int, now time.Duration) int {
-	known := t.receivers[address]
+	health := t.receivers[address]
 	switch {
-	case now < known.backoff.until:
+	case now < health.backoff.until:
 		return 0
-	case known.unanswered >= throttleAfterUnanswered:
+	case health.unanswered >= throttleAfterUnanswered:
 		return 1
 	}
 	return max(1, min(maxReceiverNotifications, maxNotifications/receivers))
@@ -100,17 +100,17 @@
 }
 
 // recordResponse records whether a receiver has answered a notification at all.
-func (t *notifier) recordResponse(address string, isSilent bool, now time.Duration, bounds timing.Bounds) {
-	if !isSilent {
+func (t *notifier) recordResponse(address string, isUnanswered bool, now time.Duration, bounds timing.Bounds) {
+	if !isUnanswered {
 		delete(t.receivers, address)
 		return
 	}
-	known := t.receivers[address]
-	known.unanswered++
-	if known.unanswered >= throttleAfterUnanswered {
-		known.backoff = known.backoff.next(now, bounds)
+	health := t.receivers[address]
+	health.unanswered++
+	if health.unanswered >= throttleAfterUnanswered {
+		health.backoff = health.backoff.next(now, bounds)
 	}
-	t.receivers[address] = known
+	t.receivers[address] = health
 }
 
 // isUnanswered reports whether a notification that was not accepted got no answer.
--- a/internal/store/rosters.go
+++ b/internal/store/rosters.go
@@ -23,20 +23,20 @@
 }
 
 // NewRosterPlanner returns a planner for groups of this many replicas.
-func NewRosterPlanner(bounds timing.Bounds, copies int) *RosterPlanner {
-	return &RosterPlanner{replicas: copies, planner: repair.NewPlanner(bounds, copies), memberIds: map[string]string{}, retired: map[string]bool{}}
+func NewRosterPlanner(bounds timing.Bounds, replicas int) *RosterPlanner {
+	return &RosterPlanner{replicas: replicas, planner: repair.NewPlanner(bounds, replicas), memberIds: map[string]string{}, retired: map[string]bool{}}
 }
 
 // NoteMembers sets the current member stores and the retired stores. It must be called only with a fresh view.
-func (r *RosterPlanner) NoteMembers(here []wire.Who, retired map[string]bool, now time.Duration) {
-	known, members := map[string]string{}, []repair.Store{}
-	for _, who := range here {
-		known[who.Name] = who.Name + "/" + repair.Incarnation(who.Boot)
+func (r *RosterPlanner) NoteMembers(stores []wire.Who, retired map[string]bool, now time.Duration) {
+	memberIds, members := map[string]string{}, []repair.Store{}
+	for _, who := range stores {
+		memberIds[who.Name] = who.Name + "/" + repair.Incarnation(who.Boot)
 		members = append(members, repair.Store{Name: who.Name, Zone: who.Zone, IsRetired: retired[who.Name]})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.memberIds, r.retired = known, retired
+	r.memberIds, r.retired = memberIds, retired
 	r.planner.UpdateMembers(members, now)
 }
 
@@ -51,8 +51,8 @@
 }
 
 // IsChanging reports whether a roster change is not finished.
-func IsChanging(members []string, copies int) bool {
-	return len(members) > copies || slices.ContainsFunc(members, group.IsLearner)
+func IsChanging(members []string, replicas int) bool {
+	return len(members) > replicas || slices.ContainsFunc(members, group.IsLearner)
 }
 
 // storeNames returns the names of a roster's stores without repeats.
--- a/internal/store/runs.go
+++ b/internal/store/runs.go
@@ -14,7 +14,7 @@
 	Pool, Worker string
 	Holder       wire.Who
 	Permit       int64
-	Until        time.Duration
+	Until        time.Duration // the grant may be used until then
 }
 
 // Start starts the lane's next message in a granted slot. The start is committed before the run is sent to the
@@ -57,8 +57,8 @@
 	if !e.Ordered {
 		return 0
 	}
-	busy := place.OrphanedRunLimit(time.Duration(bound) * time.Millisecond)
-	return (p.environment.Bounds().ConfigApply + busy).Milliseconds()
+	limit := place.OrphanedRunLimit(time.Duration(bound) * time.Millisecond)
+	return (p.environment.Bounds().ConfigApply + limit).Milliseconds()
 }
 
 // sendRun sends a started run to the adapter that granted the slot, with the bound that the start was committed with.
@@ -95,13 +95,13 @@
 // undoStart requeues a message whose run never began, which costs no attempt. If an older run has succeeded meanwhile,
 // the command ends the message, so it carries the retention of the end, as each requeue command does.
 func (p *PlaceHost) undoStart(id string, attempt int64, cause string) {
-	back := place.Command{Kind: place.CmdRunFailed, Id: id, Attempt: attempt, Cause: cause,
+	command := place.Command{Kind: place.CmdRunFailed, Id: id, Attempt: attempt, Cause: cause,
 		Deadline: int64(p.environment.Bounds().Of(timing.SlotRequestHold) / time.Millisecond)}
 	if e := p.machine.Find(id); e != nil {
 		lane, _ := laneOf(p.environment.Compiled().Rules, e.Lane, true)
-		back.Retain = int64(lane.Retention / time.Millisecond)
+		command.Retain = int64(lane.Retention / time.Millisecond)
 	}
-	p.propose(back, nil)
+	p.propose(command, nil)
 }
 
 // Tick does the periodic work, most of which is the owner's.
@@ -112,7 +112,7 @@
 		return
 	}
 	p.replicateTime(now)
-	p.answerWaiters(func(_ string, o waiter) bool { return now >= o.until })
+	p.answerWaiters(func(_ string, w waiter) bool { return now >= w.until })
 	if !p.environment.IsFresh() {
 		p.publishReady()
 		return
@@ -120,7 +120,8 @@
 	p.commitTime(now)
 	p.raiseLevel(now)
 	at := p.now()
-	for _, e := range p.machine.TakeExpired(at) { // each message is listed once, so its lane must be known now: the view was fresh above
+	// Each message is listed only once, so its lane must be known now. It is, since the view was fresh above.
+	for _, e := range p.machine.TakeExpired(at) {
 		lane, _ := laneOf(p.environment.Compiled().Rules, e.Lane, true)
 		p.propose(place.Command{Kind: place.CmdClose, Id: e.Id, Attempt: e.Attempt, State: string(place.Expired), Cause: "patience",
 			Retain: int64(lane.Retention / time.Millisecond)}, nil)
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -68,15 +68,15 @@
 	if t.Body == nil {
 		t.Body = []byte{}
 	}
-	done := func(reply any, err error) {
+	onReply := func(reply any, err error) {
 		taken, isTaken := reply.(*wire.Taken)
 		report(err == nil && isTaken && taken.Kind == "")
 	}
 	if who.Name == s.d.Who.Name {
-		s.onPlace(who, t, func(reply any) { done(reply, nil) })
+		s.onPlace(who, t, func(reply any) { onReply(reply, nil) })
 		return
 	}
-	if err := s.d.Node.Peer(wire.PlaceLink, who.Addr).Post(t, done); err != nil {
+	if err := s.d.Node.Peer(wire.PlaceLink, who.Addr).Post(t, onReply); err != nil {
 		report(false)
 	}
 }
@@ -91,35 +91,35 @@
 func (s *Store) sessionPoll() wire.Poll {
 	s.noteMembers()
 	poll := s.d.NewPoll()
-	count, under, untimed := int64(0), int64(0), int64(0)
+	ready, underReplicated, unknownTime := int64(0), int64(0), int64(0)
 	for _, id := range s.groupIds() {
 		v := s.hostOf(id).View()
 		if v.Role == group.Owner {
 			poll.Owns = append(poll.Owns, wire.Owned{Group: id, Term: v.Term, Lag: v.Lag, Size: int64(len(group.Voters(v.Roster)))})
 			if len(group.Voters(v.Roster)) < s.replicas() || v.Lag > 1000 {
-				under++
+				underReplicated++
 			}
 		}
 	}
 	for _, p := range s.listPlaces() {
 		for _, n := range p.Ready() {
-			count += int64(n)
+			ready += int64(n)
 		}
 		if p.isTimeUnknown.Load() {
-			untimed++
+			unknownTime++
 		}
 	}
 	isFull := int64(0)
 	if s.diskFull.Load() {
 		isFull = 1
 	}
-	poll.Fact.Counts = map[string]int64{"ready": count, "under": under, "full": isFull,
+	poll.Fact.Counts = map[string]int64{"ready": ready, "under": underReplicated, "full": isFull,
 		"segments": int64(s.disk.Segments()), ClusterCount: s.bootstrapper.clusterNumber()}
 	if s.d.IsDraining() {
 		poll.Fact.Counts[session.DrainingCount] = 1
 	}
-	if untimed > 0 { // it is rarely above 0, and each count in a poll costs bytes
-		poll.Fact.Counts[UnknownTimeCount] = untimed
+	if unknownTime > 0 { // it is rarely above 0, and each count in a poll costs bytes
+		poll.Fact.Counts[UnknownTimeCount] = unknownTime
 	}
 	return poll
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -40,13 +40,13 @@
 	ctx          context.Context
 
 	mu         sync.RWMutex
-	unopened   map[int64]*storage.StoredGroup
+	unopened   map[int64]*storage.StoredGroup // groups found on disk that are not opened yet
 	hosts      map[int64]*host.Host
 	places     map[int64]*PlaceHost
 	parts      map[int64]*PartHost
 	heldPlaces atomic.Pointer[[]*PlaceHost]
 	openOnce   sync.Once
-	isOpen     atomic.Bool
+	isOpen     atomic.Bool // the groups are open
 	// Intake is rejected for lack of memory.
 	isMemoryLow atomic.Bool
 }
@@ -100,7 +100,8 @@
 			s.mu.Lock()
 			ids := slices.Collect(maps.Keys(s.unopened))
 			s.mu.Unlock()
-			for _, groupId := range ids { // a store that joined later opens what it holds; other groups open when their owner sends entries
+			// A store that joined later opens what it holds. Other groups open when their owner sends entries.
+			for _, groupId := range ids {
 				s.openGroup(groupId)
 			}
 		} else {
@@ -124,23 +125,23 @@
 	if h := s.hosts[groupId]; h != nil {
 		return h
 	}
-	held := s.unopened[groupId]
-	if held == nil && s.disk.HasLostData() || held != nil && held.IsDamaged {
+	stored := s.unopened[groupId]
+	if stored == nil && s.disk.HasLostData() || stored != nil && stored.IsDamaged {
 		klog.Errorf("store: The replica of group %d lost its data on disk; it is rebuilt from the other replicas.", groupId)
 		s.d.Must(s.bootstrapper.recordRebuild(groupId))
 		done := make(chan error, 1)
 		s.disk.SaveSlot(groupId, group.HardState{}, nil, &group.DurableUpdate{}, func(err error) { done <- err })
 		s.d.Must(<-done)
-		held = nil
+		stored = nil
 	}
 	member, roster := s.bootstrapper.memberId(groupId), []string(nil)
-	if founding := s.bootstrapper.snapshot().Roster; slices.Contains(founding, member) {
-		roster = founding
+	if founders := s.bootstrapper.snapshot().Roster; slices.Contains(founders, member) {
+		roster = founders
 	}
 	seed := fnv.New64a()
 	seed.Write([]byte(s.d.Who.Boot))
 	opts := host.Options{Id: groupId, Self: member, Roster: roster, Bounds: s.d.Bounds, Seed: seed.Sum64(),
-		Disk: s.disk, Held: held, Now: s.d.Now, Send: s.sendGroupMessage, OnFailure: s.fail, HasCapacity: s.hasRoom,
+		Disk: s.disk, Held: stored, Now: s.d.Now, Send: s.sendGroupMessage, OnFailure: s.fail, HasCapacity: s.hasRoom,
 		Schedule:       func(span time.Duration, work func()) { time.AfterFunc(span, work) },
 		PreferredOwner: func(roster []string) string { return s.preferredOwner(groupId, roster) },
 		PlanRoster:     func(silence repair.Silence) (map[string]string, []string) { return s.rosterPlan(groupId, silence) }}
@@ -171,12 +172,14 @@
 // fail stops the whole store, because after a disk error any data may be lost.
 func (s *Store) fail(err error) { s.d.Must(err) }
 
+// groupIds returns the ids of the open groups in order.
 func (s *Store) groupIds() []int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.Sorted(maps.Keys(s.hosts))
 }
 
+// hostOf returns the host of a group, nil if the group is not open here.
 func (s *Store) hostOf(groupId int64) *host.Host {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -193,8 +196,8 @@
 	for _, m := range group.Voters(roster) {
 		name := group.Name(m)
 		who, isMember := s.d.Membership.Find(name)
-		isLeaving := s.d.Membership.IsDraining(name) || name == s.d.Who.Name && s.d.IsDraining()
-		if !isMember && name != s.d.Who.Name || isLeaving || compiled.RetiredStores[name] || compiled.DrainedZones[who.Zone] {
+		isDraining := s.d.Membership.IsDraining(name) || name == s.d.Who.Name && s.d.IsDraining()
+		if !isMember && name != s.d.Who.Name || isDraining || compiled.RetiredStores[name] || compiled.DrainedZones[who.Zone] {
 			continue
 		}
 		h := fnv.New64a()
--- a/internal/store/timerecovery.go
+++ b/internal/store/timerecovery.go
@@ -44,7 +44,7 @@
 	isTimeKnown    bool                  // a reading was accepted
 	freshTimeAt    time.Duration         // when a reading was accepted that was not long in transit; negative before
 	isReplicating  bool                  // queries are over, and the time is sent to adapters
-	replicateUntil time.Duration
+	replicateUntil time.Duration         // limit on waiting for an adapter that stores the time
 }
 
 // timeQuery is the query to one adapter.
@@ -126,7 +126,8 @@
 	if r.hasAnswer {
 		limit = timing.TimeRecoveryTimeout
 	}
-	switch waited := now - max(r.freshAt, r.firstAnswerAt); { // the first adapter to answer after an outage need not know the time
+	// The first adapter to answer after an outage need not know the time.
+	switch waited := now - max(r.freshAt, r.firstAnswerAt); {
 	case waited >= bounds.Of(limit):
 		return true
 	case now-r.adapterAddedAt < bounds.Of(timing.TimeQueryTimeout), len(r.queries) == 0:
--- a/internal/store/timerecovery_test.go
+++ b/internal/store/timerecovery_test.go
@@ -30,8 +30,8 @@
 
 // takeReplies returns the reply functions of the posted messages of a type, and clears all posted messages.
 func takeReplies[T any](b *harness) (out []func(any, error)) {
-	for i, ask := range b.posted {
-		if _, is := ask.(T); is {
+	for i, message := range b.posted {
+		if _, is := message.(T); is {
 			out = append(out, b.answers[i])
 		}
 	}
@@ -48,6 +48,7 @@
 // storeTime has the first adapter that was sent the time confirm that it has stored it.
 func (b *harness) storeTime() { takeReplies[*wire.TellTime](b)[0](&wire.TimeTold{}, nil) }
 
+// advance advances the clock and calls Tick.
 func (b *harness) advance(span time.Duration) {
 	b.now += span
 	b.place.Tick(b.now)
--- a/internal/store/timerecoverysilence_test.go
+++ b/internal/store/timerecoverysilence_test.go
@@ -9,6 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
+// recoveryTick is the interval at which the tests call Tick.
 const recoveryTick = 30 * time.Millisecond
 
 // TestRecallAfterSilence guards against losing the time of an outage: after all adapters were silent, the first to
--- a/internal/store/timereplication.go
+++ b/internal/store/timereplication.go
@@ -21,7 +21,7 @@
 type timeReplication struct {
 	told   map[string]bool          // adapters that have stored the time, by incarnation
 	sentAt map[string]time.Duration // when each adapter was last sent the time, unless its answer came too late
-	lookAt time.Duration
+	lookAt time.Duration            // when replicateTime checks next
 }
 
 func newTimeReplication() timeReplication {
@@ -35,16 +35,16 @@
 }
 
 // timeHolders returns the adapters that should store the place's time: those that rank highest for the place.
-func (p *PlaceHost) timeHolders(most int) []wire.Who {
+func (p *PlaceHost) timeHolders(limit int) []wire.Who {
 	all := p.environment.Adapters()
-	if len(all) <= most {
+	if len(all) <= limit {
 		return all
 	}
 	key := "time/" + strconv.FormatInt(p.number, 10)
 	ranked := slices.SortedFunc(slices.Values(all), func(a, b wire.Who) int {
 		return cmp.Compare(duty.Rank(key, b.Name), duty.Rank(key, a.Name))
 	})
-	return ranked[:most]
+	return ranked[:limit]
 }
 
 // groupId returns the id of the place's group.
@@ -103,7 +103,8 @@
 	r.isReplicating, r.replicateUntil = true, now+p.environment.Bounds().Of(limit)
 	p.time = newTimeReplication()
 	p.replicateTime(now)
-	if len(p.time.told) == len(p.timeHolders(maxTimeHolders)) { // no answer is pending: there are no adapters, or only older builds
+	// No answer is pending: there are no adapters, or only older builds.
+	if len(p.time.told) == len(p.timeHolders(maxTimeHolders)) {
 		p.endTimeRecovery()
 	}
 }
--- a/internal/store/upkeep.go
+++ b/internal/store/upkeep.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// maintain joins or founds a deployment, watches disk and memory, and compacts the log.
+// maintain joins or bootstraps a deployment, watches disk and memory, and compacts the log.
 func (s *Store) maintain(ctx context.Context) {
 	go timing.Every(ctx, s.d.Bounds.Of(timing.JoinInterval), func() { s.bootstrapper.joinOrBootstrap(s.d.Now()) })
 	timing.Every(ctx, s.d.Bounds.Of(timing.AnswerTimeout), func() {
@@ -58,12 +58,12 @@
 	}
 }
 
+// ready reports whether the store is ready, and otherwise why it is not.
 func (s *Store) ready() (bool, string) {
 	switch {
 	case !s.isOpen.Load():
 		return false, string(errs.NotBootstrapped)
 	case !s.d.IsFresh():
-		// ready reports whether the store is ready, and otherwise why not.
 		return false, string(errs.Stale)
 	}
 	return true, ""
--- a/internal/timing/clock.go
+++ b/internal/timing/clock.go
@@ -12,6 +12,7 @@
 	Wait(ctx context.Context, span time.Duration)
 }
 
+// clockKey is the context key of the clock.
 type clockKey struct{}
 
 // WithClock returns a context that carries a clock.
--- a/internal/timing/timeout.go
+++ b/internal/timing/timeout.go
@@ -21,20 +21,21 @@
 	return withRunningTimeout(parent, bound, func(d time.Duration, work func()) { time.AfterFunc(d, work) })
 }
 
+// withRunningTimeout is WithRunningTimeout with the timer given as after.
 func withRunningTimeout(parent context.Context, bound time.Duration, after func(time.Duration, func())) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	var turns atomic.Int64
-	var turn func()
-	turn = func() {
+	var elapsed atomic.Int64
+	var tick func()
+	tick = func() {
 		if ctx.Err() != nil {
 			return
 		}
-		if turns.Add(1) >= timeoutSlices {
+		if elapsed.Add(1) >= timeoutSlices {
 			cancel(context.DeadlineExceeded)
 			return
 		}
-		after(bound/timeoutSlices, turn)
+		after(bound/timeoutSlices, tick)
 	}
-	after(bound/timeoutSlices, turn)
+	after(bound/timeoutSlices, tick)
 	return ctx, func() { cancel(context.Canceled) }
 }
--- a/internal/verdict/evaluator.go
+++ b/internal/verdict/evaluator.go
@@ -10,6 +10,7 @@
 	"caperwheel/internal/errs"
 )
 
+// module is the prefix of the packages in the output; the known failures are listed without it.
 const module = "caperwheel/"
 
 // knownFailure is a test that is known to fail.
@@ -66,7 +67,7 @@
 		p = &packageResult{tests: map[string]string{}, output: map[string][]string{}}
 		j.packages[e.Package] = p
 	}
-	test, _, isPart := strings.Cut(e.Test, "/")
+	test, _, isSubtest := strings.Cut(e.Test, "/")
 	isEnd := slices.Contains([]string{"pass", "fail", "skip"}, e.Action)
 	switch {
 	case e.Action == "output" && test == "":
@@ -79,9 +80,9 @@
 		p.output[test] = append(p.output[test], e.Output)
 	case test == "" && isEnd:
 		p.result = e.Action
-	case e.Action == "run" && !isPart:
+	case e.Action == "run" && !isSubtest:
 		p.tests[test] = ""
-	case isEnd && !isPart:
+	case isEnd && !isSubtest:
 		p.tests[test] = e.Action
 		if e.Action == "fail" {
 			j.print(strings.Join(p.output[test], ""))
@@ -90,9 +91,9 @@
 	}
 }
 
-// failures returns every reason why the run fails; isFine tells whether the test command succeeded.
-func (j *evaluator) failures(isFine bool) (faults []string) {
-	excused := map[string]bool{}
+// failures returns every reason why the run fails; commandSucceeded tells whether the test command succeeded.
+func (j *evaluator) failures(commandSucceeded bool) (reasons []string) {
+	expected := map[string]bool{}
 	for _, k := range j.knownFailures {
 		at := strings.LastIndex(k.test, "/")
 		p := j.packages[module+k.test[:max(at, 0)]]
@@ -102,11 +103,11 @@
 		}
 		switch {
 		case !exists:
-			faults = append(faults, "known to be red, but there is no such test: "+k.test)
+			reasons = append(reasons, "known to be red, but there is no such test: "+k.test)
 		case result != "fail":
-			faults = append(faults, "known to be red, but it does not fail: "+k.test)
+			reasons = append(reasons, "known to be red, but it does not fail: "+k.test)
 		default:
-			excused[module+k.test] = true
+			expected[module+k.test] = true
 			j.print(fmt.Sprintf("known to be red: %s: %s (%s)\n", k.test, k.cause, k.issue))
 		}
 	}
@@ -117,19 +118,19 @@
 		isExplained := p.result == "fail" && p.summary == "FAIL" // by tests that are known to fail
 		for _, test := range slices.Sorted(maps.Keys(p.tests)) {
 			switch result := p.tests[test]; {
-			case result == "fail" && !excused[name+"/"+test]:
-				faults = append(faults, "failed: "+name+"/"+test)
+			case result == "fail" && !expected[name+"/"+test]:
+				reasons = append(reasons, "failed: "+name+"/"+test)
 			case result == "":
-				faults = append(faults, "never ended: "+name+"/"+test)
+				reasons = append(reasons, "never ended: "+name+"/"+test)
 				j.print(strings.Join(p.output[test], ""))
 			}
 		}
 		if p.result != "pass" && p.result != "skip" && !isExplained {
-			faults = append(faults, "failed as a whole: "+name)
+			reasons = append(reasons, "failed as a whole: "+name)
 		}
 	}
-	if len(j.packages) == 0 || !isFine && !hasFailed {
-		faults = append(faults, "the tests could not be run")
+	if len(j.packages) == 0 || !commandSucceeded && !hasFailed {
+		reasons = append(reasons, "the tests could not be run")
 	}
-	return faults
+	return reasons
 }
--- a/internal/verdict/evaluator_test.go
+++ b/internal/verdict/evaluator_test.go
@@ -28,7 +28,7 @@
 	cases := []struct {
 		name, known, stream string
 		isFine              bool // whether the command succeeded
-		faults              string
+		failures            string
 	}{
 		{"all pass", "", packageStream("TestX=pass", "PASS", "pass"), true, ""},
 		{"one fails", "", packageStream("TestX=fail TestY=pass", "FAIL", "fail"), false, "failed: caperwheel/internal/a/TestX"},
@@ -56,10 +56,10 @@
 				for line := range strings.Lines(c.stream) {
 					j.readLine(strings.TrimSpace(line))
 				}
-				faults := strings.Join(j.failures(c.isFine), "; ")
-				So(faults == "", ShouldEqual, c.faults == "")
-				for want := range strings.SplitSeq(c.faults, "; ") {
-					So(faults, ShouldContainSubstring, want)
+				failures := strings.Join(j.failures(c.isFine), "; ")
+				So(failures == "", ShouldEqual, c.failures == "")
+				for want := range strings.SplitSeq(c.failures, "; ") {
+					So(failures, ShouldContainSubstring, want)
 				}
 				So(strings.Contains(printed, "known to be red: internal/a/TestX: it is slow, and known (#7)"), ShouldEqual,
 					c.known == one && strings.Contains(c.stream, `"fail","Package":"caperwheel/internal/a","Test":"TestX"`))
--- a/internal/verdict/main.go
+++ b/internal/verdict/main.go
@@ -14,6 +14,7 @@
 	"caperwheel/internal/errs"
 )
 
+// knownFailuresFile lists the tests that are known to fail.
 const knownFailuresFile = "KNOWN-RED.txt"
 
 func main() {
@@ -29,6 +30,7 @@
 	}
 }
 
+// run runs the test command and returns every reason why the run fails.
 func run(command []string) ([]string, error) {
 	raw, err := os.ReadFile(knownFailuresFile)
 	if err != nil && !os.IsNotExist(err) {
