--- a/internal/quota/adapter_test.go
+++ b/internal/quota/adapter_test.go
@@ -119,7 +119,7 @@
 		f.sim.receive(queuedRequest{ask, func(grant wire.QuotaGrant) {
 			f.whenRunning(func() {
 				if f.incarnation != incarnation || f.cache != cache {
-					return // the process that sent the ask has ended
+					return // the process that sent the request has ended
 				}
 				f.settle(cache.Answer(f.sim.now, sentAt, grant))
 				f.askIfDue(tenant)
--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -33,8 +33,8 @@
 	return sum
 }
 
-// Apply decides a batch at a place time in milliseconds, and returns the grant for each ask. The grant has no tenant
-// if the ask's tenant has no limit, or if the ask is of an earlier epoch of its holder.
+// Apply decides a batch at a place time in milliseconds, and returns the grant for each request. The grant has no
+// tenant if the request's tenant has no limit, or if the request is of an earlier epoch of its holder.
 func (l *Allocator) Apply(at int64, batch Batch) []wire.QuotaGrant {
 	l.evictUnused(at)
 	for _, limit := range batch.Limits {
@@ -75,8 +75,8 @@
 
 // snapshot is the encoded state of an allocator.
 type snapshot struct {
-	SweptAt int64    `avro:"swept_at"`
-	Buckets []bucket `avro:"accounts"`
+	EvictedAt int64    `avro:"swept_at"`
+	Buckets   []bucket `avro:"accounts"`
 }
 
 var snapshotCodec = wire.NewRecordCodec(&snapshot{})
@@ -86,7 +86,7 @@
 	if l.IsEmpty() && l.evictedAt == 0 {
 		return []byte{}
 	}
-	out := snapshot{SweptAt: l.evictedAt, Buckets: []bucket{}}
+	out := snapshot{EvictedAt: l.evictedAt, Buckets: []bucket{}}
 	for _, tenant := range slices.Sorted(maps.Keys(l.buckets)) {
 		a := *l.buckets[tenant]
 		if a.Holders == nil {
@@ -107,7 +107,7 @@
 	if err := snapshotCodec.Decode(raw, &in); err != nil {
 		return nil, errs.Wrap(err, errs.Corrupt, "decode the snapshot of tenants' token buckets")
 	}
-	l.evictedAt = in.SweptAt
+	l.evictedAt = in.EvictedAt
 	for _, a := range in.Buckets {
 		l.buckets[a.Tenant] = &a
 	}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -24,13 +24,13 @@
 //
 // Invariant: Spent and Returned are at most Granted together.
 type holder struct {
-	Name     string `avro:"name"`
-	Epoch    int64  `avro:"life"`
-	Granted  int64  `avro:"granted"`
-	Spent    int64  `avro:"spent"`
-	Returned int64  `avro:"returned"`
-	Need     int64  `avro:"need"`
-	Target   int64  `avro:"target"`
+	Name     string `avro:"name"`     // of the incarnation
+	Epoch    int64  `avro:"life"`     // of the lease
+	Granted  int64  `avro:"granted"`  // tokens granted in this epoch
+	Spent    int64  `avro:"spent"`    // of these, tokens spent for accepted messages
+	Returned int64  `avro:"returned"` // of these, tokens returned to the bucket
+	Need     int64  `avro:"need"` // tokens that it needs granted in this epoch in all
+	Target   int64  `avro:"target"`   // tokens that it would like to hold ahead
 	AskedAt  int64  `avro:"asked_at"` // place time of the newest ask
 	Until    int64  `avro:"until"`    // place time at which it is dropped
 }
@@ -95,7 +95,7 @@
 	return slices.BinarySearchFunc(a.Holders, name, func(h holder, name string) int { return cmp.Compare(h.Name, name) })
 }
 
-// report applies a holder's report. It returns nil for an ask of an earlier epoch.
+// report applies a holder's report. It returns nil for a request of an earlier epoch.
 func (a *bucket) report(ask Ask, at int64) *holder {
 	count := ask.Count
 	i, isKnown := a.find(ask.Holder)
--- a/internal/quota/load_test.go
+++ b/internal/quota/load_test.go
@@ -27,13 +27,13 @@
 			asks, batches, messages, refused, waited = asks+w.asks, batches+w.batches, messages+w.messages, refused+w.refused, waited+w.waited
 			So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
 		}
-		t.Logf("a second: %d messages, %d asks, %d batches; refused %.2f %%, waited %.2f %%", messages/span, asks/span, batches/span,
+		t.Logf("a second: %d messages, %d requests, %d batches; refused %.2f %%, waited %.2f %%", messages/span, asks/span, batches/span,
 			100*float64(refused)/float64(messages), 100*float64(waited)/float64(messages))
 		So(asks/span, ShouldBeLessThan, 1000)
 		So(float64(refused), ShouldBeLessThan, 0.01*float64(messages))
 		So(float64(waited), ShouldBeLessThan, 0.05*float64(messages))
 	})
-	Convey("An ask, its answer and its entry in a place's log are short", t, func() {
+	Convey("A request, its answer and its entry in a place's log are short", t, func() {
 		count := wire.QuotaCount{Tenant: "tenant-12-8f21c0de", Epoch: 300, Spent: 40_000, Need: 40_010, Target: 6}
 		asks, replies := wire.PlaceLink.Codecs(wire.Version)
 		size := func(codec *wire.Codec, body any) int {
@@ -44,7 +44,7 @@
 		ask := size(asks, &wire.QuotaAsk{Place: 40, Holder: "0123456789abcdef", Lease: 1500, Counts: []wire.QuotaCount{count}})
 		reply := size(replies, &wire.QuotaGrants{Grants: []wire.QuotaGrant{{Tenant: count.Tenant, Epoch: 300, Granted: 40_016, Share: 6}}})
 		entry := len(Batch{Limits: []Limit{LimitOf(count.Tenant, 15, 15)}, Asks: []Ask{{Holder: "0123456789abcdef", Lease: 1500, Count: count}}}.Encode())
-		t.Logf("ask %d bytes, answer %d, batch of one ask %d", ask, reply, entry)
+		t.Logf("request %d bytes, answer %d, batch of one request %d", ask, reply, entry)
 		So(ask+reply, ShouldBeLessThan, 150)
 		So(entry, ShouldBeLessThan, 120)
 	})
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -123,7 +123,7 @@
 		load          float64 // as a part of the limit
 		jumps         bool
 		refused       float64
-		asksAtMost    float64 // asks per message
+		asksAtMost    float64 // requests per message
 		waitingAtMost float64 // as a part of the messages
 	}{
 		{"a steady tenant at 62 % of 20 a second", 20, 5, 0.62, false, 0.01, 1, 0.03},
@@ -141,7 +141,7 @@
 					length: 120 * time.Second, spreadsMessages: c.jumps}, 1)
 				w.run()
 				share := func(n int) float64 { return float64(n) / float64(w.messages) }
-				t.Logf("%s: refused %.2f %%, waited %.1f %%, asks a message %.2f, batches a second %.1f", c.name, 100*share(w.refused), 100*share(w.waited),
+				t.Logf("%s: refused %.2f %%, waited %.1f %%, requests a message %.2f, batches a second %.1f", c.name, 100*share(w.refused), 100*share(w.waited),
 					share(w.asks), float64(w.batches)/120)
 				So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
 				So(share(w.refused), ShouldBeLessThan, c.refused)
@@ -152,13 +152,13 @@
 	})
 }
 
-// TestHotTenant checks that a tenant far over its limit gets what the limit allows, with few asks.
+// TestHotTenant checks that a tenant far over its limit gets what the limit allows, with few requests.
 func TestHotTenant(t *testing.T) {
 	Convey("A tenant that sends many times its limit", t, func() {
 		for _, times := range []float64{4, 20} {
 			w := newSimulation(conditions{limit: LimitOf("t", 50, 50), rates: slices.Repeat([]float64{50 * times / 4}, 4), length: 60 * time.Second}, 1)
 			w.run()
-			t.Logf("%v times: accepted %d of %d allowed, asks a second %.1f, refused %d", times, len(w.admissions), 50*61, float64(w.asks)/60, w.refused)
+			t.Logf("%v times: accepted %d of %d allowed, requests a second %.1f, refused %d", times, len(w.admissions), 50*61, float64(w.asks)/60, w.refused)
 			So(maxExcess(w.admissions, w.limit), ShouldBeLessThan, 1e-6)
 			So(len(w.admissions), ShouldBeGreaterThan, 50*60*95/100)
 			So(float64(w.asks)/60, ShouldBeLessThan, 100)
--- a/internal/quota/mutants_test.go
+++ b/internal/quota/mutants_test.go
@@ -30,7 +30,7 @@
 		"min(count.Spent-map[bool]int64{false: h.Spent}[IsMutant(NAME)], h.held())"},
 	{"returned tokens count twice", "bucket.go", "min(count.Returned-h.Returned, h.held())",
 		"min(count.Returned-map[bool]int64{false: h.Returned}[IsMutant(NAME)], h.held())"},
-	{"a late ask of an earlier epoch counts", "bucket.go", "if count.Epoch < h.Epoch {", "if count.Epoch < h.Epoch && !IsMutant(NAME) {"},
+	{"a late request of an earlier epoch counts", "bucket.go", "if count.Epoch < h.Epoch {", "if count.Epoch < h.Epoch && !IsMutant(NAME) {"},
 	{"a new epoch goes on with the counts of the previous one", "bucket.go", "*h = holder{Name: ask.Holder, Epoch: count.Epoch}",
 		"if IsMutant(NAME) {\n\t\t\th.Epoch = count.Epoch\n\t\t} else {\n\t\t\t*h = holder{Name: ask.Holder, Epoch: count.Epoch}\n\t\t}"},
 	{"a lower limit is not applied", "bucket.go", "a.Rate, a.Burst = min(a.Rate, limit.Rate), min(a.Burst, limit.Burst)",
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,15 +1,15 @@
 // Package quota limits the rate at which all adapters together accept messages of a tenant.
 //
 // A limit is a token bucket: Rate tokens a second, Burst at most. The bucket of a tenant is part of one Allocator,
-// which is replicated state of a place's group: all replicas apply the same batches of asks in the same order.
+// which is replicated state of a place's group: all replicas apply the same batches of requests in the same order.
 // Adapters hold tokens ahead of need in a TokenCache and spend one for each message that they accept, so a message
 // waits for the allocator only if its adapter holds no token.
 //
 // The tokens in the bucket and those held by adapters are never more than Burst together, which limits the messages
-// accepted in any window to Rate*window + Burst: what adapters hold is a part of the burst. A holder that sends no ask
-// for longer than its lease is dropped, and all that it held counts as spent. A holder spends nothing after its lease,
-// which it measures by its own steady clock from when it sent the ask; the allocator drops it only after a longer span
-// of its group's time, which never runs ahead of real time.
+// accepted in any window to Rate*window + Burst: what adapters hold is a part of the burst. A holder that sends no
+// request for longer than its lease is dropped, and all that it held counts as spent. A holder spends nothing after
+// its lease, which it measures by its own steady clock from when it sent the request; the allocator drops it only
+// after a longer span of its group's time, which never runs ahead of real time.
 //
 // Epochs number the leases of a holder: a holder whose lease has expired starts a new epoch without tokens.
 //
@@ -44,15 +44,15 @@
 		Burst: max(tokenUnits, int64(min(burst, burstLimit)*tokenUnits))}
 }
 
-// Ask is one holder's report and request for one tenant.
+// Ask is one holder's request: its report and what it needs, for one tenant.
 type Ask struct {
 	Holder string          `avro:"holder"`
 	Lease  int64           `avro:"lease"` // milliseconds
 	Count  wire.QuotaCount `avro:"count"`
 }
 
-// Batch is a batch of asks that an allocator decides at once. The place's owner adds the limits of all tenants that
-// the asks name, so that replicas need no configuration.
+// Batch is a batch of requests that an allocator decides at once. The place's owner adds the limits of all tenants that
+// the requests name, so that replicas need no configuration.
 type Batch struct {
 	Limits []Limit `avro:"limits"`
 	Asks   []Ask   `avro:"asks"`
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -63,7 +63,7 @@
 	defects          defects
 }
 
-// queuedRequest is one ask that is queued at the owner.
+// queuedRequest is one request that is queued at the owner.
 type queuedRequest struct {
 	ask    Ask
 	answer func(grant wire.QuotaGrant)
--- a/internal/quota/tenanttokens.go
+++ b/internal/quota/tenanttokens.go
@@ -32,14 +32,14 @@
 	inFlight int64 // admitted messages that are neither accepted nor rejected yet
 	share    int64 // the most tokens to hold ahead, as granted last
 	isLeased bool
-	leaseEnd time.Duration
+	leaseEnd time.Duration // tokens may be spent before this
 	demand   demandEstimate
-	waiting  []int64
+	waiting  []int64 // numbers of the waiting messages, in order
 
-	isAskOpen         bool // the newest ask is not answered yet
-	askedAt           time.Duration
-	reportedCount     int64 // spent and returned tokens, as last acknowledged by the allocator
-	lastReportedCount int64 // spent and returned tokens, as sent in the newest ask
+	isAskOpen         bool          // the newest request is not answered yet
+	askedAt           time.Duration // when the newest request was sent
+	reportedCount     int64         // spent and returned tokens, as last acknowledged by the allocator
+	lastReportedCount int64         // spent and returned tokens, as sent in the newest request
 	refuseUntil       time.Duration
 	refusalKind       errs.Kind // why messages are refused until then
 	isShort           bool      // the allocator had fewer tokens than were needed
@@ -53,12 +53,12 @@
 	return p.demand.expectedWithin(now, p.times.Horizon, p.times.Horizon)
 }
 
-// expectedInPause returns how many messages are expected until the next ask may be sent.
+// expectedInPause returns how many messages are expected until the next request may be sent.
 func (p *tenantTokens) expectedInPause(now time.Duration) int64 {
 	return p.demand.expectedWithin(now, p.times.Pause, p.times.Horizon)
 }
 
-// isDue reports whether an ask should be sent now.
+// isDue reports whether a request should be sent now.
 func (p *tenantTokens) isDue(now time.Duration) bool {
 	switch {
 	case p.isAskOpen && now-p.askedAt < p.times.Answer:
@@ -89,7 +89,7 @@
 		InFlight: p.inFlight}
 }
 
-// close ends the ask that was sent at sentAt.
+// close ends the request that was sent at sentAt.
 func (p *tenantTokens) close(sentAt time.Duration) {
 	if p.askedAt == sentAt {
 		p.isAskOpen = false
--- a/internal/quota/tokencache.go
+++ b/internal/quota/tokencache.go
@@ -10,9 +10,9 @@
 
 // Times are the time spans of a token cache.
 type Times struct {
-	Lease   time.Duration // tokens may be spent for this long after the ask was sent
-	Pause   time.Duration // least time between two asks for a tenant without waiting messages
-	Answer  time.Duration // an ask that is not answered within this is sent again
+	Lease   time.Duration // tokens may be spent for this long after the request was sent
+	Pause   time.Duration // least time between two requests for a tenant without waiting messages
+	Answer  time.Duration // a request that is not answered within this is sent again
 	Horizon time.Duration // tokens are held for the messages of this span
 }
 
@@ -87,7 +87,7 @@
 
 // End ends a message that was admitted. If it was accepted, its token is spent; otherwise the token is held again. End
 // returns the waiting messages that this settles.
-func (w *TokenCache) End(now time.Duration, tenant string, epoch int64, isCounted bool) []Settled {
+func (w *TokenCache) End(now time.Duration, tenant string, epoch int64, isAccepted bool) []Settled {
 	p := w.tenants[tenant]
 	if p == nil {
 		return nil
@@ -97,13 +97,13 @@
 		return nil // its token counted as spent when that epoch ended
 	}
 	p.inFlight--
-	if isCounted {
+	if isAccepted {
 		p.spent++
 	}
 	return p.admitWaiting()
 }
 
-// DueRequest returns the ask for a tenant that is due now, and false if none is. The ask counts as sent at now.
+// DueRequest returns the request for a tenant that is due now, and false if none is. The request counts as sent at now.
 func (w *TokenCache) DueRequest(now time.Duration, tenant string) (wire.QuotaCount, bool) {
 	p := w.tenants[tenant]
 	if p == nil {
@@ -130,7 +130,7 @@
 	return out
 }
 
-// Answer applies the grant for an ask that was sent at sentAt, and returns the waiting messages that it settles.
+// Answer applies the grant for a request that was sent at sentAt, and returns the waiting messages that it settles.
 func (w *TokenCache) Answer(now, sentAt time.Duration, grant wire.QuotaGrant) []Settled {
 	p := w.tenants[grant.Tenant]
 	if p == nil {
@@ -144,7 +144,7 @@
 	return p.answer(now, sentAt, grant)
 }
 
-// Fail ends an ask that got no answer. Waiting messages are refused.
+// Fail ends a request that got no answer. Waiting messages are refused.
 func (w *TokenCache) Fail(now, sentAt time.Duration, tenant string) []Settled {
 	p := w.tenants[tenant]
 	if p == nil || p.askedAt != sentAt {
--- a/internal/quota/tokencache_test.go
+++ b/internal/quota/tokencache_test.go
@@ -45,7 +45,7 @@
 			w.Answer(later, now, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 120, Share: 40})
 			So(w.Held(), ShouldEqual, 40)
 		})
-		Convey("a failed ask refuses the waiting messages, and further ones for a while", func() {
+		Convey("a failed request refuses the waiting messages, and further ones for a while", func() {
 			for range 41 {
 				w.Take(later, "t")
 			}
--- a/internal/store/bootstrap_test.go
+++ b/internal/store/bootstrap_test.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestBallotsOfJoiners checks that a blank store that may only join takes no part in bootstrapping a deployment, also after
-// a restart, and that a store which may bootstrap one votes.
+// TestBallotsOfJoiners checks that a blank store that may only join takes no part in bootstrapping a deployment, also
+// after a restart, and that a store which may bootstrap one votes.
 func TestBallotsOfJoiners(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestSettled checks that a store bootstraps a deployment only after it has seen the same stores for a while. Stores that
-// start together discover each other one by one, and two stores with incomplete views could both bootstrap one.
+// TestSettled checks that a store bootstraps a deployment only after it has seen the same stores for a while. Stores
+// that start together discover each other one by one, and two stores with incomplete views could both bootstrap one.
 func TestSettled(t *testing.T) {
 	wait := timing.Default.Of(timing.AnswerTimeout)
 	who := func(names ...string) (out []wire.Who) {
--- a/internal/store/quotabatch.go
+++ b/internal/store/quotabatch.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// quotaBatch is a batch of the requests of several adapters, with the index of the request that each ask belongs to.
+// quotaBatch is a batch of the requests of several adapters, with the index of the request that each entry comes from.
 type quotaBatch struct {
 	quota.Batch
 	requestOf []int
