--- a/internal/quota/adapter_test.go
+++ b/internal/quota/adapter_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	if p.held()+p.inFlight > known || p.inFlight < 0 || p.held() < 0 {
-		return fmt.Sprintf("%v: %s holds %d and %d are in flight, and the ledger knows of %d", f.sim.now, f.holder(), p.held(), p.inFlight, known)
+		return fmt.Sprintf("%v: %s holds %d and %d are in flight, and the allocator has granted %d", f.sim.now, f.holder(), p.held(), p.inFlight, known)
 	}
 	return ""
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -29,7 +29,7 @@
 	Granted  int64  `avro:"granted"`  // tokens granted in this epoch
 	Spent    int64  `avro:"spent"`    // of these, tokens spent for accepted messages
 	Returned int64  `avro:"returned"` // of these, tokens returned to the bucket
-	Need     int64  `avro:"need"` // tokens that it needs granted in this epoch in all
+	Need     int64  `avro:"need"`     // tokens that it needs granted in this epoch in all
 	Target   int64  `avro:"target"`   // tokens that it would like to hold ahead
 	AskedAt  int64  `avro:"asked_at"` // place time of the newest ask
 	Until    int64  `avro:"until"`    // place time at which it is dropped
--- a/internal/quota/model_test.go
+++ b/internal/quota/model_test.go
@@ -79,7 +79,7 @@
 func TestNeverOver(t *testing.T) {
 	Convey("Given adapters and an owner with faults of messages and processes", t, func() {
 		what, seed, accepted := searchViolation(defects{}, modelSeeds)
-		t.Logf("%d messages accepted in %d worlds", accepted, modelSeeds)
+		t.Logf("%d messages accepted in %d simulations", accepted, modelSeeds)
 		SoMsg(fmt.Sprint("seed ", seed), what, ShouldBeBlank)
 		So(accepted, ShouldBeGreaterThan, modelSeeds*50)
 	})
@@ -119,7 +119,7 @@
 	cases := []struct {
 		name          string
 		rate          float64 // limit in messages a second; the burst is one second of it
-		fronts        int
+		adapters      int
 		load          float64 // as a part of the limit
 		jumps         bool
 		refused       float64
@@ -137,7 +137,7 @@
 	Convey("Over two minutes without faults", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				w := newSimulation(conditions{limit: LimitOf("t", c.rate, c.rate), rates: slices.Repeat([]float64{c.rate * c.load / float64(c.fronts)}, c.fronts),
+				w := newSimulation(conditions{limit: LimitOf("t", c.rate, c.rate), rates: slices.Repeat([]float64{c.rate * c.load / float64(c.adapters)}, c.adapters),
 					length: 120 * time.Second, spreadsMessages: c.jumps}, 1)
 				w.run()
 				share := func(n int) float64 { return float64(n) / float64(w.messages) }
--- a/internal/quota/tokencache_test.go
+++ b/internal/quota/tokencache_test.go
@@ -31,8 +31,8 @@
 			held := w.Held()
 			w.Answer(later, later, wire.QuotaGrant{Tenant: "t", Epoch: count.Epoch, Granted: 141, Share: 4})
 			So(w.Held(), ShouldEqual, held)
-			told, _ := w.DueRequest(later+testTimes.Lease*4/5, "t")
-			So(told.Returned, ShouldEqual, 40-held)
+			request, _ := w.DueRequest(later+testTimes.Lease*4/5, "t")
+			So(request.Returned, ShouldEqual, 40-held)
 		})
 		Convey("it spends them within its lease, and none after", func() {
 			So(w.Take(now+testTimes.Lease-1, "t").Epoch, ShouldEqual, count.Epoch)
--- a/internal/store/absentadapters_test.go
+++ b/internal/store/absentadapters_test.go
@@ -19,12 +19,12 @@
 		name        string
 		lane        config.Lane
 		repeats     bool
-		isInHand    bool          // the adapter has confirmed the run
+		isConfirmed bool          // the adapter has confirmed the run
 		backAt      time.Duration // when the adapter has a session for a moment; 0 for never
 		least, most time.Duration // when the message may run again, after the adapter was lost; 0 for never
 	}{
 		{name: "a run that it never received", lane: config.Lane{AllowsRerun: true}, least: 3 * time.Second, most: 4 * time.Second},
-		{name: "a run that it has confirmed", lane: config.Lane{AllowsRerun: true}, isInHand: true, least: 3 * time.Second, most: 4 * time.Second},
+		{name: "a run that it has confirmed", lane: config.Lane{AllowsRerun: true}, isConfirmed: true, least: 3 * time.Second, most: 4 * time.Second},
 		{name: "a run while it reconnects and is lost again", lane: config.Lane{AllowsRerun: true}, backAt: 2 * time.Second, least: 5 * time.Second, most: 6 * time.Second},
 		{name: "an ordered run that may still occupy its worker", lane: config.Lane{AllowsRerun: true, IsOrdered: true},
 			least: 13 * time.Second, most: 14 * time.Second},
@@ -45,7 +45,7 @@
 				b.members["a"] = wire.Who{Name: "a", Boot: "1"}
 				b.place.Start("v", SlotGrant{Pool: "p", Worker: "w", Holder: b.members["a"], Until: time.Hour})
 				b.commit(true)
-				if c.isInHand {
+				if c.isConfirmed {
 					b.answers[0](&wire.RunAck{}, nil)
 				}
 				delete(b.members, "a")
--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -63,14 +63,14 @@
 func (d *Dispatcher) expireRequests(now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for pool, open := range d.requests {
-		maps.DeleteFunc(open, func(_ int64, deadline time.Duration) bool {
+	for pool, requests := range d.requests {
+		maps.DeleteFunc(requests, func(_ int64, deadline time.Duration) bool {
 			if now > deadline {
 				slotRequestResults.WithLabelValues(pool, slotUnanswered).Inc()
 			}
 			return now > deadline
 		})
-		if len(open) == 0 {
+		if len(requests) == 0 {
 			delete(d.requests, pool)
 		}
 	}
--- a/internal/store/drain.go
+++ b/internal/store/drain.go
@@ -75,11 +75,11 @@
 
 // updateIdle records since when no run has been open in the places held here.
 func (d *Drain) updateIdle(now time.Duration) {
-	open := int64(0)
+	openRuns := int64(0)
 	for _, p := range d.o.Places() {
-		open += p.open.Load()
+		openRuns += p.open.Load()
 	}
-	if isIdle := open == 0; isIdle != d.isIdle {
+	if isIdle := openRuns == 0; isIdle != d.isIdle {
 		d.isIdle, d.idleSince = isIdle, now
 	}
 }
--- a/internal/store/latesuccess_test.go
+++ b/internal/store/latesuccess_test.go
@@ -20,11 +20,11 @@
 	const retention = time.Hour
 	newRunIs := map[string]func(b *harness, answer func(any, error)){
 		"refused by its adapter": func(_ *harness, answer func(any, error)) { answer(&wire.RunAck{Kind: string(errs.Stale)}, nil) },
-		"told as never begun by its adapter": func(b *harness, answer func(any, error)) {
+		"reported as never begun by its adapter": func(b *harness, answer func(any, error)) {
 			answer(&wire.RunAck{}, nil)
 			b.place.Outcome(&wire.Outcome{Id: "0-x", Kind: string(errs.NotOwner), Proof: wire.Proof{Attempt: 2}}, func(any) {})
 		},
-		"taken for lost": func(b *harness, answer func(any, error)) {
+		"considered lost": func(b *harness, answer func(any, error)) {
 			answer(&wire.RunAck{}, nil)
 			b.place.proposeRequeue(b.place.machine.Find("0-x"), b.rules.Lanes["l"])
 		},
--- a/internal/store/look.go
+++ b/internal/store/look.go
@@ -56,11 +56,11 @@
 }
 
 // lookReply returns the reply for a message, or Unknown if e is nil.
-func (p *PlaceHost) lookReply(l *wire.Look, e *place.Message) *wire.Sight {
-	if e == nil {
+func (p *PlaceHost) lookReply(l *wire.Look, message *place.Message) *wire.Sight {
+	if message == nil {
 		return p.newSight(nil, errs.Unknown)
 	}
-	out := p.newSight(e, "")
+	out := p.newSight(message, "")
 	if !l.Body {
 		out.Body = []byte{}
 	}
--- a/internal/store/memory.go
+++ b/internal/store/memory.go
@@ -3,8 +3,8 @@
 import "runtime/metrics"
 
 // liveHeapPercentLimit is the share of its memory that a store's live heap may take before its places accept no more
-// messages. The rest is for what held messages need besides themselves: images that are written and sent, garbage that
-// is not collected yet, and bytes queued on links.
+// messages. The rest is for what held messages need besides themselves: snapshots that are written and sent, garbage
+// that is not collected yet, and bytes queued on links.
 //
 // Invariant: it is well below the heap limit of the daemon, so that a store which accepts no more messages does not
 // spend its processor time on garbage collection.
--- a/internal/store/metrics.go
+++ b/internal/store/metrics.go
@@ -124,8 +124,8 @@
 	t.number, t.time = p.number, time.Duration(now)*time.Millisecond
 	lanes := p.machine.LaneStats(now)
 	t.counts = lanes.Counts
-	for lane, at := range lanes.Deadlines {
-		t.patienceLeft[lane] = time.Duration(at-now) * time.Millisecond
+	for lane, deadline := range lanes.Deadlines {
+		t.patienceLeft[lane] = time.Duration(deadline-now) * time.Millisecond
 	}
 	for lane, wait := range lanes.LongestWaits {
 		t.longestWaits[lane] = time.Duration(wait) * time.Millisecond
--- a/internal/store/notify_test.go
+++ b/internal/store/notify_test.go
@@ -39,7 +39,7 @@
 
 // TestTelling checks what an owner does about owed notifications.
 func TestTelling(t *testing.T) {
-	look, redial := timing.Default.Of(timing.SlotRequestHold), timing.Default.Of(timing.RedialDelay)
+	scanInterval, redial := timing.Default.Of(timing.SlotRequestHold), timing.Default.Of(timing.RedialDelay)
 	refusals := []struct {
 		name  string
 		reply any
@@ -55,7 +55,7 @@
 			Convey(c.name+" notifies again, after pauses that grow up to a limit", func() {
 				b, pauses, last := owingHarness(1), []time.Duration{}, time.Duration(0)
 				for range 4000 {
-					if b.notifyOnce(look, c.reply, c.err) > 0 {
+					if b.notifyOnce(scanInterval, c.reply, c.err) > 0 {
 						if last > 0 {
 							pauses = append(pauses, b.now-last)
 						}
@@ -65,7 +65,7 @@
 				So(len(pauses), ShouldBeGreaterThan, 5)
 				for i, pause := range pauses {
 					want := min(redial<<min(i, 10), 8*redial)
-					So(pause, ShouldBeBetweenOrEqual, want, want+2*look)
+					So(pause, ShouldBeBetweenOrEqual, want, want+2*scanInterval)
 				}
 				So(b.proposed, ShouldBeEmpty)
 				So(b.place.machine.CountPendingNotifications(), ShouldEqual, 1)
@@ -73,8 +73,8 @@
 		}
 		Convey("a receiver that accepts commits the acceptance once, and notifies no more", func() {
 			b := owingHarness(1)
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
-			So(b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil), ShouldEqual, 0)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+scanInterval, nil, nil), ShouldEqual, 0)
 			So(len(b.proposed), ShouldEqual, 1)
 			b.commit(true)
 			So(b.place.machine.CountPendingNotifications(), ShouldEqual, 0)
@@ -83,21 +83,21 @@
 		})
 		Convey("a receiver that accepts, but cannot commit it, notifies again: delivery is at least once", func() {
 			b := owingHarness(1)
-			b.notifyOnce(look, &wire.Told{}, nil)
-			b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+look, nil, nil)
+			b.notifyOnce(scanInterval, &wire.Told{}, nil)
+			b.notifyOnce(timing.Default.Of(timing.AnswerTimeout)+scanInterval, nil, nil)
 			b.commit(false)
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 		Convey("no adapter that could notify waits for one", func() {
 			b := owingHarness(1)
 			delete(b.members, "t")
-			So(b.notifyOnce(look, nil, nil), ShouldEqual, 0)
+			So(b.notifyOnce(scanInterval, nil, nil), ShouldEqual, 0)
 			b.members["t"] = wire.Who{Name: "t", Boot: "2"}
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 		Convey("an adapter that never answers notifies again after two bounds", func() {
 			b := owingHarness(1)
-			b.now += look
+			b.now += scanInterval
 			b.place.notify(b.now)
 			b.answers = nil
 			So(b.notifyOnce(timing.Default.ConfigApply, nil, nil), ShouldEqual, 0)
@@ -105,8 +105,8 @@
 		})
 		Convey("many ended messages notifies a bounded number at a time, and commits them together", func() {
 			b := owingHarness(150)
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, maxReceiverNotifications)
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldBeLessThanOrEqualTo, maxReceiverNotifications)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldEqual, maxReceiverNotifications)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldBeLessThanOrEqualTo, maxReceiverNotifications)
 			for range 20 {
 				b.notifyOnce(timing.Default.Of(timing.AnswerTimeout), &wire.Told{}, nil)
 				b.commit(true)
@@ -115,7 +115,7 @@
 		})
 		Convey("messages that are forgotten before their notification keeps no state of them", func() {
 			b := owingHarness(9)
-			So(b.notifyOnce(look, &wire.Told{Kind: string(errs.Rejected)}, nil), ShouldEqual, 9)
+			So(b.notifyOnce(scanInterval, &wire.Told{Kind: string(errs.Rejected)}, nil), ShouldEqual, 9)
 			for i := range 8 {
 				b.place.Apply(place.Command{Kind: place.CmdTrim, Ids: []string{fmt.Sprintf("0-%03d", i)}}.Encode(), true)
 			}
@@ -125,14 +125,14 @@
 		})
 		Convey("a new ownership starts again and ignores answers to the one before", func() {
 			b := owingHarness(1)
-			b.now += look
+			b.now += scanInterval
 			b.place.notify(b.now)
 			late := b.answers[0]
 			takeOwnership(b.place)
 			late(&wire.Told{}, nil)
 			So(b.place.notifier.accepted, ShouldBeEmpty)
 			b.answers = nil
-			So(b.notifyOnce(look, &wire.Told{}, nil), ShouldEqual, 1)
+			So(b.notifyOnce(scanInterval, &wire.Told{}, nil), ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/store/outstanding.go
+++ b/internal/store/outstanding.go
@@ -5,8 +5,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := 0
-	for _, open := range d.requests {
-		out += len(open)
+	for _, requests := range d.requests {
+		out += len(requests)
 	}
 	return out
 }
--- a/internal/store/repeated_test.go
+++ b/internal/store/repeated_test.go
@@ -56,13 +56,13 @@
 func TestToldAgain(t *testing.T) {
 	Convey("Given a message whose last but one attempt was reported to have failed", t, func() {
 		b, e := startedHarness("l") // its lane has two attempts
-		told := wire.Outcome{Id: "0-x", Kind: "unsound", MayHaveStarted: true, Proof: wire.Proof{Attempt: 1}}
-		b.place.Outcome(&told, func(any) {})
+		outcome := wire.Outcome{Id: "0-x", Kind: "unsound", MayHaveStarted: true, Proof: wire.Proof{Attempt: 1}}
+		b.place.Outcome(&outcome, func(any) {})
 		b.commit(true)
 		So(e.CountedAttempts, ShouldEqual, 1)
 		Convey("the same report again changes nothing, and is acknowledged", func() {
 			var ack any
-			b.place.Outcome(&told, func(reply any) { ack = reply })
+			b.place.Outcome(&outcome, func(reply any) { ack = reply })
 			b.commit(true)
 			So(e.State, ShouldEqual, place.Held)
 			So(e.CountedAttempts, ShouldEqual, 1)
--- a/internal/store/timerecovery_test.go
+++ b/internal/store/timerecovery_test.go
@@ -58,8 +58,8 @@
 // old that is.
 func TestRecallBeforeOwnership(t *testing.T) {
 	redial := timing.Default.Of(timing.RedialDelay)
-	rest, queryTimeout := timing.Default.Of(timing.TimeQueryGrace), timing.Default.Of(timing.TimeQueryTimeout)
-	limit, alone := timing.Default.Of(timing.TimeRecoveryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
+	queryGrace, queryTimeout := timing.Default.Of(timing.TimeQueryGrace), timing.Default.Of(timing.TimeQueryTimeout)
+	limit, maxWait := timing.Default.Of(timing.TimeRecoveryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
 	known := &wire.TimeKept{Term: 5, Reading: 9000}
 	Convey("The owner of a place without messages owns it at once", t, func() {
 		b := newHarness()
@@ -72,17 +72,17 @@
 		So(b.place.host.IsOwner(), ShouldBeFalse)
 		Convey("goes on from the time that an adapter reports, and waits for others only shortly", func() {
 			replies[1](known, nil)
-			b.advance(rest - time.Millisecond)
+			b.advance(queryGrace - time.Millisecond)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 			b.advance(time.Millisecond)
 			So(b.place.host.IsOwner(), ShouldBeFalse)
 			b.storeTime()
 			So(b.place.host.IsOwner(), ShouldBeTrue)
-			So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
+			So(b.place.now(), ShouldEqual, 9000+queryGrace.Milliseconds())
 			So(b.place.isTimeUnknown.Load(), ShouldBeFalse)
 			Convey("and ignores a later answer", func() {
 				replies[0](&wire.TimeKept{Term: 6, Reading: 20_000}, nil)
-				So(b.place.now(), ShouldEqual, 9000+rest.Milliseconds())
+				So(b.place.now(), ShouldEqual, 9000+queryGrace.Milliseconds())
 			})
 			Convey("so that a delay ends in time", func() {
 				So(b.place.Ready(), ShouldBeEmpty)
@@ -149,7 +149,7 @@
 			So(b.place.isTimeUnknown.Load(), ShouldBeTrue)
 		})
 		Convey("waits longer if none has answered, but not forever", func() {
-			b.advance(alone - time.Millisecond)
+			b.advance(maxWait - time.Millisecond)
 			So(takeReplies[*wire.TellTime](b), ShouldBeEmpty)
 			b.advance(time.Millisecond)
 			b.storeTime()
--- a/internal/store/timerecoveryviews_test.go
+++ b/internal/store/timerecoveryviews_test.go
@@ -14,10 +14,10 @@
 // TestRecallByView checks that an owner queries the adapters that its view names, and knows of none before the view is
 // fresh.
 func TestRecallByView(t *testing.T) {
-	queryTimeout, alone := timing.Default.Of(timing.TimeQueryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
+	queryTimeout, maxWait := timing.Default.Of(timing.TimeQueryTimeout), timing.Default.Of(timing.TimeRecoveryMaxWait)
 	Convey("An owner without known adapters waits for some, but not forever", t, func() {
 		b := recoveringHarness(0)
-		b.advance(alone - time.Millisecond)
+		b.advance(maxWait - time.Millisecond)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
 		b.advance(time.Millisecond)
 		So(b.place.host.IsOwner(), ShouldBeTrue)
@@ -44,8 +44,8 @@
 		b.place.OwnershipChanged(false)
 		b.freshAnswers = []bool{false, false, false}
 		b.place.OwnershipChanged(true)
-		b.advance(alone)
-		b.advance(alone)
+		b.advance(maxWait)
+		b.advance(maxWait)
 		So(b.place.host.IsOwner(), ShouldBeFalse)
 		b.adapters = []wire.Who{{Name: "a", Boot: "a.1"}}
 		b.advance(time.Millisecond)
