--- a/internal/store/dispatch.go
+++ b/internal/store/dispatch.go
@@ -18,9 +18,9 @@
 type DispatcherOptions struct {
 	Daemon  *daemon.Daemon
 	Configs *config.Cache
-	Places  func() []*PlaceHost // held on this store; a place that is not owned has no ready messages
-	Post    func(who wire.Who, ask any, answer func(reply any, err error)) error
-	Start   func(p *PlaceHost, lane string, g SlotGrant) error // runs on the place's goroutine
+	Places  func() []*PlaceHost                                                  // held on this store; a place that is not owned has no ready messages
+	Post    func(who wire.Who, ask any, answer func(reply any, err error)) error // sends a request to an adapter
+	Start   func(p *PlaceHost, lane string, g SlotGrant) error                   // runs on the place's goroutine
 	Rand    *rand.Rand
 }
 
--- a/internal/store/runs.go
+++ b/internal/store/runs.go
@@ -13,7 +13,7 @@
 type SlotGrant struct {
 	Pool, Worker string
 	Holder       wire.Who
-	Permit       int64
+	Permit       int64         // the number under which the holder grants the slot
 	Until        time.Duration // the grant may be used until then
 }
 
