--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,31 +27,31 @@
 	"caperwheel/internal/wire"
 )
 
-// Store is the daemon.
+// Store is the store daemon.
 type Store struct {
 	d            *daemon.Daemon
 	disk         *storage.Log
 	bootstrapper *bootstrapper
 	configs      *config.Cache
 	dispatcher   *Dispatcher
-	results      *repair.ResultBuffer // results that adapters could not deliver to their owner
+	results      *repair.ResultBuffer // results that adapters could not deliver to the owner of their place
 	diskFull     atomic.Bool
 	rosters      *RosterPlanner
 	ctx          context.Context
 
 	mu         sync.RWMutex
-	unopened   map[int64]*storage.StoredGroup
+	unopened   map[int64]*storage.StoredGroup // groups found on disk that are not opened yet
 	hosts      map[int64]*host.Host
 	places     map[int64]*PlaceHost
 	parts      map[int64]*PartHost
 	heldPlaces atomic.Pointer[[]*PlaceHost]
 	openOnce   sync.Once
-	isOpen     atomic.Bool
-	// Intake is rejected for want of memory.
+	isOpen     atomic.Bool // the groups are open
+	// Intake is rejected for lack of memory.
 	isMemoryLow atomic.Bool
 }
 
-// Run is the store's main; a source gives its settings another way.
+// Run runs the store daemon; source provides its settings.
 func Run(source *settings.Source) {
 	raiseMaxProcs()
 	d := daemon.New("store", source)
@@ -92,7 +92,7 @@
 	d.Serve(s.drain)
 }
 
-// begin opens the groups once the store belongs to a deployment.
+// openGroups opens the groups once the store belongs to a deployment.
 func (s *Store) openGroups() {
 	s.openOnce.Do(func() {
 		id := s.bootstrapper.snapshot()
@@ -100,7 +100,8 @@
 			s.mu.Lock()
 			ids := slices.Collect(maps.Keys(s.unopened))
 			s.mu.Unlock()
-			for _, groupId := range ids { // a joiner opens what it holds; the rest comes by message
+			// A store that joined later opens what it holds. Other groups open when their owner sends entries.
+			for _, groupId := range ids {
 				s.openGroup(groupId)
 			}
 		} else {
@@ -112,35 +113,35 @@
 			}
 		}
 		s.isOpen.Store(true)
-		klog.Infof("store: %d groups are open.", len(s.groupIds()))
+		klog.Infof("store: Opened the replicas of %d groups.", len(s.groupIds()))
 	})
 }
 
-// open starts the replica of a group on this store. A replica that lost what
-// it had promised starts blank, under a new member id that has no vote.
+// openGroup starts the replica of a group on this store. A replica that lost its persisted votes and entries starts
+// blank, under a new member id that has no vote.
 func (s *Store) openGroup(groupId int64) *host.Host {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if h := s.hosts[groupId]; h != nil {
 		return h
 	}
-	held := s.unopened[groupId]
-	if held == nil && s.disk.HasLostData() || held != nil && held.IsDamaged {
-		klog.Errorf("store: Group %d has lost what was on disk; it is rebuilt from its peers.", groupId)
+	stored := s.unopened[groupId]
+	if stored == nil && s.disk.HasLostData() || stored != nil && stored.IsDamaged {
+		klog.Errorf("store: The replica of group %d lost its data on disk; it is rebuilt from the other replicas.", groupId)
 		s.d.Must(s.bootstrapper.recordRebuild(groupId))
 		done := make(chan error, 1)
 		s.disk.SaveSlot(groupId, group.HardState{}, nil, &group.DurableUpdate{}, func(err error) { done <- err })
 		s.d.Must(<-done)
-		held = nil
+		stored = nil
 	}
 	member, roster := s.bootstrapper.memberId(groupId), []string(nil)
-	if founding := s.bootstrapper.snapshot().Roster; slices.Contains(founding, member) {
-		roster = founding
+	if founders := s.bootstrapper.snapshot().Roster; slices.Contains(founders, member) {
+		roster = founders
 	}
 	seed := fnv.New64a()
 	seed.Write([]byte(s.d.Who.Boot))
 	opts := host.Options{Id: groupId, Self: member, Roster: roster, Bounds: s.d.Bounds, Seed: seed.Sum64(),
-		Disk: s.disk, Held: held, Now: s.d.Now, Send: s.sendGroupMessage, OnFailure: s.fail, HasCapacity: s.hasRoom,
+		Disk: s.disk, Held: stored, Now: s.d.Now, Send: s.sendGroupMessage, OnFailure: s.fail, HasCapacity: s.hasRoom,
 		Schedule:       func(span time.Duration, work func()) { time.AfterFunc(span, work) },
 		PreferredOwner: func(roster []string) string { return s.preferredOwner(groupId, roster) },
 		PlanRoster:     func(silence repair.Silence) (map[string]string, []string) { return s.rosterPlan(groupId, silence) }}
@@ -161,40 +162,42 @@
 	}
 	s.d.Must(err)
 	s.hosts[groupId] = h
-	delete(s.unopened, groupId) // the host has it now
+	delete(s.unopened, groupId) // owned by the host now
 	go h.Run(s.ctx)
 	all := slices.Collect(maps.Values(s.places))
 	s.heldPlaces.Store(&all)
 	return h
 }
 
-// fail stops the whole store: a disk that fails may have lost anything.
+// fail stops the whole store, because after a disk error any data may be lost.
 func (s *Store) fail(err error) { s.d.Must(err) }
 
+// groupIds returns the ids of the open groups in order.
 func (s *Store) groupIds() []int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return slices.Sorted(maps.Keys(s.hosts))
 }
 
+// hostOf returns the host of a group, nil if the group is not open here.
 func (s *Store) hostOf(groupId int64) *host.Host {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.hosts[groupId]
 }
 
-// listPlaces lists the places held here; those not owned have nothing ready.
+// listPlaces lists the places held here, including those that are owned elsewhere.
 func (s *Store) listPlaces() []*PlaceHost { return *s.heldPlaces.Load() }
 
-// preferredOwner spreads ownership evenly: by hash of group and member, over the
-// members that are here, not asked to stop, not retired, and not in an emptied zone.
+// preferredOwner returns the member that should own a group. It spreads ownerships evenly by a hash of group and
+// member, over the members that have a session, are not asked to stop or retired, and are not in an emptied zone.
 func (s *Store) preferredOwner(groupId int64, roster []string) string {
 	compiled, best, top := s.configs.Current(), "", uint64(0)
 	for _, m := range group.Voters(roster) {
 		name := group.Name(m)
 		who, isMember := s.d.Membership.Find(name)
-		isLeaving := s.d.Membership.IsDraining(name) || name == s.d.Who.Name && s.d.IsDraining()
-		if !isMember && name != s.d.Who.Name || isLeaving || compiled.RetiredStores[name] || compiled.DrainedZones[who.Zone] {
+		isDraining := s.d.Membership.IsDraining(name) || name == s.d.Who.Name && s.d.IsDraining()
+		if !isMember && name != s.d.Who.Name || isDraining || compiled.RetiredStores[name] || compiled.DrainedZones[who.Zone] {
 			continue
 		}
 		h := fnv.New64a()
