--- a/internal/transport/batch.go
+++ b/internal/transport/batch.go
@@ -8,13 +8,14 @@
 	"caperwheel/internal/wire"
 )
 
+// frame is an encoded batch, ready to be written.
 type frame struct {
-	raw          []byte // head and array; reused
+	raw          []byte // header and array; reused
 	seq          uint32
 	payloadBytes int // of its messages
 }
 
-// batch is a full buffer on its way to become a frame.
+// batch is a full buffer that is to be encoded into a frame.
 type batch struct {
 	items        []wire.Item
 	seq          uint32
@@ -26,7 +27,7 @@
 	itemPool = sync.Pool{New: func() any { items := make([]wire.Item, 0, 8); return &items }}
 )
 
-// encodeBatch turns a batch into a frame for the writing goroutine.
+// encodeBatch encodes a batch into a frame and hands it to the writing goroutine.
 func (o *outbox) encodeBatch(b batch) {
 	raw := rawPool.Get().(*[]byte)
 	w := o.codec.AcquireWriter()
@@ -40,13 +41,13 @@
 		o.metrics.countSent(item.Body, w.Buffered()-before)
 	}
 	count := len(b.items)
-	clear(b.items) // what was sent is not held on to
+	clear(b.items) // drops the references to what was sent
 	itemPool.Put(&b.items)
 	out := append((*raw)[:0], make([]byte, frameHeaderSize+4)...)
 	binary.BigEndian.PutUint32(out[frameHeaderSize:], uint32(count))
 	out = append(out, w.Buffer()...)
 	if len(out)-frameHeaderSize > o.opts.FrameLimit {
-		o.fail(errs.New(errs.TooLarge, "batch of %d bytes", len(out)))
+		o.fail(errs.New(errs.TooLarge, "encoded batch of %d bytes exceeds the frame limit", len(out)))
 		return
 	}
 	o.mu.Lock()
--- a/internal/transport/compress_test.go
+++ b/internal/transport/compress_test.go
@@ -15,7 +15,7 @@
 	"caperwheel/internal/wire"
 )
 
-// randomBytes are such as no compression makes shorter.
+// randomBytes returns incompressible bytes.
 func randomBytes(random *rand.Rand, size int) []byte {
 	out := make([]byte, size)
 	for i := range out {
@@ -24,8 +24,8 @@
 	return out
 }
 
-// transfer sends an array from one end's history to the other's, and returns what arrives and
-// how many bytes went between.
+// transfer sends an array from one end's history to the other's, and returns what arrives and how many
+// bytes were sent.
 func transfer(from, to *compressionHistory, array []byte, limit int) ([]byte, int, error) {
 	out, isCompressed := from.compress(nil, array)
 	from.add(array)
@@ -40,11 +40,11 @@
 	return got, len(out), err
 }
 
-// TestCompressedArrays: four fifths of the bytes of a record are like those of the records
-// before it. Between zones they were once all sent.
+// TestCompressedArrays guards against sending all bytes of similar records between zones: four fifths of a
+// record's bytes are like those of the records before it.
 func TestCompressedArrays(t *testing.T) {
 	const limit = 4 << 20
-	Convey("Given the two ends of a direction, in which arrays of all sizes travel,", t, func() {
+	Convey("Given the two ends of a direction that has carried arrays of all sizes,", t, func() {
 		random := rand.New(rand.NewPCG(1, 2))
 		from, to := &compressionHistory{}, &compressionHistory{}
 		for _, size := range []int{0, 4, 63, 64, 1000, historyBytesLimit - 1, historyBytesLimit, historyBytesLimit + 1, 100_000, 2 << 20} {
@@ -57,7 +57,7 @@
 				So(len(from.bytes), ShouldBeLessThanOrEqualTo, historyBytesLimit)
 			}
 		}
-		Convey("a record like those before it takes a third of its bytes", func() {
+		Convey("a record similar to earlier ones is sent in less than a third of its bytes", func() {
 			record := strings.Repeat("lane=readings pool=workers adapter=front-7 boot=", 4)
 			_, _, err := transfer(from, to, []byte(record+"one"), limit)
 			So(err, ShouldBeNil)
@@ -65,16 +65,16 @@
 			So(err, ShouldBeNil)
 			So(sent, ShouldBeLessThan, len(record)/3)
 		})
-		Convey("one that is longer than the limit of frames is refused", func() {
+		Convey("an array longer than the frame limit is rejected", func() {
 			_, _, err := transfer(from, to, make([]byte, limit+1), limit)
 			So(errs.Is(err, errs.TooLarge), ShouldBeTrue)
 		})
-		Convey("bytes that were not compressed so are refused", func() {
+		Convey("bytes that are no compressed array are rejected", func() {
 			_, err := to.decompress(nil, randomBytes(random, 100), limit)
 			So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 		})
 	})
-	Convey("Only sessions between zones are compressed, and only where both ends know how", t, func() {
+	Convey("Only sessions between zones are compressed, and only if both ends support it", t, func() {
 		a, b := wire.Who{Zone: "a"}, wire.Who{Zone: "b"}
 		So(shouldCompress(a, b, wire.Version), ShouldBeTrue)
 		So(shouldCompress(a, a, wire.Version), ShouldBeFalse)
@@ -82,12 +82,12 @@
 	})
 }
 
-// TestCompressedSessions: the same over connections, with batches cut on many goroutines.
+// TestCompressedSessions checks the same over connections, with batches encoded on many goroutines.
 func TestCompressedSessions(t *testing.T) {
 	const asks = 500
-	patient := timing.Bounds{ConfigApply: 5 * time.Minute} // a busy machine ends no session: what is tested is what the bytes mean
+	patient := timing.Bounds{ConfigApply: 5 * time.Minute} // a busy machine must not close sessions here
 	for _, newest := range []int64{compressionSinceVersion - 1, wire.Version} {
-		Convey("Two nodes in two zones, one of them of some version, understand each other", t, func() {
+		Convey("Nodes in two zones exchange messages, whatever the version of one of them", t, func() {
 			server, err := NewNode(Options{Self: wire.Who{Name: "server", Zone: "a"}, Listen: "127.0.0.1:0", Batch: 3, Bounds: patient,
 				Handlers: map[string]Handler{"place": func(_ wire.Who, body any, answer func(any)) {
 					take := body.(*wire.Take)
@@ -122,7 +122,7 @@
 			}
 		})
 	}
-	Convey("A compressed array in a session that has none ends it", t, func() {
+	Convey("A compressed array in a session without compression is an error", t, func() {
 		s := &session{}
 		_, err := s.decompress(frameHeader{isCompressed: true}, []byte("x"))
 		So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -15,17 +15,20 @@
 	welcomeCodec = wire.NewRecordCodec(&wire.Welcome{})
 )
 
+// handshakeBytesLimit bounds a handshake message in bytes.
 const handshakeBytesLimit = 4 << 10
 
-// magic opens every connection, so that a stranger is told apart at once.
+// magic starts every handshake message, so that other protocols are rejected on their first bytes.
 var magic = [4]byte{'c', 'w', 'h', 1}
 
+// writeHandshake writes one handshake message: magic, length and body.
 func writeHandshake(conn net.Conn, body []byte) error {
 	raw := append(append([]byte{}, magic[:]...), binary.BigEndian.AppendUint32(nil, uint32(len(body)))...)
 	_, err := conn.Write(append(raw, body...))
 	return errs.Wrap(err, errs.Lost, "write handshake")
 }
 
+// readHandshake reads one handshake message and returns its body.
 func readHandshake(conn net.Conn) ([]byte, error) {
 	var raw [8]byte
 	if _, err := io.ReadFull(conn, raw[:]); err != nil {
@@ -33,15 +36,15 @@
 	}
 	size := binary.BigEndian.Uint32(raw[4:])
 	if [4]byte(raw[:4]) != magic || size > handshakeBytesLimit {
-		return nil, errs.New(errs.Corrupt, "not a caperwheel peer")
+		return nil, errs.New(errs.Corrupt, "handshake has wrong magic bytes or is too long: not a caperwheel peer")
 	}
 	body := make([]byte, size)
 	_, err := io.ReadFull(conn, body)
 	return body, errs.Wrap(err, errs.Lost, "read handshake")
 }
 
-// dial opens a session and shakes hands. Both sides settle on the lower of
-// their newest wire versions; no overlap is a reject.
+// dial connects to an address and performs the handshake. Both ends use the lower of their newest wire
+// versions; if their version ranges do not overlap, the session is rejected.
 func (n *Node) dial(link *wire.Link, addr string) (*session, error) {
 	dialer := net.Dialer{Timeout: n.opts.Bounds.Of(connectionTimeoutRatio), KeepAliveConfig: n.opts.Bounds.KeepAliveConfig()}
 	conn, err := dialer.Dial("tcp", addr)
@@ -60,10 +63,10 @@
 		}
 	}
 	if err == nil && welcome.Reject != "" {
-		err = errs.New(errs.Rejected, "%s: %s", addr, welcome.Reject)
+		err = errs.New(errs.Rejected, "%s rejected the session: %s", addr, welcome.Reject)
 	}
 	if err == nil && (welcome.Version < n.opts.Oldest || welcome.Version > n.opts.Newest) {
-		err = errs.New(errs.Rejected, "%s settled on wire version %d, which nobody offered", addr, welcome.Version)
+		err = errs.New(errs.Rejected, "%s chose wire version %d, which was not offered", addr, welcome.Version)
 	}
 	if err != nil {
 		conn.Close()
@@ -73,7 +76,7 @@
 	return n.newSession(link, conn, welcome.Who, welcome.Version, welcome.Window, true), nil
 }
 
-// accept answers one handshake and serves the session.
+// accept performs the acceptor's half of a handshake and serves the session until it closes.
 func (n *Node) accept(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(n.opts.Bounds.Of(connectionTimeoutRatio)))
 	var hello wire.Hello
@@ -103,7 +106,7 @@
 	s := n.newSession(link, conn, hello.Who, welcome.Version, hello.Window, false)
 	s.handle = func(item wire.Item) {
 		handler(s.peer, item.Body, func(reply any) {
-			// A full or broken session loses the reply; the asker's deadline tells it.
+			// A full or broken session loses the reply; the requester then runs into its deadline.
 			if err := s.outbox.enqueue(wire.Item{CorrelationId: item.CorrelationId, Body: reply}); errs.Is(err, errs.Full) {
 				s.down(err)
 			}
--- a/internal/transport/linkmetrics.go
+++ b/internal/transport/linkmetrics.go
@@ -7,9 +7,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// linkMessages and linkBytes count both ways of each link, so that what a link
-// costs can be told from what the others cost; kindMessages and kindBytes count
-// what is sent by the kind of message.
+// linkMessages and linkBytes count both directions of each link, so that the cost of each link is known;
+// kindMessages and kindBytes count what is sent by message type.
 var (
 	linkMessages = linkCounter("link_messages_total", "Messages by link and way.", "way")
 	linkBytes    = linkCounter("link_bytes_total", "Bytes of frames by link and way.", "way")
@@ -17,21 +16,22 @@
 	kindBytes    = linkCounter("kind_bytes_total", "Bytes of messages sent by link and kind of message.", "kind")
 )
 
-// flow counts one way of one link.
+// linkMetrics are the counters of one direction of one link.
 type linkMetrics struct {
 	link            string
 	messages, bytes prometheus.Counter
-	kinds           *sync.Map // reflect.Type -> tally
+	kinds           *sync.Map // reflect.Type -> kindMetrics
 }
 
-// kindMetrics counts one kind of message.
+// kindMetrics are the counters of one message type.
 type kindMetrics struct{ messages, bytes prometheus.Counter }
 
+// newLinkMetrics returns the counters of a link's direction, "in" or "out".
 func newLinkMetrics(link, way string) linkMetrics {
 	return linkMetrics{link, linkMessages.WithLabelValues(link, way), linkBytes.WithLabelValues(link, way), &sync.Map{}}
 }
 
-// countSent notes one message sent.
+// countSent counts one sent message and its encoded bytes.
 func (f *linkMetrics) countSent(body any, bytes int) {
 	kind := reflect.TypeOf(body)
 	known, isKnown := f.kinds.Load(kind)
@@ -44,6 +44,7 @@
 	t.bytes.Add(float64(bytes))
 }
 
+// linkCounter registers a counter with a label for the link and one more label.
 func linkCounter(name, help, label string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: "caperwheel", Subsystem: "transport", Name: name, Help: help}, []string{"link", label})
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Node is a daemon's end of all its links.
+// Node is a daemon's end of all its links: it accepts sessions and holds the peers that it dials.
 type Node struct {
 	opts     Options
 	pool     pond.Pool
@@ -23,7 +23,7 @@
 	isClosed bool
 }
 
-// NewNode opens the listener, if any; Serve starts accepting.
+// NewNode returns a node and opens its listener, if an address is configured; Serve starts accepting.
 func NewNode(opts Options) (*Node, error) {
 	n := &Node{opts: opts.withDefaults(), accepted: map[*session]bool{}, peers: map[string]*Peer{}}
 	n.pool = pond.NewPool(n.opts.Pool)
@@ -31,17 +31,17 @@
 		config := net.ListenConfig{KeepAliveConfig: n.opts.Bounds.KeepAliveConfig()}
 		listener, err := config.Listen(context.Background(), "tcp", n.opts.Listen)
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Invalid, "listen on %s", n.opts.Listen)
+			return nil, errs.Wrap(err, errs.Invalid, "listen for daemons on %s", n.opts.Listen)
 		}
 		n.listener = listener
 	}
 	return n, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address of the listener.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Self is who the node tells others that it is.
+// Self returns the identity that the node presents to peers.
 func (n *Node) Self() wire.Who { return n.opts.Self }
 
 // Serve accepts sessions until Close.
@@ -55,19 +55,21 @@
 	}
 }
 
+// track adds an accepted session to those that Close closes.
 func (n *Node) track(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.accepted[s] = true
 }
 
+// untrack removes an accepted session that has been closed.
 func (n *Node) untrack(s *session) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.accepted, s)
 }
 
-// Close ends all sessions.
+// Close closes the listener and all sessions.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.isClosed = true
@@ -84,7 +86,7 @@
 	}
 	n.mu.Unlock()
 	for _, s := range sessions {
-		s.down(errs.New(errs.Lost, "node closed"))
+		s.down(errs.New(errs.Lost, "transport node closed"))
 	}
 	for _, p := range peers {
 		p.Close()
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -9,32 +9,35 @@
 	"caperwheel/internal/wire"
 )
 
+// Ratios of the timing bounds: the keep-alive interval, and the silence after which a connection counts as
+// lost.
 const (
 	keepAliveRatio         = timing.KeepAlive
 	connectionTimeoutRatio = timing.ConnectionTimeout
 )
 
-// Options set up a node. The zero value of each number means its default.
+// Options configure a node. A zero number means its default.
 type Options struct {
 	Self       wire.Who
 	Listen     string        // address to listen on; empty for none
-	Batch      int           // messages per buffer; the thesis found 40 best
-	Pool       int           // pool workers; the thesis found 40 best
-	Flush      time.Duration // a partial buffer waits this long at most; ours
+	Batch      int           // messages per batch; the thesis measured 40 as best
+	Pool       int           // pool workers; the thesis measured 40 as best
+	Flush      time.Duration // longest wait of a partial batch; not from the thesis
 	Window     int           // unconsumed messages per direction of a session
-	FrameLimit int           // bytes of one frame
-	Oldest     int64         // oldest and newest wire version to speak
+	FrameLimit int           // maximum bytes of a frame
+	Oldest     int64         // oldest and newest supported wire version
 	Newest     int64
 	Bounds     timing.Bounds
 	Handlers   map[string]Handler // by link name
-	Shape      string             // what both ends of a session must agree on
-	OnRefused  func(addr string)  // told when nobody listens where a peer was, if given
+	Shape      string             // deployment parameters that both ends of a session must share
+	OnRefused  func(addr string)  // called when a peer's address refuses connections; may be nil
 }
 
-// Handler takes one message of a link. It must not block for long: what waits
-// must wait elsewhere, in something bounded. answer may be called later, once.
+// Handler processes one message of a link. It must not block for long: work that waits belongs into a
+// bounded queue elsewhere. answer may be called later, at most once.
 type Handler func(from wire.Who, body any, answer func(any))
 
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	setDefault := func(value *int, defaultValue int) {
 		if *value == 0 {
@@ -68,6 +71,7 @@
 	lost:     counter("sessions_lost_total", "Transport sessions that broke."),
 }
 
+// counter registers a counter of this package.
 func counter(name, help string) prometheus.Counter {
 	c := prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: "caperwheel", Subsystem: "transport", Name: name, Help: help})
--- a/internal/transport/outbox.go
+++ b/internal/transport/outbox.go
@@ -13,16 +13,16 @@
 	"caperwheel/internal/wire"
 )
 
-// batchBytesLimit closes a batch before it is full: one of many large messages would
-// pass the limit of a frame, and break the session each time it is tried.
+// batchBytesLimit closes a batch before it has its full count: a batch of many large messages would exceed
+// the frame limit and break the session on every attempt.
 const batchBytesLimit = 1 << 20
 
-// outbox buffers the messages of one direction of one session, turns full
-// buffers into byte arrays on the pool, and writes them.
+// outbox buffers the messages of one direction of one session, encodes full batches on the pool, and writes
+// them.
 //
-// Invariants: sent - credited never passes window, so neither side holds more
-// than window messages of the other; pending never passes batch, nor by more
-// than one message batchBytesLimit.
+// Invariants: sent - credited never exceeds window, so neither side holds more than window messages of the
+// other; pending never exceeds the batch size, and its payload exceeds batchBytesLimit by at most one
+// message.
 type outbox struct {
 	opts    *Options
 	codec   *wire.Codec
@@ -30,12 +30,12 @@
 	conn    net.Conn
 	window  int64
 	metrics linkMetrics
-	history *compressionHistory // of what was written; the writing goroutine's alone
+	history *compressionHistory // of the written arrays; used by the writing goroutine only
 
 	mu             sync.Mutex
 	pending        []wire.Item
-	pendingBytes   int // bytes that they carry, about
-	unwrittenBytes int // the same, of all that is not written yet
+	pendingBytes   int // approximate payload of pending
+	unwrittenBytes int // approximate payload of all messages not written yet
 	nextSeq        uint32
 	sent           int64
 	credited       int64
@@ -43,13 +43,15 @@
 	isFlushArmed   bool
 	closeCause     error
 
-	ready    []frame // for the writing goroutine; the window bounds it
+	ready    []frame // for the writing goroutine; bounded by the window
 	consumed atomic.Uint64
 	wakeup   chan struct{}
 	done     chan struct{}
 	fail     func(error)
 }
 
+// newOutbox returns an outbox that does not write yet. fail is called with the cause when the session must
+// close.
 func newOutbox(opts *Options, codec *wire.Codec, pool pond.Pool, conn net.Conn, window int64, metrics linkMetrics, history *compressionHistory, fail func(error)) *outbox {
 	o := &outbox{opts: opts, codec: codec, pool: pool, conn: conn, window: window, metrics: metrics, history: history, fail: fail,
 		wakeup: make(chan struct{}, 1), done: make(chan struct{})}
@@ -58,10 +60,11 @@
 	return o
 }
 
-// start begins to write. fail may be called from then on.
+// start starts the writing goroutine. fail may be called from then on.
 func (o *outbox) start() { go o.writeLoop() }
 
-// put adds a message to the buffer; a full window is a definite reject.
+// enqueue adds a message to the pending batch. It rejects the message if the window is full; then nothing
+// is sent.
 func (o *outbox) enqueue(item wire.Item) error {
 	o.mu.Lock()
 	if o.closeCause != nil {
@@ -71,7 +74,7 @@
 	if o.sent-o.credited >= o.window {
 		o.mu.Unlock()
 		counters.full.Inc()
-		return errs.New(errs.Full, "session window of %d", o.window)
+		return errs.New(errs.Full, "session has %d unconsumed messages, the full window", o.window)
 	}
 	o.sent++
 	o.pending = append(o.pending, item)
@@ -87,8 +90,8 @@
 	return nil
 }
 
-// onFlushTimer sends a partial buffer. It has a goroutine of its own, so the few
-// messages are converted here and need no worker of the pool to be woken.
+// onFlushTimer sends a partial batch. The timer has its own goroutine, so the few messages are encoded on
+// it without waking a worker of the pool.
 func (o *outbox) onFlushTimer() {
 	o.mu.Lock()
 	o.isFlushArmed = false
@@ -101,13 +104,13 @@
 	o.encodeBatch(b)
 }
 
-// submitBatch hands the buffer to the pool. Called with mu held.
+// submitBatch passes the pending batch to the pool. The caller holds mu.
 func (o *outbox) submitBatch() {
 	b := o.takeBatch()
 	o.pool.Submit(func() { o.encodeBatch(b) })
 }
 
-// takeBatch gives the buffer and begins another. Called with mu held.
+// takeBatch returns the pending batch and starts another. The caller holds mu.
 func (o *outbox) takeBatch() batch {
 	b := batch{o.pending, o.nextSeq, o.pendingBytes}
 	o.pendingBytes = 0
@@ -118,6 +121,7 @@
 	return b
 }
 
+// wake signals the writing goroutine that frames or credit are due.
 func (o *outbox) wake() {
 	select {
 	case o.wakeup <- struct{}{}:
@@ -125,8 +129,8 @@
 	}
 }
 
-// writeLoop is the only goroutine that writes to the connection. Frames of an
-// idle session carry no messages, only the credit.
+// writeLoop is the only goroutine that writes to the connection. On an idle session it writes frames
+// without messages, which carry only the credit.
 func (o *outbox) writeLoop() {
 	period := o.opts.Bounds.Of(keepAliveRatio)
 	beat := time.NewTimer(untilTick(time.Since(processStart), period))
@@ -159,6 +163,8 @@
 	}
 }
 
+// writeFrame completes the header of a frame, compresses the array if it pays, and writes both to the
+// connection.
 func (o *outbox) writeFrame(f frame) error {
 	raw, isCompressed := o.compress(f.raw)
 	body := raw[frameHeaderSize:]
@@ -177,7 +183,7 @@
 	return nil
 }
 
-// compress returns a frame whose array is compressed, where the session's are and that is
+// compress returns the frame with its array compressed, if the session compresses and that makes it
 // shorter.
 func (o *outbox) compress(raw []byte) (frame []byte, isCompressed bool) {
 	if o.history == nil {
@@ -195,22 +201,22 @@
 	return out, true
 }
 
-// waiting is how many bytes have not been written yet, about.
+// queuedBytes returns the approximate payload bytes that have not been written yet.
 func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.unwrittenBytes
 }
 
-// addCredit notes how many of our messages the peer has consumed.
+// addCredit records the total number of messages that the peer has consumed.
 func (o *outbox) addCredit(consumed uint64) {
 	o.mu.Lock()
 	o.credited = max(o.credited, int64(consumed))
 	o.mu.Unlock()
 }
 
-// consume notes that we consumed n of the peer's messages, and tells the peer
-// at once when half a window is owed.
+// addConsumed records that n of the peer's messages were consumed, and sends the credit immediately each
+// time that another half window has been consumed.
 func (o *outbox) addConsumed(n int) {
 	total := o.consumed.Add(uint64(n))
 	half := uint64(o.window / 2)
@@ -219,6 +225,7 @@
 	}
 }
 
+// close stops the writing goroutine and rejects further messages with cause.
 func (o *outbox) close(cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -12,14 +12,14 @@
 	"caperwheel/internal/wire"
 )
 
-// queuedRequestBytesLimit: while so many bytes wait to be written, no further ask is taken.
-// Whoever would wait for its answer is told at once and can go elsewhere.
+// queuedRequestBytesLimit is the payload waiting to be written above which further requests are rejected.
+// The caller learns this immediately and can use another peer.
 const queuedRequestBytesLimit = 4 << 20
 
-// Peer is one long-lived link to one other daemon. It redials when it breaks.
+// Peer is one long-lived link to another daemon. It redials when the connection breaks.
 //
-// Invariant: every registered answer is called exactly once, with a reply or
-// with an error; the map holds at most Window of them.
+// Invariant: every registered callback is called exactly once, with a reply or an error; at most Window are
+// registered.
 type Peer struct {
 	node *Node
 	link *wire.Link
@@ -32,10 +32,10 @@
 	isClosed           bool
 	isDialing          bool
 	lastFailure        time.Time
-	connectedCallbacks []func() // told once when the session stands
+	connectedCallbacks []func() // called once when the session is open
 }
 
-// Peer gives the link to an address, opening it when first used.
+// Peer returns the link to an address, creating it on first use.
 func (n *Node) Peer(link *wire.Link, addr string) *Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,19 +48,18 @@
 	return p
 }
 
-// EnsureConnected opens the link if it is not open, so that the first ask need not wait.
+// EnsureConnected opens the link in the background, so that the first request need not wait for it.
 func (p *Peer) EnsureConnected() { p.connect() }
 
-// IsConnected reports whether the session stands.
+// IsConnected reports whether the session is open.
 func (p *Peer) IsConnected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.session != nil
 }
 
-// HasSendCapacity reports whether the session stands and fewer bytes than so many wait to
-// be written to it. A sender that has much to send asks before it does: what
-// is small, such as a heartbeat, then never waits long behind it.
+// HasSendCapacity reports whether the session is open and fewer than maxBytes wait to be written to it.
+// Senders of bulk data check it first, so that small messages such as heartbeats are not delayed behind it.
 func (p *Peer) HasSendCapacity(maxBytes int) bool {
 	p.mu.Lock()
 	s := p.session
@@ -68,7 +67,7 @@
 	return s != nil && s.outbox.queuedBytes() < maxBytes
 }
 
-// onConnected calls tell once the session stands, at once if it does already.
+// onConnected calls callback when the session is open, immediately if it already is.
 func (p *Peer) onConnected(callback func()) {
 	p.mu.Lock()
 	isConnected := p.session != nil
@@ -83,10 +82,10 @@
 	p.connect()
 }
 
-// Addr is the peer's address.
+// Addr returns the peer's address.
 func (p *Peer) Addr() string { return p.addr }
 
-// connect dials in the background, at most once per Redial interval.
+// connect dials in the background, and after a failure not before timing.RedialDelay.
 func (p *Peer) connect() {
 	p.mu.Lock()
 	redialInterval := p.node.opts.Bounds.Of(timing.RedialDelay)
@@ -115,7 +114,7 @@
 	}()
 }
 
-// attach makes a session that was just opened the link's own.
+// attach makes a newly opened session the link's current one.
 func (p *Peer) attach(s *session) {
 	p.mu.Lock()
 	p.isDialing = false
@@ -131,6 +130,7 @@
 	}
 }
 
+// detach drops a closed session, fails its pending requests with cause, and redials.
 func (p *Peer) detach(s *session, cause error) {
 	p.mu.Lock()
 	if p.session != s {
@@ -144,9 +144,10 @@
 	for _, answer := range pending {
 		answer(nil, errs.Wrap(cause, errs.Lost, "session with %s", p.addr))
 	}
-	p.connect() // at once: whether anybody listens there tells whether the process has ended
+	p.connect() // immediately: a refused connection shows that the process has ended
 }
 
+// handleReply passes a reply to the callback of its request. A reply without a pending request is dropped.
 func (p *Peer) handleReply(item wire.Item) {
 	p.mu.Lock()
 	answer := p.pendingReplies[item.CorrelationId]
@@ -157,8 +158,8 @@
 	}
 }
 
-// Post sends a message without waiting. A nil answer wants no reply. An error
-// is definite: nothing was sent and answer will not be called.
+// Post sends a message without waiting. With a nil answer no reply is expected. An error means that nothing
+// was sent and that answer will not be called.
 func (p *Peer) Post(body any, answer func(any, error)) error {
 	p.mu.Lock()
 	s := p.session
@@ -169,13 +170,13 @@
 	}
 	if !s.outbox.codec.Supports(body) {
 		p.mu.Unlock()
-		return errs.New(errs.Rejected, "%s settled on wire version %d, which has no %T", p.addr, s.version, body)
+		return errs.New(errs.Rejected, "session with %s uses wire version %d, which has no message %T", p.addr, s.version, body)
 	}
 	correlationId := int64(0)
 	if answer != nil {
 		if len(p.pendingReplies) >= p.node.opts.Window {
 			p.mu.Unlock()
-			return errs.New(errs.Full, "%d asks wait for %s", p.node.opts.Window, p.addr)
+			return errs.New(errs.Full, "%d requests wait for a reply of %s", p.node.opts.Window, p.addr)
 		}
 		if s.outbox.queuedBytes() >= queuedRequestBytesLimit {
 			p.mu.Unlock()
@@ -194,14 +195,14 @@
 		delete(p.pendingReplies, correlationId)
 		p.mu.Unlock()
 		if !isOurs {
-			return nil // lose() has told the answer already
+			return nil // detach() has already called answer
 		}
 	}
 	return err
 }
 
-// Call posts and waits for the reply, until ctx ends. Wrapped kinds: Lost and
-// Late mean that the fate is unknown, unless Sent is false.
+// Call sends a request and waits for the reply until ctx ends. After an error of kind Lost or
+// DeadlineExceeded it is unknown whether the request was processed, unless the error is an UnsentError.
 func (p *Peer) Call(ctx context.Context, body any) (any, error) {
 	type result struct {
 		body any
@@ -215,22 +216,22 @@
 	case r := <-got:
 		return r.body, r.err
 	case <-ctx.Done():
-		return nil, errs.Wrap(ctx.Err(), errs.DeadlineExceeded, "call to %s", p.addr)
+		return nil, errs.Wrap(ctx.Err(), errs.DeadlineExceeded, "wait for the reply of %s", p.addr)
 	}
 }
 
-// UnsentError marks a failure before anything was sent.
+// UnsentError is a failure before anything was sent.
 type UnsentError struct{ cause error }
 
-// NewUnsentError marks a failure as one before anything was sent.
+// NewUnsentError wraps a failure that occurred before anything was sent.
 func NewUnsentError(cause error) *UnsentError { return &UnsentError{cause} }
 
 func (u *UnsentError) Error() string { return "unsent: " + u.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (u *UnsentError) Unwrap() error { return u.cause }
 
-// Close ends the link for good.
+// Close closes the link permanently.
 func (p *Peer) Close() {
 	p.mu.Lock()
 	p.isClosed = true
--- a/internal/transport/reply_test.go
+++ b/internal/transport/reply_test.go
@@ -10,11 +10,11 @@
 	"caperwheel/internal/wire"
 )
 
-// TestDownAtOnce: a session that broke before its link had taken it over, as
-// one may in a process that is frozen right then, was once kept for good: the
-// link never dialled again, and every ask was told that it was not sent.
+// TestDownAtOnce guards against a session that breaks before its link has attached it, as in a process that
+// is frozen at that moment, and is kept for good: the link never dialed again, and every request failed as
+// unsent.
 func TestDownAtOnce(t *testing.T) {
-	Convey("Given a session that has broken before its link adopts it", t, func() {
+	Convey("Given a session that has broken before its link attaches it", t, func() {
 		server, client := newNodePair(Options{}, func(_ wire.Who, body any, answer func(any)) {
 			answer(&wire.Taken{Id: body.(*wire.Take).Id})
 		})
@@ -23,9 +23,9 @@
 		peer := client.Peer(wire.PlaceLink, server.Addr())
 		s, err := client.dial(wire.PlaceLink, server.Addr())
 		So(err, ShouldBeNil)
-		s.down(errs.New(errs.Lost, "the test says so"))
+		s.down(errs.New(errs.Lost, "closed by the test"))
 		peer.attach(s)
-		Convey("the link dials again, and asks are answered", func() {
+		Convey("the link dials again, and requests are answered", func() {
 			peer.mu.Lock()
 			isKept := peer.session == s
 			peer.mu.Unlock()
@@ -38,19 +38,19 @@
 	})
 }
 
-// TestRepliesFindTheirAsk is the table of replies that belong to no ask that
-// waits, in this session or after it broke: none is given to another ask.
+// TestRepliesFindTheirAsk guards against a reply that is passed to the wrong request: its cases are replies
+// that belong to no pending request, in this session or after it broke.
 func TestRepliesFindTheirAsk(t *testing.T) {
 	cases := []struct {
 		name   string
-		before func(reply func(corr int64), corr int64) // replies that come before the right one
+		before func(reply func(corr int64), corr int64) // sends replies before the right one
 	}{
-		{"comes twice for an ask before", func(reply func(int64), corr int64) { reply(corr - 1); reply(corr - 1) }},
-		{"is for an ask of the session before", func(reply func(int64), corr int64) { reply(1) }},
-		{"is for an ask that nobody sent", func(reply func(int64), corr int64) { reply(corr + 1); reply(1 << 40); reply(-1) }},
-		{"is for no ask", func(reply func(int64), corr int64) { reply(0) }},
+		{"comes twice for an earlier request", func(reply func(int64), corr int64) { reply(corr - 1); reply(corr - 1) }},
+		{"is for a request of the previous session", func(reply func(int64), corr int64) { reply(1) }},
+		{"is for a request that was never sent", func(reply func(int64), corr int64) { reply(corr + 1); reply(1 << 40); reply(-1) }},
+		{"is for no request", func(reply func(int64), corr int64) { reply(0) }},
 	}
-	Convey("Given a link that has lost a session with an ask under way, a reply that", t, func() {
+	Convey("Given a link that has lost a session with a pending request, a reply that", t, func() {
 		for _, c := range cases {
 			Convey(c.name+" is dropped", func() {
 				server, client := newNodePair(Options{}, func(wire.Who, any, func(any)) {})
@@ -63,7 +63,7 @@
 				peer.mu.Lock()
 				old := peer.session
 				peer.mu.Unlock()
-				old.down(errs.New(errs.Lost, "the test says so"))
+				old.down(errs.New(errs.Lost, "closed by the test"))
 				So(errs.Is(<-failed, errs.Lost), ShouldBeTrue)
 				waitConnected(peer)
 
--- a/internal/transport/sendcapacity_test.go
+++ b/internal/transport/sendcapacity_test.go
@@ -11,22 +11,22 @@
 	"caperwheel/internal/wire"
 )
 
-// TestRoom: what waited for a slow link was bounded by a count alone, so that
-// thousands of large messages could fill a daemon's memory.
+// TestRoom guards against a slow link whose queue is bounded by the number of messages alone, so that
+// thousands of large messages can fill a daemon's memory.
 func TestRoom(t *testing.T) {
-	Convey("Given a session whose other end reads nothing", t, func() {
+	Convey("Given a session whose peer reads nothing", t, func() {
 		node, err := NewNode(Options{})
 		So(err, ShouldBeNil)
 		near, far := net.Pipe()
 		defer far.Close()
 		s := node.newSession(wire.PlaceLink, near, wire.Who{}, wire.Version, 4096, true)
-		defer s.down(errs.New(errs.Lost, "the test ends"))
+		defer s.down(errs.New(errs.Lost, "the test has ended"))
 		peer := &Peer{node: node, link: wire.PlaceLink, session: s, pendingReplies: map[int64]func(any, error){}}
 		So(peer.HasSendCapacity(1), ShouldBeTrue)
 		ask := func() error {
 			return peer.Post(&wire.Take{Body: make([]byte, 64<<10)}, func(any, error) {})
 		}
-		Convey("asks are rejected once so many bytes wait", func() {
+		Convey("requests are rejected once too many bytes wait", func() {
 			taken := 0
 			for ask() == nil {
 				taken++
@@ -36,7 +36,7 @@
 			So(peer.HasSendCapacity(queuedRequestBytesLimit), ShouldBeFalse)
 			So(peer.HasSendCapacity(queuedRequestBytesLimit+1), ShouldBeTrue)
 		})
-		Convey("there is room again once they are written", func() {
+		Convey("there is capacity again once they are written", func() {
 			for ask() == nil {
 			}
 			go func() {
@@ -53,7 +53,7 @@
 			So(ask(), ShouldBeNil)
 		})
 	})
-	Convey("Without a session there is no room", t, func() {
+	Convey("Without a session there is no capacity", t, func() {
 		So((&Peer{}).HasSendCapacity(1), ShouldBeFalse)
 	})
 }
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -12,8 +12,8 @@
 	"caperwheel/internal/wire"
 )
 
-// session is one open connection after its handshake. The dialer sends asks
-// and gets replies; the acceptor the other way round.
+// session is one open connection after the handshake. The dialer sends requests and receives replies; the
+// acceptor sends replies and receives requests.
 type session struct {
 	node         *Node
 	link         *wire.Link
@@ -27,19 +27,19 @@
 
 	closeMu sync.Mutex
 	onClose func(error)
-	cause   error // why it is down; nil while it is not
+	cause   error // why it is closed; nil while it is open
 
-	// Ordered links: batches parsed ahead of their turn wait here. Bounded by
-	// the peer's window, since they are not yet consumed.
+	// Ordered links: batches that were decoded ahead of their turn. The peer's window bounds them, since
+	// they are not consumed yet.
 	orderMu    sync.Mutex
 	outOfOrder map[uint32][]wire.Item
 	nextSeq    uint32
 	isAlive    atomic.Bool
-	received   linkMetrics         // what comes in
-	history    *compressionHistory // of what came in; the reading goroutine's alone
+	received   linkMetrics         // counters of received messages
+	history    *compressionHistory // of the received arrays; used by the reading goroutine only
 }
 
-// readLoop frames what arrives and leaves the rest to the pool.
+// readLoop reads frames and submits their decoding to the pool.
 func (s *session) readLoop() {
 	r := bufio.NewReaderSize(s.conn, 64<<10)
 	for {
@@ -57,7 +57,7 @@
 			return
 		}
 		if len(raw) < 4 {
-			s.down(errs.New(errs.Corrupt, "array without a count"))
+			s.down(errs.New(errs.Corrupt, "array is too short for a message count"))
 			return
 		}
 		count := int(binary.BigEndian.Uint32(raw))
@@ -65,7 +65,7 @@
 			continue
 		}
 		if count > s.node.opts.Window {
-			s.down(errs.New(errs.Corrupt, "batch of %d messages", count))
+			s.down(errs.New(errs.Corrupt, "batch of %d messages exceeds the window", count))
 			return
 		}
 		s.received.messages.Add(float64(count))
@@ -81,11 +81,11 @@
 	}
 }
 
-// decompress returns the array of a frame as it was before compression.
+// decompress returns the array of a frame as it was before compression and adds it to the history.
 func (s *session) decompress(h frameHeader, raw []byte) ([]byte, error) {
 	if s.history == nil {
 		if h.isCompressed {
-			return raw, errs.New(errs.Corrupt, "a compressed array in a session without compression")
+			return raw, errs.New(errs.Corrupt, "received a compressed array in a session without compression")
 		}
 		return raw, nil
 	}
@@ -103,6 +103,7 @@
 	return array, nil
 }
 
+// dispatch delivers a batch; on an ordered link only after all batches before it.
 func (s *session) dispatch(seq uint32, items []wire.Item) {
 	if !s.link.Ordered {
 		s.deliver(items)
@@ -122,6 +123,7 @@
 	}
 }
 
+// deliver handles the messages of a batch and returns credit for them.
 func (s *session) deliver(items []wire.Item) {
 	for _, item := range items {
 		s.handle(item)
@@ -129,7 +131,7 @@
 	s.outbox.addConsumed(len(items))
 }
 
-// down closes the session once, whatever found the failure.
+// down closes the session once, with the first cause.
 func (s *session) down(cause error) {
 	s.closeOnce.Do(func() {
 		s.isAlive.Store(false)
@@ -146,8 +148,8 @@
 	})
 }
 
-// notifyClose has onClose told once the session is down, at once if it is already: it
-// may break as soon as it is open.
+// notifyClose calls onDown when the session is closed, immediately if it already is: a session can break as
+// soon as it is open.
 func (s *session) notifyClose(onDown func(cause error)) {
 	s.closeMu.Lock()
 	s.onClose = onDown
@@ -158,6 +160,7 @@
 	}
 }
 
+// newSession returns a session over a connection after the handshake and starts writing to it.
 func (n *Node) newSession(link *wire.Link, conn net.Conn, peer wire.Who, version, window int64, isDialer bool) *session {
 	isCompressed := shouldCompress(n.opts.Self, peer, version)
 	s := &session{node: n, link: link, peer: peer, version: version, conn: conn, outOfOrder: map[uint32][]wire.Item{}, received: newLinkMetrics(link.Name, "in"),
@@ -171,6 +174,6 @@
 	s.isAlive.Store(true)
 	counters.sessions.Inc()
 	s.outbox = newOutbox(&n.opts, out, n.pool, conn, window, newLinkMetrics(link.Name, "out"), newCompressionHistory(isCompressed), func(err error) { s.down(err) })
-	s.outbox.start() // only now: what fails there closes the session
+	s.outbox.start() // last, since a failure there closes the session
 	return s
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,6 +13,7 @@
 	"caperwheel/internal/wire"
 )
 
+// newNodePair returns a server that serves the place and group links with handler, and a client.
 func newNodePair(serverOptions Options, handler Handler) (*Node, *Node) {
 	serverOptions.Listen = "127.0.0.1:0"
 	serverOptions.Handlers = map[string]Handler{"place": handler, "group": handler}
@@ -24,6 +25,7 @@
 	return server, client
 }
 
+// waitConnected returns when the peer's session is open.
 func waitConnected(p *Peer) {
 	got := make(chan struct{})
 	p.onConnected(func() { close(got) })
@@ -31,7 +33,7 @@
 }
 
 func TestCallsAreAnswered(t *testing.T) {
-	Convey("Given a node that answers with what it got", t, func() {
+	Convey("Given a node that answers with the body of the request", t, func() {
 		server, client := newNodePair(Options{Self: wire.Who{Name: "server"}}, func(from wire.Who, body any, answer func(any)) {
 			take := body.(*wire.Take)
 			answer(&wire.Taken{Id: take.Id, Text: from.Name + string(take.Body)})
@@ -40,7 +42,7 @@
 		defer client.Close()
 		peer := client.Peer(wire.PlaceLink, server.Addr())
 		waitConnected(peer)
-		Convey("every one of a thousand concurrent calls gets its own answer", func() {
+		Convey("each of a thousand concurrent calls gets its own reply", func() {
 			var group sync.WaitGroup
 			wrong := make(chan string, 1000)
 			for i := range 1000 {
@@ -62,10 +64,10 @@
 	})
 }
 
-// TestLargeMessages: a batch of large messages once passed the frame's limit and
-// broke the session, each time it was tried.
+// TestLargeMessages guards against a batch of large messages that exceeds the frame limit and breaks the
+// session on every attempt.
 func TestLargeMessages(t *testing.T) {
-	Convey("Given a session whose frames may have 4 MiB", t, func() {
+	Convey("Given a session with a frame limit of 4 MiB", t, func() {
 		got := make(chan int, 99)
 		server, client := newNodePair(Options{FrameLimit: 4 << 20}, func(_ wire.Who, body any, _ func(any)) { got <- len(body.(*wire.GroupMsg).State) })
 		defer server.Close()
@@ -102,7 +104,7 @@
 }
 
 func TestLostSessionTellsEveryCall(t *testing.T) {
-	Convey("Given calls that wait for an answer", t, func() {
+	Convey("Given calls that wait for a reply", t, func() {
 		arrived := make(chan struct{}, 10)
 		server, client := newNodePair(Options{}, func(wire.Who, any, func(any)) { arrived <- struct{}{} })
 		defer client.Close()
@@ -113,7 +115,7 @@
 			So(peer.Post(&wire.Look{}, func(_ any, err error) { got <- err }), ShouldBeNil)
 			<-arrived
 		}
-		Convey("a broken connection answers each of them with Lost", func() {
+		Convey("a broken connection fails each of them with Lost", func() {
 			server.Close()
 			for range 10 {
 				So(errs.Is(<-got, errs.Lost), ShouldBeTrue)
@@ -143,7 +145,7 @@
 				So(errs.Is(err, errs.Rejected), ShouldBeTrue)
 			})
 		}
-		Convey("it hangs up on a stranger", func() {
+		Convey("it closes a connection of another protocol", func() {
 			conn, err := net.Dial("tcp", server.Addr())
 			So(err, ShouldBeNil)
 			conn.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -161,7 +163,7 @@
 		defer client.Close()
 		peer := client.Peer(wire.GroupLink, server.Addr())
 		waitConnected(peer)
-		Convey("two thousand messages arrive as they were sent", func() {
+		Convey("two thousand messages arrive in the order in which they were sent", func() {
 			for i := range int64(2000) {
 				So(peer.Post(&wire.GroupMsg{Index: i}, nil), ShouldBeNil)
 			}
@@ -179,15 +181,15 @@
 		server, client := newNodePair(Options{Newest: 1, Oldest: 1}, func(wire.Who, any, func(any)) {})
 		defer server.Close()
 		defer client.Close()
-		Convey("a daemon that speaks 1 and 2 settles on 1", func() {
+		Convey("a daemon that supports 1 and 2 uses 1", func() {
 			newer, err := NewNode(Options{Newest: 2, Oldest: 1})
 			So(err, ShouldBeNil)
 			s, err := newer.dial(wire.PlaceLink, server.Addr())
 			So(err, ShouldBeNil)
 			So(s.version, ShouldEqual, 1)
-			s.down(errs.New(errs.Lost, "the test is over"))
+			s.down(errs.New(errs.Lost, "the test has ended"))
 		})
-		Convey("what only version 2 has is left out for it, and not for a newer one", func() {
+		Convey("a field of version 2 is left out for it, and not for a newer server", func() {
 			for newest, want := range map[int64]int64{1: 0, 2: 5} {
 				got := make(chan int64, 1)
 				server, client := newNodePair(Options{Newest: newest, Oldest: 1}, func(_ wire.Who, body any, answer func(any)) {
@@ -204,7 +206,7 @@
 				server.Close()
 			}
 		})
-		Convey("a kind of message that the other end does not know is refused here, and the link stands", func() {
+		Convey("a message type that the peer does not support is rejected locally, and the link stays open", func() {
 			grant := func(_ wire.Who, _ any, answer func(any)) { answer(&wire.Grant{}) }
 			server, err := NewNode(Options{Newest: 6, Oldest: 1, Listen: "127.0.0.1:0", Handlers: map[string]Handler{"run": grant}})
 			So(err, ShouldBeNil)
@@ -217,7 +219,7 @@
 			So(err, ShouldBeNil)
 			So(len(peer.pendingReplies), ShouldEqual, 0)
 		})
-		Convey("a daemon of another shape is refused", func() {
+		Convey("a daemon of another deployment shape is rejected", func() {
 			other, err := NewNode(Options{Shape: "places=7 parts=1"})
 			So(err, ShouldBeNil)
 			_, err = other.dial(wire.PlaceLink, server.Addr())
--- a/internal/transport/writefailure_test.go
+++ b/internal/transport/writefailure_test.go
@@ -12,15 +12,16 @@
 	"caperwheel/internal/wire"
 )
 
-// brokenConn is a connection on which nothing can be written.
+// brokenConn is a connection on which every write fails.
 type brokenConn struct{ net.Conn }
 
 func (brokenConn) Write([]byte) (int, error) { return 0, errs.New(errs.Lost, "broken") }
 
-// TestSessionThatCannotWrite guards against a session that breaks at its first frame and is closed by a goroutine that does not
-// know all of it yet: the writing goroutine was begun before the session had its outbox. The race detector shows it.
+// TestSessionThatCannotWrite guards against a session that breaks at its first frame and is closed by a
+// goroutine that does not see all of its fields: the writing goroutine was started before the session had
+// its outbox. The race detector shows it.
 func TestSessionThatCannotWrite(t *testing.T) {
-	Convey("A session whose first frame cannot be written is closed whole, and whoever watches it is told", t, func() {
+	Convey("A session whose first frame cannot be written is closed, and its close callback is called", t, func() {
 		node, err := NewNode(Options{Bounds: timing.Bounds{ConfigApply: 30 * time.Millisecond}, Self: wire.Who{Name: "a"}})
 		So(err, ShouldBeNil)
 		defer node.Close()
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -10,33 +10,34 @@
 	"caperwheel/internal/errs"
 )
 
-// Codec turns items of one direction of one link kind into bytes and back.
-// Invariants: fields are written in the order in which the Go type declares
-// them; no metadata travels but the branch index of the union. An item's bytes are
-// those of Schema, a record of a number and a union, though its branches are written
-// and read one by one: the library looks at a union anew for each item.
+// Codec encodes and decodes the messages of one direction of a link in one wire version.
+//
+// Invariants: fields are written in the order in which the Go type declares them; the only metadata on the
+// wire is the branch index of the union. The bytes of an item are those of Schema, a record of a number and
+// a union, but branches are encoded one by one, because the library resolves a union again for every item.
 type Codec struct {
 	Schema        avro.Schema
 	api           avro.API
 	writers       sync.Pool
 	readers       sync.Pool
 	branches      []branch
-	branchIndexes map[reflect.Type]int64 // of the branches, by the type of a body
+	branchIndexes map[reflect.Type]int64 // union branch by the type of a body, a pointer
 }
 
-// branch is one type that a direction carries.
+// branch is one message type of a direction.
 type branch struct {
 	schema avro.Schema
-	goType reflect.Type // a struct; bodies are pointers to it
+	goType reflect.Type // a struct type; bodies are pointers to it
 }
 
-// Item is one message with the number that joins an ask and its reply.
+// Item is one message on a link. CorrelationId matches a reply to its request; 0 means that no reply is
+// expected.
 type Item struct {
 	CorrelationId int64 `avro:"corr"`
 	Body          any   `avro:"body"`
 }
 
-// newCodec builds the schema of a direction from the types it may carry.
+// newCodec builds the schema and codec of a direction from the message types that it carries.
 func newCodec(name string, version int64, kinds []any) *Codec {
 	api := avro.Config{MaxByteSliceSize: sliceBytesLimit, MaxSliceAllocSize: listItemsLimit}.Freeze()
 	seen := map[string]bool{}
@@ -63,12 +64,12 @@
 	return c
 }
 
-// NewWriter gives a reusable avro writer of this codec.
+// NewWriter returns an Avro writer with a buffer of size bytes, configured for this codec.
 func (c *Codec) NewWriter(size int) *avro.Writer {
 	return avro.NewWriter(nil, size, avro.WithWriterConfig(c.api))
 }
 
-// AcquireWriter gives an empty writer that was used before, and Give takes it back.
+// AcquireWriter returns an empty writer from the pool. The caller gives it back with ReleaseWriter.
 func (c *Codec) AcquireWriter() *avro.Writer {
 	w, isKept := c.writers.Get().(*avro.Writer)
 	if !isKept {
@@ -79,25 +80,25 @@
 	return w
 }
 
-// ReleaseWriter takes a writer back; its bytes must have been copied.
+// ReleaseWriter puts a writer back into the pool. The caller must have copied the writer's bytes.
 func (c *Codec) ReleaseWriter(w *avro.Writer) { c.writers.Put(w) }
 
-// Supports reports whether the direction has a body's kind of message.
+// Supports reports whether the direction carries messages of the body's type.
 func (c *Codec) Supports(body any) bool {
 	_, isCarried := c.branchIndexes[reflect.TypeOf(body)]
 	return isCarried
 }
 
-// Append writes one item behind what the writer holds.
+// Append encodes one item after the bytes that the writer already holds.
 func (c *Codec) Append(w *avro.Writer, item Item) error {
 	number, isCarried := c.branchIndexes[reflect.TypeOf(item.Body)]
 	if !isCarried {
-		return errs.New(errs.Internal, "encode %T: this link does not carry it", item.Body)
+		return errs.New(errs.Internal, "encode %T: the link does not carry messages of this type", item.Body)
 	}
 	w.WriteLong(item.CorrelationId)
 	w.WriteLong(number)
 	w.WriteVal(c.branches[number].schema, item.Body)
-	return errs.Wrap(w.Error, errs.Internal, "encode %T", item.Body)
+	return errs.Wrap(w.Error, errs.Internal, "encode message %T", item.Body)
 }
 
 // Decode reads count items from one received byte array.
@@ -116,7 +117,7 @@
 	for range count {
 		item, err := c.decodeItem(r)
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Corrupt, "parse item %d of %d", len(out), count)
+			return nil, errs.Wrap(err, errs.Corrupt, "decode item %d of %d", len(out), count)
 		}
 		out = append(out, item)
 	}
@@ -128,7 +129,7 @@
 	item := Item{CorrelationId: r.ReadLong()}
 	number := r.ReadLong()
 	if r.Error == nil && (number < 0 || number >= int64(len(c.branches))) {
-		return item, errs.New(errs.Corrupt, "there is no body number %d", number)
+		return item, errs.New(errs.Corrupt, "unknown message type: no union branch %d", number)
 	}
 	if r.Error != nil {
 		return item, r.Error
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -13,7 +13,7 @@
 	"caperwheel/internal/errs"
 )
 
-// fillValue sets all that a body can carry, so that every field has bytes of its own.
+// fillValue sets every field of a body, so that each field contributes bytes of its own.
 func fillValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.String:
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestCodecWritesItsSchema: what a link carries is what the schema of its direction
-// says, to the byte, as the library itself writes and reads it.
+// TestCodecWritesItsSchema guards against a codec whose bytes differ from those that the Avro library
+// writes and reads for the schema of the direction.
 func TestCodecWritesItsSchema(t *testing.T) {
 	Convey("For each version, link, direction and body,", t, func() {
 		bodies := 0
@@ -79,11 +79,11 @@
 		}
 		So(bodies, ShouldBeGreaterThan, 60)
 	})
-	Convey("A body that a link does not carry is not written, and a number without a body not read", t, func() {
+	Convey("A body that the link does not carry is rejected, and so is an unknown or truncated union branch", t, func() {
 		asks, _ := RunLink.Codecs(Version)
 		w := asks.NewWriter(64)
 		So(errs.Is(asks.Append(w, Item{Body: &Share{}}), errs.Internal), ShouldBeTrue)
-		for _, raw := range [][]byte{{2, 1}, {2, 100}, {2}, {}} { // body -1, body 50, cut short
+		for _, raw := range [][]byte{{2, 1}, {2, 100}, {2}, {}} { // branch -1, branch 50, truncated
 			_, err := asks.Decode(raw, 1)
 			So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 		}
--- a/internal/wire/common.go
+++ b/internal/wire/common.go
@@ -6,14 +6,16 @@
 	"strings"
 )
 
-// FirstPlaceGroup is the group id of place 0; parts have the ids from 0 on.
+// FirstPlaceGroup is the group id of place 0; place n has FirstPlaceGroup+n. Parts have the group ids from
+// 0 on.
 const FirstPlaceGroup = 1000
 
-// tenantSeparator parts a tenant's name from a key of its callers: no header field can hold it.
+// tenantSeparator separates the tenant from the caller's key in a scoped key. No header field can contain
+// it.
 const tenantSeparator = "\x00"
 
-// ScopedKey returns a caller's key as it stands in messages: of its tenant, so that no two tenants share one.
-// An empty key stays empty, and one of nobody's stays as it is.
+// ScopedKey returns a caller's key as messages store it: prefixed with the tenant, so that two tenants
+// never share a key. An empty key stays empty, and a key without a tenant is unchanged.
 func ScopedKey(tenant, key string) string {
 	if tenant == "" || key == "" {
 		return key
@@ -21,7 +23,7 @@
 	return tenant + tenantSeparator + key
 }
 
-// CallerKey returns a key as its caller sent it.
+// CallerKey returns the key that the caller sent, without the tenant.
 func CallerKey(scoped string) string {
 	_, key, isScoped := strings.Cut(scoped, tenantSeparator)
 	if !isScoped {
@@ -30,7 +32,7 @@
 	return key
 }
 
-// Checksum is the checksum of bytes as callers and workers see it.
+// Checksum returns the SHA-256 of raw in hex, as callers and workers see it.
 func Checksum(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -1,19 +1,18 @@
 package wire
 
-// Version is the newest wire version this build speaks; Oldest the oldest.
-// Both ends of a session use the lower of their newest versions. Version 2 has
-// Look.Wait; version 3 has messages that come as they are (Head), delays, and
-// whom to tell of an end; version 4 has edits that are remembered by their order,
-// and the groups that an answer about a retirement was confirmed for; version 5 has arrays
-// that are compressed between zones; version 6 has the feature level of replicas; version 7 has
-// adapters that keep the time of groups; version 8 has limits of tenants.
+// Version is the newest wire version of this build and OldestVersion the oldest that it supports. A session
+// uses the lower of both ends' newest versions. Version 2 added Look.Wait; version 3 messages that are the
+// HTTP request as it came (RequestHead), delays, and notification URLs; version 4 deduplicated edits and
+// the groups that a reply about a retirement was confirmed for; version 5 compressed arrays between zones;
+// version 6 the feature level of replicas; version 7 adapters that keep the time of groups; version 8
+// quotas of tenants.
 const (
 	Version       int64 = 8
 	OldestVersion int64 = 1
 )
 
-// Who tells what a daemon is. Boot is new at every start, so that two lives of
-// one daemon are never taken for one.
+// Who identifies a daemon. Boot is random and new at each start, so that two processes of one daemon are
+// told apart.
 type Who struct {
 	Name string `avro:"name"`
 	Kind string `avro:"kind"`
@@ -23,7 +22,7 @@
 	Http string `avro:"http"`
 }
 
-// Hello opens a session; Welcome answers it. An empty Reject means accepted.
+// Hello opens a session; Welcome answers it.
 type Hello struct {
 	Who     Who    `avro:"who"`
 	Link    string `avro:"link"`
@@ -33,7 +32,7 @@
 	Cluster string `avro:"cluster"`
 }
 
-// Welcome is the acceptor's half of the handshake.
+// Welcome is the acceptor's half of the handshake. An empty Reject means that the session is accepted.
 type Welcome struct {
 	Who     Who    `avro:"who"`
 	Version int64  `avro:"version"`
@@ -41,13 +40,13 @@
 	Reject  string `avro:"reject"`
 }
 
-// PartRevision is how far a follower has read one part.
+// PartRevision is the revision up to which a follower has read one part.
 type PartRevision struct {
 	Part     int64 `avro:"part"`
 	Revision int64 `avro:"stamp"`
 }
 
-// Change is one key's newest value. Revision is its number in the part's feed.
+// Change is the newest value of a key. Revision is the change's number in the part's feed.
 type Change struct {
 	Key      string `avro:"key"`
 	Value    []byte `avro:"value"`
@@ -56,8 +55,8 @@
 	By       string `avro:"by"`
 }
 
-// PartNews brings a follower from one revision to another. Age is how long ago, in
-// microseconds, the part's owner confirmed that nothing newer was acknowledged.
+// PartNews brings a follower of a part from revision From to revision To. Age is the time in microseconds
+// since the part's owner confirmed that nothing newer had been acknowledged.
 type PartNews struct {
 	Part    int64    `avro:"part"`
 	From    int64    `avro:"from"`
@@ -66,7 +65,7 @@
 	Changes []Change `avro:"changes"`
 }
 
-// Member is a daemon whose session stands. Age in milliseconds.
+// Member is a daemon with a live session. Age is the time in milliseconds since it was last heard from.
 type Member struct {
 	Who  Who     `avro:"who"`
 	Age  int64   `avro:"age"`
@@ -74,14 +73,14 @@
 	Fact Fact    `avro:"fact"`
 }
 
-// Fact is what a daemon says of itself in its session, for status and doctor.
+// Fact is the state that a daemon reports about itself in its session, for status and doctor.
 type Fact struct {
 	Revision int64            `avro:"stamp"`
 	Fresh    bool             `avro:"fresh"`
 	Counts   map[string]int64 `avro:"counts"`
 }
 
-// Owned says that a daemon owns a group in a term. A hint, never a proof.
+// Owned says that a daemon owns a group in a term. It is a hint and proves no ownership.
 type Owned struct {
 	Group int64 `avro:"group"`
 	Term  int64 `avro:"term"`
@@ -89,7 +88,7 @@
 	Size  int64 `avro:"size"`
 }
 
-// Poll renews a daemon's session and asks for news behind the given revisions.
+// Poll renews a daemon's session and requests the changes after the given revisions.
 type Poll struct {
 	Who            Who            `avro:"who"`
 	Revisions      []PartRevision `avro:"stamps"`
@@ -99,7 +98,7 @@
 	Colocated      []Member       `avro:"beside"`
 }
 
-// News answers a poll. Members is empty when Membership matches the asker's.
+// News answers a Poll. Members is empty if MembershipHash matches that of the Poll.
 type News struct {
 	Parts          []PartNews `avro:"parts"`
 	MembershipHash string     `avro:"roll"`
@@ -107,24 +106,24 @@
 	Reject         string     `avro:"reject"`
 }
 
-// Share tells another manager the sessions that stand here.
+// Share tells another manager the sessions that the sending manager holds.
 type Share struct {
 	Who     Who      `avro:"who"`
 	Members []Member `avro:"members"`
 }
 
-// Follow asks a store for news of all parts that it owns.
+// Follow asks a store for the changes of all parts that it owns.
 type Follow struct {
 	Revisions []PartRevision `avro:"stamps"`
 }
 
-// Followed answers with news of the owned parts only.
+// Followed answers Follow with the changes of the owned parts only.
 type Followed struct {
 	Parts []PartNews `avro:"parts"`
 }
 
-// Edit changes one key of a part if the key's revision is still IfRevision: 0 for
-// absent, -1 for any. One whose Order has been taken before changes nothing.
+// Edit changes one key of a part if the key's revision is still IfRevision: 0 means absent, -1 any
+// revision. An edit whose OperationId was applied before changes nothing.
 type Edit struct {
 	Part              int64    `avro:"part"`
 	Key               string   `avro:"key"`
@@ -132,47 +131,46 @@
 	IfRevision        int64    `avro:"if_stamp"`
 	Gone              bool     `avro:"gone"`
 	By                string   `avro:"by"`
-	OperationId       string   `avro:"order" since:"4"`   // names the order that is remembered; empty: none is
-	BaseVersion       int64    `avro:"base" since:"4"`    // the version that an operator's order builds on; SingleCallBase for the edit of a single call
-	EarlierOperations []string `avro:"earlier" since:"4"` // orders taken before that the part may not know
-	At                int64    `avro:"at" since:"4"`      // part time when the owner took it in, in milliseconds
+	OperationId       string   `avro:"order" since:"4"`   // deduplicates the edit; empty for none
+	BaseVersion       int64    `avro:"base" since:"4"`    // version that an operator's edit builds on, or SingleCallBase
+	EarlierOperations []string `avro:"earlier" since:"4"` // operations applied before that the part may not know of
+	At                int64    `avro:"at" since:"4"`      // part time in milliseconds when the owner accepted the edit
 }
 
-// SingleCallBase is the Base of an edit that nobody but the manager that made it sends again.
+// SingleCallBase is the BaseVersion of an edit that only the manager that made it may resend.
 const SingleCallBase = -1
 
-// Edited answers an edit. Kind is an error kind, empty when it holds. Revision is
-// the one that the order made, if it was taken, also when that was before.
+// Edited answers an Edit. Kind is an error kind, empty if the edit is applied. Revision is the one that the
+// operation produced, also if it was applied earlier.
 type Edited struct {
 	Kind     string `avro:"kind"`
 	Text     string `avro:"text"`
 	Revision int64  `avro:"stamp"`
-	IsRepeat bool   `avro:"again" since:"4"` // the order had been taken before
+	IsRepeat bool   `avro:"again" since:"4"` // the operation had been applied before
 }
 
-// Pull reads one key through a majority.
+// Pull reads one key with a quorum read.
 type Pull struct {
 	Part int64  `avro:"part"`
 	Key  string `avro:"key"`
 }
 
-// Pulled answers a read. Age is how long ago, in milliseconds of the part's own
-// time, the change was made: 0 also where the store does not know it.
+// Pulled answers Pull. Age is the time in milliseconds since the change was made, by the part's own clock;
+// it is 0 if the store does not know it.
 type Pulled struct {
 	Kind   string `avro:"kind"`
 	Change Change `avro:"change"`
 	Age    int64  `avro:"age" since:"4"`
 }
 
-// Retire asks a store which of the groups that it owns stand on a store that is to
-// be emptied.
+// Retire asks a store which of the groups that it owns still have a replica on the store to be emptied.
 type Retire struct {
 	Store string `avro:"store"`
 }
 
-// Retired tells in how many of the asked store's groups it still stands, and of
-// each group whose ownership a majority has confirmed since the ask came how it
-// stands. IsKnown says that the asked store knows of the retirement.
+// Retired answers Retire with the number of owned groups that still have a replica on the retiring store,
+// and the state of each group whose ownership a majority has confirmed since the request came. IsKnown says
+// that the answering store knows of the retirement.
 type Retired struct {
 	RemainingGroups int64      `avro:"left"`
 	Text            string     `avro:"text"`
@@ -180,9 +178,8 @@
 	Groups          []Standing `avro:"groups" since:"4"`
 }
 
-// Standing is how one group stands, as its owner sees it: the stores in its
-// roster, and how many of them, without the one that was asked about, have all
-// that was committed when the owner's last round began.
+// Standing is the state of one group as its owner sees it: the stores in its roster, and how many of them,
+// without the retiring one, have everything that was committed when the owner's last round began.
 type Standing struct {
 	Group          int64    `avro:"group"`
 	Term           int64    `avro:"term"`
--- a/internal/wire/data.go
+++ b/internal/wire/data.go
@@ -1,7 +1,7 @@
 package wire
 
-// AcquireWriter asks a place's owner to hold a message durably. Deadline is what remains
-// of the message's patience, in milliseconds.
+// Take asks a place's owner to store a message durably. Deadline is the milliseconds left until the message
+// expires.
 type Take struct {
 	Place          int64  `avro:"place"`
 	Id             string `avro:"id"`
@@ -13,13 +13,13 @@
 	Checksum       string `avro:"sum"`
 	Deadline       int64  `avro:"cutoff"`
 	Parent         string `avro:"parent"`
-	RequestHead    []byte `avro:"head" since:"3"`   // of the request, where the message is the request as it came
+	RequestHead    []byte `avro:"head" since:"3"`   // head of the HTTP request, if the message is the request as it came
 	Delay          int64  `avro:"delay" since:"3"`  // milliseconds before which it must not run
-	NotifyUrl      string `avro:"notify" since:"3"` // URL that is told of its end
+	NotifyUrl      string `avro:"notify" since:"3"` // URL to notify of its end
 }
 
-// Taken answers Take and Settle. Kind is empty when the message is held; Id is
-// the held message's, which differs from the asked one for a repeat.
+// Taken answers Take and Settle. Kind is empty if the message is stored; Id is the id of the stored
+// message, which differs from the requested one for a repeated request.
 type Taken struct {
 	Id    string `avro:"id"`
 	State string `avro:"state"`
@@ -28,25 +28,25 @@
 	Owner string `avro:"owner"`
 	Retry int64  `avro:"retry"`
 
-	IsRepeat bool `avro:"is_repeat" since:"8"` // the message was held, or about to be, before this Take came
+	IsRepeat bool `avro:"is_repeat" since:"8"` // the message was stored, or about to be, before this Take came
 }
 
-// Settle asks the owner to decide an undecided message: held, or never.
+// Settle asks the owner to decide an undecided message: it is stored, or never will be.
 type Settle struct {
 	Place int64  `avro:"place"`
 	Id    string `avro:"id"`
 	Lane  string `avro:"lane"`
 }
 
-// Look asks for a message's state, or its bytes, or both.
+// Look requests a message's state, its body, or both.
 type Look struct {
 	Place int64  `avro:"place"`
 	Id    string `avro:"id"`
 	Body  bool   `avro:"body"`
-	Wait  int64  `avro:"wait" since:"2"` // milliseconds for which the answer may wait for the message's end
+	Wait  int64  `avro:"wait" since:"2"` // milliseconds for which the reply may wait for the message's end
 }
 
-// ErrorKindOf gives the kind of error that a reply tells; empty for none.
+// ErrorKindOf returns the error kind that a reply carries; empty for none.
 func ErrorKindOf(reply any) string {
 	switch m := reply.(type) {
 	case *Taken:
@@ -61,8 +61,8 @@
 	return ""
 }
 
-// PayloadSize reports about how many bytes a message carries, so that large ones are
-// not put into one batch.
+// PayloadSize returns the approximate payload bytes of a message, so that large messages are not put into
+// one batch.
 func PayloadSize(body any) int {
 	switch m := body.(type) {
 	case *GroupMsg:
@@ -83,7 +83,7 @@
 	return 0
 }
 
-// Proof is the record of one run.
+// Proof is the record of one run of a message on a worker.
 type Proof struct {
 	Attempt     int64  `avro:"attempt"`
 	Worker      string `avro:"worker"`
@@ -112,8 +112,8 @@
 	Proof       Proof  `avro:"proof"`
 }
 
-// Outcome brings the result of a run to the place's owner. Kind is empty for a
-// success. Begun tells whether the worker may have seen the request.
+// Outcome reports the result of a run to the place's owner. Kind is empty for a success. MayHaveStarted
+// says whether the worker may have received the request.
 type Outcome struct {
 	Place          int64  `avro:"place"`
 	Id             string `avro:"id"`
@@ -123,30 +123,30 @@
 	MayHaveStarted bool   `avro:"begun"`
 	Final          bool   `avro:"final"`
 	Wait           int64  `avro:"wait"`
-	Step           string `avro:"step"` // empty: for the place's owner; see internal/repair
+	Step           string `avro:"step"` // empty for the place's owner; see internal/repair
 }
 
-// OutcomeAck says that the result is durable, or that another store owns it.
+// OutcomeAck says that the result is stored durably, or that another store owns the place.
 type OutcomeAck struct {
 	Kind  string `avro:"kind"`
 	Owner string `avro:"owner"`
 }
 
-// Want asks a duty's holder for a slot on a worker.
+// Want asks the adapter that holds a worker's duty for a concurrency slot on the worker.
 type Want struct {
 	Pool   string `avro:"pool"`
 	Worker string `avro:"worker"`
 	Hold   int64  `avro:"hold"`
 }
 
-// Grant gives a slot under a permit, or says why not and when to ask again.
+// Grant gives a slot under a permit, or the reason why not and when to retry.
 type Grant struct {
 	Permit int64  `avro:"permit"`
 	Kind   string `avro:"kind"`
 	Retry  int64  `avro:"retry"`
 }
 
-// Run hands a due message to the holder of a permit.
+// Run sends a due message to the adapter that granted the permit.
 type Run struct {
 	Place       int64  `avro:"place"`
 	Term        int64  `avro:"term"`
@@ -164,34 +164,34 @@
 	RequestHead []byte `avro:"head" since:"3"`
 }
 
-// RunAck tells that the run is in hand, or (Kind set) that it never starts.
+// RunAck says that the run has been accepted or, with Kind set, that it will never start.
 type RunAck struct {
 	Kind string `avro:"kind"`
 }
 
-// Release gives an unused permit back.
+// Release returns an unused permit.
 type Release struct {
 	Permit int64 `avro:"permit"`
 }
 
-// Open asks an adapter, in a new owner's term, what became of a run. The
-// adapter refuses from then on everything of an older term for that place.
+// Open asks an adapter, in a new owner's term, for the result of a run. From then on the adapter rejects
+// everything of older terms for the place.
 type Open struct {
 	Place   int64  `avro:"place"`
 	Term    int64  `avro:"term"`
 	Id      string `avro:"id"`
 	Attempt int64  `avro:"attempt"`
-	Boot    string `avro:"boot"` // of the adapter that the run was given to
+	Boot    string `avro:"boot"` // process of the adapter that received the run
 }
 
-// OpenAck: State is "open" (a result will come), "never" (it will not run) or
-// "gone" (an earlier life had it, and nobody beside it keeps a result).
+// OpenAck answers Open. State is "open" (a result will come), "never" (it will not run) or "gone" (an
+// earlier process of the adapter had it, and its agent keeps no result).
 type OpenAck struct {
 	State string `avro:"state"`
 	Kind  string `avro:"kind"`
 }
 
-// Tell has an adapter tell a URL that a message is over.
+// Tell asks an adapter to notify a URL that a message has ended.
 type Tell struct {
 	Id     string `avro:"id"`
 	Url    string `avro:"url"`
@@ -200,12 +200,12 @@
 	Answer []byte `avro:"answer"` // of the run that succeeded
 }
 
-// Told answers Tell: Kind is empty when the URL has accepted the word.
+// Told answers Tell: Kind is empty if the URL has accepted the notification.
 type Told struct {
 	Kind string `avro:"kind"`
 }
 
-// Entry is one record of a group's replicated log.
+// Entry is one entry of a group's replicated log.
 type Entry struct {
 	Index int64  `avro:"index"`
 	Term  int64  `avro:"term"`
@@ -213,7 +213,7 @@
 	Data  []byte `avro:"data"`
 }
 
-// GroupMsg is all that replicas of a group say to each other.
+// GroupMsg is every message between replicas of a group.
 type GroupMsg struct {
 	Group   int64    `avro:"group"`
 	Kind    int32    `avro:"kind"`
@@ -228,10 +228,10 @@
 	Entries []Entry  `avro:"entries"`
 	State   []byte   `avro:"state"`
 	Roster  []string `avro:"roster"`
-	Level   int64    `avro:"level" since:"6"` // of an answer: the newest feature level that the sender can apply
+	Level   int64    `avro:"level" since:"6"` // in a reply: the newest feature level that the sender can apply
 }
 
-// Ballot asks a blank store to help found a deployment with this roster.
+// Ballot asks a blank store to take part in founding a deployment with this roster.
 type Ballot struct {
 	Number  int64    `avro:"number"`
 	Cluster string   `avro:"cluster"`
@@ -239,8 +239,7 @@
 	Step    string   `avro:"step"`
 }
 
-// BallotAck answers each step of a ballot; Cluster and Roster carry what the
-// store has already promised.
+// BallotAck answers each step of a ballot. Cluster and Roster are what the store has already promised.
 type BallotAck struct {
 	Ok      bool     `avro:"ok"`
 	Number  int64    `avro:"number"`
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -6,8 +6,8 @@
 	"caperwheel/internal/errs"
 )
 
-// FuzzParse: whatever arrives on a link is parsed whole or refused with a typed
-// error; what is parsed can be written again.
+// FuzzParse guards against input on a link that is neither decoded completely nor rejected with a typed
+// error. Decoded messages can be encoded again.
 func FuzzParse(f *testing.F) {
 	names := []string{"session", "peer", "part", "place", "run", "group"}
 	asks, _ := Links["place"].Codecs(Version)
@@ -16,7 +16,7 @@
 		f.Fatal(err)
 	}
 	f.Add(append([]byte{}, w.Buffer()...), uint8(3), uint8(1))
-	f.Add([]byte{2, 0, 0xfe, 0xff, 0xff, 0xff, 0x0f}, uint8(0), uint8(1)) // a list that tells a huge length
+	f.Add([]byte{2, 0, 0xfe, 0xff, 0xff, 0xff, 0x0f}, uint8(0), uint8(1)) // a list that declares a huge length
 	f.Add([]byte{2, 4, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}, uint8(5), uint8(2))
 	f.Add([]byte{}, uint8(1), uint8(200))
 	f.Fuzz(func(t *testing.T, raw []byte, link, count uint8) {
--- a/internal/wire/link.go
+++ b/internal/wire/link.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// Link is one kind of daemon-to-daemon link: what may be asked over it and
-// what may be answered, each with one schema. The receiver knows the type of
-// what arrives from the link that the session was opened for.
+// Link is one kind of connection between daemons: the request and reply types that it carries, with one
+// schema for each direction. The receiver derives the type of a message from the link that the session was
+// opened for.
 type Link struct {
 	Name    string
-	Ordered bool // batches are dispatched in the order in which they were cut
+	Ordered bool // batches are dispatched in the order in which they were sent
 
 	requestKinds, replyKinds []any
 
@@ -16,14 +16,14 @@
 	replyCodecs   map[int64]*Codec
 }
 
-// since is a kind of message that no version before the given one has. It stands behind all
-// older kinds of its link, whose numbers stay what they were.
+// since is a message type that was added in a wire version. It is listed after all older types of its link,
+// so that their union branches keep their numbers.
 type since struct {
 	version int64
 	kind    any
 }
 
-// kindsOf returns the kinds of messages that a version has.
+// kindsOf returns the message types that exist in a wire version.
 func kindsOf(kinds []any, version int64) []any {
 	out := []any{}
 	for _, kind := range kinds {
@@ -38,36 +38,38 @@
 	return out
 }
 
-// The links of caperwheel.
+// The links between daemons.
 var (
-	// SessionLink joins a daemon to a manager, and an adapter to its agent.
+	// SessionLink connects a daemon to a manager, and an adapter to its agent.
 	SessionLink = newLink("session", false, []any{&Poll{}}, []any{&News{}})
-	// PeerLink joins two managers.
+	// PeerLink connects two managers.
 	PeerLink = newLink("peer", false, []any{&Share{}}, []any{&Share{}})
-	// PartLink joins a manager to a store.
+	// PartLink connects a manager to a store that holds parts of the control plane's data.
 	PartLink = newLink("part", false, []any{&Follow{}, &Edit{}, &Pull{}, &Retire{}},
 		[]any{&Followed{}, &Edited{}, &Pulled{}, &Retired{}})
-	// PlaceLink joins an adapter to a store.
+	// PlaceLink connects an adapter to a store that holds places, the partitions of messages.
 	PlaceLink = newLink("place", false, []any{&Take{}, &Settle{}, &Look{}, &Outcome{}, since{8, &QuotaAsk{}}},
 		[]any{&Taken{}, &Sight{}, &OutcomeAck{}, since{8, &QuotaGrants{}}})
-	// RunLink joins a store to an adapter.
+	// RunLink connects a store to an adapter that runs messages on workers.
 	RunLink = newLink("run", false, []any{&Want{}, &Run{}, &Release{}, &Open{}, &Tell{}, since{7, &TellTime{}}, since{7, &AskTime{}}},
 		[]any{&Grant{}, &RunAck{}, &OpenAck{}, &Told{}, since{7, &TimeTold{}}, since{7, &TimeKept{}}})
-	// GroupLink joins two stores.
+	// GroupLink connects two stores that hold replicas of the same groups.
 	GroupLink = newLink("group", true, []any{&GroupMsg{}, &Ballot{}}, []any{&BallotAck{}})
 )
 
-// Links finds a link by the name in a Hello.
+// Links maps the link name in a Hello to the link.
 var Links = map[string]*Link{}
 
+// newLink returns a link without codecs. Ordered links dispatch batches in the order in which they were
+// sent.
 func newLink(name string, ordered bool, requests, replies []any) *Link {
 	return &Link{Name: name, Ordered: ordered, requestKinds: requests, replyKinds: replies, requestCodecs: map[int64]*Codec{},
 		replyCodecs: map[int64]*Codec{}}
 }
 
-// Codecs returns how both directions are written in a wire version, from Oldest to
-// Version. They are built when first used: a daemon speaks few links, mostly in one
-// version, and its start waits for what is built before.
+// Codecs returns the codecs of both directions in a wire version from OldestVersion to Version. They are
+// built when first used: a daemon uses few links, mostly in one version, and building all of them would
+// delay its start.
 func (l *Link) Codecs(version int64) (requests, replies *Codec) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wire/schema.go
+++ b/internal/wire/schema.go
@@ -1,5 +1,6 @@
-// Package wire holds what caperwheel's daemons say to each other: one Avro
-// schema for each direction of each kind of link, and the Go types behind it.
+// Package wire defines the messages that caperwheel's daemons exchange: the Go structs, the links that
+// carry them, one Avro schema per direction and wire version of each link, and the codecs for messages and
+// for records in logs, snapshots and on disk. Package transport sends what is defined here.
 package wire
 
 import (
@@ -13,27 +14,29 @@
 	"caperwheel/internal/errs"
 )
 
+// field is one field of an Avro record in the JSON form of a schema.
 type field struct {
 	Name string `json:"name"`
 	Type any    `json:"type"`
 }
 
+// record is an Avro record type in the JSON form of a schema.
 type record struct {
 	Type   string  `json:"type"`
 	Name   string  `json:"name"`
 	Fields []field `json:"fields"`
 }
 
-// What one datum may make a receiver allocate: bytes of a text or body, and
-// items of a list.
+// Bounds on what one received value can make the receiver allocate: the bytes of a string or byte slice,
+// and the items of a list.
 const (
 	sliceBytesLimit = 16 << 20
 	listItemsLimit  = 1 << 17
 )
 
-// schemaOf gives the schema of a type as a wire version has it: a field tagged
-// since:"N" is not there before version N, so an older peer neither gets nor
-// sends it, and the newer one reads its zero value.
+// schemaOf returns the Avro schema of a Go type in a wire version. A field tagged since:"N" is left out
+// before version N, so an older peer neither receives nor sends it, and a newer one reads its zero value. A
+// struct type in seen was defined earlier in the same schema and is referred to by name.
 func schemaOf(t reflect.Type, version int64, seen map[string]bool) any {
 	switch t.Kind() {
 	case reflect.String:
@@ -68,35 +71,40 @@
 		}
 		return out
 	}
-	panic(errs.New(errs.Internal, "no schema for %s", t))
+	panic(errs.New(errs.Internal, "no Avro schema for Go type %s", t))
 }
 
+// mustParse parses a schema with a cache of its own, since versions define different types under one name.
+// It panics on an invalid schema, which is a programming error.
 func mustParse(text []byte) avro.Schema {
 	schema, err := avro.ParseBytesWithCache(text, "", &avro.SchemaCache{})
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "schema %s", text))
+		panic(errs.Wrap(err, errs.Internal, "parse Avro schema %s", text))
 	}
 	return schema
 }
 
-// RecordCodec is a codec for one record type, used on disk and inside log entries. It is
-// built when first used.
+// RecordCodec encodes and decodes one record type, for records on disk and in log entries. Its schema is
+// built when it is first used.
 type RecordCodec struct {
 	schema  func() avro.Schema
 	api     avro.API
 	readers sync.Pool
 }
 
-// NewRecordCodec builds a codec for the type of sample, a pointer to a struct. What
-// lies on disk and in logs stays as it was in version 1.
+// NewRecordCodec returns a codec for the type of sample, a pointer to a struct. Records on disk and in logs
+// keep the layout of wire version 1.
 func NewRecordCodec(sample any) *RecordCodec { return newRecordCodec(sample, 1) }
 
-// NewLatestRecordCodec builds a codec, with all fields, for records that never leave the process.
+// NewLatestRecordCodec returns a codec with the fields of all versions, for records that never leave the
+// process.
 func NewLatestRecordCodec(sample any) *RecordCodec { return newRecordCodec(sample, Version) }
 
-// NewRecordCodecAt builds a codec for records as a build of a wire version has them.
+// NewRecordCodecAt returns a codec for records as a build of the given wire version writes them.
 func NewRecordCodecAt(sample any, version int64) *RecordCodec { return newRecordCodec(sample, version) }
 
+// newRecordCodec returns a codec at a wire version. Its bounds are wider than those for messages from
+// peers.
 func newRecordCodec(sample any, version int64) *RecordCodec {
 	api := avro.Config{MaxByteSliceSize: 1 << 30, MaxSliceAllocSize: 1 << 22}.Freeze()
 	schema := sync.OnceValue(func() avro.Schema {
@@ -109,17 +117,18 @@
 	return &RecordCodec{schema: schema, api: api}
 }
 
-// Encode gives the record's bytes. A type that fits its schema cannot fail.
+// Encode returns the record's bytes. It panics if value does not fit the schema, which is a programming
+// error.
 func (p *RecordCodec) Encode(value any) []byte {
 	out, err := p.api.Marshal(p.schema(), value)
 	if err != nil {
-		panic(errs.Wrap(err, errs.Internal, "encode %T", value))
+		panic(errs.Wrap(err, errs.Internal, "encode record %T", value))
 	}
 	return out
 }
 
-// Decode reads the record back. The library's own Unmarshal takes a record that
-// ends early for a whole one.
+// Decode reads a record into value. It does not use the library's Unmarshal, which accepts a truncated
+// record as a complete one.
 func (p *RecordCodec) Decode(raw []byte, value any) error {
 	r, isReader := p.readers.Get().(*avro.Reader)
 	if !isReader {
@@ -131,5 +140,5 @@
 	r.Error = nil
 	r.Reset(nil)
 	p.readers.Put(r)
-	return errs.Wrap(err, errs.Corrupt, "decode %T", value)
+	return errs.Wrap(err, errs.Corrupt, "decode record %T", value)
 }
--- a/internal/wire/schema_test.go
+++ b/internal/wire/schema_test.go
@@ -8,8 +8,8 @@
 	"caperwheel/internal/errs"
 )
 
-// TestOlderPeers: a peer of version 2 neither gets nor sends what is new in
-// version 3, and one of version 3 has it whole.
+// TestOlderPeers guards against fields of version 3 or 4 that reach a peer of an older version, or are lost
+// between newer ones.
 func TestOlderPeers(t *testing.T) {
 	take := &Take{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h"), Delay: 7, NotifyUrl: "u"}
 	run := &Run{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h")}
@@ -24,7 +24,7 @@
 		}
 		return items[0].Body, nil
 	}
-	Convey("Between two daemons that settled on a version,", t, func() {
+	Convey("Between two daemons that negotiated a version,", t, func() {
 		for version := OldestVersion; version <= Version; version++ {
 			got, err := trip(PlaceLink, version, version, take)
 			So(err, ShouldBeNil)
@@ -43,10 +43,10 @@
 	})
 }
 
-// TestCutRecords: a record that ends early was once read as a whole one, its
-// last fields empty.
+// TestCutRecords guards against a truncated record that is decoded as a complete one with empty last
+// fields.
 func TestCutRecords(t *testing.T) {
-	Convey("A record on disk is read whole or refused, wherever it is cut", t, func() {
+	Convey("A record on disk is read completely, and rejected wherever it is truncated", t, func() {
 		codec := NewRecordCodec(&Take{})
 		raw := codec.Encode(&Take{Id: "1-x", Lane: "l", Body: []byte("b"), Checksum: "s", Deadline: 9})
 		var whole Take
@@ -58,10 +58,10 @@
 	})
 }
 
-// TestCodecsAreBuiltWhenUsed: the codecs of all links in all versions were once built as a
-// process began, 32 ms of its processor, before it could listen.
+// TestCodecsAreBuiltWhenUsed guards against building the codecs of all links and versions at the start of a
+// process: this took 32 ms of CPU time before the daemon could listen.
 func TestCodecsAreBuiltWhenUsed(t *testing.T) {
-	Convey("A link builds the codecs of the versions that it is used in, once", t, func() {
+	Convey("A link builds its codecs once, and only for the versions in use", t, func() {
 		link := newLink("unused", false, []any{&Look{}}, []any{&Sight{}})
 		So(len(link.requestCodecs)+len(link.replyCodecs), ShouldEqual, 0)
 		asks, replies := link.Codecs(Version)
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestKindsByVersion: kinds of messages once stood in links that no version carried, since the newest version had
-// not been raised for them. No version knows fewer kinds than the one before, nor under other numbers.
+// TestKindsByVersion guards against message types that no version carries, because the newest version was
+// not raised when they were added. Each version has the types of the one before under the same numbers.
 func TestKindsByVersion(t *testing.T) {
 	all := func(kinds []any) []any {
 		out := []any{}
@@ -85,7 +85,7 @@
 		}
 		return out
 	}
-	Convey("The newest version of each link carries all of its kinds, older ones the first of them", t, func() {
+	Convey("The newest version of each link carries all message types, older versions the first of them", t, func() {
 		for _, link := range Links {
 			for _, direction := range []struct {
 				kinds []any
@@ -107,7 +107,7 @@
 			}
 		}
 	})
-	Convey("Adapters keep the time of groups from version 7 on", t, func() {
+	Convey("AskTime is supported from version 7 on", t, func() {
 		six, _ := RunLink.Codecs(6)
 		seven, _ := RunLink.Codecs(7)
 		So([]bool{six.Supports(&AskTime{}), seven.Supports(&AskTime{})}, ShouldResemble, []bool{false, true})
