--- a/internal/session/bulkcounts.go
+++ b/internal/session/bulkcounts.go
@@ -7,20 +7,21 @@
 	"caperwheel/internal/wire"
 )
 
-// What a daemon sees of its workers is said for the weights' controllers, who
-// look once in two seconds. Said with every poll it was most of what an adapter
-// with many duties sent, so only every fullFactInterval-th poll or share has it; the
-// others are marked, and whoever hears them keeps what it heard before. Over three
-// hops that makes it 1.5 s old at most, less than a round of the controllers.
+// Counts with bulkPrefix report what a daemon observes of its workers to the weight controllers, which run
+// every two seconds. Sent with every poll they were most of the traffic of an adapter with many duties, so
+// only every fullFactInterval-th poll or share carries them. The others carry omittedMark instead, and the
+// receiver keeps the counts that it received before. Over three hops this makes them at most 1.5 s old,
+// less than a round of the controllers.
 //
-// Invariant: a marked fact lacks nothing but the counts that begin with bulk.
+// Invariant: a marked fact lacks only the counts that begin with bulkPrefix.
 const (
 	bulkPrefix       = "run_"
 	omittedMark      = "#thin"
 	fullFactInterval = 4
 )
 
-// withoutBulk gives a fact without its bulk; one that has none is left as it is.
+// withoutBulk returns a fact without its bulk counts and with the mark; a fact without bulk counts is
+// unchanged.
 func withoutBulk(f wire.Fact) wire.Fact {
 	hasBulk := false
 	for key := range f.Counts {
@@ -39,7 +40,7 @@
 	return f
 }
 
-// restoreBulk puts the bulk that was heard before into a marked fact.
+// restoreBulk adds the bulk counts that were received before to a marked fact.
 func restoreBulk(f, before wire.Fact) wire.Fact {
 	if f.Counts[omittedMark] == 0 {
 		return f
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -15,25 +15,25 @@
 	"caperwheel/internal/wire"
 )
 
-// Client keeps a daemon's session: it polls one manager (or an adapter's
-// agent) at intervals, renews the session with each poll, and brings news into the
-// view and the membership. When the manager does not answer it turns to the next.
+// Client keeps a daemon's session: it polls one manager (or an adapter its agent) at intervals, which
+// renews the session, and applies the replies to the view and the membership. If the manager does not
+// answer, the client fails over to the next.
 type Client struct {
 	Node       *transport.Node
 	Bounds     timing.Bounds
-	Seeds      func() []string // as the settings name them now; never empty
+	Seeds      func() []string // addresses from the current settings; never empty
 	View       *feed.View
 	Membership *Membership
 	Now        func() time.Duration
-	Self       func() wire.Poll // what to say of ourselves; Revisions and Membership are filled in
-	OnNews     func()           // called after each answer
+	Self       func() wire.Poll // the daemon's own state; Revisions and MembershipHash are filled in
+	OnNews     func()           // called after each reply
 
 	mu            sync.Mutex
 	targetIndex   int
 	lastAnswer    time.Duration
 	isPolling     bool
 	lastRejection string
-	pollCount     int // polls sent
+	pollCount     int // polls sent to the current target
 }
 
 // Run polls until ctx ends.
@@ -42,8 +42,9 @@
 	timing.EveryPaced(ctx, func() time.Duration { return PollInterval(c.View, c.Now(), c.Bounds) }, c.poll)
 }
 
-// PollInterval is how long whoever follows the parts waits before it asks again: a
-// daemon that has just begun must not lose a turn on each hop of the feed.
+// PollInterval returns how long a follower of the parts waits before its next poll. It is shorter while the
+// view is old or unconfirmed, because a daemon that has just started must not lose a full interval on each
+// hop of the feed.
 func PollInterval(view *feed.View, now time.Duration, bounds timing.Bounds) time.Duration {
 	if age, isSure := view.Age(now); !isSure || age > bounds.Of(timing.ViewAgeLimit)/2 {
 		return bounds.Of(timing.StalePoll)
@@ -51,13 +52,15 @@
 	return bounds.Of(timing.Poll)
 }
 
+// poll sends one poll, unless one is outstanding, and fails over if the current target has been silent for
+// too long.
 func (c *Client) poll() {
 	now, kind := c.Now(), c.Node.Self().Kind
 	c.mu.Lock()
-	if now-c.lastAnswer > c.Bounds.Of(timing.AnswerTimeout) { // silent: turn to the next
+	if now-c.lastAnswer > c.Bounds.Of(timing.AnswerTimeout) { // silent: fail over to the next target
 		targets := c.targets(kind)
 		c.targetIndex = (c.targetIndex + 1) % len(targets)
-		c.lastAnswer, c.isPolling, c.pollCount = now, false, 0 // the next hears all at once
+		c.lastAnswer, c.isPolling, c.pollCount = now, false, 0 // its first poll has complete facts
 	}
 	if c.isPolling {
 		c.mu.Unlock()
@@ -87,7 +90,7 @@
 		c.lastAnswer, c.lastRejection = c.Now(), news.Reject
 		c.mu.Unlock()
 		if isRefused {
-			klog.Warningf("session: %s refuses us: %s.", addr, news.Reject)
+			klog.Warningf("session: %s rejected this daemon's session: %s.", addr, news.Reject)
 			return
 		}
 		if news.MembershipHash != ask.MembershipHash {
@@ -105,8 +108,7 @@
 	}
 }
 
-// targets are the seeds, and any managers learnt of besides: an adapter turns
-// to its agent alone.
+// targets returns the seeds and the other managers that are known; an adapter polls only its agent.
 func (c *Client) targets(kind string) []string {
 	out := slices.Clone(c.Seeds())
 	if kind == "adapter" {
--- a/internal/session/incarnations.go
+++ b/internal/session/incarnations.go
@@ -2,16 +2,18 @@
 
 import "slices"
 
-// lives are those that a manager knows of one name, in the order in which it learnt of them. A process
-// that has ended may still have polls under way; only one that lives goes on polling.
+// incarnations are the processes of one daemon name that a manager knows of, in the order in which it
+// learned of them. A process that has ended may still have polls in flight; only a live one continues to
+// poll.
 //
-// Invariant: newest is not among the former; these are at most maxFormer, the oldest first.
+// Invariant: current is not among the former ones, of which there are at most maxFormer, oldest first.
 type incarnations struct {
 	current string
 	former  []formerIncarnation
 }
 
-// formerIncarnation is a life that another has followed, and how many polls of it have come since.
+// formerIncarnation is a process that another has succeeded, with the number of polls received from it
+// since.
 type formerIncarnation struct {
 	boot  string
 	polls int
@@ -19,12 +21,12 @@
 
 const (
 	maxFormer = 4
-	// pollsToConfirm is how many polls show that a life goes on: a daemon has one under way, and
-	// one more where it has turned to another manager.
+	// pollsToConfirm is the number of polls that show that a process is live: a daemon has one in flight,
+	// and a second one if it has failed over to another manager.
 	pollsToConfirm = 3
 )
 
-// notePoll notes a poll of a life, and reports whether the life may be the member.
+// notePoll counts a poll of a process and reports whether the process may be the member.
 func (l *incarnations) notePoll(boot string) bool {
 	for i := range l.former {
 		if f := &l.former[i]; f.boot == boot {
@@ -35,7 +37,7 @@
 	return true
 }
 
-// setCurrent notes which life is the member now.
+// setCurrent records which process is the member now.
 func (l *incarnations) setCurrent(boot string) {
 	if boot == l.current {
 		return
--- a/internal/session/membership.go
+++ b/internal/session/membership.go
@@ -6,10 +6,9 @@
 	"caperwheel/internal/wire"
 )
 
-// Membership is a daemon's copy of the members, with hints of who owns what.
+// Membership is a daemon's copy of the list of members, with hints about which store owns which group.
 //
-// Invariant: list and core are never written once they stand, so they are
-// handed out as they are.
+// Invariant: list and core are not modified after they are set, so they are returned without copying.
 type Membership struct {
 	mu      sync.RWMutex
 	hash    string
@@ -17,34 +16,35 @@
 	kinds   map[string][]wire.Who
 	members map[string]wire.Member
 	owners  map[int64]ownerHint
-	// Some store is asked to stop.
+	// Whether any store has been asked to stop.
 	hasDrainingStores bool
-	// Managers and stores alone: all that an adapter or agent needs to know of,
-	// however many of its own kind there are.
+	// The managers and stores, which are all that an adapter or agent needs, however many of its own kind
+	// there are.
 	coreHash string
 	core     []wire.Member
 }
 
+// ownerHint is the store that last claimed a group, and the term of the claim.
 type ownerHint struct {
 	name string
 	term int64
 }
 
-// NewMembership returns a membership without members.
+// NewMembership returns an empty membership.
 func NewMembership() *Membership {
 	return &Membership{members: map[string]wire.Member{}, owners: map[int64]ownerHint{}, kinds: map[string][]wire.Who{},
 		core: []wire.Member{}, coreHash: MembershipHash(nil)}
 }
 
-// Hash returns the hash of the list held here, so that it is not sent again.
+// Hash returns the hash of the list, so that the list is not sent again.
 func (r *Membership) Hash() string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.hash
 }
 
-// Update brings a list in. One of the same hash tells nothing new: whatever else
-// its members say is for managers, who keep it in their registry.
+// Update replaces the list. A list with the same hash is ignored: anything else that its members report is
+// for managers, which keep it in their registry.
 func (r *Membership) Update(hash string, members []wire.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,11 +70,13 @@
 	r.owners, r.coreHash = owners, MembershipHash(r.core)
 }
 
-// DrainingCount is the count by which a daemon tells that it is asked to stop.
+// DrainingCount is the name of the count by which a daemon reports that it has been asked to stop.
 const DrainingCount = "leaving"
 
+// isDraining reports whether the member has been asked to stop.
 func isDraining(m wire.Member) bool { return m.Fact.Counts[DrainingCount] > 0 }
 
+// isCore reports whether a daemon of this kind is visible to all others.
 func isCore(kind string) bool { return kind == "manager" || kind == "store" }
 
 // Find returns a member by name.
@@ -85,7 +87,7 @@
 	return m.Who, isKnown
 }
 
-// Owner returns the store that was last said to own a group.
+// Owner returns the store that was last reported to own a group.
 func (r *Membership) Owner(id int64) (wire.Who, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -93,7 +95,7 @@
 	return m.Who, isKnown
 }
 
-// HasOwner reports whether any group from first on has an owner that is here.
+// HasOwner reports whether any group with an id of at least first has a known owner.
 func (r *Membership) HasOwner(first int64) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -105,35 +107,35 @@
 	return false
 }
 
-// IsDraining reports whether a member says that it is asked to stop.
+// IsDraining reports whether a member has been asked to stop.
 func (r *Membership) IsDraining(name string) bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return isDraining(r.members[name])
 }
 
-// HasDrainingStores reports whether some store says that it is asked to stop.
+// HasDrainingStores reports whether any store has been asked to stop.
 func (r *Membership) HasDrainingStores() bool {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.hasDrainingStores
 }
 
-// OfKind returns the members of a kind. The list is the caller's own.
+// OfKind returns the members of a kind. The caller owns the returned slice.
 func (r *Membership) OfKind(kind string) []wire.Who {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return append([]wire.Who{}, r.kinds[kind]...)
 }
 
-// All returns the list as it was taken; it must not be written to.
+// All returns the hash and the full list, which must not be modified.
 func (r *Membership) All() (string, []wire.Member) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.hash, r.list
 }
 
-// VisibleTo returns what a daemon of a kind needs to know of the members.
+// VisibleTo returns the hash and the list of the members that a daemon of a kind needs to know.
 func (r *Membership) VisibleTo(kind string) (string, []wire.Member) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/session/news.go
+++ b/internal/session/news.go
@@ -7,7 +7,7 @@
 	"caperwheel/internal/wire"
 )
 
-// factForMembers gives what others than managers need of a member's fact.
+// factForMembers returns the part of a member's fact that daemons other than managers need.
 func factForMembers(m wire.Member) wire.Fact {
 	counts := map[string]int64{}
 	if isCore(m.Who.Kind) && isDraining(m) {
@@ -16,8 +16,8 @@
 	return wire.Fact{Counts: counts}
 }
 
-// NewsFor builds the answer to a poll from a view and a membership. Whoever passes news on
-// confirms no more than it was told itself.
+// NewsFor builds the reply to a poll from a view and a membership. A daemon that relays changes confirms no
+// more than was confirmed to itself.
 func NewsFor(poll *wire.Poll, view *feed.View, now time.Duration, membership *Membership) *wire.News {
 	out := &wire.News{Parts: view.News(poll.Revisions, now), Members: []wire.Member{}}
 	hash, list := membership.VisibleTo(poll.Who.Kind)
--- a/internal/session/registry.go
+++ b/internal/session/registry.go
@@ -1,5 +1,7 @@
-// Package session is membership: a daemon is a member while its session with
-// a manager stands, and managers tell each other their sessions.
+// Package session implements membership: a daemon is a member while its session with a manager is live, and
+// managers tell each other their sessions. It holds the managers' Registry of sessions, the Client that
+// keeps a daemon's session, and the Membership that every daemon has as a copy. Package daemon makes Client
+// and Membership; managers and agents hold a Registry.
 package session
 
 import (
@@ -15,16 +17,18 @@
 	"caperwheel/internal/wire"
 )
 
-// Registry is a manager's list of sessions, its own and its peers'.
+// Registry is a manager's list of sessions: those with itself and those that other managers report.
 //
-// Invariant: of one name only one life is a member: the one heard last, but for late polls of former
-// lives (see lives); ages only ever add up, so no manager makes a session younger than it was told.
+// Invariants: of each name only one process is a member, the one heard from last, except for late polls of
+// former processes (see incarnations). Ages only add up, so no manager makes a session younger than was
+// reported to it.
 type Registry struct {
 	mu      sync.Mutex
-	timeout time.Duration // silence after which a session is over
+	timeout time.Duration // silence after which a session has expired
 	entries map[string]registryEntry
 }
 
+// registryEntry is a known session. isDirect says that the daemon polls this manager itself.
 type registryEntry struct {
 	member       wire.Member
 	lastSeen     time.Duration
@@ -32,12 +36,13 @@
 	incarnations incarnations
 }
 
-// NewRegistry returns an empty registry whose sessions end after gone of silence.
+// NewRegistry returns an empty registry whose sessions expire after a silence of timeout.
 func NewRegistry(timeout time.Duration) *Registry {
 	return &Registry{timeout: timeout, entries: map[string]registryEntry{}}
 }
 
-// Renew renews a member's session.
+// Renew renews a member's session, unless the report is older than what is known or comes from a former
+// process.
 func (r *Registry) Renew(m wire.Member, now time.Duration, isDirect bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,8 +66,8 @@
 	r.entries[m.Who.Name] = registryEntry{m, lastSeen, isDirect, known}
 }
 
-// AddIfUnknown takes in what a peer has heard of somebody else. It makes nobody's session
-// younger: whoever is known already is heard by itself.
+// AddIfUnknown adds a member that a peer reports about a third party. It makes no session younger: a member
+// that is known already renews its session itself.
 func (r *Registry) AddIfUnknown(m wire.Member, now time.Duration) {
 	r.mu.Lock()
 	known, isKnown := r.entries[m.Who.Name]
@@ -72,8 +77,7 @@
 	}
 }
 
-// Members lists who is a member now, with ages, by name, and the membership: a hash
-// of what other daemons need to know of them.
+// Members returns the current members with their ages, sorted by name, and their membership hash.
 func (r *Registry) Members(now time.Duration) (string, []wire.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,9 +94,9 @@
 	return MembershipHash(out), out
 }
 
-// SessionsForPeers lists the sessions that stand with this manager, for its peers, and the
-// other managers that it knows of, so that those who are no seeds meet. Every
-// share of one turn in fullFactInterval is whole.
+// SessionsForPeers returns the sessions with this manager, for its peers, and the other managers that it
+// knows of, so that managers that are no seeds find each other. One share in fullFactInterval has complete
+// facts.
 func (r *Registry) SessionsForPeers(now time.Duration) []wire.Member {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,12 +114,13 @@
 	return out
 }
 
-// shareInterval is how often peers are told; gone is a ratio of the same bound.
+// shareInterval is how often sessions are shared with peers; timeout is a ratio of the same timing bound.
 func (r *Registry) shareInterval() time.Duration {
 	return max(1, r.timeout*time.Duration(timing.Poll)/time.Duration(timing.SessionTimeout))
 }
 
-// MembershipHash hashes what matters of a list of members.
+// MembershipHash hashes what other daemons need to know of a list of members. The format is that of earlier
+// builds.
 func MembershipHash(members []wire.Member) string {
 	h, line := sha256.New(), []byte{}
 	for _, m := range members {
@@ -128,7 +133,7 @@
 			line = append(line, word...)
 		}
 		line = append(line, '}')
-		if isCore(w.Kind) && isDraining(m) { // of others only managers need to know it
+		if isCore(w.Kind) && isDraining(m) { // of other kinds only managers need to know it
 			line = append(line, " leaving"...)
 		}
 		for _, o := range m.Owns {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -17,7 +17,7 @@
 	return wire.Member{Who: wire.Who{Name: name, Boot: boot}, Age: age}
 }
 
-// TestSessions is the table of who is a member.
+// TestSessions checks which process of a name is a member after what was heard directly or from peers.
 func TestSessions(t *testing.T) {
 	const gone = 2 * time.Second
 	cases := []struct {
@@ -26,14 +26,14 @@
 		at   time.Duration
 		boot string // of x; empty for no member
 	}{
-		{"whoever was heard lately", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone, "1"},
-		{"not who has been silent", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone + 1, ""},
-		{"not who was silent already when a peer told", func(r *Registry) { r.Renew(member("x", "1", 1500), time.Second, false) }, 1600 * time.Millisecond, ""},
-		{"the newest life", func(r *Registry) {
+		{"a daemon heard from within the timeout", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone, "1"},
+		{"not one that has been silent for longer", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone + 1, ""},
+		{"not one that had been silent when a peer reported it", func(r *Registry) { r.Renew(member("x", "1", 1500), time.Second, false) }, 1600 * time.Millisecond, ""},
+		{"the newest process", func(r *Registry) {
 			r.Renew(member("x", "1", 0), 0, true)
 			r.Renew(member("x", "2", 0), 1, false)
 		}, 1, "2"},
-		{"not an older life that a peer still tells of", func(r *Registry) {
+		{"not an older process that a peer still reports", func(r *Registry) {
 			r.Renew(member("x", "2", 0), time.Second, true)
 			r.Renew(member("x", "1", 900), time.Second, false)
 		}, time.Second, "2"},
@@ -51,7 +51,7 @@
 				So(boot, ShouldEqual, c.boot)
 			})
 		}
-		Convey("told on by peers with ages that only grow", func() {
+		Convey("relayed by peers with ages that only grow", func() {
 			one, two := NewRegistry(gone), NewRegistry(gone)
 			one.Renew(member("x", "1", 0), 0, true)
 			for _, m := range one.SessionsForPeers(time.Second) {
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestFormerLives: polls that were under way as a daemon ended were once taken for its newest life's session, which
-// its next life then seemed to have lost.
+// TestFormerLives guards against a late poll of an ended process that replaces the session of the daemon's
+// newest process, whose session then seems lost.
 func TestFormerLives(t *testing.T) {
 	const gone = 2 * time.Second
 	type poll struct {
@@ -89,13 +89,13 @@
 		polls []poll
 		boot  string // the member's at the last poll
 	}{
-		{"not a former life whose poll comes late", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}}, "2"},
-		{"nor one whose next life another manager has heard", []poll{{"1", 0, true}, {"2", 1, false}, {"1", 2, true}}, "2"},
-		{"nor one before the last", []poll{{"1", 0, true}, {"2", 1, true}, {"3", 2, true}, {"1", 3, true}}, "3"},
-		{"nor two polls that come late", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}}, "2"},
-		{"one that goes on, as only a living one does", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}, {"1", 4, true}}, "1"},
-		{"one that is heard once the other has been silent", []poll{{"1", 0, true}, {"2", 1, true}, {"1", gone + 2, true}}, "1"},
-		{"one that a manager has heard since", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, false}}, "1"},
+		{"not a former process whose poll comes late", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}}, "2"},
+		{"nor one whose successor another manager has heard from", []poll{{"1", 0, true}, {"2", 1, false}, {"1", 2, true}}, "2"},
+		{"nor one before the previous process", []poll{{"1", 0, true}, {"2", 1, true}, {"3", 2, true}, {"1", 3, true}}, "3"},
+		{"nor one with two late polls", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}}, "2"},
+		{"one that continues to poll, as only a live process does", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}, {"1", 4, true}}, "1"},
+		{"one that polls after the other has been silent", []poll{{"1", 0, true}, {"2", 1, true}, {"1", gone + 2, true}}, "1"},
+		{"one that another manager has heard from since", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, false}}, "1"},
 	}
 	Convey("A member is", t, func() {
 		for _, c := range cases {
@@ -113,8 +113,8 @@
 	})
 }
 
-// TestInterest: every agent and adapter once had the whole membership, and got it anew
-// whenever any one of them came or went.
+// TestInterest guards against sending the whole membership to every agent and adapter, again whenever any
+// one of them joins or leaves.
 func TestInterest(t *testing.T) {
 	membersOfKind := func(kind string, count int) (out []wire.Member) {
 		for i := range count {
@@ -131,14 +131,14 @@
 		news := func(kind, hash string) *wire.News {
 			return NewsFor(&wire.Poll{Who: wire.Who{Kind: kind}, Revisions: view.Revisions(), MembershipHash: hash}, view, 0, membership)
 		}
-		Convey("a store hears of all, an agent and an adapter of managers and stores", func() {
+		Convey("a store receives all members, an agent and an adapter the managers and stores", func() {
 			count := map[string]int{}
 			for _, kind := range []string{"store", "agent", "adapter"} {
 				count[kind] = len(news(kind, "").Members)
 			}
 			So(count, ShouldResemble, map[string]int{"store": 47, "agent": 7, "adapter": 7})
 		})
-		Convey("nothing is said again, and a front that comes is no news to another", func() {
+		Convey("nothing is sent again, and a member that joins does not change what agents receive if it is neither manager nor store", func() {
 			hash := news("agent", "").MembershipHash
 			So(news("agent", hash).Members, ShouldBeEmpty)
 			more := append(all, member("new", "1", 0))
@@ -146,7 +146,7 @@
 			So(news("agent", hash).MembershipHash, ShouldEqual, hash)
 			So(len(news("store", MembershipHash(all)).Members), ShouldEqual, 48)
 		})
-		Convey("what an agent passes on to its adapter is what it was told", func() {
+		Convey("an agent relays to its adapter what it received", func() {
 			received := news("agent", "")
 			agent := NewMembership()
 			agent.Update(received.MembershipHash, received.Members)
@@ -155,7 +155,7 @@
 			So(len(list), ShouldEqual, 7)
 		})
 	})
-	Convey("The hash of a list is that of earlier builds", t, func() {
+	Convey("The hash of a list is the same as in earlier builds", t, func() {
 		m := wire.Member{Who: wire.Who{Name: "x", Kind: "store", Boot: "1", Zone: "a", Addr: "127.0.0.1:1", Http: "127.0.0.1:2"},
 			Owns: []wire.Owned{{Group: 5, Term: 9}, {Group: 6, Term: 1}}}
 		sum := sha256.Sum256([]byte(fmt.Sprintf("%v %d/%d %d/%d", m.Who, 5, 9, 6, 1)))
@@ -163,18 +163,18 @@
 	})
 }
 
-// TestThin: an adapter once said all that it saw of its workers eight times a
-// second, to its agent, the agent to a manager, and the manager to its peers.
+// TestThin guards against sending all that an adapter observes of its workers eight times a second, to its
+// agent, from the agent to a manager, and from the manager to its peers.
 func TestThin(t *testing.T) {
 	whole := func(micros int64) wire.Fact {
 		return wire.Fact{Counts: map[string]int64{"runs": 3, "run_micros p/w": micros, "run_misses p/w": 5}}
 	}
 	said := func(boot string, f wire.Fact) wire.Member { m := member("x", boot, 0); m.Fact = f; return m }
-	Convey("Given a registry that has heard all of a daemon", t, func() {
+	Convey("Given a registry that has received all counts of a daemon", t, func() {
 		r := NewRegistry(2100 * time.Millisecond)
 		r.Renew(said("1", whole(7)), 0, true)
 		counts := func() map[string]int64 { _, list := r.Members(3); return list[0].Fact.Counts }
-		Convey("a thin fact keeps what was heard, and brings the rest", func() {
+		Convey("a fact without bulk counts keeps the earlier ones and updates the rest", func() {
 			next := withoutBulk(whole(9))
 			next.Counts["runs"] = 4
 			r.Renew(said("1", next), 1, true)
@@ -182,15 +182,15 @@
 			r.Renew(said("1", withoutBulk(next)), 2, true)
 			So(counts()["run_micros p/w"], ShouldEqual, 7)
 		})
-		Convey("a whole one replaces it, also by nothing", func() {
+		Convey("a complete fact replaces it, also if it has no bulk counts", func() {
 			r.Renew(said("1", wire.Fact{Counts: map[string]int64{"runs": 1}}), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 1})
 		})
-		Convey("nothing is kept from an earlier life", func() {
+		Convey("nothing is kept from an earlier process", func() {
 			r.Renew(said("2", withoutBulk(whole(9))), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 3})
 		})
-		Convey("of four beats' shares to peers one is whole", func() {
+		Convey("one of four shares to peers is complete", func() {
 			wholes := 0
 			for beat := range 16 {
 				r.Renew(said("1", whole(7)), time.Duration(beat)*120*time.Millisecond, true)
@@ -201,7 +201,7 @@
 			So(wholes, ShouldEqual, 4)
 		})
 	})
-	Convey("A fact without bulk is never marked", t, func() {
+	Convey("A fact without bulk counts is never marked", t, func() {
 		f := wire.Fact{Counts: map[string]int64{"leaving": 1}}
 		So(withoutBulk(f), ShouldResemble, f)
 	})
--- a/internal/web/client.go
+++ b/internal/web/client.go
@@ -11,35 +11,33 @@
 	"caperwheel/internal/errs"
 )
 
-// ClientOptions set up a client.
+// ClientOptions configure a Client.
 type ClientOptions struct {
-	DialTimeout       time.Duration // a connection that is not made within this is given up
-	IdleTimeout       time.Duration // a connection that nobody has used for this long is closed
-	MaxIdlePerAddress int           // connections kept for one address
+	DialTimeout       time.Duration // a connection attempt is aborted after this time
+	IdleTimeout       time.Duration // an idle connection is closed after this time
+	MaxIdlePerAddress int           // idle connections kept for one address
 	KeepAlive         net.KeepAliveConfig
 }
 
-// maxIdleConnections bounds the connections that a client keeps for all addresses.
+// maxIdleConnections bounds the idle connections of a client over all addresses.
 const maxIdleConnections = 4096
 
-// Client is the one way out of a daemon for HTTP requests. Each exchange has a
-// connection to itself, on which the library sends a request once or fails:
-// there is no pool of the library's that could send it again.
+// Client sends all HTTP requests of a daemon. Each exchange has a connection to itself, on which net/http
+// sends a request once or fails: there is no pool of net/http's that could resend it.
 //
-// Invariants: once a byte of a request was written, no other connection gets
-// it, whatever its method, body and header fields; a connection is used again
-// only if its last answer was read whole, whoever asked lets it, and nothing
-// has come on it since.
+// Invariants: once a byte of a request was written, the request is sent on no other connection, whatever
+// its method, body and header fields; a connection is reused only if its last reply was read completely,
+// CanReuse allows it, and nothing has arrived on it since.
 type Client struct {
 	options   ClientOptions
 	transport *http.Transport
 
 	mu    sync.Mutex
-	idle  map[string][]*connection // by address; the one used last is the last one
+	idle  map[string][]*connection // by address; the most recently used one is last
 	total int
 }
 
-// NewClient gives a client without connections.
+// NewClient returns a client without connections.
 func NewClient(o ClientOptions) *Client {
 	c := &Client{options: o, idle: map[string][]*connection{}}
 	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAliveConfig: o.KeepAlive}
@@ -55,31 +53,31 @@
 	return c
 }
 
-// connectionKey is the context's key of the connection that is being made.
+// connectionKey is the context key of the connection that is being dialed.
 type connectionKey struct{}
 
-// SendOptions are what a request is sent on.
+// SendOptions configure one exchange.
 type SendOptions struct {
-	MaxBodyBytes  int64             // bytes of the answer's body that are kept; a longer one is read to its end and not kept
-	WantsChecksum bool              // the body's checksum is wanted
-	CanReuse      func(*Reply) bool // whether the connection may carry another request after this answer; nil means no
-	// Before is asked once a connection had to be made for the request, right
-	// before the request is written: making it may have taken long. Nil asks nothing.
+	MaxBodyBytes  int64             // bytes of the reply's body that are kept; a longer one is read to its end and dropped
+	WantsChecksum bool              // compute the checksum of the body
+	CanReuse      func(*Reply) bool // whether the connection may carry another request after this reply; nil means no
+	// BeforeSend is called right before the request is written if a connection had to be dialed for it,
+	// which may have taken long. An error cancels the request. It may be nil.
 	BeforeSend func() error
 }
 
-// AlwaysReuse lets every connection be used again whose answer was whole.
+// AlwaysReuse is a CanReuse that allows every connection with a complete reply to be reused.
 func AlwaysReuse(*Reply) bool { return true }
 
-// Send sends a request at most once and reads its whole answer. An answer whose
-// end cannot be known is an error.
+// Send sends a request at most once and reads its complete reply. A reply whose end cannot be determined is
+// an error.
 func (c *Client) Send(r *http.Request, t SendOptions) (*Reply, error) {
 	answer, _, err := c.send(r, t)
 	return answer, err
 }
 
-// SendRepeatable is Send for a call that does no harm when it arrives twice: if
-// a kept connection breaks over it, it is sent once more.
+// SendRepeatable is Send for an idempotent request: if a reused connection breaks during it, it is sent
+// once more.
 func (c *Client) SendRepeatable(r *http.Request, t SendOptions) (*Reply, error) {
 	answer, isFirst, err := c.send(r, t)
 	if err == nil || isFirst || r.Context().Err() != nil || !errs.Is(err, errs.Lost) {
@@ -92,11 +90,13 @@
 	return c.Send(again, t)
 }
 
+// send sends a request once. It retries on another connection only if a reused one broke before anything
+// was written. isFirst says that the request was the first on its connection.
 func (c *Client) send(r *http.Request, t SendOptions) (answer *Reply, isFirst bool, err error) {
 	for {
 		conn, err := c.acquire(r)
 		if err != nil {
-			return nil, true, &UnsentError{errs.Wrap(err, errs.Lost, "no connection to %s", r.URL.Host)}
+			return nil, true, &UnsentError{errs.Wrap(err, errs.Lost, "connect to %s", r.URL.Host)}
 		}
 		if conn.requests == 1 && t.BeforeSend != nil {
 			if err := t.BeforeSend(); err != nil {
@@ -122,11 +122,11 @@
 		if isFirst || !isWhole || r.Context().Err() != nil {
 			return nil, isFirst, &UnsentError{err}
 		}
-		r = again // the kept connection had gone before anything was written
+		r = again // the reused connection was closed before anything was written
 	}
 }
 
-// withFreshBody returns the request with its body from the start, if it can be had.
+// withFreshBody returns the request with its body from the start, if the body can be read again.
 func withFreshBody(r *http.Request) (again *http.Request, isWhole bool) {
 	out := *r
 	if r.Body == nil || r.Body == http.NoBody {
@@ -140,7 +140,7 @@
 	return &out, err == nil
 }
 
-// acquire returns a kept connection that is fit for use, or makes one.
+// acquire returns an idle connection that is fit for use, or dials one.
 func (c *Client) acquire(r *http.Request) (*connection, error) {
 	address := addressOf(r)
 	for {
@@ -154,6 +154,7 @@
 	}
 }
 
+// dial opens a connection for a request.
 func (c *Client) dial(r *http.Request, address string) (*connection, error) {
 	conn := &connection{client: c, address: address, isPlain: r.URL.Scheme == "http", requests: 1}
 	clientConn, err := c.transport.NewClientConn(context.WithValue(r.Context(), connectionKey{}, conn), r.URL.Scheme, address)
@@ -165,6 +166,7 @@
 	return conn, nil
 }
 
+// addressOf returns the host and port that a request is sent to.
 func addressOf(r *http.Request) string {
 	port := r.URL.Port()
 	switch {
@@ -177,6 +179,7 @@
 	return net.JoinHostPort(r.URL.Hostname(), port)
 }
 
+// popIdle removes and returns the most recently used idle connection to an address; nil for none.
 func (c *Client) popIdle(address string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +192,7 @@
 	return conn
 }
 
-// putIdle keeps a connection, if there is room.
+// putIdle keeps an idle connection and returns true, unless the client has too many.
 func (c *Client) putIdle(conn *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,7 +204,7 @@
 	return true
 }
 
-// removeIdle takes a connection out that is not fit any more.
+// removeIdle removes a connection that is no longer fit for use.
 func (c *Client) removeIdle(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -211,7 +214,7 @@
 	}
 }
 
-// removeAt is called with mu held.
+// removeAt removes the connection at an index of its address's list. The caller holds mu.
 func (c *Client) removeAt(conn *connection, list []*connection, at int) {
 	c.total--
 	if list = slices.Delete(list, at, at+1); len(list) == 0 {
@@ -221,7 +224,7 @@
 	c.idle[conn.address] = list
 }
 
-// IdleCount reports how many connections are kept.
+// IdleCount returns the number of idle connections.
 func (c *Client) IdleCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/web/client_test.go
+++ b/internal/web/client_test.go
@@ -18,8 +18,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// rawServer accepts on a bare listener; serve gets each connection with its
-// number, from 1 on, and a reader of it.
+// rawServer accepts on a bare listener; serve gets each connection with its number, from 1 on, and a reader
+// of it.
 func rawServer(serve func(number int64, conn net.Conn, r *bufio.Reader)) (address string, accepted *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -41,11 +41,12 @@
 	return listener.Addr().String(), accepted
 }
 
+// testClient returns a client with timeouts that do not expire during a test.
 func testClient() *Client {
 	return NewClient(ClientOptions{DialTimeout: time.Minute, IdleTimeout: time.Minute, MaxIdlePerAddress: 8})
 }
 
-// waitIdleCount waits until the client keeps so many connections.
+// waitIdleCount waits until the client has the given number of idle connections.
 func waitIdleCount(c *Client, kept int) {
 	for until := time.Now().Add(time.Minute); c.IdleCount() != kept && time.Now().Before(until); {
 		runtime.Gosched()
@@ -53,8 +54,8 @@
 	So(c.IdleCount(), ShouldEqual, kept)
 }
 
-// TestBytesAsTheyWere: nothing that keeps a request from being sent again shows
-// on the wire.
+// TestBytesAsTheyWere guards against changes of the bytes on the wire by the measures that keep a request
+// from being resent.
 func TestBytesAsTheyWere(t *testing.T) {
 	cases := []struct {
 		method, body, want string
@@ -70,7 +71,7 @@
 		{"POST", "body", "POST /a%2Fb?c HTTP/1.1\r\nHost: x.example\r\nContent-Length: 4\r\n\r\nbody", false},
 		{"GET", "body", "GET /a%2Fb?c HTTP/1.1\r\nHost: x.example\r\nContent-Length: 4\r\n\r\nbody", false},
 	}
-	Convey("A request goes out to the byte as it is", t, func() {
+	Convey("A request is sent byte for byte as it is", t, func() {
 		for _, c := range cases {
 			Convey(c.method+" "+c.body+map[bool]string{true: "NoBody"}[c.isNoBody], func() {
 				got := make(chan string, 1)
@@ -100,12 +101,12 @@
 	})
 }
 
-// TestUsedAgain is the table of when a connection carries another request. What
-// was left over of an answer, or came unasked, was once the next one's answer.
+// TestUsedAgain guards against leftover or unsolicited bytes on a connection that are taken for the reply
+// to the next request. Its cases say when a connection is reused.
 func TestUsedAgain(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
 	cases := []struct {
-		name, first, later string // what the first request gets, and what comes after it was read
+		name, first, later string // the reply to the first request, and the bytes that arrive after it was read
 		isClosed           bool
 		mayKeep            func(*Reply) bool
 		isUsedAgain        bool
@@ -113,12 +114,12 @@
 		{"answered", whole + "own", "", false, AlwaysReuse, true},
 		{"answered in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\n", "", false, AlwaysReuse, true},
 		{"answered without a body", "HTTP/1.1 204 No Content\r\n\r\n", "", false, AlwaysReuse, true},
-		{"answered, when whoever asked does not let it", whole + "own", "", false, func(*Reply) bool { return false }, false},
-		{"answered, when nobody lets it", whole + "own", "", false, nil, false},
-		{"left a byte over", whole + "own.", "", false, AlwaysReuse, false},
+		{"answered, when CanReuse forbids it", whole + "own", "", false, func(*Reply) bool { return false }, false},
+		{"answered, when CanReuse is nil", whole + "own", "", false, nil, false},
+		{"sent an extra byte", whole + "own.", "", false, AlwaysReuse, false},
 		{"answered twice at once", whole + "own" + whole + "old", "", false, AlwaysReuse, false},
-		{"left half a head over", whole + "ownHTTP/1.1 2", "", false, AlwaysReuse, false},
-		{"left over after its chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n", "", false, AlwaysReuse, false},
+		{"sent an extra half of a head", whole + "ownHTTP/1.1 2", "", false, AlwaysReuse, false},
+		{"sent extra bytes after its chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nown\r\n0\r\n\r\nHTTP/1.1 200 OK\r\n", "", false, AlwaysReuse, false},
 		{"answered a second time later", whole + "own", whole + "old", false, AlwaysReuse, false},
 		{"sent half a head later", whole + "own", "HTTP/1.1 2", false, AlwaysReuse, false},
 		{"sent 408 later", whole + "own", "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n", true, AlwaysReuse, false},
@@ -166,8 +167,8 @@
 			})
 		}
 	})
-	Convey("An answer that came before its request was written is none", t, func() {
-		ours, theirs := net.Pipe() // on which a write ends when it was read
+	Convey("A reply that arrives before its request was written is an error", t, func() {
+		ours, theirs := net.Pipe() // a write returns when it was read
 		client := testClient()
 		client.transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 			conn := ctx.Value(connectionKey{}).(*connection)
@@ -175,7 +176,7 @@
 			return conn, nil
 		}
 		once := sync.Once{}
-		trace := &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { // into a buffer that is not written yet
+		trace := &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { // the field is still in a buffer
 			once.Do(func() {
 				_, _ = theirs.Write([]byte(whole))
 				_, _ = theirs.Write([]byte("old"))
--- a/internal/web/connection.go
+++ b/internal/web/connection.go
@@ -9,43 +9,43 @@
 	"caperwheel/internal/errs"
 )
 
-// phase is the state of a connection.
+// phase is the state of a client connection.
 type phase int
 
-// The states. A connection goes from busy to answered or idle, from answered to
-// idle, from idle to busy, and from each to spent.
+// The states. A connection goes from phaseBusy to phaseAnswered or phaseIdle, from phaseAnswered to
+// phaseIdle, from phaseIdle to phaseBusy, and from each to phaseClosed.
 const (
-	phaseBusy     phase = iota // a request is on it
-	phaseAnswered              // its answer was whole, and its reader is on its way back
-	phaseIdle                  // its reader waits, and nothing has come since the answer
+	phaseBusy     phase = iota // carries a request
+	phaseAnswered              // the reply was complete, and the reader has not returned to Read yet
+	phaseIdle                  // the reader waits, and nothing has arrived since the reply
 	phaseClosed                // never used again
 )
 
-// connection is a net.Conn that knows what came on it, and when. The library's
-// reader reads again after an answer only if nothing is left over of it: what is
-// left over, or comes unasked, never leads to the state idle.
+// connection is a net.Conn that tracks what arrives on it, and when. After a reply, net/http's reader calls
+// Read again only if no bytes are left over: a connection with leftover or unsolicited bytes never becomes
+// idle.
 //
-// Invariant: it is in its client's list only while it is idle.
+// Invariant: it is in its client's list of idle connections only while it is idle.
 type connection struct {
 	net.Conn
 	client     *Client
 	address    string
 	clientConn *http.ClientConn
-	requests   int  // by the goroutine that has it
-	isPlain    bool // no TLS, whose own bytes come and go at any time
+	requests   int  // sent on it; used by the goroutine that holds the connection
+	isPlain    bool // no TLS, which exchanges bytes of its own at any time
 
 	mu             sync.Mutex
 	phase          phase
 	isReading      bool
 	isWriting      bool
-	isSealed       bool          // nothing more is written
-	written        int64         // bytes of the request that is on it
-	hasEarlyBytes  bool          // bytes came before any of that request was written
-	readerReturned chan struct{} // closed once the reader of an answered connection is back, or has ended
+	isSealed       bool          // no further writes
+	written        int64         // bytes of the current request
+	hasEarlyBytes  bool          // bytes arrived before any byte of the current request was written
+	readerReturned chan struct{} // closed once the reader of an answered connection is back in Read, or has ended
 	expiry         *time.Timer
 }
 
-// Read notes whether its caller waits, and what it gets.
+// Read reads for net/http and tracks whether its reader waits and when bytes arrive.
 func (c *connection) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	c.isReading = true
@@ -62,7 +62,7 @@
 	}
 	wasIdle := c.phase == phaseIdle
 	if wasIdle {
-		c.phase = phaseClosed // from now on nobody takes it into use
+		c.phase = phaseClosed // from now on nobody acquires it
 	}
 	c.mu.Unlock()
 	if wasIdle {
@@ -72,12 +72,12 @@
 	return n, err
 }
 
-// Write counts what is written.
+// Write writes for net/http and counts the bytes.
 func (c *connection) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	if c.isSealed {
 		c.mu.Unlock()
-		return 0, errs.New(errs.Lost, "the request was withdrawn")
+		return 0, errs.New(errs.Lost, "the request was withdrawn before it was written")
 	}
 	c.isWriting = true
 	c.mu.Unlock()
@@ -89,15 +89,15 @@
 	return n, err
 }
 
-// exchange sends a request and reads its answer whole.
+// exchange sends a request and reads its complete reply.
 func (c *connection) exchange(r *http.Request, t SendOptions) (*Reply, error) {
 	raw, err := c.clientConn.RoundTrip(r)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Lost, "no answer")
+		return nil, errs.Wrap(err, errs.Lost, "exchange failed without a reply")
 	}
 	if c.receivedEarlyBytes() {
 		_ = raw.Body.Close()
-		return nil, errs.New(errs.Truncated, "an answer came before its request was sent")
+		return nil, errs.New(errs.Truncated, "reply arrived before its request was sent")
 	}
 	reply := &Reply{Response: raw, IsFirstOnConnection: c.requests == 1}
 	if err := reply.read(t); err != nil {
@@ -106,13 +106,14 @@
 	return reply, nil
 }
 
+// receivedEarlyBytes reports whether bytes arrived before any byte of the current request was written.
 func (c *connection) receivedEarlyBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasEarlyBytes
 }
 
-// requestBegun takes an idle connection into use.
+// begin takes an idle connection into use; it returns false if the connection is no longer idle.
 func (c *connection) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,15 +126,14 @@
 	return true
 }
 
-// clear forgets what was written to make the connection.
+// clear discards the count of the bytes that were written to open the connection.
 func (c *connection) clear() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written = 0
 }
 
-// withdraw reports whether nothing of the request was written, and sees to it
-// that nothing will be.
+// withdraw prevents further writes and reports whether no byte of the request was written.
 func (c *connection) withdraw() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,8 +141,8 @@
 	return c.written == 0 && !c.isWriting
 }
 
-// makeReusable lets the connection be used again if its reader comes back to wait, which
-// it does, or ends, as soon as it is scheduled.
+// makeReusable makes the connection idle after a complete reply. If the reader is not back in Read yet, it
+// waits until the reader is back or has ended, either of which happens as soon as the reader is scheduled.
 func (c *connection) makeReusable() {
 	c.mu.Lock()
 	switch {
@@ -161,7 +161,7 @@
 	}
 }
 
-// signalReaderReturned is called with mu held.
+// signalReaderReturned wakes makeReusable. The caller holds mu.
 func (c *connection) signalReaderReturned() {
 	if c.readerReturned != nil {
 		close(c.readerReturned)
@@ -169,7 +169,7 @@
 	}
 }
 
-// Close is called by the library when its reader ends.
+// Close ends the use of the connection. net/http calls it when its reader ends.
 func (c *connection) Close() error {
 	c.mu.Lock()
 	wasIdle := c.phase == phaseIdle
@@ -182,7 +182,8 @@
 	return nil
 }
 
-// becomeIdle is called with mu held, when the reader waits after an answer.
+// becomeIdle puts the connection into the client's idle list, or closes it if that is full. The caller
+// holds mu; the reader waits after a reply.
 func (c *connection) becomeIdle() {
 	c.phase = phaseIdle
 	if c.expiry == nil {
@@ -196,7 +197,7 @@
 	}
 }
 
-// expire ends a connection that nobody has used for long.
+// expire closes a connection that has been idle for IdleTimeout.
 func (c *connection) expire() {
 	c.mu.Lock()
 	isIdle := c.phase == phaseIdle
@@ -210,8 +211,7 @@
 	}
 }
 
-// closeSocket closes the socket, which ends the library's goroutines of it. Called
-// with mu held.
+// closeSocket closes the socket, which ends net/http's goroutines for it. The caller holds mu.
 func (c *connection) closeSocket() {
 	if c.expiry != nil {
 		c.expiry.Stop()
--- a/internal/web/fuzz_test.go
+++ b/internal/web/fuzz_test.go
@@ -12,7 +12,8 @@
 	"caperwheel/internal/errs"
 )
 
-// FuzzReply: whatever a worker answers is whole and read to its end, or an error of a known kind.
+// FuzzReply guards against replies of a worker that are neither read to their end nor rejected with a known
+// error kind.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 4\r\n\r\nwell"))
 	f.Add([]byte("HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n0\r\n\r\n"))
@@ -39,12 +40,12 @@
 			return
 		}
 		if reply.HasWholeBody() != (reply.Size <= 3) || len(reply.Checksum) != 64 || reply.StatusCode < 200 {
-			t.Fatalf("%q is read as %d of %d bytes, status %d", raw, len(reply.Bytes), reply.Size, reply.StatusCode)
+			t.Fatalf("%q gives %d of %d bytes, status %d", raw, len(reply.Bytes), reply.Size, reply.StatusCode)
 		}
 	})
 }
 
-// answerWith answers the next request with bytes as they are.
+// answerWith answers the next request with raw bytes.
 func answerWith(listener net.Listener, raw []byte) {
 	conn, err := listener.Accept()
 	if err != nil {
--- a/internal/web/limits_test.go
+++ b/internal/web/limits_test.go
@@ -14,9 +14,10 @@
 	"caperwheel/internal/errs"
 )
 
-// TestHeadsAtTheirBound guards against a request whose head is too long and that is served without its end, or not answered.
+// TestHeadsAtTheirBound guards against a request with a head over the limit that is served without its end,
+// or not answered.
 func TestHeadsAtTheirBound(t *testing.T) {
-	Convey("A request with a head as long as any may be is served, and a much longer one is told so", t, func() {
+	Convey("A request with a head of the maximum length is served, and a much longer one gets status 431", t, func() {
 		s := serve(func(w http.ResponseWriter, r *http.Request) { _, _ = fmt.Fprint(w, len(r.Header.Get("X-Long"))) })
 		line, end := "GET / HTTP/1.1\r\nHost: h\r\nX-Long: ", "\r\n\r\n"
 		long := strings.Repeat("l", maxHeaderBytes-len(line)-len(end))
@@ -33,10 +34,10 @@
 	})
 }
 
-// TestBodiesAtTheirBound guards against a request whose body is too long and that is taken in part.
+// TestBodiesAtTheirBound guards against a request with a body over the limit that is accepted in part.
 func TestBodiesAtTheirBound(t *testing.T) {
 	const limit = 9
-	Convey("A body that is as long as it may be is read whole, and one a byte longer is too large, with a length or in chunks", t, func() {
+	Convey("A body of the maximum length is read completely, and one a byte longer is rejected, with a length or in chunks", t, func() {
 		for _, isChunked := range []bool{false, true} {
 			for size, kind := range map[int]errs.Kind{0: "", limit: "", limit + 1: errs.TooLarge} {
 				r := httptest.NewRequest(http.MethodPost, "/", strings.NewReader(strings.Repeat("b", size)))
@@ -55,10 +56,11 @@
 	})
 }
 
-// TestRepliesAtTheirBound guards against an answer whose bytes beyond what is kept count as an error, or are kept in part.
+// TestRepliesAtTheirBound guards against a reply whose bytes beyond MaxBodyBytes count as an error, or are
+// kept in part.
 func TestRepliesAtTheirBound(t *testing.T) {
 	const most = 9
-	Convey("An answer of any length is whole; its bytes are kept up to the bound, and none of a longer one", t, func() {
+	Convey("A reply of any length is complete; its body is kept up to the limit, and nothing of a longer one", t, func() {
 		for _, size := range []int{0, most, most + 1, 1 << 20} {
 			for _, isChunked := range []bool{false, true} {
 				server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/web/pathredirect.go
+++ b/internal/web/pathredirect.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// WithoutPathRedirects returns a handler for a mux whose "/" takes requests as they came. The library's mux
-// by itself sends a caller elsewhere whose path has dots or double slashes.
+// WithoutPathRedirects returns a handler for a mux whose "/" pattern serves any path unchanged. By itself
+// http.ServeMux redirects callers whose path contains dots or double slashes.
 func WithoutPathRedirects(mux *http.ServeMux) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if isCleanPath(r.URL.Path) {
@@ -20,6 +20,7 @@
 	})
 }
 
+// isCleanPath reports whether the mux serves a path without a redirect.
 func isCleanPath(p string) bool {
 	return strings.HasPrefix(p, "/") && (path.Clean(p) == p || path.Clean(p)+"/" == p)
 }
--- a/internal/web/pathredirect_test.go
+++ b/internal/web/pathredirect_test.go
@@ -8,8 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestAsCame: callers whose paths were not clean were once sent elsewhere, and
-// their messages never taken.
+// TestAsCame guards against redirecting callers whose paths are not clean, whose messages were then never
+// accepted.
 func TestAsCame(t *testing.T) {
 	cases := []struct {
 		target, body string
@@ -17,12 +17,12 @@
 		{"/", "taken"}, {"/a", "taken"}, {"/a/", "taken"}, {"/a//b", "taken"}, {"//a", "taken"}, {"/a/../b", "taken"},
 		{"/a/./b?c=//", "taken"}, {"/a%2F%2Fb", "taken"}, {"/state/x", "state"}, {"/state//x", "taken"},
 	}
-	Convey("A request that came to", t, func() {
+	Convey("A request to", t, func() {
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /state/{id}", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("state")) })
 		mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("taken")) })
 		for _, c := range cases {
-			Convey(c.target+" is served as it came", func() {
+			Convey(c.target+" is served with its path unchanged", func() {
 				w, r := httptest.NewRecorder(), httptest.NewRequest("GET", "http://x.example"+c.target, nil)
 				r.RequestURI = c.target
 				WithoutPathRedirects(mux).ServeHTTP(w, r)
--- a/internal/web/repeat_test.go
+++ b/internal/web/repeat_test.go
@@ -19,9 +19,9 @@
 	"caperwheel/internal/errs"
 )
 
-// TestRepeatable: what is sent again is what says that it may be.
+// TestRepeatable guards against resending a request that was not declared repeatable.
 func TestRepeatable(t *testing.T) {
-	Convey("When a kept connection closes over a call", t, func() {
+	Convey("When a reused connection closes during a call", t, func() {
 		calls := &atomic.Int64{}
 		address, _ := rawServer(func(number int64, conn net.Conn, reader *bufio.Reader) {
 			for turn := 1; ; turn++ {
@@ -45,18 +45,18 @@
 		}
 		So(call(client.Send), ShouldBeNil)
 		waitIdleCount(client, 1)
-		Convey("it fails, if it does not say that it may be sent again", func() {
+		Convey("the call fails if it is not repeatable", func() {
 			err := call(client.Send)
 			So(errs.Is(err, errs.Lost), ShouldBeTrue)
 			So(IsUnsent(err), ShouldBeFalse)
 			So(calls.Load(), ShouldEqual, 2)
 		})
-		Convey("it is sent once more, if it does", func() {
+		Convey("the call is sent once more if it is repeatable", func() {
 			So(call(client.SendRepeatable), ShouldBeNil)
 			So(calls.Load(), ShouldEqual, 3)
 		})
 	})
-	Convey("A call that nobody hears was not sent", t, func() {
+	Convey("A call without a connection was not sent", t, func() {
 		r, err := http.NewRequest("POST", "http://127.0.0.1:1/", nil)
 		So(err, ShouldBeNil)
 		_, err = testClient().Send(r, SendOptions{MaxBodyBytes: 100, CanReuse: nil})
@@ -68,9 +68,9 @@
 	})
 }
 
-// TestBefore: what may no longer go out once its connection stands is not sent.
+// TestBefore guards against sending a request that BeforeSend rejects after its connection was dialed.
 func TestBefore(t *testing.T) {
-	Convey("When a connection was made for a call", t, func() {
+	Convey("When a connection is dialed for a call", t, func() {
 		arrived := &atomic.Int64{}
 		address, accepted := rawServer(func(_ int64, conn net.Conn, reader *bufio.Reader) {
 			for {
@@ -88,7 +88,7 @@
 			_, err = client.Send(r, SendOptions{CanReuse: AlwaysReuse, BeforeSend: func() error { checks++; return cause }})
 			return err
 		}
-		Convey("and it may not go out any more, nothing of it does", func() {
+		Convey("and BeforeSend rejects the call, nothing is sent", func() {
 			err := send(errs.New(errs.Stale, "the view is too old"))
 			So(IsUnsent(err), ShouldBeTrue)
 			So(errs.Is(err, errs.Stale), ShouldBeTrue)
@@ -96,7 +96,7 @@
 			So(arrived.Load(), ShouldEqual, 1)
 			So(accepted.Load(), ShouldEqual, 2)
 		})
-		Convey("and it may, it goes out, and the next one over the same connection unasked", func() {
+		Convey("and BeforeSend accepts the call, it is sent, and the next one on the same connection without a check", func() {
 			So(send(nil), ShouldBeNil)
 			So(send(nil), ShouldBeNil)
 			So(arrived.Load(), ShouldEqual, 2)
@@ -105,12 +105,12 @@
 	})
 }
 
-// TestOneWayOut: a daemon that made a client of its own once had the library
-// send its runs twice. The proof tools and the operators' command line may.
+// TestOneWayOut guards against a daemon with an HTTP client of its own, with which net/http sent runs
+// twice. The test tools and the operators' command line may use others.
 func TestOneWayOut(t *testing.T) {
 	forbidden := regexp.MustCompile(`http\.(Transport\{|Client\{|DefaultClient|DefaultTransport|Get\(|Post\(|PostForm\(|Head\()|resty\.New|httputil\.(NewSingleHost)?ReverseProxy`)
 	allowed := regexp.MustCompile(`^(internal/(fleet|standin|scale|sim|check|cli)/|internal/web/client\.go$)`)
-	Convey("No daemon has another way out than Client", t, func() {
+	Convey("No daemon sends HTTP requests other than through Client", t, func() {
 		root := filepath.Join("..", "..")
 		seen := 0
 		for _, folder := range []string{"internal", "platform", "cmd"} {
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestOverTls: a connection over TLS carries one request.
+// TestOverTls guards against reusing a connection over TLS, which carries only one request.
 func TestOverTls(t *testing.T) {
-	Convey("Over TLS a call is answered, and its connection not kept", t, func() {
+	Convey("Over TLS a call is answered, and its connection is not reused", t, func() {
 		server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { WriteJson(w, 200, "x") }))
 		Reset(server.Close)
 		client := testClient()
--- a/internal/web/reply.go
+++ b/internal/web/reply.go
@@ -10,25 +10,25 @@
 	"caperwheel/internal/errs"
 )
 
-// Reply is a whole answer that came in.
+// Reply is a complete reply to a request.
 type Reply struct {
 	*http.Response
-	Bytes               []byte // the body; nil where it is longer than its terms let it be kept
+	Bytes               []byte // the body; nil if it is longer than MaxBodyBytes
 	Size                int64  // of the body, in bytes
-	Checksum            string // SHA-256 of the body in hex; empty where the terms ask for none
-	IsFirstOnConnection bool   // no other request went over its connection before
+	Checksum            string // SHA-256 of the body in hex; empty unless WantsChecksum is set
+	IsFirstOnConnection bool   // no other request was sent on its connection before
 }
 
-// HasWholeBody reports whether Bytes is the whole body.
+// HasWholeBody reports whether Bytes is the complete body.
 func (r *Reply) HasWholeBody() bool { return int64(len(r.Bytes)) == r.Size }
 
-// read reads the body to its end, however long it is: what an answer means does not
-// depend on its size. Memory is bounded by the terms, time by the request's context.
+// read reads the body to its end, however long it is: the meaning of a reply does not depend on its size.
+// Memory is bounded by the options, time by the request's context.
 func (r *Reply) read(t SendOptions) error {
 	defer func() { _ = r.Body.Close() }()
 	hasNoLength := r.ContentLength < 0 && len(r.TransferEncoding) == 0 && r.Request.Method != http.MethodHead
 	if r.StatusCode < 200 || hasNoLength {
-		return errs.New(errs.Truncated, "an answer that tells no length cannot be known to be whole")
+		return errs.New(errs.Truncated, "reply has no length, so its end cannot be determined")
 	}
 	body, sum := io.Reader(r.Body), hash.Hash(nil)
 	if t.WantsChecksum {
@@ -42,7 +42,7 @@
 		r.Bytes, r.Size, err = nil, r.Size+rest, discardErr
 	}
 	if err != nil {
-		return errs.Wrap(err, errs.Truncated, "the answer was cut short")
+		return errs.Wrap(err, errs.Truncated, "reply was truncated")
 	}
 	if sum != nil {
 		r.Checksum = hex.EncodeToString(sum.Sum(nil))
--- a/internal/web/server.go
+++ b/internal/web/server.go
@@ -11,31 +11,30 @@
 	"caperwheel/internal/errs"
 )
 
-// Limits of a connection towards callers.
+// Limits of a caller's connection.
 const (
 	headerTimeout  = 10 * time.Second // for the head of a request, from its first byte on
-	idleTimeout    = 2 * time.Minute  // between an answer and the next request
+	idleTimeout    = 2 * time.Minute  // between a reply and the next request
 	maxHeaderBytes = 32 << 10
 )
 
-// ErrStopping is the cause for which the context of a request ends whose daemon is about
-// to stop: what is known is to be answered now.
+// ErrStopping is the cause with which request contexts are canceled when the daemon is about to stop: the
+// handlers must reply now with what they know.
 var ErrStopping = errs.New(errs.Lost, "the daemon stops")
 
-// ServerOptions are what a server is made of.
+// ServerOptions configure a Server.
 type ServerOptions struct {
 	Listener         net.Listener
 	Handler          http.Handler
 	FinalReadTimeout time.Duration // how long a waiting connection is read once more as the server stops
 }
 
-// Server is an HTTP server that stops without cutting off a request that it has
-// read. The library's own Shutdown and SetKeepAlivesEnabled close what they count
-// as idle from outside, and they count a connection as idle until the head of
-// its next request has been parsed: such a request runs and is never answered.
+// Server is an HTTP server that stops without cutting off a request that it has read. Shutdown and
+// SetKeepAlivesEnabled of http.Server close connections that they count as idle, and they count a
+// connection as idle until the head of its next request is parsed: such a request runs and its reply is
+// lost.
 //
-// Invariant: until the time to stop is over, a connection is closed only by the
-// goroutine that reads it.
+// Invariant: until the time to stop is over, a connection is closed only by the goroutine that reads it.
 type Server struct {
 	http             *http.Server
 	listener         net.Listener
@@ -48,10 +47,10 @@
 	isStopping  bool
 	isAccepting bool
 	connections map[*serverConn]struct{}
-	changed     chan struct{} // poked when a connection or the listener is closed
+	changed     chan struct{} // signaled when a connection or the listener is closed
 }
 
-// NewServer readies a server; Serve begins it.
+// NewServer returns a server; Serve starts it.
 func NewServer(o ServerOptions) *Server {
 	s := &Server{listener: o.Listener, finalReadTimeout: o.FinalReadTimeout, isAccepting: true, connections: map[*serverConn]struct{}{},
 		changed: make(chan struct{}, 1)}
@@ -61,7 +60,7 @@
 	return s
 }
 
-// Serve accepts connections until Stop; then it returns nil.
+// Serve accepts connections until Stop, and then returns nil.
 func (s *Server) Serve() error {
 	err := s.http.Serve(&trackingListener{Listener: s.listener, server: s})
 	s.mu.Lock()
@@ -71,20 +70,19 @@
 	if s.isStopping {
 		return nil
 	}
-	return errs.Wrap(err, errs.Internal, "serve HTTP")
+	return errs.Wrap(err, errs.Internal, "accept HTTP connections")
 }
 
-// StartDraining has each further answer say that its connection is closed after it, so
-// that callers go to other daemons. Connections that wait stay open.
+// StartDraining makes each further reply announce that its connection is closed after it, so that callers
+// move to other daemons. Idle connections stay open.
 func (s *Server) StartDraining() { s.isDraining.Store(true) }
 
-// CancelRequests ends the contexts of all requests, those too that are read later, so that they are
-// answered with what is known before the time to stop is over.
+// CancelRequests cancels the contexts of all requests, including those that are read later, so that the
+// handlers reply with what they know before the time to stop is over.
 func (s *Server) CancelRequests() { s.cancelRequests(ErrStopping) }
 
-// Stop takes no new connections, ends those that wait for a request, and returns
-// once the last one has been answered. When ctx ends the rest is cut off, which
-// is an error.
+// Stop accepts no new connections, closes those that wait for a request, and returns once the last
+// connection is closed. When ctx ends it cuts off the rest and returns an error.
 func (s *Server) Stop(ctx context.Context) error {
 	defer s.CancelRequests()
 	s.StartDraining()
@@ -94,12 +92,13 @@
 		case <-s.changed:
 		case <-ctx.Done():
 			_ = s.http.Close()
-			return errs.New(errs.DeadlineExceeded, "callers were cut off")
+			return errs.New(errs.DeadlineExceeded, "connections were still open when the time to stop was over, and were cut off")
 		}
 	}
 	return nil
 }
 
+// closeIdle stops accepting and starts to close all connections.
 func (s *Server) closeIdle() {
 	s.mu.Lock()
 	s.isStopping = true
@@ -114,8 +113,8 @@
 	}
 }
 
-// stopAccepting lets connections in that were made before, where the listener
-// can be given a deadline.
+// stopAccepting closes the listener or, if it supports deadlines, lets it accept the connections that were
+// made before.
 func (s *Server) stopAccepting() {
 	timed, isTimed := s.listener.(interface{ SetDeadline(at time.Time) error })
 	if !isTimed || timed.SetDeadline(time.Now().Add(s.finalReadTimeout)) != nil {
@@ -123,13 +122,14 @@
 	}
 }
 
+// isServing reports whether the server accepts connections or has open ones.
 func (s *Server) isServing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isAccepting || len(s.connections) > 0
 }
 
-// add notes a connection, and reports whether the server is about to end it.
+// add registers a connection and reports whether the server is stopping.
 func (s *Server) add(conn *serverConn) (isEnding bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,6 +137,7 @@
 	return s.isStopping
 }
 
+// remove drops a connection that has been closed.
 func (s *Server) remove(conn *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,6 +145,7 @@
 	s.signalChange()
 }
 
+// signalChange wakes Stop.
 func (s *Server) signalChange() {
 	select {
 	case s.changed <- struct{}{}:
@@ -151,7 +153,7 @@
 	}
 }
 
-// withConnectionHeader returns the handler with answers that say when their connection ends.
+// withConnectionHeader wraps a handler so that its replies say when their connection is closed.
 func (s *Server) withConnectionHeader(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		writer := &connectionHeaderWriter{ResponseWriter: w, server: s}
@@ -160,13 +162,14 @@
 	})
 }
 
-// connectionHeaderWriter adds "Connection: close" to an answer that begins after Leave.
+// connectionHeaderWriter adds "Connection: close" to a reply that begins after StartDraining.
 type connectionHeaderWriter struct {
 	http.ResponseWriter
 	server      *Server
 	isHeaderSet bool
 }
 
+// setConnectionHeader sets the header, once, before the head of the reply is written.
 func (w *connectionHeaderWriter) setConnectionHeader() {
 	if !w.isHeaderSet && w.server.isDraining.Load() {
 		w.Header().Set("Connection", "close")
@@ -174,17 +177,17 @@
 	w.isHeaderSet = true
 }
 
-// WriteHeader is that of http.ResponseWriter.
+// WriteHeader implements http.ResponseWriter.
 func (w *connectionHeaderWriter) WriteHeader(code int) {
 	w.setConnectionHeader()
 	w.ResponseWriter.WriteHeader(code)
 }
 
-// Write is that of http.ResponseWriter.
+// Write implements http.ResponseWriter.
 func (w *connectionHeaderWriter) Write(p []byte) (int, error) {
 	w.setConnectionHeader()
 	return w.ResponseWriter.Write(p)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap serves http.ResponseController.
 func (w *connectionHeaderWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/web/server_test.go
+++ b/internal/web/server_test.go
@@ -15,7 +15,7 @@
 	"caperwheel/internal/errs"
 )
 
-// testServer is a server that runs, and what a caller says and hears on one connection.
+// testServer is a running server and one connection of a caller.
 type testServer struct {
 	*Server
 	conn    net.Conn
@@ -23,6 +23,7 @@
 	ended   chan error // what Serve returned
 }
 
+// serve starts a server with a handler and connects to it.
 func serve(handler http.HandlerFunc) *testServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	So(err, ShouldBeNil)
@@ -33,6 +34,7 @@
 	return s
 }
 
+// dial replaces the connection by a new one.
 func (s *testServer) dial() {
 	conn, err := net.Dial("tcp", s.listener.Addr().String())
 	So(err, ShouldBeNil)
@@ -41,12 +43,13 @@
 	s.conn, s.answers = conn, bufio.NewReader(conn)
 }
 
+// write sends bytes on the connection.
 func (s *testServer) write(text string) {
 	_, err := io.WriteString(s.conn, text)
 	So(err, ShouldBeNil)
 }
 
-// readAnswer returns the next answer's body, and whether the connection ends after it.
+// readAnswer returns the body of the next reply, and whether the connection is closed after it.
 func (s *testServer) readAnswer() (text string, isLast bool) {
 	reply, err := http.ReadResponse(s.answers, nil)
 	So(err, ShouldBeNil)
@@ -55,7 +58,7 @@
 	return string(raw), reply.Close
 }
 
-// stopIn stops the server within a span, and returns what Stop and Serve did.
+// stopIn stops the server within span, and returns the errors of Stop and Serve.
 func (s *testServer) stopIn(span time.Duration) (stopped, served error) {
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
@@ -64,11 +67,12 @@
 
 const helloRequest = "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 5\r\n\r\nhello"
 
-// TestServerStops: what callers on open connections get as a server stops.
+// TestServerStops guards against requests on open connections that are dropped or left without a reply as a
+// server stops.
 func TestServerStops(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
 	Convey("As a server stops", t, func() {
-		Convey("a connection that waits is ended after its last look, and no new one is taken", func() {
+		Convey("an idle connection is closed after its final read, and no new one is accepted", func() {
 			s := serve(echo)
 			s.write(helloRequest)
 			text, isLast := s.readAnswer()
@@ -82,7 +86,7 @@
 			_, err = net.Dial("tcp", s.listener.Addr().String())
 			So(err, ShouldNotBeNil)
 		})
-		Convey("a request that was sent before is answered, on a connection that was used and on a new one", func() {
+		Convey("a request that was sent before is answered, on a used connection and on a new one", func() {
 			for _, isUsed := range []bool{true, false} {
 				s := serve(echo)
 				if isUsed {
@@ -93,13 +97,13 @@
 				stopped, served := s.stopIn(time.Minute)
 				So(stopped, ShouldBeNil)
 				So(served, ShouldBeNil)
-				text, _ := s.readAnswer() // it may have been answered before Stop
+				text, _ := s.readAnswer() // the reply may have been sent before Stop
 				So(text, ShouldEqual, "hello")
 				_, err := s.answers.ReadByte()
 				So(err, ShouldEqual, io.EOF)
 			}
 		})
-		Convey("answers that begin after Leave say that they are the last, whenever their request came", func() {
+		Convey("replies that begin after StartDraining announce the close, whenever their request came", func() {
 			begun, goOn := make(chan struct{}), make(chan struct{})
 			s := serve(func(w http.ResponseWriter, r *http.Request) {
 				close(begun)
@@ -117,7 +121,7 @@
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
 		})
-		Convey("an answer without a body or a status of its own is the last, too", func() {
+		Convey("so does a reply without a body or an explicit status", func() {
 			s := serve(func(http.ResponseWriter, *http.Request) {})
 			s.StartDraining()
 			s.write(helloRequest)
@@ -126,7 +130,7 @@
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
 		})
-		Convey("a body that comes in pieces is waited for, also after a word to go on", func() {
+		Convey("a body that arrives in pieces is waited for, also after 100 Continue", func() {
 			for _, expects := range []string{"", "Expect: 100-continue\r\n"} {
 				read := make(chan struct{})
 				s := serve(func(w http.ResponseWriter, r *http.Request) {
@@ -142,7 +146,7 @@
 				<-read
 				done := make(chan error, 1)
 				go func() { done <- s.Stop(context.Background()) }()
-				for s.isAcceptingNow() { // the last look of a connection that waits ends with it
+				for s.isAcceptingNow() { // accepting ends with the final read of a connection that waits
 					_, _ = s.conn.Write(nil)
 				}
 				s.write("llo")
@@ -159,7 +163,7 @@
 				So(<-done, ShouldBeNil)
 			}
 		})
-		Convey("a request that waits for something is answered with what is known once the time is nearly over", func() {
+		Convey("CancelRequests ends the context of a request that waits, so that it is answered", func() {
 			begun := make(chan struct{})
 			s := serve(func(w http.ResponseWriter, r *http.Request) {
 				close(begun)
@@ -174,7 +178,7 @@
 			stopped, _ := s.stopIn(time.Minute)
 			So(stopped, ShouldBeNil)
 		})
-		Convey("who never ends a request is cut off when the time is over, and it is told", func() {
+		Convey("a caller that never completes a request is cut off when the time is over, and Stop returns an error", func() {
 			s := serve(func(_ http.ResponseWriter, r *http.Request) { _, _ = io.ReadAll(r.Body) })
 			s.write(helloRequest[:len(helloRequest)-1])
 			stopped, served := s.stopIn(50 * time.Millisecond)
--- a/internal/web/serverconn.go
+++ b/internal/web/serverconn.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// informationalPrefix is how an answer begins that leaves its request under way.
+// informationalPrefix is the start of a 1xx reply, after which the final reply to the request still
+// follows.
 var informationalPrefix = []byte("HTTP/1.1 1")
 
-// trackingListener gives each connection its record.
+// trackingListener wraps each accepted connection in a serverConn and registers it with the server.
 type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection. Once the server ends, any error is its last.
+// Accept returns the next connection. Once the server stops, any error is final.
 func (a *trackingListener) Accept() (net.Conn, error) {
 	raw, err := a.Listener.Accept()
 	if err != nil {
 		a.server.mu.Lock()
 		defer a.server.mu.Unlock()
-		if a.server.isStopping { // a deadline's error is otherwise one to try again after
+		if a.server.isStopping { // net/http would retry after the listener's own deadline error
 			return nil, net.ErrClosed
 		}
 		return nil, err
@@ -37,23 +38,22 @@
 	return conn, nil
 }
 
-// serverConn is a caller's connection that knows whether a request has begun on it.
-// The server ends it by having its reader, if it waits for a request, read once
-// more for a last while and then find the end of the stream.
+// serverConn is a caller's connection that tracks whether a request has begun on it. To close it, the
+// server lets the reader, if it waits for a request, read once more for finalReadTimeout and then return
+// the end of the stream.
 //
-// Invariant: a read deadline of ours is in force only while no request has begun.
+// Invariant: a read deadline set by this type is in force only while no request has begun.
 type serverConn struct {
 	net.Conn
 	server *Server
 
 	mu              sync.Mutex
-	hasRequest      bool      // bytes came since the last answer, or at all
-	isClosing       bool      // never false again
-	libraryDeadline time.Time // the library's own read deadline; zero for none
+	hasRequest      bool      // bytes have arrived since the last reply, or since the connection was opened
+	isClosing       bool      // never reset
+	libraryDeadline time.Time // read deadline set by net/http; zero for none
 }
 
-// Read reads as the library asks. On a connection that ends it returns io.EOF
-// where nothing of a request has come.
+// Read reads for net/http. On a connection that is closing it returns io.EOF if no request has begun.
 func (c *serverConn) Read(p []byte) (int, error) {
 	for {
 		isFinal := c.beginFinalRead()
@@ -71,7 +71,7 @@
 	}
 }
 
-// beginFinalRead bounds this read if the connection ends and nothing has begun.
+// beginFinalRead limits the duration of this read if the connection is closing and no request has begun.
 func (c *serverConn) beginFinalRead() (isLast bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,7 +86,7 @@
 	return true
 }
 
-// requestBegun notes that a request has begun; only the library's deadline bounds it.
+// requestBegun records that a request has begun; from now on only net/http's deadline applies.
 func (c *serverConn) requestBegun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,15 +96,15 @@
 	}
 }
 
-// isOwnDeadline reports whether a deadline that has passed was ours and not the library's.
+// isOwnDeadline reports whether an expired deadline was set by this type and not by net/http.
 func (c *serverConn) isOwnDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.isClosing && !c.hasRequest && (c.libraryDeadline.IsZero() || time.Now().Before(c.libraryDeadline))
 }
 
-// end wakes the reader if it waits for a request. What has come meanwhile is
-// read all the same.
+// startClosing wakes the reader if it waits for a request. Bytes that have arrived meanwhile are still
+// read.
 func (c *serverConn) startClosing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,8 +114,7 @@
 	}
 }
 
-// Write begins or goes on with an answer: bytes that come after it belong to the
-// next request.
+// Write writes a part of a reply. Bytes that arrive after it belong to the next request.
 func (c *serverConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, informationalPrefix) {
 		c.mu.Lock()
@@ -125,7 +124,7 @@
 	return c.Conn.Write(p)
 }
 
-// SetReadDeadline notes the library's deadline.
+// SetReadDeadline implements net.Conn and records net/http's deadline.
 func (c *serverConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +132,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// SetDeadline is that of net.Conn.
+// SetDeadline implements net.Conn.
 func (c *serverConn) SetDeadline(at time.Time) error {
 	if err := c.SetReadDeadline(at); err != nil {
 		return err
@@ -141,7 +140,7 @@
 	return c.Conn.SetWriteDeadline(at)
 }
 
-// Close is called by the library once it has read the connection to its end.
+// Close implements net.Conn. net/http calls it once it has read the connection to its end.
 func (c *serverConn) Close() error {
 	err := c.Conn.Close()
 	c.server.remove(c)
