--- a/internal/crash/daemons_test.go
+++ b/internal/crash/daemons_test.go
@@ -19,12 +19,12 @@
 	"caperwheel/internal/fleet"
 )
 
-// fatalSignals are the signals by which the runtime ends a process with a word of why.
+// fatalSignals are the signals on which the runtime ends a process with a message.
 var fatalSignals = map[string]syscall.Signal{"SIGQUIT": syscall.SIGQUIT, "SIGILL": syscall.SIGILL, "SIGTRAP": syscall.SIGTRAP,
 	"SIGABRT": syscall.SIGABRT, "SIGBUS": syscall.SIGBUS, "SIGFPE": syscall.SIGFPE, "SIGSEGV": syscall.SIGSEGV,
 	"SIGSYS": syscall.SIGSYS, "SIGSTKFLT": syscall.SIGSTKFLT}
 
-// process is a real daemon, whose log is read line by line.
+// process is a running daemon whose log is read line by line.
 type process struct {
 	http string
 	cmd  *exec.Cmd
@@ -47,7 +47,7 @@
 	return p
 }
 
-// readUntil returns the lines of the log up to one that says so.
+// readUntil returns the lines of the log up to the first that contains text.
 func (p *process) readUntil(text string) string {
 	read := ""
 	for p.log.Scan() {
@@ -63,12 +63,13 @@
 // stopWith sends a signal and returns the exit code; -1 for a process that the signal itself ended.
 func (p *process) stopWith(sig syscall.Signal) int {
 	So(p.cmd.Process.Signal(sig), ShouldBeNil)
-	for p.log.Scan() { // to its end, which is that of the process
+	for p.log.Scan() { // to the end of the log, which is the end of the process
 	}
 	_ = p.cmd.Wait()
 	return p.cmd.ProcessState.ExitCode()
 }
 
+// metrics returns the daemon's metrics page.
 func (p *process) metrics() string {
 	answer, err := http.Get("http://" + p.http + "/metrics")
 	So(err, ShouldBeNil)
@@ -78,14 +79,14 @@
 	return string(text)
 }
 
-// TestDaemonsThatCrash: processes ended by themselves on the users' days, and why stood only in the
-// first lines of what the runtime printed, which nobody had kept.
+// TestDaemonsThatCrash guards against crashes of daemons whose cause is lost: it is only in the first lines
+// that the runtime prints, which were not kept.
 func TestDaemonsThatCrash(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
 	bin := filepath.Join(dir, "bin")
-	Convey("Of real daemons that crash it is known why", t, func() {
+	Convey("The cause of a daemon's crash is recorded", t, func() {
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
 		Convey("by the next process, for each fatal signal", func() {
 			file := filepath.Join(dir, "core", "crash.txt")
@@ -114,7 +115,7 @@
 			So(p.metrics(), ShouldContainSubstring, `caperwheel_previous_end{cause="SIGILL"} 1`)
 			So(p.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 		})
-		Convey("by the other process of a machine without a disk", func() {
+		Convey("by another process of the machine, for one without a disk", func() {
 			ofAgent, err := fleet.FreePort()
 			So(err, ShouldBeNil)
 			ofAdapter, err := fleet.FreePort()
@@ -123,17 +124,17 @@
 			adapterArgs := []string{"--seeds=127.0.0.1:9", "--crash_listen=" + ofAdapter, "--crash_peer=" + ofAgent, "--verbosity=1"}
 			agent := startProcess(ctx, bin, "agent", agentArgs...)
 			adapter := startProcess(ctx, bin, "adapter", adapterArgs...)
-			agent.readUntil("adapter on this machine is heard if")
+			agent.readUntil("adapter on this machine has connected")
 			So(adapter.stopWith(syscall.SIGSEGV), ShouldEqual, 2)
 			So(agent.readUntil("adapter on this machine ended"), ShouldContainSubstring, "by SIGSEGV: SIGSEGV: segmentation violation")
 			So(agent.metrics(), ShouldContainSubstring, `caperwheel_neighbour_ends_total{cause="SIGSEGV",name="adapter"} 1`)
 			adapter = startProcess(ctx, bin, "adapter", adapterArgs...)
-			agent.readUntil("adapter on this machine is heard if")
-			adapter.readUntil("agent on this machine is heard if")
+			agent.readUntil("adapter on this machine has connected")
+			adapter.readUntil("agent on this machine has connected")
 			So(agent.stopWith(syscall.SIGBUS), ShouldEqual, 2)
 			So(adapter.readUntil("agent on this machine ended"), ShouldContainSubstring, "by SIGBUS")
 			agent = startProcess(ctx, bin, "agent", agentArgs...)
-			agent.readUntil("adapter on this machine is heard if")
+			agent.readUntil("adapter on this machine has connected")
 			So(adapter.stopWith(syscall.SIGTERM), ShouldEqual, 0)
 			So(agent.metrics(), ShouldNotContainSubstring, "neighbour_ends_total{")
 			So(agent.stopWith(syscall.SIGTERM), ShouldEqual, 0)
--- a/internal/crash/neighbour.go
+++ b/internal/crash/neighbour.go
@@ -15,35 +15,36 @@
 	"caperwheel/internal/timing"
 )
 
-// A process without a disk has its crash output heard by another one of its machine. It opens a
-// connection, says its name in a line, and leaves the connection to the runtime, which prints to it as
-// the process dies. A process that ends in order says so before.
+// A process without a disk has its crash output recorded by another process of its machine. It opens a
+// connection, writes its name in a line, and leaves the connection to the runtime, which prints to it when
+// the process dies. A process that exits cleanly writes cleanExitMessage before.
 
-// cleanExitMessage is what a process says when it ends in order.
+// cleanExitMessage is written by a process that exits cleanly.
 const cleanExitMessage = "ends in order\n"
 
-// maxConnections bounds the connections of a listener.
+// maxConnections bounds the open connections of a listener.
 const maxConnections = 8
 
-// Listener is told of the processes that print to an address. Its functions are called from many
-// goroutines.
+// Listener receives the crash output of processes that connect to an address. Its functions are called from
+// several goroutines.
 type Listener struct {
-	OnConnect func(name string)                // a process can be heard from now on
-	OnCrash   func(name string, report Report) // it has ended, and not in order
+	OnConnect func(name string)                // a process has connected; its crash would be reported
+	OnCrash   func(name string, report Report) // it has ended without a clean exit
 }
 
-// Listen hears of processes at an address until ctx ends.
+// Listen accepts connections at an address until ctx ends.
 func (l Listener) Listen(ctx context.Context, addr string) error {
 	config := net.ListenConfig{}
 	listener, err := config.Listen(ctx, "tcp", addr)
 	if err != nil {
-		return errs.Wrap(err, errs.Invalid, "listen for crashes on %s", addr)
+		return errs.Wrap(err, errs.Invalid, "listen for crash output on %s", addr)
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
 	go l.accept(listener)
-	return nil
+	return nil // it has not sent its name: not a process of this system
 }
 
+// accept reads each connection on a goroutine; connections over maxConnections are closed.
 func (l Listener) accept(listener net.Listener) {
 	slots := make(chan struct{}, maxConnections)
 	for {
@@ -63,7 +64,7 @@
 	}
 }
 
-// readReport reads a connection to its end.
+// readReport reads a connection to its end and reports the crash, if it was one.
 func (l Listener) readReport(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(io.LimitReader(conn, maxOutputBytes))
@@ -73,27 +74,27 @@
 	}
 	name = printable(strings.TrimSuffix(name, "\n"))
 	l.OnConnect(name)
-	output, _ := io.ReadAll(reader) // a reset ends it as well as a close
+	output, _ := io.ReadAll(reader) // a reset ends the output as a close does
 	if string(output) == cleanExitMessage {
 		return
 	}
 	l.OnCrash(name, Parse(output))
 }
 
-// Reporter has the crash output of this process heard at an address.
+// Reporter sends the crash output of this process to a Listener at an address.
 type Reporter struct {
 	Name   string
 	Addr   string
 	Bounds timing.Bounds
 }
 
-// Run keeps a connection to the listener, which may come and go, until ctx ends. Then it says that
-// this process ends in order.
+// Run keeps a connection to the listener, which may come and go, until ctx ends. Then it reports that this
+// process exits cleanly.
 func (s Reporter) Run(ctx context.Context) {
 	timing.EveryPaced(ctx, func() time.Duration { return s.Bounds.Of(timing.SessionTimeout) }, func() { s.connectOnce(ctx) })
 }
 
-// connectOnce connects and returns when the connection has ended, or none was made.
+// connectOnce connects, and returns when the connection has ended or the attempt has failed.
 func (s Reporter) connectOnce(ctx context.Context) {
 	dialer := net.Dialer{Timeout: s.Bounds.Of(timing.DialTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", s.Addr)
@@ -101,7 +102,7 @@
 		return
 	}
 	defer conn.Close()
-	if setCrashOutput(conn.(*net.TCPConn)) != nil { // first: whoever hears the name counts on hearing a crash
+	if setCrashOutput(conn.(*net.TCPConn)) != nil { // first: a listener that has the name relies on receiving a crash
 		return
 	}
 	if _, err := conn.Write([]byte(s.Name + "\n")); err != nil {
@@ -113,21 +114,22 @@
 		conn.Close()
 	})
 	defer stop()
-	_, _ = io.Copy(io.Discard, conn) // the listener says nothing: this ends with the connection
+	_, _ = io.Copy(io.Discard, conn) // the listener sends nothing: this returns when the connection ends
 }
 
-// setCrashOutput has the runtime print to a connection, too, when it ends the process. The
-// runtime's copy of the descriptor shares its mode with ours, which must not block.
+// setCrashOutput makes the runtime also print to a connection when it ends the process. The runtime's copy
+// of the descriptor shares its blocking mode with conn's, which must stay non-blocking.
 func setCrashOutput(conn *net.TCPConn) error {
 	file, err := conn.File()
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "crash connection")
+		return errs.Wrap(err, errs.Internal, "give the crash connection to the runtime")
 	}
 	defer file.Close()
 	if err := debug.SetCrashOutput(file, debug.CrashOptions{}); err != nil {
-		return errs.Wrap(err, errs.Internal, "crash connection")
+		return errs.Wrap(err, errs.Internal, "give the crash connection to the runtime")
 	}
-	return errs.Wrap(setNonblock(file), errs.Internal, "crash connection")
+	return errs.Wrap(setNonblock(file), errs.Internal, "give the crash connection to the runtime")
 }
 
+// setNonblock puts a file's descriptor into non-blocking mode.
 func setNonblock(file *os.File) error { return syscall.SetNonblock(int(file.Fd()), true) }
--- a/internal/crash/report.go
+++ b/internal/crash/report.go
@@ -1,6 +1,6 @@
-// Package crash keeps what the Go runtime prints as a process dies of a fatal signal or of a
-// panic that nobody handled, so that it can be read afterwards: in a file, by the next process
-// of the same daemon, or by another process of the same machine that listens for it.
+// Package crash preserves what the Go runtime prints when a process dies of a fatal signal or an unhandled
+// panic, so that it can be read afterwards: in a file, by the next process of the same daemon, or over a
+// connection, by another process of the same machine. Package daemon uses it for every daemon.
 package crash
 
 import (
@@ -9,34 +9,34 @@
 	"strings"
 )
 
-// Causes of an end that name no signal. Those that do are the signal's name, as "SIGSEGV".
+// Causes that are not a signal. Other causes are the signal's name, such as "SIGSEGV".
 const (
 	Panic      = "panic"
 	FatalError = "fatal error"
-	Silent     = "silent"  // killed, or the power was lost: the runtime had no chance to print anything
-	Unreadable = "unknown" // something was printed that cannot be read, as where it is torn
+	Silent     = "silent"  // killed, or the power was lost: the runtime could not print anything
+	Unreadable = "unknown" // something was printed that is not recognized, for example because it is incomplete
 )
 
-// Bounds of what is kept.
+// Bounds on what is kept.
 const (
 	maxOutputBytes = 64 << 10
 	maxLines       = 12
 	maxLineBytes   = 200 // bytes of a line
 )
 
-// Report is what is known of how a process ended.
+// Report is what is known about how a process ended.
 type Report struct {
 	Cause string   // a signal's name, or one of the causes above
-	Lines []string // the first lines that were printed, without what cannot be printed
+	Lines []string // the first printed lines, without unprintable characters
 }
 
-// The lines by which the runtime begins to say why it ends the process.
+// The lines by which the runtime states why it ends the process.
 var (
 	signalLine  = regexp.MustCompile(`^(SIG[A-Z0-9]+): `)
 	signalPanic = regexp.MustCompile(`^\[signal (SIG[A-Z0-9]+)[: ]`)
 )
 
-// Parse reads what a process printed as it died. Any bytes give a report.
+// Parse reads what a process printed when it died. Any input gives a report.
 func Parse(output []byte) Report {
 	output = output[:min(len(output), maxOutputBytes)]
 	report := Report{Cause: Silent, Lines: []string{}}
@@ -66,6 +66,7 @@
 	return r.Cause + ": " + strings.Join(r.Lines, " | ")
 }
 
+// causeOf returns the cause that a line states; empty for none.
 func causeOf(line string) string {
 	if found := signalLine.FindStringSubmatch(line); found != nil {
 		return found[1]
@@ -82,8 +83,8 @@
 	return ""
 }
 
-// isMoreSpecific reports whether a cause tells more than the one found before it: a signal more than the
-// panic that came of it.
+// isMoreSpecific reports whether cause replaces the current one: a signal replaces the panic that it
+// caused.
 func isMoreSpecific(cause, current string) bool {
 	isSignal := strings.HasPrefix(cause, "SIG")
 	return cause != "" && (current == Silent || isSignal && !strings.HasPrefix(current, "SIG"))
--- a/internal/crash/report_test.go
+++ b/internal/crash/report_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestParse is the table of what is read of a crash.
+// TestParse checks what is read from the output of a crash.
 func TestParse(t *testing.T) {
 	cases := []struct{ name, printed, cause, first string }{
 		{"nothing", "", Silent, ""},
@@ -18,14 +18,14 @@
 		{"a panic", "panic: oops\n\ngoroutine 1 [running]:\n", Panic, "panic: oops"},
 		{"a panic that quotes a signal", "panic: oops SIGSEGV: no\n", Panic, "panic: oops SIGSEGV: no"},
 		{"a fatal error", "fatal error: all goroutines are asleep - deadlock!\n", FatalError, "fatal error: all goroutines are asleep - deadlock!"},
-		{"a panic while another goes on", "panic: a\nfatal error: b\n", Panic, "panic: a"},
-		{"a signal in the midst of a fatal error", "fatal error: unexpected signal\n[signal SIGBUS: bus error]\n", "SIGBUS", "fatal error: unexpected signal"},
-		{"what is torn at its beginning", "1 [running]:\nmain.main()\n", Unreadable, "1 [running]:"},
+		{"a panic during another one", "panic: a\nfatal error: b\n", Panic, "panic: a"},
+		{"a signal within a fatal error", "fatal error: unexpected signal\n[signal SIGBUS: bus error]\n", "SIGBUS", "fatal error: unexpected signal"},
+		{"output without its beginning", "1 [running]:\nmain.main()\n", Unreadable, "1 [running]:"},
 		{"other bytes", "\x00\xff\x01abc\xfe\n", Unreadable, "abc"},
-		{"zeros alone, as a loss of power leaves them", strings.Repeat("\x00", 4096), Silent, ""},
+		{"zeros alone, as after a power loss", strings.Repeat("\x00", 4096), Silent, ""},
 		{"a line that never ends", strings.Repeat("x", 10*maxOutputBytes), Unreadable, strings.Repeat("x", maxLineBytes)},
 	}
-	Convey("Of what a process printed as it died is read", t, func() {
+	Convey("From what a process printed when it died, the report has", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				report := Parse([]byte(c.printed))
@@ -45,17 +45,17 @@
 	})
 }
 
-// FuzzParse: any bytes give a report within its bounds.
+// FuzzParse checks that any input gives a report within its bounds.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("SIGILL: illegal instruction\n"))
 	f.Fuzz(func(t *testing.T, printed []byte) {
 		report := Parse(printed)
 		if report.Cause == "" || len(report.Lines) > maxLines {
-			t.Fatalf("%q gives %+v", printed, report)
+			t.Fatalf("output %q gives the report %+v", printed, report)
 		}
 		for _, line := range report.Lines {
 			if len(line) > maxLineBytes || line == "" {
-				t.Fatalf("%q gives the line %q", printed, line)
+				t.Fatalf("output %q gives the report line %q", printed, line)
 			}
 		}
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon is what all of caperwheel's daemons have in common: settings,
-// logs, metrics, health, the transport node and the session with a manager.
+// Package daemon holds what all of caperwheel's daemons have in common: settings, logs, metrics, health
+// checks, HTTP listeners, the transport node, the session with a manager, and the shutdown. The main
+// packages of the daemons call New and Serve; the packages of the daemons use the Daemon in between.
 package daemon
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"k8s.io/klog/v2"
 
-	_ "caperwheel/internal/earlysignal" // SIGHUP must not end a daemon that has just begun
+	_ "caperwheel/internal/earlysignal" // SIGHUP must not end a daemon that has just started
 	"caperwheel/internal/errs"
 	"caperwheel/internal/feed"
 	"caperwheel/internal/session"
@@ -31,13 +32,12 @@
 	"caperwheel/internal/wire"
 )
 
-// memoryLimitPercent is how much of its memory, in hundredths, the process lets its
-// heap fill before it collects garbage all the time; the rest is for the system.
+// memoryLimitPercent is the share of the process's memory that the Go runtime may use before it collects
+// garbage continuously; the rest is for the system.
 const memoryLimitPercent = 70
 
-// gcPercent is by how many hundredths the heap grows from one collection to the
-// next where a limit is known: heaps of a few megabytes are otherwise collected
-// many times a second.
+// gcPercent is by how many percent the heap grows between two collections if a memory limit is set: with
+// the default, heaps of a few megabytes are collected many times a second.
 const gcPercent = 150
 
 // Daemon is one running process.
@@ -50,13 +50,13 @@
 	Membership    *session.Membership
 	Node          *transport.Node
 	Mux           *http.ServeMux
-	Ready         func() (isReady bool, why string) // asked through IsReady
-	Clock         func() time.Duration              // in place of the monotonic clock, if given
-	OnRefused     func(addr string)                 // told when nobody listens where a peer was, if given before Link
-	StopsLast     bool                              // others need it until they have stopped; set before Serve
-	CanReadConfig func() bool                       // whether the newest configuration can be read, if the daemon needs it
+	Ready         func() (isReady bool, why string) // called through IsReady
+	Clock         func() time.Duration              // replaces the monotonic clock if set
+	OnRefused     func(addr string)                 // called when an address refuses connections; set before OpenTransport
+	StopsLast     bool                              // other daemons need this one until they have stopped; set before Serve
+	CanReadConfig func() bool                       // whether the newest configuration can be read; nil if not needed
 
-	// The further listeners, nil where the settings name none, and what they serve.
+	// Further listeners, nil if the settings name none, and the handlers that they serve.
 	Front, Probe, Operators          net.Listener
 	FrontMux, ProbeMux, OperatorsMux *http.ServeMux
 
@@ -64,14 +64,14 @@
 	collector metricsCollector
 	Started   time.Time
 	listener  net.Listener
-	current   atomic.Pointer[settings.Settings] // the newest; Settings are those of the start
-	isLeaving atomic.Bool                       // never false again
+	current   atomic.Pointer[settings.Settings] // the newest settings; Settings are those of the start
+	isLeaving atomic.Bool                       // never reset
 }
 
-// New reads the settings, from the source if there is one, and opens the HTTP
-// ports. An error ends the process with exit code 2 (settings) or 1.
+// New reads the settings, from source if there is one, and opens the HTTP ports. On an error it ends the
+// process with exit code 2 (settings) or 1.
 func New(kind string, source *settings.Source) *Daemon {
-	signal.Ignore(syscall.SIGPIPE) // a closed socket is an error like others
+	signal.Ignore(syscall.SIGPIPE) // a closed socket is an ordinary write error
 	s, err := settings.Load(kind, os.Args[1:], source)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -88,7 +88,7 @@
 	d.current.Store(&s)
 	if s.MemoryLimit > 0 {
 		debug.SetMemoryLimit(s.MemoryLimit * memoryLimitPercent / 100)
-		debug.SetGCPercent(gcPercent) // the limit keeps the heap in bounds
+		debug.SetGCPercent(gcPercent) // the memory limit bounds the heap
 	}
 	d.listener, d.Front, d.Probe, d.Operators = d.listen(s.Http), d.listen(s.Front), d.listen(s.Probe), d.listen(s.Operators)
 	d.Who = wire.Who{Name: s.Name, Kind: kind, Boot: RandomId(8), Zone: s.Zone, Addr: s.Advertise, Http: d.listener.Addr().String()}
@@ -102,8 +102,8 @@
 	return d
 }
 
-// CurrentSettings gives the settings with what has changed since the start; where nobody
-// watches them, as in a daemon that New did not make, those of the start.
+// CurrentSettings returns the settings with the changes since the start; in a daemon that was not made by
+// New, which has no watcher, those of the start.
 func (d *Daemon) CurrentSettings() settings.Settings {
 	if s := d.current.Load(); s != nil {
 		return *s
@@ -111,26 +111,29 @@
 	return d.Settings
 }
 
+// seeds returns the managers' addresses of the current settings.
 func (d *Daemon) seeds() []string { return d.CurrentSettings().Seeds }
 
+// setVerbosity sets the verbosity of the log.
 func (d *Daemon) setVerbosity(flags *flag.FlagSet, v int) {
 	if err := flags.Set("v", strconv.Itoa(v)); err != nil {
-		klog.Warningf("%s: The verbosity cannot be set: %v.", d.Kind, err)
+		klog.Warningf("%s: Cannot set the log verbosity: %v.", d.Kind, err)
 	}
 }
 
+// formatInt formats an integer as a label value.
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// RandomId gives an identifier of so many bytes.
+// RandomId returns a random identifier of size bytes in hex.
 func RandomId(size int) string {
 	raw := make([]byte, size)
 	if _, err := rand.Read(raw); err != nil {
-		panic(errs.Wrap(err, errs.Internal, "random"))
+		panic(errs.Wrap(err, errs.Internal, "read random bytes for an identifier"))
 	}
 	return hex.EncodeToString(raw)
 }
 
-// Now is the daemon's monotonic clock.
+// Now returns the time of the daemon's monotonic clock.
 func (d *Daemon) Now() time.Duration {
 	if d.Clock != nil {
 		return d.Clock()
@@ -138,12 +141,12 @@
 	return time.Since(d.Started)
 }
 
-// IsFresh reports whether the daemon may act on its view.
+// IsFresh reports whether the view is recent enough for the daemon to act on it.
 func (d *Daemon) IsFresh() bool {
 	return d.View.IsFresh(d.Now(), d.Bounds.Of(timing.ViewAgeLimit)) && (d.CanReadConfig == nil || d.CanReadConfig())
 }
 
-// Must ends the process on an error.
+// Must ends the process with exit code 1 on an error.
 func (d *Daemon) Must(err error) {
 	if err != nil {
 		klog.Errorf("%s: Stopping: %v.", d.Kind, err)
@@ -152,7 +155,7 @@
 	}
 }
 
-// OpenTransport opens the transport node.
+// OpenTransport opens the transport node with a handler for each link and starts serving it.
 func (d *Daemon) OpenTransport(handlers map[string]transport.Handler) {
 	s := d.Settings
 	node, err := transport.NewNode(transport.Options{Self: d.Who, Listen: s.Listen, Batch: s.Batch, Pool: s.TransportWorkers,
@@ -162,13 +165,14 @@
 	go node.Serve()
 }
 
-// NewSessionClient makes the daemon's session; say tells what it says of itself.
+// NewSessionClient returns the client that keeps the daemon's session; newPoll returns what the daemon
+// reports about itself.
 func (d *Daemon) NewSessionClient(newPoll func() wire.Poll) *session.Client {
 	return &session.Client{Node: d.Node, Bounds: d.Bounds, Seeds: d.seeds, View: d.View, Membership: d.Membership,
 		Now: d.Now, Self: newPoll}
 }
 
-// NewPoll is what every daemon says of itself.
+// NewPoll returns what every daemon reports about itself.
 func (d *Daemon) NewPoll() wire.Poll {
 	return wire.Poll{Who: d.Who, Revisions: []wire.PartRevision{}, Owns: []wire.Owned{}, Colocated: []wire.Member{},
 		Fact: wire.Fact{Revision: d.View.Revision(feed.ConfigPart), Fresh: d.IsFresh(), Counts: map[string]int64{}}}
--- a/internal/daemon/drain_test.go
+++ b/internal/daemon/drain_test.go
@@ -17,21 +17,24 @@
 	"caperwheel/internal/web"
 )
 
-// gate holds back the read that gets a connection's second request: the process
-// has the bytes, and the server does not know of them yet.
+// gate holds back the read that receives a connection's second request: the process has the bytes, but the
+// server does not know of them yet.
 type gate struct {
 	isIdle, hasRead, open chan struct{} // each closed once
 	idle, read, opening   sync.Once
-	isEnding              chan struct{} // closed before the server ends what is open
-	opensWhenTouched      bool          // by a close or a deadline from outside the server's reading
+	isEnding              chan struct{} // closed before the server closes its connections
+	opensWhenTouched      bool          // by a close or a deadline from outside the server's reading goroutine
 }
 
+// newGate returns a gate that holds reads back.
 func newGate() *gate {
 	return &gate{isIdle: make(chan struct{}), hasRead: make(chan struct{}), open: make(chan struct{}), isEnding: make(chan struct{})}
 }
 
+// release lets the read return.
 func (g *gate) release() { g.opening.Do(func() { close(g.open) }) }
 
+// noteTouch opens the gate, if so configured, once the server closes its connections.
 func (g *gate) noteTouch() {
 	select {
 	case <-g.isEnding:
@@ -42,7 +45,7 @@
 	}
 }
 
-// gatedListener gives its connections a gate.
+// gatedListener applies a gate to its connections.
 type gatedListener struct {
 	net.Listener
 	gate *gate
@@ -56,6 +59,7 @@
 	return &gatedConn{Conn: conn, gate: l.gate}, nil
 }
 
+// gatedConn is a connection whose reads go through a gate.
 type gatedConn struct {
 	net.Conn
 	gate *gate
@@ -64,7 +68,7 @@
 	isAnswered bool
 }
 
-// Read holds bytes back that come once the server waits for the next request.
+// Read holds back bytes that arrive once the server waits for the next request.
 func (c *gatedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	select {
@@ -86,7 +90,7 @@
 	return n, err
 }
 
-// SetReadDeadline sees the server begin to wait for the next request.
+// SetReadDeadline detects that the server waits for the next request.
 func (c *gatedConn) SetReadDeadline(at time.Time) error {
 	c.mu.Lock()
 	isWaiting := c.isAnswered && at.After(time.Now())
@@ -105,7 +109,8 @@
 	return err
 }
 
-// startDaemon is a daemon with one door, and a caller whose connection waits there.
+// startDaemon returns a daemon with one listener, and a caller's connection that waits there after a first
+// request.
 func startDaemon(g *gate) (d *Daemon, servers []*web.Server, caller net.Conn, answers *bufio.Reader) {
 	s := settings.Default()
 	s.Grace, s.Linger = settings.Duration{Duration: time.Minute}, settings.Duration{Duration: time.Millisecond}
@@ -129,7 +134,7 @@
 	return d, servers, caller, answers
 }
 
-// readAnswer returns the body of the next answer, or what came in its place.
+// readAnswer returns the body of the next reply, or the error in its place.
 func readAnswer(answers *bufio.Reader) string {
 	reply, err := http.ReadResponse(answers, nil)
 	if err != nil {
@@ -142,12 +147,12 @@
 	return string(raw)
 }
 
-// TestReadAsItStops: whatever moment of a stop it is, a request that the process
-// has read is answered.
+// TestReadAsItStops guards against a request that the process has read and does not answer, at whatever
+// moment of a shutdown.
 func TestReadAsItStops(t *testing.T) {
 	const head, body = "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 6\r\n", "\r\nsecond"
 	Convey("A request on an open connection", t, func() {
-		Convey("that was read whole as the stop begins is answered", func() {
+		Convey("that was read completely when the shutdown begins is answered", func() {
 			g := newGate()
 			d, servers, caller, answers := startDaemon(g)
 			_, err := io.WriteString(caller, head+body)
@@ -160,7 +165,7 @@
 			})
 			So(answer, ShouldEqual, "taken second")
 		})
-		Convey("whose head was read in part as the stop begins is answered", func() {
+		Convey("whose head was read in part when the shutdown begins is answered", func() {
 			g := newGate()
 			g.release()
 			d, servers, caller, answers := startDaemon(g)
@@ -177,7 +182,7 @@
 			})
 			So(answer, ShouldEqual, "taken second")
 		})
-		Convey("that was read whole as what is open is ended is answered", func() {
+		Convey("that was read completely when open connections are closed is answered", func() {
 			g := newGate()
 			g.opensWhenTouched = true
 			d, servers, caller, answers := startDaemon(g)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,28 +7,29 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Emit passes one figure to whoever reads the metrics. Labels are pairs of name
-// and value. A name that ends in counterSuffix is a count that only grows.
+// Emit passes one metric to the collector. Labels are pairs of name and value. A metric whose name ends in
+// counterSuffix is a counter, any other a gauge.
 type Emit func(name, help string, value float64, labels ...string)
 
-// counterSuffix ends the names of counters, by convention.
+// counterSuffix ends the names of counters, by Prometheus convention.
 const counterSuffix = "_total"
 
-// gauges are read when the metrics are, so nothing needs to be kept up to date
-// between two readings.
+// metricsCollector reads its sources whenever the metrics are collected, so that nothing needs to be
+// updated between two collections.
 type metricsCollector struct {
 	mu      sync.Mutex
 	sources []func(Emit)
 }
 
-// AddMetrics adds figures that are read with each reading of the metrics.
+// AddMetrics adds a source that is called on each collection of the metrics.
 func (d *Daemon) AddMetrics(source func(Emit)) {
 	d.collector.mu.Lock()
 	defer d.collector.mu.Unlock()
 	d.collector.sources = append(d.collector.sources, source)
 }
 
-// Describe tells nothing: which lanes and pools there are follows the configuration.
+// Describe implements prometheus.Collector. It sends nothing, since lanes and pools depend on the
+// configuration.
 func (g *metricsCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -51,7 +52,7 @@
 	}
 }
 
-// collectViewMetrics reports how a daemon stands to the control plane.
+// collectViewMetrics emits the state of the daemon's view and membership.
 func (d *Daemon) collectViewMetrics(emit Emit) {
 	isFresh := 0.0
 	if d.IsFresh() {
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -7,9 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestCountersAreCounters: figures whose names say that they only grow are read as counters, others as gauges.
+// TestCountersAreCounters checks that metrics with the suffix of counters are exported as counters, others
+// as gauges.
 func TestCountersAreCounters(t *testing.T) {
-	Convey("Given a count and a figure that goes up and down", t, func() {
+	Convey("Given a counter and a gauge", t, func() {
 		registry, d := prometheus.NewRegistry(), &Daemon{}
 		d.AddMetrics(func(emit Emit) {
 			emit("asks_total", "Asks.", 3, "kind", "a")
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -19,27 +19,28 @@
 	"caperwheel/internal/web"
 )
 
-// Shares of the time between being asked to stop and being killed, in
-// hundredths. Invariant: drainPercent < stopLastPercent < closePercent < 100.
+// Deadlines of a shutdown in percent of the time between the signal to stop and the kill. Invariant:
+// drainPercent < stopLastPercent < closePercent < 100.
 const (
-	drainPercent    = 75 // what is under way may end until then; what is left is answered with what is known
+	drainPercent    = 75 // requests in progress may finish until then; the rest are answered with what is known
 	stopLastPercent = 85 // a daemon that others need until they have stopped has until then
-	closePercent    = 90 // open connections are cut then
+	closePercent    = 90 // open connections are cut off then
 )
 
-// listen opens a port whose dead callers are noticed; none for no address.
+// listen opens a port with TCP keep-alive, so that dead callers are noticed. It returns nil for an empty
+// address.
 func (d *Daemon) listen(addr string) net.Listener {
 	if addr == "" {
 		return nil
 	}
 	config := net.ListenConfig{KeepAliveConfig: d.Bounds.KeepAliveConfig()}
 	listener, err := config.Listen(context.Background(), "tcp", addr)
-	d.Must(errs.Wrap(err, errs.Invalid, "listen on %s", addr))
+	d.Must(errs.Wrap(err, errs.Invalid, "listen for HTTP on %s", addr))
 	return listener
 }
 
-// IsReady reports whether the daemon should be sent work, and if not, why. One
-// that was asked to stop is not, though it still serves.
+// IsReady reports whether the daemon should receive work, and if not, why. A daemon that has been asked to
+// stop should not, though it still serves.
 func (d *Daemon) IsReady() (bool, string) {
 	if d.isLeaving.Load() {
 		return false, "stopping"
@@ -47,12 +48,13 @@
 	return d.Ready()
 }
 
-// StartDraining has the daemon say from now on that it is stopping.
+// StartDraining marks the daemon as stopping: from now on it is not ready, and says so.
 func (d *Daemon) StartDraining() { d.isLeaving.Store(true) }
 
-// IsDraining reports whether the daemon was asked to stop.
+// IsDraining reports whether the daemon has been asked to stop.
 func (d *Daemon) IsDraining() bool { return d.isLeaving.Load() }
 
+// addRoutes registers the handlers for metrics and health checks.
 func (d *Daemon) addRoutes() {
 	d.Mux.Handle("GET /metrics", promhttp.Handler())
 	d.Mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
@@ -82,9 +84,8 @@
 	return servers
 }
 
-// Serve answers HTTP until a signal comes. Then the daemon is not ready, but
-// serves for as long as it lingers; after that leave is given time to end what
-// is under way.
+// Serve serves HTTP until a signal to stop. Then the daemon is not ready, but serves for the linger time;
+// after that drain may finish the work in progress.
 func (d *Daemon) Serve(drain func(ctx context.Context)) {
 	d.addRoutes()
 	stop := make(chan os.Signal, 1)
@@ -101,6 +102,7 @@
 	klog.Flush()
 }
 
+// shutdown drains the daemon and stops its servers within the time that the settings give.
 func (d *Daemon) shutdown(servers []*web.Server, drain func(ctx context.Context)) {
 	stay := d.Settings.GracePeriod()
 	closing, cancel := context.WithTimeout(context.Background(), stay*closePercent/100)
@@ -108,7 +110,7 @@
 	ctx, cancel := context.WithTimeout(closing, stay*drainPercent/100)
 	defer cancel()
 	d.StartDraining()
-	for _, server := range servers { // callers come anew, and so to others
+	for _, server := range servers { // callers reconnect, and so move to other daemons
 		server.StartDraining()
 	}
 	context.AfterFunc(ctx, func() {
@@ -128,7 +130,7 @@
 	for _, server := range servers {
 		stopping.Go(func() {
 			if err := server.Stop(closing); err != nil {
-				klog.Warningf("%s: Stopping: %v.", d.Kind, err)
+				klog.Warningf("%s: HTTP server did not stop cleanly: %v.", d.Kind, err)
 			}
 		})
 	}
--- a/internal/daemon/serve_test.go
+++ b/internal/daemon/serve_test.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/timing"
 )
 
-// TestStop: whoever hands callers out sees at once that a stopping daemon is
-// not ready, while what still comes is served, with connections closed after.
+// TestStop guards against a stopping daemon that still looks ready to load balancers, or drops requests
+// that still arrive. Their connections are closed after the reply.
 func TestStop(t *testing.T) {
 	Convey("Given a daemon with all its listeners", t, func() {
 		s := settings.Default()
--- a/internal/host/apply.go
+++ b/internal/host/apply.go
@@ -9,6 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
+// apply applies committed entries to the machine and calls the waiters of their proposals.
 func (h *Host) apply(entries []wire.Entry) {
 	for _, e := range entries {
 		var verdict any
@@ -27,15 +28,15 @@
 			delete(h.waiters, e.Index)
 			if w.term == e.Term {
 				w.done(verdict, nil)
-			} else { // another entry took its place: it can never be committed
+			} else { // another entry took its index: it can never be committed
 				w.done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
 			}
 		}
 	}
 }
 
-// updateOwnership notices that ownership has begun or ended. It begins only once all
-// that earlier owners committed has been applied.
+// updateOwnership detects that ownership has begun or ended. It begins only once everything that earlier
+// owners committed has been applied.
 func (h *Host) updateOwnership() {
 	v := h.machine.View()
 	isOwner := v.Role == group.Owner && v.IsConfirmed
@@ -57,12 +58,13 @@
 		}
 		h.waiters, h.inFlight = map[int64]waiter{}, nil
 		for _, index := range slices.Sorted(maps.Keys(undecided)) {
-			undecided[index].done(nil, errs.New(errs.Undecided, "group %d changes hands", h.opts.Id))
+			undecided[index].done(nil, errs.New(errs.Undecided, "ownership of group %d ended before the proposal was committed", h.opts.Id))
 		}
 	}
 	h.opts.Machine.OwnershipChanged(isOwner)
 }
 
+// publish makes the current state available to View.
 func (h *Host) publish() {
 	v := h.machine.View()
 	h.mu.Lock()
@@ -70,12 +72,12 @@
 	h.mu.Unlock()
 }
 
-// ReportStoreDown tells that a store's process is known to have ended.
+// ReportStoreDown reports that the process of the named store is known to have ended.
 func (h *Host) ReportStoreDown(name string) {
 	_ = h.Do(func() { h.machine.ReportStoreDown(name, h.opts.Now()) })
 }
 
-// TransferOwnership gives ownership to the best other voter that is not avoided.
+// TransferOwnership transfers ownership to the best other voter for which isAvoided is false.
 func (h *Host) TransferOwnership(isAvoided func(member string) bool) {
 	_ = h.Do(func() {
 		now := h.opts.Now()
@@ -85,12 +87,13 @@
 	})
 }
 
-// onPersisted brings the disk's word on what was persisted back to the host's
-// goroutine, and onCompleted its word on anything.
+// onPersisted returns a disk callback that runs work on the host's goroutine once a write is durable.
 func (h *Host) onPersisted(work func()) func(error) {
 	return h.onCompleted(func() { h.pendingWrites--; work() })
 }
 
+// onCompleted returns a disk callback that runs work on the host's goroutine; an error goes to OnFailure
+// instead.
 func (h *Host) onCompleted(work func()) func(error) {
 	return func(err error) {
 		if err != nil {
@@ -107,6 +110,8 @@
 	}
 }
 
+// send sends a message. A snapshot is split if it is too large for one message, and dropped if it has been
+// replaced.
 func (h *Host) send(m wire.GroupMsg) {
 	if m.Kind == group.MsgSnapshot {
 		if h.snapshot == nil || h.snapshot.Index != m.Index {
@@ -120,6 +125,7 @@
 	h.opts.Send(m)
 }
 
+// sendAll sends messages in order.
 func (h *Host) sendAll(messages []wire.GroupMsg) {
 	for _, m := range messages {
 		h.send(m)
--- a/internal/host/batching_test.go
+++ b/internal/host/batching_test.go
@@ -12,10 +12,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TestGather: each command once went to the other replicas by itself, with a message,
-// an answer and a write for each, however many came within a moment.
+// TestGather guards against replicating each command by itself, with a message, a reply and a write for
+// each, however many are proposed at the same time.
 func TestGather(t *testing.T) {
-	Convey("Given the owner of a group of three whose proposals are gathered", t, func() {
+	Convey("Given the owner of a group of three that batches proposals", t, func() {
 		names := []string{"a", "b", "c"}
 		c := newCluster(names, names, names)
 		for len(c.voters()) == 0 && c.now < timing.Default.ConfigApply {
@@ -59,7 +59,7 @@
 		for range 5 {
 			propose(10)
 		}
-		Convey("nothing is sent before the next moment of the grid, and only one waiting is begun", func() {
+		Convey("nothing is sent before the next multiple of the interval, and only one timer is started", func() {
 			So(appends, ShouldEqual, 0)
 			So(timers, ShouldHaveLength, 1)
 			period := timing.Default.Of(timing.BatchDelayLimit)
@@ -69,22 +69,22 @@
 			c.now += time.Millisecond
 			So(owner.OldestProposalAge(), ShouldEqual, time.Millisecond)
 		})
-		Convey("then all go in one message to each replica, and each caller is told", func() {
+		Convey("then all are sent in one message to each replica, and each callback is called", func() {
 			timers[0].work()
 			settle()
 			So(appends, ShouldEqual, 2)
 			So(committed, ShouldEqual, 5)
 			So(owner.PendingProposals(), ShouldEqual, 0)
 		})
-		Convey("a moment that is missed is made up for by the tick", func() {
+		Convey("if the timer does not fire, the tick flushes the batch", func() {
 			settle()
 			So(committed, ShouldEqual, 5)
 		})
-		Convey("many bytes are not held back", func() {
+		Convey("a large batch is not held back", func() {
 			propose(batchBytesLimit)
 			So(appends, ShouldBeGreaterThan, 0)
 		})
-		Convey("what was never proposed is refused when ownership ends, since it will never hold", func() {
+		Convey("batched proposals fail with NotOwner when ownership ends, since they will never be committed", func() {
 			owner.machine.Receive(wire.GroupMsg{Group: 1, Kind: group.MsgAppend, From: "x/0", To: owner.opts.Self, Term: 99}, c.now)
 			owner.updateOwnership()
 			So(refused, ShouldEqual, 5)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,6 +1,7 @@
-// Package host runs one replica of a group inside a store: the pure group and
-// the state machine above it on one goroutine, joined by bounded rings to the
-// disk and to the other stores.
+// Package host runs one replica of a group inside a store. The consensus code of package group and the
+// replicated state machine run on one goroutine, connected by bounded queues to the disk and to the other
+// stores. Package store holds a Host for each of its replicas; the simulation drives one without its
+// goroutine.
 package host
 
 import (
@@ -16,26 +17,26 @@
 	"caperwheel/internal/wire"
 )
 
-// Machine is the replicated state above a group. It is used by the host's
-// goroutine alone.
+// Machine is the replicated state machine of a group. Only the host's goroutine uses it.
 type Machine interface {
-	// Apply takes a committed command in and returns the verdict for whoever proposed it.
-	// isOwn tells that it was proposed here, in the ownership that still stands.
+	// Apply applies a committed command and returns the result for its proposer. isOwn says that it was
+	// proposed by this replica in its current ownership.
 	Apply(data []byte, isOwn bool) any
 	Snapshot() []byte
 	Restore(image []byte) error
-	OwnershipChanged(isOwner bool) // ownership has begun (all that was committed is applied) or ended
+	OwnershipChanged(isOwner bool) // ownership began (everything committed is applied) or ended
 	Tick(now time.Duration)
 }
 
-// Disk is what a host needs of the store's disk.
+// Disk is what a host needs of the store's disk. The callbacks are called once the work is durable;
+// AfterWrites writes nothing and waits only for the writes before it.
 type Disk interface {
 	Persist(id int64, p *group.DurableUpdate, then func(error))
 	AfterWrites(then func(error))
 	SaveSlot(id int64, hard group.HardState, image *group.Snapshot, entries *group.DurableUpdate, then func(error))
 }
 
-// Options of a host.
+// Options configure a host.
 type Options struct {
 	Id              int64
 	Self            string
@@ -49,27 +50,26 @@
 	Send            func(wire.GroupMsg)
 	PreferredOwner  func(roster []string) string
 	PlanRoster      RosterPlan
-	HasCapacity     func(member string) bool // whether the link to a member takes more; none given: always
-	QueueSize       int                      // events that may wait
-	CompactEntries  int                      // applied entries after which the group is put into its slot
-	CompactBytes    int                      // or bytes of them, at least as many as the image has
-	MaxMessageBytes int                      // bytes of an image up to which it travels in one message
+	HasCapacity     func(member string) bool // whether the link to a member accepts more; nil means always
+	QueueSize       int                      // maximum number of queued events
+	CompactEntries  int                      // applied entries after which the state is written to the group's slot
+	CompactBytes    int                      // bytes of entries after which it is, but at least the size of the snapshot
+	MaxMessageBytes int                      // snapshot size in bytes up to which it is sent in one message
 	OnFailure       func(error)
-	// Later does work, on any goroutine, once a time has passed; none given: proposals
-	// are not gathered.
+	// Schedule calls work on any goroutine after span; with nil, proposals are not batched.
 	Schedule func(span time.Duration, work func())
 	Level    int64 // the newest feature level that the machine can apply
 }
 
-// RosterPlan tells the member ids of the stores that are here, by name, and the names of
-// those that should hold the group, given what the owner has heard of its holders.
+// RosterPlan returns the member ids of the stores that are available, by name, and the names of those that
+// should hold the group, given the time since the owner last heard from each holder.
 type RosterPlan func(silence repair.Silence) (known map[string]string, wanted []string)
 
 // Host is one running replica.
 //
-// Invariants: all but view, synced and the ring is touched by the goroutine
-// alone; pending counts persists that are not synced yet, and an After message
-// leaves only behind all persists before it; each waiter is told exactly once.
+// Invariants: only the host's goroutine accesses the fields, except view, completions and the queue;
+// pendingWrites counts writes that are not durable yet, and a message of Out.After is sent only after all
+// writes before it; each waiter is called exactly once.
 type Host struct {
 	opts             Options
 	machine          *group.Group
@@ -78,22 +78,22 @@
 	pendingWrites    int
 	appliedIndex     int64
 	dataTerm         int64 // see DataTerm
-	dataIndex        int64 // of that command
+	dataIndex        int64 // index of that command
 	recovered        recoveredLog
 	loggedAt         time.Duration // see LoggedAt
 	entriesSinceSlot int           // entries applied since the last slot
-	bytes            int           // and their bytes
+	bytes            int           // bytes of those entries
 	isSavingSlot     bool          // a slot is being written
 	waiters          map[int64]waiter
-	inFlight         []inFlightProposal // when the waiters' proposals were made, oldest first
+	inFlight         []inFlightProposal // start times of the waiters' proposals, oldest first
 	isOwner          bool
 	ownedTerm        int64 // the term of the ownership, while isOwner
 	lastRepair       time.Duration
-	isRosterChanging bool // the roster is not yet what it should be
+	isRosterChanging bool // the roster has not reached its target yet
 	snapshotParts    partBuffer
 
 	batch      []proposal // not proposed yet, oldest first
-	batchBytes int        // and the bytes of their commands
+	batchBytes int        // bytes of their commands
 
 	mu          sync.Mutex
 	view        group.View
@@ -101,7 +101,7 @@
 	wake        chan struct{}
 }
 
-// New readies a replica from what its disk held.
+// New returns a replica with the state that its disk held. Run starts it.
 func New(opts Options) (*Host, error) {
 	if opts.QueueSize == 0 {
 		opts.QueueSize = 4096
@@ -131,14 +131,14 @@
 	h.recovered = newRecoveredLog(held.Log, opts.Now())
 	h.apply(h.machine.Committed())
 	h.publish()
-	h.opts.Held = nil // the machine has its own state now
+	h.opts.Held = nil // releases the memory: the machine has its own state now
 	return h, nil
 }
 
-// Run works until ctx ends.
+// Run processes events until ctx ends.
 func (h *Host) Run(ctx context.Context) {
-	// All groups of a store tick at the same moments, so that one waking serves
-	// them and what they say to a store leaves in one batch.
+	// All groups of a store tick at the same moments, so that one wake-up serves them and their messages to
+	// a store are sent in one batch.
 	period := h.opts.Bounds.Of(timing.Tick)
 	timing.Wait(ctx, period-h.opts.Now()%period)
 	ticker := time.NewTicker(period)
@@ -157,6 +157,7 @@
 	}
 }
 
+// runCompletions runs the callbacks of finished disk writes and reports whether there were any.
 func (h *Host) runCompletions() bool {
 	h.mu.Lock()
 	completions := h.completions
@@ -168,23 +169,23 @@
 	return len(completions) > 0
 }
 
-// Tick lets time pass. Run calls it; the simulation does, in Run's place.
+// Tick advances the replica's timers. Run calls it, or the simulation in place of Run.
 func (h *Host) Tick() {
 	h.execute(h.machine.Tick(h.opts.Now()))
 	h.runPeriodic()
 }
 
-// Do has work done on the host's goroutine; a full ring is a definite reject.
+// Do runs work on the host's goroutine. If the queue is full, it returns an error and work will not run.
 func (h *Host) Do(work func()) error {
 	select {
 	case h.queue <- work:
 		return nil
 	default:
-		return errs.New(errs.Full, "group %d has %d events waiting", h.opts.Id, cap(h.queue))
+		return errs.New(errs.Full, "queue of group %d is full: %d events wait", h.opts.Id, cap(h.queue))
 	}
 }
 
-// Receive takes a message from another store; a full ring loses it.
+// Receive processes a message from another store; if the queue is full, the message is dropped.
 func (h *Host) Receive(m wire.GroupMsg) {
 	_ = h.Do(func() {
 		if m.Kind == group.MsgSnapshotChunk {
@@ -198,18 +199,20 @@
 	})
 }
 
-// IsOwner tells it, and Term the group's term, on the host's goroutine.
+// IsOwner reports whether this replica owns the group, and Term returns the group's term. Both must be
+// called on the host's goroutine.
 func (h *Host) IsOwner() bool { return h.isOwner }
 func (h *Host) Term() int64   { return h.machine.View().Term }
 
-// View of the replica, for any goroutine.
+// View returns a recent state of the replica. Any goroutine may call it.
 func (h *Host) View() group.View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.view
 }
 
-// execute carries out what one step of the group wants.
+// execute carries out the output of one step of the group: messages, writes, a received snapshot, committed
+// entries.
 func (h *Host) execute(out group.Output) {
 	for _, m := range out.SendNow {
 		h.send(m)
--- a/internal/host/maintenance.go
+++ b/internal/host/maintenance.go
@@ -11,12 +11,13 @@
 	"caperwheel/internal/timing"
 )
 
+// rosterChanges counts the roster changes that this store made as an owner.
 var rosterChanges = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "caperwheel", Subsystem: "repair",
 	Name: "roster_changes_total", Help: "Steps towards the rosters that should be, taken as owner."})
 
 func init() { prometheus.MustRegister(rosterChanges) }
 
-// runPeriodic does the host's periodic work.
+// runPeriodic does the work of a tick: flushing proposals, compaction, and roster changes.
 func (h *Host) runPeriodic() {
 	now := h.opts.Now()
 	h.updateOwnership()
@@ -32,9 +33,9 @@
 	h.publish()
 }
 
-// repairInterval returns for how long the roster is left as it is after a look at it:
-// not at all while it is being changed, and shortly while a voter is silent, since
-// the next loss may follow as soon as this one should have been repaired.
+// repairInterval returns how long to wait from one check of the roster to the next: no time while the
+// roster is being changed, and a short time while a voter is silent, since the next loss may follow as soon
+// as this one should have been repaired.
 func (h *Host) repairInterval() time.Duration {
 	switch {
 	case h.isRosterChanging:
@@ -45,8 +46,8 @@
 	return h.opts.Bounds.Of(timing.AnswerTimeout)
 }
 
-// snapshotBytes is how large the newest image is: a group that holds much is
-// written whole only when as much has come since.
+// snapshotBytes returns the size of the newest snapshot: a group with much state is compacted only when as
+// many bytes of entries have been applied since.
 func (h *Host) snapshotBytes() int {
 	if h.snapshot == nil {
 		return 0
@@ -54,15 +55,16 @@
 	return len(h.snapshot.State)
 }
 
-// DataTerm returns the term of the newest command that the machine has applied, on the host's goroutine. For one
-// that came with an image it is that of the image's last entry, which may be later where the image is of an older build.
+// DataTerm returns the term of the newest command that the machine has applied. For a command that came
+// with a snapshot it is the term of the snapshot's last entry, which may be later if an older build made
+// the snapshot. It must be called on the host's goroutine.
 func (h *Host) DataTerm() int64 { return h.dataTerm }
 
-// CompactEntries puts the group into its slot, so that old log segments can go.
+// Compact writes the state to the group's slot, so that old log segments can be deleted.
 func (h *Host) Compact() { _ = h.Do(h.compact) }
 
-// compact does nothing while the slot before is still being written: a disk
-// that stalls must not have the whole state waiting for it again and again.
+// compact does nothing while the previous slot is still being written: otherwise a stalled disk would queue
+// the whole state again and again.
 func (h *Host) compact() {
 	if h.isSavingSlot {
 		return
@@ -70,14 +72,15 @@
 	h.isSavingSlot = true
 	if image := h.machine.Compact(h.snapshotIndex(), h.opts.Machine.Snapshot()); image != nil {
 		h.snapshot = image
-	} // else nothing is new, but the slot must pass the log's old segments
+	} // else nothing is new, but the slot must be newer than the log's old segments
 	h.entriesSinceSlot, h.bytes = 0, 0
 	hard, log := h.machine.DurableState()
 	h.opts.Disk.SaveSlot(h.opts.Id, hard, h.snapshot, &group.DurableUpdate{Entries: log}, h.onCompleted(func() { h.isSavingSlot = false }))
 }
 
-// snapshotIndex is up to which entry an image of the state as it is now goes: up to the newest command, so that the image tells
-// its term. Other entries change no state, and are left in the log unless they are many.
+// snapshotIndex returns the index of the last entry that a snapshot of the current state covers: the newest
+// command, so that the snapshot has that command's term. Other entries change no state, and stay in the log
+// unless there are many.
 func (h *Host) snapshotIndex() int64 {
 	if h.appliedIndex-h.dataIndex >= int64(h.opts.CompactEntries) {
 		return h.appliedIndex
@@ -85,9 +88,8 @@
 	return h.dataIndex
 }
 
-// repair takes one step towards the roster that should be. While steps are left it
-// is called with every tick: a group whose roster is between two states bears the
-// loss of one member less.
+// repair makes one step towards the planned roster. While steps remain it is called on every tick, because
+// a group whose roster is between two states tolerates one loss of a member less.
 func (h *Host) repair() {
 	known, wanted := h.opts.PlanRoster(h.machine.Silence)
 	change, isDue := h.machine.Repair(known, wanted)
@@ -97,7 +99,7 @@
 	}
 	out, err := h.machine.ChangeRoster(change, h.opts.Now())
 	if err != nil {
-		klog.V(1).Infof("repair: Group %d cannot change its roster yet: %v.", h.opts.Id, err)
+		klog.V(1).Infof("repair: Group %d cannot change its roster yet and retries: %v.", h.opts.Id, err)
 		return
 	}
 	klog.Infof("repair: Group %d changes its roster: %+v.", h.opts.Id, change)
@@ -105,7 +107,7 @@
 	h.execute(out)
 }
 
-// RunPending does all that waits, for the simulation.
+// RunPending runs all queued work and completions, for the simulation.
 func (h *Host) RunPending() {
 	for {
 		select {
--- a/internal/host/propose.go
+++ b/internal/host/propose.go
@@ -7,34 +7,36 @@
 	"caperwheel/internal/timing"
 )
 
-// batchBytesLimit is how many bytes of gathered proposals are not held back any longer.
+// batchBytesLimit is the size in bytes of a proposal batch at which it is no longer held back.
 const batchBytesLimit = 64 << 10
 
-// proposal is a command that is to become an entry of the log.
+// proposal is a command that is to become a log entry.
 type proposal struct {
 	data       []byte
 	done       func(verdict any, err error)
 	proposedAt time.Duration
 }
 
+// waiter is the callback of a proposal that is in the log; term is that of its entry.
 type waiter struct {
 	term int64
 	done func(verdict any, err error)
 }
 
+// inFlightProposal is the log index of a proposal and the time at which it was made.
 type inFlightProposal struct {
 	index      int64
 	proposedAt time.Duration
 }
 
-// Propose must be called on the host's goroutine. tell gets the verdict once
-// the command is committed and applied. NotOwner means that it never will be;
-// Undecided that a new owner decides.
+// Propose proposes a command. It must be called on the host's goroutine. done receives the result once the
+// command is committed and applied. A NotOwner error means that it never will be; Undecided that a new
+// owner decides.
 //
-// Proposals are gathered for a moment, at most timing.Gather, and go into the log
-// and to the other replicas together: each append costs every replica a message, an
-// answer and a write, whatever it carries. The moments are those of one grid, so that
-// all groups of a store write and send at the same time.
+// Proposals are batched for at most timing.BatchDelayLimit, and are appended to the log and sent to the
+// other replicas together: each append costs every replica a message, a reply and a write, however many
+// entries it carries. Batches are sent at multiples of that interval, so that all groups of a store write
+// and send at the same time.
 func (h *Host) Propose(data []byte, done func(verdict any, err error)) {
 	if !h.isOwner {
 		h.refuse(done)
@@ -47,11 +49,11 @@
 		h.flush()
 	case len(h.batch) == 1:
 		period := h.opts.Bounds.Of(timing.BatchDelayLimit)
-		h.opts.Schedule(period-h.opts.Now()%period, func() { _ = h.Do(h.flush) }) // should the ring be full, the next tick does it
+		h.opts.Schedule(period-h.opts.Now()%period, func() { _ = h.Do(h.flush) }) // if the queue is full, the next tick flushes
 	}
 }
 
-// flush proposes what was gathered.
+// flush proposes the batch.
 func (h *Host) flush() {
 	if len(h.batch) == 0 {
 		return
@@ -75,15 +77,16 @@
 	h.execute(out)
 }
 
-// refuse says of a proposal that it will never be committed.
+// refuse fails a proposal that will never be committed.
 func (h *Host) refuse(done func(verdict any, err error)) {
-	done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
+	done(nil, errs.New(errs.NotOwner, "this store does not own group %d", h.opts.Id))
 }
 
-// PendingProposals reports how many proposals are under way. On the goroutine only.
+// PendingProposals returns the number of proposals that are not committed yet. It must be called on the
+// host's goroutine.
 func (h *Host) PendingProposals() int { return len(h.waiters) + len(h.batch) }
 
-// OldestProposalAge reports how long the oldest proposal under way has waited for its commit.
+// OldestProposalAge returns how long the oldest pending proposal has waited for its commit.
 func (h *Host) OldestProposalAge() time.Duration {
 	switch {
 	case len(h.inFlight) > 0:
--- a/internal/host/recoveredlog.go
+++ b/internal/host/recoveredlog.go
@@ -6,14 +6,15 @@
 	"caperwheel/internal/wire"
 )
 
-// replayed tells which entries were in the replica's log as it began: they were proposed before that moment, however
-// long it takes until they are known to be committed.
+// recoveredLog records which entries were in the replica's log when it started: they were proposed before
+// that moment, however long it takes until they are known to be committed.
 type recoveredLog struct {
 	startedAt time.Duration
 	first     int64   // index of the first of them
-	terms     []int64 // of each of them
+	terms     []int64 // term of each of them
 }
 
+// newRecoveredLog records the entries of a log that was read at a start.
 func newRecoveredLog(log []wire.Entry, at time.Duration) recoveredLog {
 	r := recoveredLog{startedAt: at}
 	for _, e := range log {
@@ -25,12 +26,13 @@
 	return r
 }
 
-// loggedAt returns a moment at which the log had the entry already: the replica's beginning, or now. An entry is the one that was
-// there only if it has the same term; else another owner's has taken its place.
+// loggedAt returns a time at which the log already had the entry: the start, or now. An entry is the one
+// that was in the log only if its term is the same; otherwise an entry of another owner has replaced that
+// one.
 func (r *recoveredLog) loggedAt(e wire.Entry, now time.Duration) time.Duration {
 	at := e.Index - r.first
 	if at >= int64(len(r.terms)) {
-		r.terms = nil // all that come are new
+		r.terms = nil // all later entries are new
 	}
 	if at < 0 || at >= int64(len(r.terms)) || r.terms[at] != e.Term {
 		return now
@@ -38,6 +40,6 @@
 	return r.startedAt
 }
 
-// LoggedAt returns, while the machine applies a command, a moment of the replica's clock at which its log had that already. The
-// command was proposed before it.
+// LoggedAt returns, while the machine applies a command, a time of the replica's clock at which its log
+// already had the command. The command was proposed before it.
 func (h *Host) LoggedAt() time.Duration { return h.loggedAt }
--- a/internal/host/recoveredlog_test.go
+++ b/internal/host/recoveredlog_test.go
@@ -14,10 +14,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TestHeldIsLetGo: a replica once kept all that its disk held at the start for as long
-// as it ran, beside its state.
+// TestHeldIsLetGo guards against a replica that keeps what its disk held at the start in memory for as long
+// as it runs, in addition to its state.
 func TestHeldIsLetGo(t *testing.T) {
-	Convey("A replica that has read what its disk held keeps none of it besides", t, func() {
+	Convey("A started replica keeps no reference to what its disk held", t, func() {
 		held := &storage.StoredGroup{Hard: group.HardState{Term: 1}, Log: []wire.Entry{{Index: 1, Term: 1}}}
 		kept := weak.Make(held)
 		h, err := New(Options{Id: 1, Self: "a/0", Roster: []string{"a/0"}, Bounds: timing.Default, Held: held,
@@ -30,32 +30,32 @@
 	})
 }
 
-// TestReplayed: a replica once counted the group's time from when a command was applied, which after a restart waits for an
-// election, though its log had the command as it began.
+// TestReplayed guards against a replica that dates a command by when it was applied: after a restart this
+// waits for an election, although the log had the command at the start.
 func TestReplayed(t *testing.T) {
-	Convey("Of a log with three entries that a replica began with at 5 s", t, func() {
+	Convey("Of a log with three entries at the start of a replica at 5 s", t, func() {
 		const began, now = 5 * time.Second, 9 * time.Second
 		log := newRecoveredLog([]wire.Entry{{Index: 7, Term: 2}, {Index: 8, Term: 2}, {Index: 9, Term: 3}}, began)
-		Convey("each was there then", func() {
+		Convey("each was in the log then", func() {
 			So(log.loggedAt(wire.Entry{Index: 7, Term: 2}, now), ShouldEqual, began)
 			So(log.loggedAt(wire.Entry{Index: 9, Term: 3}, now), ShouldEqual, began)
 		})
-		Convey("one that has taken the place of another was not", func() {
+		Convey("one that has replaced another was not", func() {
 			So(log.loggedAt(wire.Entry{Index: 8, Term: 4}, now), ShouldEqual, now)
 		})
-		Convey("nor were those that came later, or are before it", func() {
+		Convey("nor were later or earlier entries", func() {
 			So(log.loggedAt(wire.Entry{Index: 6, Term: 2}, now), ShouldEqual, now)
 			So(log.loggedAt(wire.Entry{Index: 10, Term: 3}, now), ShouldEqual, now)
 			So(log.terms, ShouldBeEmpty)
 		})
 	})
-	Convey("Without a log, none was there", t, func() {
+	Convey("Without a log, no entry was there", t, func() {
 		log := newRecoveredLog(nil, 0)
 		So(log.loggedAt(wire.Entry{Index: 1, Term: 1}, time.Second), ShouldEqual, time.Second)
 	})
 }
 
-// memoryDisk keeps what a replica's disk holds after it.
+// memoryDisk records in held what a replica's disk holds.
 type memoryDisk struct {
 	syncDisk
 	held *storage.StoredGroup
@@ -74,7 +74,7 @@
 	then(nil)
 }
 
-// startOwner begins a replica on a disk and has it own its group of one.
+// startOwner starts a replica on the disk and runs it until it owns its group of one.
 func (d memoryDisk) startOwner() *Host {
 	now := time.Duration(0)
 	held := *d.held
@@ -90,10 +90,11 @@
 	return h
 }
 
-// TestImageTerm: an image that was written between an election and the owner's first command once told the election's term as that of
-// its newest command, so that words of the time of the ownership before counted no more, and what a loss of all stores took was lost.
+// TestImageTerm guards against a snapshot, made between an election and the owner's first command, that has
+// the election's term as that of its newest command: readings of the group's time from the earlier
+// ownership were then ignored, and the time that passed during a loss of all stores was lost.
 func TestImageTerm(t *testing.T) {
-	Convey("Given a command of one ownership and the election of another", t, func() {
+	Convey("Given a command of one ownership and the election of the next", t, func() {
 		disk := memoryDisk{held: &storage.StoredGroup{}}
 		first := disk.startOwner()
 		first.Propose([]byte("command"), func(any, error) {})
@@ -104,7 +105,7 @@
 		second := disk.startOwner()
 		So(second.Term(), ShouldBeGreaterThan, told)
 		So(second.DataTerm(), ShouldEqual, told)
-		Convey("a replica that begins with an image of then knows the command's term", func() {
+		Convey("a replica that starts from a snapshot made then has the command's term", func() {
 			second.Compact()
 			second.RunPending()
 			So(disk.held.Snapshot, ShouldNotBeNil)
--- a/internal/host/repairpace_test.go
+++ b/internal/host/repairpace_test.go
@@ -9,9 +9,8 @@
 	"caperwheel/internal/timing"
 )
 
-// TestPaceOfRepair: an owner looks at its roster more often while a voter is silent.
-// It once looked each quarter of a bound only, which with a change of owner was too
-// late for the next loss.
+// TestPaceOfRepair guards against an owner that checks its roster only each quarter of a bound while a
+// voter is silent: with a change of owner that is too late for the next loss.
 func TestPaceOfRepair(t *testing.T) {
 	Convey("Given a group of three with an owner", t, func() {
 		names := []string{"a", "b", "c"}
@@ -35,7 +34,7 @@
 		}
 		baseline := checksPerBound()
 		So(baseline, ShouldBeBetweenOrEqual, 3, 5)
-		Convey("it looks three times as often once a voter is silent", func() {
+		Convey("it checks more than twice as often once a voter is silent", func() {
 			for name, h := range c.byName {
 				if !h.IsOwner() {
 					delete(c.byName, name)
--- a/internal/host/snapshot.go
+++ b/internal/host/snapshot.go
@@ -5,24 +5,24 @@
 	"caperwheel/internal/wire"
 )
 
-// An image that is larger than one message may be travels in parts: Commit has
-// a part's offset, and Reject marks the last one. Parts may come in any order
-// and be lost; the owner sends the whole image again until it is installed.
+// A snapshot larger than one message is sent in parts: Commit is the offset of a part, and Reject marks the
+// last one. Parts may arrive in any order or be lost; the owner resends the whole snapshot until it is
+// installed.
 const (
-	snapshotMessageBytesLimit = 8 << 20 // up to this an image is one message, as it was in wire version 1
+	snapshotMessageBytesLimit = 8 << 20 // up to this size a snapshot is one message, as in wire version 1
 	maxSnapshotBytes          = 1 << 30
 )
 
-// parts gathers one image. Invariant: all are of the same sender, term and
-// index; size never passes maxSnapshotBytes.
+// partBuffer collects the parts of one snapshot. Invariant: all are of the same sender, term and index;
+// size never exceeds maxSnapshotBytes.
 type partBuffer struct {
-	header   wire.GroupMsg // without state
+	header   wire.GroupMsg // the message without state
 	byOffset map[int64][]byte
 	size     int64
-	total    int64 // -1 while the last part has not come
+	total    int64 // -1 until the last part has arrived
 }
 
-// splitSnapshot gives the messages that carry an image.
+// splitSnapshot returns the messages that carry a snapshot, each with at most maxBytes of it.
 func splitSnapshot(m wire.GroupMsg, state []byte, maxBytes int) []wire.GroupMsg {
 	if len(state) <= maxBytes {
 		m.State = state
@@ -38,7 +38,7 @@
 	return out
 }
 
-// add adds a part. The image is whole when every byte of it is here.
+// add adds a part, and returns the snapshot once all of its bytes have arrived.
 func (p *partBuffer) add(m wire.GroupMsg) (image wire.GroupMsg, isWhole bool) {
 	if p.byOffset == nil || p.header.From != m.From || p.header.Term != m.Term || p.header.Index != m.Index {
 		*p = partBuffer{header: m, byOffset: map[int64][]byte{}, total: -1}
@@ -58,7 +58,7 @@
 	image.Kind, image.Commit, image.Reject, image.State = group.MsgSnapshot, 0, false, make([]byte, 0, p.total)
 	for at := int64(0); at < p.total; {
 		part := p.byOffset[at]
-		if len(part) == 0 { // parts of two cuts: begin anew
+		if len(part) == 0 { // parts of two different splits: start again
 			*p = partBuffer{}
 			return image, false
 		}
--- a/internal/host/snapshot_test.go
+++ b/internal/host/snapshot_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/wire"
 )
 
-// TestImageInParts: an image larger than a message once could not travel at all,
-// so that a replica that had to be rebuilt never was.
+// TestImageInParts guards against a snapshot larger than a message that cannot be sent, so that a replica
+// that needs it is never rebuilt.
 func TestImageInParts(t *testing.T) {
 	state := bytes.Repeat([]byte("abcdefg"), 50)
 	m := wire.GroupMsg{Kind: group.MsgSnapshot, From: "a", Term: 3, Index: 9, Round: 4, Roster: []string{"a"}}
@@ -22,23 +22,23 @@
 		alter   func([]wire.GroupMsg) []wire.GroupMsg
 		isWhole bool
 	}{
-		{"one that fits comes as it is", 350, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
-		{"parts in order are put together", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
-		{"parts in any order are", 40, func(l []wire.GroupMsg) []wire.GroupMsg {
+		{"one that fits is sent in one message", 350, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
+		{"parts in order are assembled", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
+		{"parts in any order are assembled", 40, func(l []wire.GroupMsg) []wire.GroupMsg {
 			rand.New(rand.NewPCG(1, 2)).Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 			return l
 		}, true},
-		{"parts that came twice count once", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return append(l[:2:2], l...) }, true},
-		{"a lost part leaves it unfinished", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l[1:] }, false},
-		{"the last part alone does", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l[3:] }, false},
-		{"parts of another term do not count", 100, func(l []wire.GroupMsg) []wire.GroupMsg { l[0].Term = 2; return l }, false},
-		{"… and the image comes again", 100, func(l []wire.GroupMsg) []wire.GroupMsg {
+		{"duplicate parts count once", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return append(l[:2:2], l...) }, true},
+		{"a lost part leaves it incomplete", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l[1:] }, false},
+		{"the last part alone leaves it incomplete", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l[3:] }, false},
+		{"a part of another term does not count", 100, func(l []wire.GroupMsg) []wire.GroupMsg { l[0].Term = 2; return l }, false},
+		{"a part of another term is replaced when the snapshot is resent", 100, func(l []wire.GroupMsg) []wire.GroupMsg {
 			old := l[0]
 			old.Term = 2
 			return append([]wire.GroupMsg{old}, l...)
 		}, true},
 	}
-	Convey("Of an image", t, func() {
+	Convey("Of a snapshot", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p, got := partBuffer{}, []wire.GroupMsg{}
--- a/internal/host/spread_test.go
+++ b/internal/host/spread_test.go
@@ -23,7 +23,7 @@
 func (idleMachine) OwnershipChanged(bool)  {}
 func (idleMachine) Tick(time.Duration)     {}
 
-// syncDisk has everything synced at once.
+// syncDisk is a disk on which every write is durable immediately.
 type syncDisk struct{}
 
 func (syncDisk) Persist(_ int64, _ *group.DurableUpdate, then func(error)) { then(nil) }
@@ -32,13 +32,15 @@
 	then(nil)
 }
 
-// cluster are the replicas of one group on several stores, on one clock.
+// cluster holds the replicas of one group on several stores, with one clock.
 type cluster struct {
 	now      time.Duration
 	byName   map[string]*Host
 	messages []wire.GroupMsg
 }
 
+// newCluster returns replicas on all stores, with the founders as the first roster and wanted as the
+// planned one.
 func newCluster(founders, all, wanted []string) *cluster {
 	out, known, roster := &cluster{byName: map[string]*Host{}}, map[string]string{}, []string{}
 	for _, name := range all {
@@ -61,7 +63,7 @@
 	return out
 }
 
-// runPeriodic lets one tick pass: what is said meets its receiver before the next.
+// tick advances the clock by one tick; all messages are delivered before the next.
 func (c *cluster) tick() {
 	c.now += timing.Default.Of(timing.Tick)
 	for _, h := range c.byName {
@@ -81,8 +83,8 @@
 	}
 }
 
-// voters gives the voters as the owner has them; none while there is no owner
-// or a learner is left.
+// voters returns the names of the voters in the owner's roster; none if there is no owner or a learner is
+// left.
 func (c *cluster) voters() []string {
 	out := []string{}
 	for _, h := range c.byName {
@@ -96,9 +98,9 @@
 	return out
 }
 
-// TestPaceOfSpread: a deployment of many stores is founded on a few. Its groups
-// once took a step of their rosters each quarter of a bound, so that the few still
-// held everything, and carried everybody's messages, when the traffic came.
+// TestPaceOfSpread guards against a deployment of many stores, founded on a few, whose groups make one
+// roster change per quarter of a bound: the few stores still held everything, and carried all traffic, when
+// load arrived.
 func TestPaceOfSpread(t *testing.T) {
 	names := func(from, to int) []string {
 		out := []string{}
@@ -107,7 +109,7 @@
 		}
 		return out
 	}
-	Convey("A group that is founded on five stores and belongs on five others is there within a bound of its first owner", t, func() {
+	Convey("A group that is founded on five stores and planned on five others is moved within a bound of its first owner", t, func() {
 		c, wanted := newCluster(names(0, 5), names(0, 10), names(5, 10)), names(5, 10)
 		for len(c.voters()) == 0 && c.now < timing.Default.ConfigApply {
 			c.tick()
--- a/internal/host/stall_test.go
+++ b/internal/host/stall_test.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// stalledDisk is a disk that answers nothing until it is told to.
+// stalledDisk is a disk that completes no write until answer is called.
 type stalledDisk struct {
 	waiting []func(error)
 	slots   int
@@ -26,7 +26,7 @@
 	d.waiting = append(d.waiting, then)
 }
 
-// answer has the disk do all that waits.
+// answer completes all waiting writes.
 func (d *stalledDisk) answer(h *Host) {
 	for len(d.waiting) > 0 {
 		waiting := d.waiting
@@ -38,7 +38,7 @@
 	}
 }
 
-// noopMachine is a state machine that takes anything.
+// noopMachine is a state machine that accepts any command.
 type noopMachine struct{}
 
 func (noopMachine) Apply([]byte, bool) any { return nil }
@@ -47,8 +47,8 @@
 func (noopMachine) OwnershipChanged(bool)  {}
 func (noopMachine) Tick(time.Duration)     {}
 
-// TestStalledDisk: a group whose slot could not be written once queued its whole
-// state again and again.
+// TestStalledDisk guards against a group that queues its whole state again and again while its slot cannot
+// be written.
 func TestStalledDisk(t *testing.T) {
 	Convey("Given the owner of a group of one", t, func() {
 		now, disk := time.Duration(0), &stalledDisk{}
@@ -61,7 +61,7 @@
 		now += time.Millisecond
 		h.Tick()
 		So(h.IsOwner(), ShouldBeTrue)
-		Convey("one slot at a time is under way", func() {
+		Convey("only one slot is being written at a time", func() {
 			for range 20 {
 				h.Compact()
 				h.RunPending()
@@ -73,7 +73,7 @@
 			h.RunPending()
 			So(disk.slots, ShouldBeBetweenOrEqual, 2, 3)
 		})
-		Convey("it tells how long the oldest proposal has waited", func() {
+		Convey("it reports how long the oldest proposal has waited", func() {
 			So(h.OldestProposalAge(), ShouldEqual, 0)
 			h.Propose([]byte("x"), func(any, error) {})
 			now += time.Second
