--- a/internal/host/apply.go
+++ b/internal/host/apply.go
@@ -12,24 +12,24 @@
 // apply applies committed entries to the machine and calls the waiters of their proposals.
 func (h *Host) apply(entries []wire.Entry) {
 	for _, e := range entries {
-		var verdict any
+		var result any
 		if e.Kind == group.EntryData {
 			h.dataTerm, h.dataIndex = e.Term, e.Index
 			h.loggedAt = h.recovered.loggedAt(e, h.opts.Now())
-			verdict = h.opts.Machine.Apply(e.Data, h.isOwner && e.Term == h.ownedTerm)
+			result = h.opts.Machine.Apply(e.Data, h.isOwner && e.Term == h.ownedTerm)
 		}
 		h.appliedIndex = e.Index
 		for len(h.inFlight) > 0 && h.inFlight[0].index <= e.Index {
 			h.inFlight = h.inFlight[1:]
 		}
 		h.entriesSinceSlot++
-		h.bytes += len(e.Data)
-		if w, isKnown := h.waiters[e.Index]; isKnown {
+		h.bytesSinceSlot += len(e.Data)
+		if waiting, isKnown := h.waiters[e.Index]; isKnown {
 			delete(h.waiters, e.Index)
-			if w.term == e.Term {
-				w.done(verdict, nil)
+			if waiting.term == e.Term {
+				waiting.done(result, nil)
 			} else { // another entry took its index: it can never be committed
-				w.done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
+				waiting.done(nil, errs.New(errs.NotOwner, "group %d", h.opts.Id))
 			}
 		}
 	}
--- a/internal/host/batching_test.go
+++ b/internal/host/batching_test.go
@@ -51,7 +51,7 @@
 				}
 			})
 		}
-		settle := func() {
+		advance := func() {
 			owner.RunPending()
 			c.tick()
 			c.tick()
@@ -71,13 +71,13 @@
 		})
 		Convey("then all are sent in one message to each replica, and each callback is called", func() {
 			timers[0].work()
-			settle()
+			advance()
 			So(appends, ShouldEqual, 2)
 			So(committed, ShouldEqual, 5)
 			So(owner.PendingProposals(), ShouldEqual, 0)
 		})
 		Convey("if the timer does not fire, the tick flushes the batch", func() {
-			settle()
+			advance()
 			So(committed, ShouldEqual, 5)
 		})
 		Convey("a large batch is not held back", func() {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -38,24 +38,24 @@
 
 // Options configure a host.
 type Options struct {
-	Id              int64
-	Self            string
-	Roster          []string
+	Id              int64    // of the group
+	Self            string   // member id of this replica
+	Roster          []string // member ids of the founding replicas; empty for a replica that joins
 	Bounds          timing.Bounds
-	Seed            uint64
+	Seed            uint64 // of the replica's random generator
 	Disk            Disk
-	Held            *storage.StoredGroup
+	Held            *storage.StoredGroup // what the disk held at the start; nil for nothing
 	Machine         Machine
 	Now             func() time.Duration
-	Send            func(wire.GroupMsg)
-	PreferredOwner  func(roster []string) string
-	PlanRoster      RosterPlan
-	HasCapacity     func(member string) bool // whether the link to a member accepts more; nil means always
-	QueueSize       int                      // maximum number of queued events
-	CompactEntries  int                      // applied entries after which the state is written to the group's slot
-	CompactBytes    int                      // bytes of entries after which it is, but at least the size of the snapshot
-	MaxMessageBytes int                      // snapshot size in bytes up to which it is sent in one message
-	OnFailure       func(error)
+	Send            func(wire.GroupMsg)          // sends a message to another replica
+	PreferredOwner  func(roster []string) string // which member should own the group
+	PlanRoster      RosterPlan                   // nil: the roster is not repaired
+	HasCapacity     func(member string) bool     // whether the link to a member accepts more; nil means always
+	QueueSize       int                          // maximum number of queued events
+	CompactEntries  int                          // applied entries after which the state is written to the group's slot
+	CompactBytes    int                          // bytes of entries after which it is, but at least the size of the snapshot
+	MaxMessageBytes int                          // snapshot size in bytes up to which it is sent in one message
+	OnFailure       func(error)                  // called when the disk or the machine fails
 	// Schedule calls work on any goroutine after span; with nil, proposals are not batched.
 	Schedule func(span time.Duration, work func())
 	Level    int64 // the newest feature level that the machine can apply
@@ -68,7 +68,7 @@
 // Host is one running replica.
 //
 // Invariants: only the host's goroutine accesses the fields, except view, completions and the queue;
-// pendingWrites counts writes that are not durable yet, and a message of Out.After is sent only after all
+// pendingWrites counts writes that are not durable yet, and a message of Output.SendAfterSync is sent only after all
 // writes before it; each waiter is called exactly once.
 type Host struct {
 	opts             Options
@@ -82,7 +82,7 @@
 	recovered        recoveredLog
 	loggedAt         time.Duration // see LoggedAt
 	entriesSinceSlot int           // entries applied since the last slot
-	bytes            int           // bytes of those entries
+	bytesSinceSlot   int           // bytes of those entries
 	isSavingSlot     bool          // a slot is being written
 	waiters          map[int64]waiter
 	inFlight         []inFlightProposal // start times of the waiters' proposals, oldest first
@@ -189,20 +189,21 @@
 func (h *Host) Receive(m wire.GroupMsg) {
 	_ = h.Do(func() {
 		if m.Kind == group.MsgSnapshotChunk {
-			image, isWhole := h.snapshotParts.add(m)
-			if !isWhole {
+			snapshot, isComplete := h.snapshotParts.add(m)
+			if !isComplete {
 				return
 			}
-			m = image
+			m = snapshot
 		}
 		h.execute(h.machine.Receive(m, h.opts.Now()))
 	})
 }
 
-// IsOwner reports whether this replica owns the group, and Term returns the group's term. Both must be
-// called on the host's goroutine.
+// IsOwner reports whether this replica owns the group. It must be called on the host's goroutine.
 func (h *Host) IsOwner() bool { return h.isOwner }
-func (h *Host) Term() int64   { return h.machine.View().Term }
+
+// Term returns the group's term. It must be called on the host's goroutine.
+func (h *Host) Term() int64 { return h.machine.View().Term }
 
 // View returns a recent state of the replica. Any goroutine may call it.
 func (h *Host) View() group.View {
--- a/internal/host/maintenance.go
+++ b/internal/host/maintenance.go
@@ -23,7 +23,7 @@
 	h.updateOwnership()
 	h.flush()
 	h.opts.Machine.Tick(now)
-	if h.entriesSinceSlot >= h.opts.CompactEntries || h.bytes >= max(h.opts.CompactBytes, h.snapshotBytes()) {
+	if h.entriesSinceSlot >= h.opts.CompactEntries || h.bytesSinceSlot >= max(h.opts.CompactBytes, h.snapshotBytes()) {
 		h.compact()
 	}
 	if h.isOwner && h.opts.PlanRoster != nil && now-h.lastRepair >= h.repairInterval() {
@@ -70,10 +70,10 @@
 		return
 	}
 	h.isSavingSlot = true
-	if image := h.machine.Compact(h.snapshotIndex(), h.opts.Machine.Snapshot()); image != nil {
-		h.snapshot = image
+	if snapshot := h.machine.Compact(h.snapshotIndex(), h.opts.Machine.Snapshot()); snapshot != nil {
+		h.snapshot = snapshot
 	} // else nothing is new, but the slot must be newer than the log's old segments
-	h.entriesSinceSlot, h.bytes = 0, 0
+	h.entriesSinceSlot, h.bytesSinceSlot = 0, 0
 	hard, log := h.machine.DurableState()
 	h.opts.Disk.SaveSlot(h.opts.Id, hard, h.snapshot, &group.DurableUpdate{Entries: log}, h.onCompleted(func() { h.isSavingSlot = false }))
 }
--- a/internal/host/propose.go
+++ b/internal/host/propose.go
@@ -58,14 +58,14 @@
 	if len(h.batch) == 0 {
 		return
 	}
-	gathered := h.batch
+	batch := h.batch
 	h.batch, h.batchBytes = nil, 0
-	commands := make([][]byte, len(gathered))
-	for i, p := range gathered {
+	commands := make([][]byte, len(batch))
+	for i, p := range batch {
 		commands[i] = p.data
 	}
 	first, term, out, isOwner := h.machine.ProposeAll(commands, h.opts.Now())
-	for i, p := range gathered {
+	for i, p := range batch {
 		if !isOwner {
 			h.refuse(p.done)
 			continue
--- a/internal/host/recoveredlog.go
+++ b/internal/host/recoveredlog.go
@@ -30,11 +30,11 @@
 // that was in the log only if its term is the same; otherwise an entry of another owner has replaced that
 // one.
 func (r *recoveredLog) loggedAt(e wire.Entry, now time.Duration) time.Duration {
-	at := e.Index - r.first
-	if at >= int64(len(r.terms)) {
+	offset := e.Index - r.first
+	if offset >= int64(len(r.terms)) {
 		r.terms = nil // all later entries are new
 	}
-	if at < 0 || at >= int64(len(r.terms)) || r.terms[at] != e.Term {
+	if offset < 0 || offset >= int64(len(r.terms)) || r.terms[offset] != e.Term {
 		return now
 	}
 	return r.startedAt
--- a/internal/host/recoveredlog_test.go
+++ b/internal/host/recoveredlog_test.go
@@ -34,11 +34,11 @@
 // waits for an election, although the log had the command at the start.
 func TestReplayed(t *testing.T) {
 	Convey("Of a log with three entries at the start of a replica at 5 s", t, func() {
-		const began, now = 5 * time.Second, 9 * time.Second
-		log := newRecoveredLog([]wire.Entry{{Index: 7, Term: 2}, {Index: 8, Term: 2}, {Index: 9, Term: 3}}, began)
+		const startedAt, now = 5 * time.Second, 9 * time.Second
+		log := newRecoveredLog([]wire.Entry{{Index: 7, Term: 2}, {Index: 8, Term: 2}, {Index: 9, Term: 3}}, startedAt)
 		Convey("each was in the log then", func() {
-			So(log.loggedAt(wire.Entry{Index: 7, Term: 2}, now), ShouldEqual, began)
-			So(log.loggedAt(wire.Entry{Index: 9, Term: 3}, now), ShouldEqual, began)
+			So(log.loggedAt(wire.Entry{Index: 7, Term: 2}, now), ShouldEqual, startedAt)
+			So(log.loggedAt(wire.Entry{Index: 9, Term: 3}, now), ShouldEqual, startedAt)
 		})
 		Convey("one that has replaced another was not", func() {
 			So(log.loggedAt(wire.Entry{Index: 8, Term: 4}, now), ShouldEqual, now)
@@ -100,17 +100,17 @@
 		first.Propose([]byte("command"), func(any, error) {})
 		first.Tick()
 		first.RunPending()
-		told := first.DataTerm()
-		So(told, ShouldEqual, first.Term())
+		commandTerm := first.DataTerm()
+		So(commandTerm, ShouldEqual, first.Term())
 		second := disk.startOwner()
-		So(second.Term(), ShouldBeGreaterThan, told)
-		So(second.DataTerm(), ShouldEqual, told)
+		So(second.Term(), ShouldBeGreaterThan, commandTerm)
+		So(second.DataTerm(), ShouldEqual, commandTerm)
 		Convey("a replica that starts from a snapshot made then has the command's term", func() {
 			second.Compact()
 			second.RunPending()
 			So(disk.held.Snapshot, ShouldNotBeNil)
 			third := disk.startOwner()
-			So(third.DataTerm(), ShouldEqual, told)
+			So(third.DataTerm(), ShouldEqual, commandTerm)
 		})
 	})
 }
--- a/internal/host/snapshot.go
+++ b/internal/host/snapshot.go
@@ -39,12 +39,12 @@
 }
 
 // add adds a part, and returns the snapshot once all of its bytes have arrived.
-func (p *partBuffer) add(m wire.GroupMsg) (image wire.GroupMsg, isWhole bool) {
+func (p *partBuffer) add(m wire.GroupMsg) (snapshot wire.GroupMsg, isComplete bool) {
 	if p.byOffset == nil || p.header.From != m.From || p.header.Term != m.Term || p.header.Index != m.Index {
 		*p = partBuffer{header: m, byOffset: map[int64][]byte{}, total: -1}
 	}
 	if m.Commit < 0 || p.byOffset[m.Commit] != nil || p.size+int64(len(m.State)) > maxSnapshotBytes {
-		return image, false
+		return snapshot, false
 	}
 	p.byOffset[m.Commit] = m.State
 	p.size += int64(len(m.State))
@@ -52,19 +52,19 @@
 		p.total = m.Commit + int64(len(m.State))
 	}
 	if p.size != p.total {
-		return image, false
+		return snapshot, false
 	}
-	image = m
-	image.Kind, image.Commit, image.Reject, image.State = group.MsgSnapshot, 0, false, make([]byte, 0, p.total)
+	snapshot = m
+	snapshot.Kind, snapshot.Commit, snapshot.Reject, snapshot.State = group.MsgSnapshot, 0, false, make([]byte, 0, p.total)
 	for at := int64(0); at < p.total; {
 		part := p.byOffset[at]
 		if len(part) == 0 { // parts of two different splits: start again
 			*p = partBuffer{}
-			return image, false
+			return snapshot, false
 		}
-		image.State = append(image.State, part...)
+		snapshot.State = append(snapshot.State, part...)
 		at += int64(len(part))
 	}
 	*p = partBuffer{}
-	return image, int64(len(image.State)) == int64(cap(image.State))
+	return snapshot, int64(len(snapshot.State)) == int64(cap(snapshot.State))
 }
--- a/internal/host/snapshot_test.go
+++ b/internal/host/snapshot_test.go
@@ -17,10 +17,10 @@
 	state := bytes.Repeat([]byte("abcdefg"), 50)
 	m := wire.GroupMsg{Kind: group.MsgSnapshot, From: "a", Term: 3, Index: 9, Round: 4, Roster: []string{"a"}}
 	cases := []struct {
-		name    string
-		most    int
-		alter   func([]wire.GroupMsg) []wire.GroupMsg
-		isWhole bool
+		name       string
+		maxBytes   int
+		alter      func([]wire.GroupMsg) []wire.GroupMsg
+		isComplete bool
 	}{
 		{"one that fits is sent in one message", 350, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
 		{"parts in order are assembled", 100, func(l []wire.GroupMsg) []wire.GroupMsg { return l }, true},
@@ -42,15 +42,15 @@
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p, got := partBuffer{}, []wire.GroupMsg{}
-				for _, part := range c.alter(splitSnapshot(m, state, c.most)) {
+				for _, part := range c.alter(splitSnapshot(m, state, c.maxBytes)) {
 					if part.Kind == group.MsgSnapshot {
 						got = append(got, part)
-					} else if image, isWhole := p.add(part); isWhole {
-						got = append(got, image)
+					} else if snapshot, isComplete := p.add(part); isComplete {
+						got = append(got, snapshot)
 					}
 				}
-				So(len(got), ShouldEqual, map[bool]int{true: 1}[c.isWhole])
-				if c.isWhole {
+				So(len(got), ShouldEqual, map[bool]int{true: 1}[c.isComplete])
+				if c.isComplete {
 					So(bytes.Equal(got[0].State, state), ShouldBeTrue)
 					got[0].State = nil
 					So(got[0], ShouldResemble, m)
--- a/internal/host/spread_test.go
+++ b/internal/host/spread_test.go
@@ -70,9 +70,9 @@
 		h.Tick()
 	}
 	for len(c.messages) > 0 {
-		mail := c.messages
+		delivered := c.messages
 		c.messages = nil
-		for _, m := range mail {
+		for _, m := range delivered {
 			if to := c.byName[group.Name(m.To)]; to != nil {
 				to.Receive(m)
 			}
--- a/internal/session/client.go
+++ b/internal/session/client.go
@@ -70,15 +70,15 @@
 	addr := targets[c.targetIndex%len(targets)]
 	c.isPolling = true
 	c.mu.Unlock()
-	ask := c.Self()
+	request := c.Self()
 	if c.pollCount++; c.pollCount%fullFactInterval != 1 {
-		ask.Fact = withoutBulk(ask.Fact)
-		for i := range ask.Colocated {
-			ask.Colocated[i].Fact = withoutBulk(ask.Colocated[i].Fact)
+		request.Fact = withoutBulk(request.Fact)
+		for i := range request.Colocated {
+			request.Colocated[i].Fact = withoutBulk(request.Colocated[i].Fact)
 		}
 	}
-	ask.Revisions, ask.MembershipHash = c.View.Revisions(), c.Membership.Hash()
-	err := c.Node.Peer(wire.SessionLink, addr).Post(&ask, func(reply any, err error) {
+	request.Revisions, request.MembershipHash = c.View.Revisions(), c.Membership.Hash()
+	err := c.Node.Peer(wire.SessionLink, addr).Post(&request, func(reply any, err error) {
 		news, isNews := reply.(*wire.News)
 		c.mu.Lock()
 		c.isPolling = false
@@ -93,7 +93,7 @@
 			klog.Warningf("session: %s rejected this daemon's session: %s.", addr, news.Reject)
 			return
 		}
-		if news.MembershipHash != ask.MembershipHash {
+		if news.MembershipHash != request.MembershipHash {
 			c.Membership.Update(news.MembershipHash, news.Members)
 		}
 		c.View.Update(news.Parts, now)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,15 +19,15 @@
 
 // TestSessions checks which process of a name is a member after what was heard directly or from peers.
 func TestSessions(t *testing.T) {
-	const gone = 2 * time.Second
+	const timeout = 2 * time.Second
 	cases := []struct {
 		name string
 		do   func(r *Registry)
 		at   time.Duration
 		boot string // of x; empty for no member
 	}{
-		{"a daemon heard from within the timeout", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone, "1"},
-		{"not one that has been silent for longer", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, gone + 1, ""},
+		{"a daemon heard from within the timeout", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, timeout, "1"},
+		{"not one that has been silent for longer", func(r *Registry) { r.Renew(member("x", "1", 0), 0, true) }, timeout + 1, ""},
 		{"not one that had been silent when a peer reported it", func(r *Registry) { r.Renew(member("x", "1", 1500), time.Second, false) }, 1600 * time.Millisecond, ""},
 		{"the newest process", func(r *Registry) {
 			r.Renew(member("x", "1", 0), 0, true)
@@ -41,7 +41,7 @@
 	Convey("A member is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				r := NewRegistry(gone)
+				r := NewRegistry(timeout)
 				c.do(r)
 				_, list := r.Members(c.at)
 				boot := ""
@@ -52,7 +52,7 @@
 			})
 		}
 		Convey("relayed by peers with ages that only grow", func() {
-			one, two := NewRegistry(gone), NewRegistry(gone)
+			one, two := NewRegistry(timeout), NewRegistry(timeout)
 			one.Renew(member("x", "1", 0), 0, true)
 			for _, m := range one.SessionsForPeers(time.Second) {
 				two.Renew(m, 5*time.Second, false)
@@ -78,7 +78,7 @@
 // TestFormerLives guards against a late poll of an ended process that replaces the session of the daemon's
 // newest process, whose session then seems lost.
 func TestFormerLives(t *testing.T) {
-	const gone = 2 * time.Second
+	const timeout = 2 * time.Second
 	type poll struct {
 		boot  string
 		at    time.Duration
@@ -94,13 +94,13 @@
 		{"nor one before the previous process", []poll{{"1", 0, true}, {"2", 1, true}, {"3", 2, true}, {"1", 3, true}}, "3"},
 		{"nor one with two late polls", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}}, "2"},
 		{"one that continues to poll, as only a live process does", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, true}, {"1", 3, true}, {"1", 4, true}}, "1"},
-		{"one that polls after the other has been silent", []poll{{"1", 0, true}, {"2", 1, true}, {"1", gone + 2, true}}, "1"},
+		{"one that polls after the other has been silent", []poll{{"1", 0, true}, {"2", 1, true}, {"1", timeout + 2, true}}, "1"},
 		{"one that another manager has heard from since", []poll{{"1", 0, true}, {"2", 1, true}, {"1", 2, false}}, "1"},
 	}
 	Convey("A member is", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				r, at := NewRegistry(gone), time.Duration(0)
+				r, at := NewRegistry(timeout), time.Duration(0)
 				for _, p := range c.polls {
 					r.Renew(member("x", p.boot, 0), p.at, p.isOwn)
 					at = p.at
@@ -166,39 +166,39 @@
 // TestThin guards against sending all that an adapter observes of its workers eight times a second, to its
 // agent, from the agent to a manager, and from the manager to its peers.
 func TestThin(t *testing.T) {
-	whole := func(micros int64) wire.Fact {
+	fullFact := func(micros int64) wire.Fact {
 		return wire.Fact{Counts: map[string]int64{"runs": 3, "run_micros p/w": micros, "run_misses p/w": 5}}
 	}
-	said := func(boot string, f wire.Fact) wire.Member { m := member("x", boot, 0); m.Fact = f; return m }
+	withFact := func(boot string, f wire.Fact) wire.Member { m := member("x", boot, 0); m.Fact = f; return m }
 	Convey("Given a registry that has received all counts of a daemon", t, func() {
 		r := NewRegistry(2100 * time.Millisecond)
-		r.Renew(said("1", whole(7)), 0, true)
+		r.Renew(withFact("1", fullFact(7)), 0, true)
 		counts := func() map[string]int64 { _, list := r.Members(3); return list[0].Fact.Counts }
 		Convey("a fact without bulk counts keeps the earlier ones and updates the rest", func() {
-			next := withoutBulk(whole(9))
+			next := withoutBulk(fullFact(9))
 			next.Counts["runs"] = 4
-			r.Renew(said("1", next), 1, true)
+			r.Renew(withFact("1", next), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 4, "run_micros p/w": 7, "run_misses p/w": 5})
-			r.Renew(said("1", withoutBulk(next)), 2, true)
+			r.Renew(withFact("1", withoutBulk(next)), 2, true)
 			So(counts()["run_micros p/w"], ShouldEqual, 7)
 		})
 		Convey("a complete fact replaces it, also if it has no bulk counts", func() {
-			r.Renew(said("1", wire.Fact{Counts: map[string]int64{"runs": 1}}), 1, true)
+			r.Renew(withFact("1", wire.Fact{Counts: map[string]int64{"runs": 1}}), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 1})
 		})
 		Convey("nothing is kept from an earlier process", func() {
-			r.Renew(said("2", withoutBulk(whole(9))), 1, true)
+			r.Renew(withFact("2", withoutBulk(fullFact(9))), 1, true)
 			So(counts(), ShouldResemble, map[string]int64{"runs": 3})
 		})
 		Convey("one of four shares to peers is complete", func() {
-			wholes := 0
+			fullShares := 0
 			for beat := range 16 {
-				r.Renew(said("1", whole(7)), time.Duration(beat)*120*time.Millisecond, true)
-				if _, isThick := r.SessionsForPeers(time.Duration(beat) * 120 * time.Millisecond)[0].Fact.Counts["run_micros p/w"]; isThick {
-					wholes++
+				r.Renew(withFact("1", fullFact(7)), time.Duration(beat)*120*time.Millisecond, true)
+				if _, hasBulk := r.SessionsForPeers(time.Duration(beat) * 120 * time.Millisecond)[0].Fact.Counts["run_micros p/w"]; hasBulk {
+					fullShares++
 				}
 			}
-			So(wholes, ShouldEqual, 4)
+			So(fullShares, ShouldEqual, 4)
 		})
 	})
 	Convey("A fact without bulk counts is never marked", t, func() {
--- a/internal/transport/compress_test.go
+++ b/internal/transport/compress_test.go
@@ -84,26 +84,26 @@
 
 // TestCompressedSessions checks the same over connections, with batches encoded on many goroutines.
 func TestCompressedSessions(t *testing.T) {
-	const asks = 500
-	patient := timing.Bounds{ConfigApply: 5 * time.Minute} // a busy machine must not close sessions here
+	const requests = 500
+	longBounds := timing.Bounds{ConfigApply: 5 * time.Minute} // a busy machine must not close sessions here
 	for _, newest := range []int64{compressionSinceVersion - 1, wire.Version} {
 		Convey("Nodes in two zones exchange messages, whatever the version of one of them", t, func() {
-			server, err := NewNode(Options{Self: wire.Who{Name: "server", Zone: "a"}, Listen: "127.0.0.1:0", Batch: 3, Bounds: patient,
+			server, err := NewNode(Options{Self: wire.Who{Name: "server", Zone: "a"}, Listen: "127.0.0.1:0", Batch: 3, Bounds: longBounds,
 				Handlers: map[string]Handler{"place": func(_ wire.Who, body any, answer func(any)) {
 					take := body.(*wire.Take)
 					answer(&wire.Taken{Id: take.Id, Text: string(take.Body)})
 				}}})
 			So(err, ShouldBeNil)
 			go server.Serve()
-			client, err := NewNode(Options{Self: wire.Who{Name: "client", Zone: "b"}, Batch: 3, Bounds: patient, Newest: newest, Oldest: wire.OldestVersion})
+			client, err := NewNode(Options{Self: wire.Who{Name: "client", Zone: "b"}, Batch: 3, Bounds: longBounds, Newest: newest, Oldest: wire.OldestVersion})
 			So(err, ShouldBeNil)
 			Reset(server.Close)
 			Reset(client.Close)
 			peer := client.Peer(wire.PlaceLink, server.Addr())
 			waitConnected(peer)
 			So(peer.session.history != nil, ShouldEqual, newest >= compressionSinceVersion)
-			wrong := make(chan string, asks)
-			for i := range asks {
+			wrong := make(chan string, requests)
+			for i := range requests {
 				go func() {
 					body := strings.Repeat("body of a message ", i)
 					reply, err := peer.Call(context.Background(), &wire.Take{Id: "x", Body: []byte(body)})
@@ -117,7 +117,7 @@
 					}
 				}()
 			}
-			for range asks {
+			for range requests {
 				So(<-wrong, ShouldEqual, "")
 			}
 		})
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -108,7 +108,7 @@
 		handler(s.peer, item.Body, func(reply any) {
 			// A full or broken session loses the reply; the requester then runs into its deadline.
 			if err := s.outbox.enqueue(wire.Item{CorrelationId: item.CorrelationId, Body: reply}); errs.Is(err, errs.Full) {
-				s.down(err)
+				s.shutDown(err)
 			}
 		})
 	}
--- a/internal/transport/keepalive_test.go
+++ b/internal/transport/keepalive_test.go
@@ -23,7 +23,7 @@
 		near, far := net.Pipe()
 		defer far.Close()
 		s := node.newSession(wire.PlaceLink, near, wire.Who{}, wire.Version, 4096, true)
-		defer s.down(errs.New(errs.Lost, "the test has ended"))
+		defer s.shutDown(errs.New(errs.Lost, "the test has ended"))
 		raw := make([]byte, frameHeaderSize+4)
 		_, err = io.ReadFull(far, raw)
 		So(err, ShouldBeNil)
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -86,7 +86,7 @@
 	}
 	n.mu.Unlock()
 	for _, s := range sessions {
-		s.down(errs.New(errs.Lost, "transport node closed"))
+		s.shutDown(errs.New(errs.Lost, "transport node closed"))
 	}
 	for _, p := range peers {
 		p.Close()
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -105,7 +105,7 @@
 				p.node.opts.OnRefused(p.addr)
 			}
 			if s != nil {
-				s.down(errs.New(errs.Lost, "peer closed"))
+				s.shutDown(errs.New(errs.Lost, "peer closed"))
 			}
 			return
 		}
@@ -141,8 +141,8 @@
 	pending := p.pendingReplies
 	p.pendingReplies = map[int64]func(any, error){}
 	p.mu.Unlock()
-	for _, answer := range pending {
-		answer(nil, errs.Wrap(cause, errs.Lost, "session with %s", p.addr))
+	for _, onReply := range pending {
+		onReply(nil, errs.Wrap(cause, errs.Lost, "session with %s", p.addr))
 	}
 	p.connect() // immediately: a refused connection shows that the process has ended
 }
@@ -150,17 +150,17 @@
 // handleReply passes a reply to the callback of its request. A reply without a pending request is dropped.
 func (p *Peer) handleReply(item wire.Item) {
 	p.mu.Lock()
-	answer := p.pendingReplies[item.CorrelationId]
+	onReply := p.pendingReplies[item.CorrelationId]
 	delete(p.pendingReplies, item.CorrelationId)
 	p.mu.Unlock()
-	if answer != nil {
-		answer(item.Body, nil)
+	if onReply != nil {
+		onReply(item.Body, nil)
 	}
 }
 
 // Post sends a message without waiting. With a nil answer no reply is expected. An error means that nothing
 // was sent and that answer will not be called.
-func (p *Peer) Post(body any, answer func(any, error)) error {
+func (p *Peer) Post(body any, onReply func(any, error)) error {
 	p.mu.Lock()
 	s := p.session
 	if s == nil {
@@ -173,7 +173,7 @@
 		return errs.New(errs.Rejected, "session with %s uses wire version %d, which has no message %T", p.addr, s.version, body)
 	}
 	correlationId := int64(0)
-	if answer != nil {
+	if onReply != nil {
 		if len(p.pendingReplies) >= p.node.opts.Window {
 			p.mu.Unlock()
 			return errs.New(errs.Full, "%d requests wait for a reply of %s", p.node.opts.Window, p.addr)
@@ -185,16 +185,16 @@
 		}
 		p.lastCorrelationId++
 		correlationId = p.lastCorrelationId
-		p.pendingReplies[correlationId] = answer
+		p.pendingReplies[correlationId] = onReply
 	}
 	p.mu.Unlock()
 	err := s.outbox.enqueue(wire.Item{CorrelationId: correlationId, Body: body})
 	if err != nil && correlationId != 0 {
 		p.mu.Lock()
-		_, isOurs := p.pendingReplies[correlationId]
+		_, isPending := p.pendingReplies[correlationId]
 		delete(p.pendingReplies, correlationId)
 		p.mu.Unlock()
-		if !isOurs {
+		if !isPending {
 			return nil // detach() has already called answer
 		}
 	}
@@ -238,6 +238,6 @@
 	s := p.session
 	p.mu.Unlock()
 	if s != nil {
-		s.down(errs.New(errs.Lost, "peer closed"))
+		s.shutDown(errs.New(errs.Lost, "peer closed"))
 	}
 }
--- a/internal/transport/reply_test.go
+++ b/internal/transport/reply_test.go
@@ -23,7 +23,7 @@
 		peer := client.Peer(wire.PlaceLink, server.Addr())
 		s, err := client.dial(wire.PlaceLink, server.Addr())
 		So(err, ShouldBeNil)
-		s.down(errs.New(errs.Lost, "closed by the test"))
+		s.shutDown(errs.New(errs.Lost, "closed by the test"))
 		peer.attach(s)
 		Convey("the link dials again, and requests are answered", func() {
 			peer.mu.Lock()
@@ -63,7 +63,7 @@
 				peer.mu.Lock()
 				old := peer.session
 				peer.mu.Unlock()
-				old.down(errs.New(errs.Lost, "closed by the test"))
+				old.shutDown(errs.New(errs.Lost, "closed by the test"))
 				So(errs.Is(<-failed, errs.Lost), ShouldBeTrue)
 				waitConnected(peer)
 
--- a/internal/transport/sendcapacity_test.go
+++ b/internal/transport/sendcapacity_test.go
@@ -20,24 +20,24 @@
 		near, far := net.Pipe()
 		defer far.Close()
 		s := node.newSession(wire.PlaceLink, near, wire.Who{}, wire.Version, 4096, true)
-		defer s.down(errs.New(errs.Lost, "the test has ended"))
+		defer s.shutDown(errs.New(errs.Lost, "the test has ended"))
 		peer := &Peer{node: node, link: wire.PlaceLink, session: s, pendingReplies: map[int64]func(any, error){}}
 		So(peer.HasSendCapacity(1), ShouldBeTrue)
-		ask := func() error {
+		post := func() error {
 			return peer.Post(&wire.Take{Body: make([]byte, 64<<10)}, func(any, error) {})
 		}
 		Convey("requests are rejected once too many bytes wait", func() {
-			taken := 0
-			for ask() == nil {
-				taken++
+			accepted := 0
+			for post() == nil {
+				accepted++
 			}
-			So(taken, ShouldEqual, queuedRequestBytesLimit/(64<<10))
-			So(errs.Is(ask(), errs.Full), ShouldBeTrue)
+			So(accepted, ShouldEqual, queuedRequestBytesLimit/(64<<10))
+			So(errs.Is(post(), errs.Full), ShouldBeTrue)
 			So(peer.HasSendCapacity(queuedRequestBytesLimit), ShouldBeFalse)
 			So(peer.HasSendCapacity(queuedRequestBytesLimit+1), ShouldBeTrue)
 		})
 		Convey("there is capacity again once they are written", func() {
-			for ask() == nil {
+			for post() == nil {
 			}
 			go func() {
 				raw := make([]byte, 1<<20)
@@ -50,7 +50,7 @@
 			for !peer.HasSendCapacity(1) {
 				runtime.Gosched()
 			}
-			So(ask(), ShouldBeNil)
+			So(post(), ShouldBeNil)
 		})
 	})
 	Convey("Without a session there is no capacity", t, func() {
--- a/internal/transport/session.go
+++ b/internal/transport/session.go
@@ -47,17 +47,17 @@
 		buffer := rawPool.Get().(*[]byte)
 		h, raw, err := readFrame(r, (*buffer)[:0], s.node.opts.FrameLimit)
 		if err != nil {
-			s.down(err)
+			s.shutDown(err)
 			return
 		}
 		s.received.bytes.Add(float64(frameHeaderSize + len(raw)))
 		s.outbox.addCredit(h.consumed)
 		if raw, err = s.decompress(h, raw); err != nil {
-			s.down(err)
+			s.shutDown(err)
 			return
 		}
 		if len(raw) < 4 {
-			s.down(errs.New(errs.Corrupt, "array is too short for a message count"))
+			s.shutDown(errs.New(errs.Corrupt, "array is too short for a message count"))
 			return
 		}
 		count := int(binary.BigEndian.Uint32(raw))
@@ -65,7 +65,7 @@
 			continue
 		}
 		if count > s.node.opts.Window {
-			s.down(errs.New(errs.Corrupt, "batch of %d messages exceeds the window", count))
+			s.shutDown(errs.New(errs.Corrupt, "batch of %d messages exceeds the window", count))
 			return
 		}
 		s.received.messages.Add(float64(count))
@@ -73,7 +73,7 @@
 			items, err := s.inboundCodec.Decode(raw[4:], count)
 			rawPool.Put(&raw)
 			if err != nil {
-				s.down(err)
+				s.shutDown(err)
 				return
 			}
 			s.dispatch(h.seq, items)
@@ -113,8 +113,8 @@
 	defer s.orderMu.Unlock()
 	s.outOfOrder[seq] = items
 	for {
-		items, ready := s.outOfOrder[s.nextSeq]
-		if !ready {
+		items, isNext := s.outOfOrder[s.nextSeq]
+		if !isNext {
 			return
 		}
 		delete(s.outOfOrder, s.nextSeq)
@@ -131,8 +131,8 @@
 	s.outbox.addConsumed(len(items))
 }
 
-// down closes the session once, with the first cause.
-func (s *session) down(cause error) {
+// shutDown closes the session once, with the first cause.
+func (s *session) shutDown(cause error) {
 	s.closeOnce.Do(func() {
 		s.isAlive.Store(false)
 		counters.lost.Inc()
@@ -148,15 +148,15 @@
 	})
 }
 
-// notifyClose calls onDown when the session is closed, immediately if it already is: a session can break as
+// notifyClose calls callback when the session is closed, immediately if it already is: a session can break as
 // soon as it is open.
-func (s *session) notifyClose(onDown func(cause error)) {
+func (s *session) notifyClose(callback func(cause error)) {
 	s.closeMu.Lock()
-	s.onClose = onDown
+	s.onClose = callback
 	cause := s.cause
 	s.closeMu.Unlock()
 	if cause != nil {
-		onDown(cause)
+		callback(cause)
 	}
 }
 
@@ -165,15 +165,15 @@
 	isCompressed := shouldCompress(n.opts.Self, peer, version)
 	s := &session{node: n, link: link, peer: peer, version: version, conn: conn, outOfOrder: map[uint32][]wire.Item{}, received: newLinkMetrics(link.Name, "in"),
 		history: newCompressionHistory(isCompressed)}
-	asks, replies := link.Codecs(version)
-	s.inboundCodec = asks
+	requests, replies := link.Codecs(version)
+	s.inboundCodec = requests
 	out := replies
 	if isDialer {
-		out, s.inboundCodec = asks, replies
+		out, s.inboundCodec = requests, replies
 	}
 	s.isAlive.Store(true)
 	counters.sessions.Inc()
-	s.outbox = newOutbox(&n.opts, out, n.pool, conn, window, newLinkMetrics(link.Name, "out"), newCompressionHistory(isCompressed), func(err error) { s.down(err) })
+	s.outbox = newOutbox(&n.opts, out, n.pool, conn, window, newLinkMetrics(link.Name, "out"), newCompressionHistory(isCompressed), func(err error) { s.shutDown(err) })
 	s.outbox.start() // last, since a failure there closes the session
 	return s
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -187,7 +187,7 @@
 			s, err := newer.dial(wire.PlaceLink, server.Addr())
 			So(err, ShouldBeNil)
 			So(s.version, ShouldEqual, 1)
-			s.down(errs.New(errs.Lost, "the test has ended"))
+			s.shutDown(errs.New(errs.Lost, "the test has ended"))
 		})
 		Convey("a field of version 2 is left out for it, and not for a newer server", func() {
 			for newest, want := range map[int64]int64{1: 0, 2: 5} {
--- a/internal/web/client.go
+++ b/internal/web/client.go
@@ -72,27 +72,27 @@
 // Send sends a request at most once and reads its complete reply. A reply whose end cannot be determined is
 // an error.
 func (c *Client) Send(r *http.Request, t SendOptions) (*Reply, error) {
-	answer, _, err := c.send(r, t)
-	return answer, err
+	reply, _, err := c.send(r, t)
+	return reply, err
 }
 
 // SendRepeatable is Send for an idempotent request: if a reused connection breaks during it, it is sent
 // once more.
 func (c *Client) SendRepeatable(r *http.Request, t SendOptions) (*Reply, error) {
-	answer, isFirst, err := c.send(r, t)
+	reply, isFirst, err := c.send(r, t)
 	if err == nil || isFirst || r.Context().Err() != nil || !errs.Is(err, errs.Lost) {
-		return answer, err
+		return reply, err
 	}
-	again, isWhole := withFreshBody(r)
-	if !isWhole {
+	repeated, isRepeatable := withFreshBody(r)
+	if !isRepeatable {
 		return nil, err
 	}
-	return c.Send(again, t)
+	return c.Send(repeated, t)
 }
 
 // send sends a request once. It retries on another connection only if a reused one broke before anything
 // was written. isFirst says that the request was the first on its connection.
-func (c *Client) send(r *http.Request, t SendOptions) (answer *Reply, isFirst bool, err error) {
+func (c *Client) send(r *http.Request, t SendOptions) (reply *Reply, isFirst bool, err error) {
 	for {
 		conn, err := c.acquire(r)
 		if err != nil {
@@ -104,30 +104,30 @@
 				return nil, true, &UnsentError{err}
 			}
 		}
-		answer, err := conn.exchange(r, t)
+		reply, err := conn.exchange(r, t)
 		if err == nil {
-			if t.CanReuse != nil && t.CanReuse(answer) {
+			if t.CanReuse != nil && t.CanReuse(reply) {
 				conn.makeReusable()
 			} else {
 				_ = conn.Close()
 			}
-			return answer, answer.IsFirstOnConnection, nil
+			return reply, reply.IsFirstOnConnection, nil
 		}
 		isFirst, isUnsent := conn.requests == 1, conn.withdraw()
 		_ = conn.Close()
 		if !isUnsent {
 			return nil, isFirst, err
 		}
-		again, isWhole := withFreshBody(r)
-		if isFirst || !isWhole || r.Context().Err() != nil {
+		repeated, isRepeatable := withFreshBody(r)
+		if isFirst || !isRepeatable || r.Context().Err() != nil {
 			return nil, isFirst, &UnsentError{err}
 		}
-		r = again // the reused connection was closed before anything was written
+		r = repeated // the reused connection was closed before anything was written
 	}
 }
 
 // withFreshBody returns the request with its body from the start, if the body can be read again.
-func withFreshBody(r *http.Request) (again *http.Request, isWhole bool) {
+func withFreshBody(r *http.Request) (repeated *http.Request, isRepeatable bool) {
 	out := *r
 	if r.Body == nil || r.Body == http.NoBody {
 		return &out, true
--- a/internal/web/connection.go
+++ b/internal/web/connection.go
@@ -154,10 +154,10 @@
 	default:
 		c.phase, c.readerReturned = phaseAnswered, make(chan struct{})
 	}
-	back := c.readerReturned
+	returned := c.readerReturned
 	c.mu.Unlock()
-	if back != nil {
-		<-back
+	if returned != nil {
+		<-returned
 	}
 }
 
--- a/internal/web/server.go
+++ b/internal/web/server.go
@@ -130,7 +130,7 @@
 }
 
 // add registers a connection and reports whether the server is stopping.
-func (s *Server) add(conn *serverConn) (isEnding bool) {
+func (s *Server) add(conn *serverConn) (isStopping bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.connections[conn] = struct{}{}
--- a/internal/web/server_test.go
+++ b/internal/web/server_test.go
@@ -104,10 +104,10 @@
 			}
 		})
 		Convey("replies that begin after StartDraining announce the close, whenever their request came", func() {
-			begun, goOn := make(chan struct{}), make(chan struct{})
+			begun, proceed := make(chan struct{}), make(chan struct{})
 			s := serve(func(w http.ResponseWriter, r *http.Request) {
 				close(begun)
-				<-goOn
+				<-proceed
 				if r.ContentLength > 0 {
 					_, _ = io.Copy(w, r.Body)
 				}
@@ -115,7 +115,7 @@
 			s.write(helloRequest)
 			<-begun
 			s.StartDraining()
-			close(goOn)
+			close(proceed)
 			_, isLast := s.readAnswer()
 			So(isLast, ShouldBeTrue)
 			stopped, _ := s.stopIn(time.Minute)
--- a/internal/web/serverconn.go
+++ b/internal/web/serverconn.go
@@ -72,7 +72,7 @@
 }
 
 // beginFinalRead limits the duration of this read if the connection is closing and no request has begun.
-func (c *serverConn) beginFinalRead() (isLast bool) {
+func (c *serverConn) beginFinalRead() (isFinal bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.isClosing || c.hasRequest {
--- a/internal/wire/codec_test.go
+++ b/internal/wire/codec_test.go
@@ -52,8 +52,8 @@
 		bodies := 0
 		for version := OldestVersion; version <= Version; version++ {
 			for _, name := range slices.Sorted(maps.Keys(Links)) {
-				asks, replies := Links[name].Codecs(version)
-				for _, c := range []*Codec{asks, replies} {
+				requests, replies := Links[name].Codecs(version)
+				for _, c := range []*Codec{requests, replies} {
 					for _, b := range c.branches {
 						body := reflect.New(b.goType)
 						fillValue(body.Elem())
@@ -80,11 +80,11 @@
 		So(bodies, ShouldBeGreaterThan, 60)
 	})
 	Convey("A body that the link does not carry is rejected, and so is an unknown or truncated union branch", t, func() {
-		asks, _ := RunLink.Codecs(Version)
-		w := asks.NewWriter(64)
-		So(errs.Is(asks.Append(w, Item{Body: &Share{}}), errs.Internal), ShouldBeTrue)
+		requests, _ := RunLink.Codecs(Version)
+		w := requests.NewWriter(64)
+		So(errs.Is(requests.Append(w, Item{Body: &Share{}}), errs.Internal), ShouldBeTrue)
 		for _, raw := range [][]byte{{2, 1}, {2, 100}, {2}, {}} { // branch -1, branch 50, truncated
-			_, err := asks.Decode(raw, 1)
+			_, err := requests.Decode(raw, 1)
 			So(errs.Is(err, errs.Corrupt), ShouldBeTrue)
 		}
 	})
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -28,8 +28,8 @@
 	Link    string `avro:"link"`
 	Newest  int64  `avro:"newest"`
 	Oldest  int64  `avro:"oldest"`
-	Window  int64  `avro:"window"`
-	Cluster string `avro:"cluster"`
+	Window  int64  `avro:"window"`  // unconsumed messages that this end accepts
+	Cluster string `avro:"cluster"` // deployment parameters that both ends must share
 }
 
 // Welcome is the acceptor's half of the handshake. An empty Reject means that the session is accepted.
@@ -51,8 +51,8 @@
 	Key      string `avro:"key"`
 	Value    []byte `avro:"value"`
 	Revision int64  `avro:"stamp" json:"Stamp"`
-	Gone     bool   `avro:"gone"`
-	By       string `avro:"by"`
+	Gone     bool   `avro:"gone"` // the key is deleted
+	By       string `avro:"by"`   // who made the change
 }
 
 // PartNews brings a follower of a part from revision From to revision To. Age is the time in microseconds
@@ -76,7 +76,7 @@
 // Fact is the state that a daemon reports about itself in its session, for status and doctor.
 type Fact struct {
 	Revision int64            `avro:"stamp"`
-	Fresh    bool             `avro:"fresh"`
+	Fresh    bool             `avro:"fresh"` // whether the daemon may act on its view
 	Counts   map[string]int64 `avro:"counts"`
 }
 
@@ -84,8 +84,8 @@
 type Owned struct {
 	Group int64 `avro:"group"`
 	Term  int64 `avro:"term"`
-	Lag   int64 `avro:"lag"`
-	Size  int64 `avro:"size"`
+	Lag   int64 `avro:"lag"`  // most entries by which a replica is behind
+	Size  int64 `avro:"size"` // number of voters
 }
 
 // Poll renews a daemon's session and requests the changes after the given revisions.
@@ -93,9 +93,9 @@
 	Who            Who            `avro:"who"`
 	Revisions      []PartRevision `avro:"stamps"`
 	MembershipHash string         `avro:"roll"`
-	Owns           []Owned        `avro:"owns"`
+	Owns           []Owned        `avro:"owns"` // groups that the daemon owns
 	Fact           Fact           `avro:"fact"`
-	Colocated      []Member       `avro:"beside"`
+	Colocated      []Member       `avro:"beside"` // sessions with the polling agent itself
 }
 
 // News answers a Poll. Members is empty if MembershipHash matches that of the Poll.
@@ -103,7 +103,7 @@
 	Parts          []PartNews `avro:"parts"`
 	MembershipHash string     `avro:"roll"`
 	Members        []Member   `avro:"members"`
-	Reject         string     `avro:"reject"`
+	Reject         string     `avro:"reject"` // why the poll was rejected; empty if it was not
 }
 
 // Share tells another manager the sessions that the sending manager holds.
@@ -129,7 +129,7 @@
 	Key               string   `avro:"key"`
 	Value             []byte   `avro:"value"`
 	IfRevision        int64    `avro:"if_stamp"`
-	Gone              bool     `avro:"gone"`
+	Gone              bool     `avro:"gone"` // delete the key
 	By                string   `avro:"by"`
 	OperationId       string   `avro:"order" since:"4"`   // deduplicates the edit; empty for none
 	BaseVersion       int64    `avro:"base" since:"4"`    // version that an operator's edit builds on, or SingleCallBase
--- a/internal/wire/data.go
+++ b/internal/wire/data.go
@@ -1,18 +1,17 @@
 package wire
 
-// Take asks a place's owner to store a message durably. Deadline is the milliseconds left until the message
-// expires.
+// Take asks a place's owner to store a message durably. Its Deadline is the time until the message expires.
 type Take struct {
 	Place          int64  `avro:"place"`
 	Id             string `avro:"id"`
 	Lane           string `avro:"lane"`
-	Key            string `avro:"key"`
+	Key            string `avro:"key"` // ordering key, with its tenant
 	IdempotencyKey string `avro:"idem"`
 	ContentType    string `avro:"ctype"`
 	Body           []byte `avro:"body"`
 	Checksum       string `avro:"sum"`
-	Deadline       int64  `avro:"cutoff"`
-	Parent         string `avro:"parent"`
+	Deadline       int64  `avro:"cutoff"`           // milliseconds left
+	Parent         string `avro:"parent"`           // message whose end this one reports; empty for none
 	RequestHead    []byte `avro:"head" since:"3"`   // head of the HTTP request, if the message is the request as it came
 	Delay          int64  `avro:"delay" since:"3"`  // milliseconds before which it must not run
 	NotifyUrl      string `avro:"notify" since:"3"` // URL to notify of its end
@@ -26,7 +25,7 @@
 	Kind  string `avro:"kind"`
 	Text  string `avro:"text"`
 	Owner string `avro:"owner"`
-	Retry int64  `avro:"retry"`
+	Retry int64  `avro:"retry"` // milliseconds after which to retry; 0 for none
 
 	IsRepeat bool `avro:"is_repeat" since:"8"` // the message was stored, or about to be, before this Take came
 }
@@ -42,7 +41,7 @@
 type Look struct {
 	Place int64  `avro:"place"`
 	Id    string `avro:"id"`
-	Body  bool   `avro:"body"`
+	Body  bool   `avro:"body"`           // whether the reply is to have the body
 	Wait  int64  `avro:"wait" since:"2"` // milliseconds for which the reply may wait for the message's end
 }
 
@@ -121,9 +120,9 @@
 	Proof          Proof  `avro:"proof"`
 	Kind           string `avro:"kind"`
 	MayHaveStarted bool   `avro:"begun"`
-	Final          bool   `avro:"final"`
-	Wait           int64  `avro:"wait"`
-	Step           string `avro:"step"` // empty for the place's owner; see internal/repair
+	Final          bool   `avro:"final"` // no further attempt
+	Wait           int64  `avro:"wait"`  // milliseconds before the next attempt
+	Step           string `avro:"step"`  // empty for the place's owner; see internal/repair
 }
 
 // OutcomeAck says that the result is stored durably, or that another store owns the place.
@@ -136,7 +135,7 @@
 type Want struct {
 	Pool   string `avro:"pool"`
 	Worker string `avro:"worker"`
-	Hold   int64  `avro:"hold"`
+	Hold   int64  `avro:"hold"` // milliseconds for which the request may wait for a slot
 }
 
 // Grant gives a slot under a permit, or the reason why not and when to retry.
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -10,9 +10,9 @@
 // error. Decoded messages can be encoded again.
 func FuzzParse(f *testing.F) {
 	names := []string{"session", "peer", "part", "place", "run", "group"}
-	asks, _ := Links["place"].Codecs(Version)
-	w := asks.NewWriter(64)
-	if err := asks.Append(w, Item{CorrelationId: 1, Body: &Take{Id: "1-x", Body: []byte("b")}}); err != nil {
+	requests, _ := Links["place"].Codecs(Version)
+	w := requests.NewWriter(64)
+	if err := requests.Append(w, Item{CorrelationId: 1, Body: &Take{Id: "1-x", Body: []byte("b")}}); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(append([]byte{}, w.Buffer()...), uint8(3), uint8(1))
@@ -21,8 +21,8 @@
 	f.Add([]byte{}, uint8(1), uint8(200))
 	f.Fuzz(func(t *testing.T, raw []byte, link, count uint8) {
 		for version := OldestVersion; version <= Version; version++ {
-			asks, replies := Links[names[int(link)%len(names)]].Codecs(version)
-			for _, codec := range []*Codec{asks, replies} {
+			requests, replies := Links[names[int(link)%len(names)]].Codecs(version)
+			for _, codec := range []*Codec{requests, replies} {
 				items, err := codec.Decode(raw, int(count))
 				if err != nil {
 					if !errs.Is(err, errs.Corrupt) {
--- a/internal/wire/schema_test.go
+++ b/internal/wire/schema_test.go
@@ -13,11 +13,11 @@
 func TestOlderPeers(t *testing.T) {
 	take := &Take{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h"), Delay: 7, NotifyUrl: "u"}
 	run := &Run{Id: "1-x", Body: []byte("b"), RequestHead: []byte("h")}
-	trip := func(link *Link, from, to int64, ask any) (any, error) {
+	roundTrip := func(link *Link, from, to int64, request any) (any, error) {
 		out, _ := link.Codecs(from)
 		in, _ := link.Codecs(to)
 		w := out.NewWriter(64)
-		So(out.Append(w, Item{CorrelationId: 1, Body: ask}), ShouldBeNil)
+		So(out.Append(w, Item{CorrelationId: 1, Body: request}), ShouldBeNil)
 		items, err := in.Decode(w.Buffer(), 1)
 		if err != nil {
 			return nil, err
@@ -26,19 +26,19 @@
 	}
 	Convey("Between two daemons that negotiated a version,", t, func() {
 		for version := OldestVersion; version <= Version; version++ {
-			got, err := trip(PlaceLink, version, version, take)
+			got, err := roundTrip(PlaceLink, version, version, take)
 			So(err, ShouldBeNil)
-			started, err := trip(RunLink, version, version, run)
+			started, err := roundTrip(RunLink, version, version, run)
 			So(err, ShouldBeNil)
 			m, r := got.(*Take), started.(*Run)
 			So([]string{m.Id, string(m.Body), r.Id}, ShouldResemble, []string{"1-x", "b", "1-x"})
-			edit, err := trip(PartLink, version, version, &Edit{Key: "k", Value: []byte{}, By: "x", OperationId: "o", BaseVersion: 2, EarlierOperations: []string{"n"}, At: 5})
+			edit, err := roundTrip(PartLink, version, version, &Edit{Key: "k", Value: []byte{}, By: "x", OperationId: "o", BaseVersion: 2, EarlierOperations: []string{"n"}, At: 5})
 			So(err, ShouldBeNil)
 			e := edit.(*Edit)
 			So([]string{e.Key, e.By}, ShouldResemble, []string{"k", "x"})
 			So([]bool{e.OperationId == "o", e.BaseVersion == 2, len(e.EarlierOperations) == 1, e.At == 5}, ShouldResemble, []bool{version >= 4, version >= 4, version >= 4, version >= 4})
-			isWhole := version >= 3
-			So([]bool{len(m.RequestHead) > 0, m.Delay == 7, m.NotifyUrl == "u", len(r.RequestHead) > 0}, ShouldResemble, []bool{isWhole, isWhole, isWhole, isWhole})
+			hasVersion3 := version >= 3
+			So([]bool{len(m.RequestHead) > 0, m.Delay == 7, m.NotifyUrl == "u", len(r.RequestHead) > 0}, ShouldResemble, []bool{hasVersion3, hasVersion3, hasVersion3, hasVersion3})
 		}
 	})
 }
@@ -64,10 +64,10 @@
 	Convey("A link builds its codecs once, and only for the versions in use", t, func() {
 		link := newLink("unused", false, []any{&Look{}}, []any{&Sight{}})
 		So(len(link.requestCodecs)+len(link.replyCodecs), ShouldEqual, 0)
-		asks, replies := link.Codecs(Version)
+		requests, replies := link.Codecs(Version)
 		again, _ := link.Codecs(Version)
-		So(asks, ShouldEqual, again)
-		So(asks, ShouldNotEqual, replies)
+		So(requests, ShouldEqual, again)
+		So(requests, ShouldNotEqual, replies)
 		So(len(link.requestCodecs)+len(link.replyCodecs), ShouldEqual, 2)
 	})
 }
@@ -91,7 +91,7 @@
 				kinds []any
 				codec func(version int64) *Codec
 			}{
-				{link.requestKinds, func(v int64) *Codec { asks, _ := link.Codecs(v); return asks }},
+				{link.requestKinds, func(v int64) *Codec { requests, _ := link.Codecs(v); return requests }},
 				{link.replyKinds, func(v int64) *Codec { _, replies := link.Codecs(v); return replies }},
 			} {
 				kinds, known := all(direction.kinds), 0
