--- a/internal/crash/neighbour.go
+++ b/internal/crash/neighbour.go
@@ -41,7 +41,7 @@
 	}
 	context.AfterFunc(ctx, func() { listener.Close() })
 	go l.accept(listener)
-	return nil // it has not sent its name: not a process of this system
+	return nil
 }
 
 // accept reads each connection on a goroutine; connections over maxConnections are closed.
@@ -70,7 +70,7 @@
 	reader := bufio.NewReader(io.LimitReader(conn, maxOutputBytes))
 	name, err := reader.ReadString('\n')
 	if err != nil {
-		return // it never said who it is: not one of ours
+		return // no complete name: not a process of this system
 	}
 	name = printable(strings.TrimSuffix(name, "\n"))
 	l.OnConnect(name)
--- a/internal/session/incarnations.go
+++ b/internal/session/incarnations.go
@@ -20,6 +20,7 @@
 }
 
 const (
+	// maxFormer bounds the former processes of one name that are remembered.
 	maxFormer = 4
 	// pollsToConfirm is the number of polls that show that a process is live: a daemon has one in flight,
 	// and a second one if it has failed over to another manager.
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -13,6 +13,7 @@
 	"caperwheel/internal/wire"
 )
 
+// member returns a member with the given process and age in milliseconds.
 func member(name, boot string, age int64) wire.Member {
 	return wire.Member{Who: wire.Who{Name: name, Boot: boot}, Age: age}
 }
--- a/internal/transport/batch.go
+++ b/internal/transport/batch.go
@@ -22,6 +22,7 @@
 	payloadBytes int
 }
 
+// Pools of reusable buffers for arrays and for batches.
 var (
 	rawPool  = sync.Pool{New: func() any { raw := make([]byte, 0, 4<<10); return &raw }}
 	itemPool = sync.Pool{New: func() any { items := make([]wire.Item, 0, 8); return &items }}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -35,6 +35,7 @@
 // readChunkBytes is the least number of bytes by which the read buffer grows.
 const readChunkBytes = 64 << 10
 
+// castagnoli is the CRC table of the frame checksum.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // encode writes the header into the first frameHeaderSize bytes of raw.
@@ -61,7 +62,7 @@
 	}
 }
 
-// readFrame reads one frame and verifies its checksum. It appends the array to a reused buffer.
+// readFrame reads one frame into a reused buffer and verifies the array's checksum.
 func readFrame(r io.Reader, buffer []byte, limit int) (frameHeader, []byte, error) {
 	var raw [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, raw[:]); err != nil {
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -10,6 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
+// Codecs of the handshake messages.
 var (
 	helloCodec   = wire.NewRecordCodec(&wire.Hello{})
 	welcomeCodec = wire.NewRecordCodec(&wire.Welcome{})
--- a/internal/transport/options.go
+++ b/internal/transport/options.go
@@ -33,7 +33,7 @@
 	OnRefused  func(addr string)  // called when a peer's address refuses connections; may be nil
 }
 
-// Handler processes one message of a link. It must not block for long: work that waits belongs into a
+// Handler processes one message of a link. It must not block for long: work that waits belongs in a
 // bounded queue elsewhere. answer may be called later, at most once.
 type Handler func(from wire.Who, body any, answer func(any))
 
@@ -60,6 +60,7 @@
 	return o
 }
 
+// counters count the traffic of all sessions of the process.
 var counters = struct {
 	batches, messages, bytes, full, sessions, lost prometheus.Counter
 }{
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// Post sends a message without waiting. With a nil answer no reply is expected. An error means that nothing
-// was sent and that answer will not be called.
+// Post sends a message without waiting. With a nil onReply no reply is expected. An error means that
+// nothing was sent and that onReply will not be called.
 func (p *Peer) Post(body any, onReply func(any, error)) error {
 	p.mu.Lock()
 	s := p.session
@@ -195,7 +195,7 @@
 		delete(p.pendingReplies, correlationId)
 		p.mu.Unlock()
 		if !isPending {
-			return nil // detach() has already called answer
+			return nil // detach() has already called onReply
 		}
 	}
 	return err
@@ -226,6 +226,7 @@
 // NewUnsentError wraps a failure that occurred before anything was sent.
 func NewUnsentError(cause error) *UnsentError { return &UnsentError{cause} }
 
+// Error implements error.
 func (u *UnsentError) Error() string { return "unsent: " + u.cause.Error() }
 
 // Unwrap returns the cause.
--- a/internal/web/server_test.go
+++ b/internal/web/server_test.go
@@ -65,6 +65,7 @@
 	return s.Stop(ctx), <-s.ended
 }
 
+// helloRequest is a request with the body "hello".
 const helloRequest = "POST / HTTP/1.1\r\nHost: x.example\r\nContent-Length: 5\r\n\r\nhello"
 
 // TestServerStops guards against requests on open connections that are dropped or left without a reply as a
@@ -188,6 +189,7 @@
 	})
 }
 
+// isAcceptingNow reports whether the server still accepts connections.
 func (s *testServer) isAcceptingNow() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/web/unsent.go
+++ b/internal/web/unsent.go
@@ -8,6 +8,7 @@
 // NewUnsentError wraps a failure that occurred before any byte was written.
 func NewUnsentError(cause error) *UnsentError { return &UnsentError{cause} }
 
+// Error implements error.
 func (u *UnsentError) Error() string { return "unsent: " + u.cause.Error() }
 
 // Unwrap returns the cause.
--- a/internal/wire/control.go
+++ b/internal/wire/control.go
@@ -12,7 +12,7 @@
 )
 
 // Who identifies a daemon. Boot is random and new at each start, so that two processes of one daemon are
-// told apart.
+// distinguished.
 type Who struct {
 	Name string `avro:"name"`
 	Kind string `avro:"kind"`
