--- a/internal/web/web.go
+++ b/internal/web/web.go
@@ -17,9 +17,9 @@
 type Problem struct {
 	Error errs.Kind `json:"error"`
 	Text  string    `json:"text"`
-	Taken any       `json:"taken,omitempty"` // false or "undecided", for messages
-	Id    string    `json:"id,omitempty"`
-	More  any       `json:"more,omitempty"`
+	Taken any       `json:"taken,omitempty"` // false or "undecided" for a message that was not accepted; nil otherwise
+	Id    string    `json:"id,omitempty"`    // of the message
+	More  any       `json:"more,omitempty"`  // details by kind of problem
 }
 
 // statusByKind maps error kinds to HTTP status codes; other kinds get 500.
