--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -8,8 +8,8 @@
 	"caperwheel/internal/settings"
 )
 
-// TestLive guards against a panic in a daemon that was made without New, as in tests, when its session
-// requests the seeds.
+// TestLive guards against a panic in a daemon that was made without New, as those of the simulation are, when its
+// session requests the seeds.
 func TestLive(t *testing.T) {
 	Convey("Given a daemon without a watcher of its settings", t, func() {
 		d := &Daemon{Settings: settings.Settings{Seeds: []string{"a"}}}
--- a/internal/wire/data.go
+++ b/internal/wire/data.go
@@ -93,7 +93,7 @@
 	Checksum    string `avro:"sum"`
 }
 
-// Sight answers Look.
+// Sight answers Look with the state of a message. Kind is an error kind, empty if the message was found.
 type Sight struct {
 	Kind        string `avro:"kind"`
 	Owner       string `avro:"owner"`
