--- a/internal/sim/deliverystops_test.go
+++ b/internal/sim/deliverystops_test.go
@@ -42,7 +42,7 @@
 var stopMutants = map[string]sourceMutant{
 	"a store waits for open runs": {"internal/store/departure.go",
 		"return d.isQuiet && now-d.quietSince >= bounds.Of(timing.AnswerTimeout)", "return true", "", "stops"},
-	"stores are told who else stops": {"internal/session/news.go", "		counts[LeavingCount] = 1\n", "", "", "stops"},
+	"stores are told who else stops": {"internal/session/news.go", "		counts[DrainingCount] = 1\n", "", "", "stops"},
 	"a store waits for word of others that stop": {"internal/store/departure.go",
 		"hasHeard := now-d.asked >= bounds.Of(timing.Departure)", "hasHeard := bounds.Of(timing.Departure) > 0", "", "stops"},
 	"no run is begun where too few stay": {"internal/store/departure.go",
