--- a/internal/sim/deliverydelays_test.go
+++ b/internal/sim/deliverydelays_test.go
@@ -164,8 +164,8 @@
 	sourceMutant
 	says string
 }{
-	"adapters keep what they are told": {sourceMutant{"internal/groupclock/keeper.go",
-		"	k.words[group] = keptWord{word, now}\n", "", "", "delays"}, "LATE"},
+	"adapters keep what they are told": {sourceMutant{"internal/groupclock/cache.go",
+		"	k.readings[group] = cachedReading{reading, now}\n", "", "", "delays"}, "LATE"},
 	"owners ask before they begin": {sourceMutant{"internal/store/ownership.go",
 		"if isOwner && !p.machine.IsIdle() {", "if false {", "", "delays"}, "LATE"},
 	"owners wait for those that are slow": {sourceMutant{"internal/store/timerecovery.go", "limit := timing.TimeRecoveryMaxWait", "limit := timing.TimeQueryTimeout", "39", "delays"}, "LATE"},
