--- a/internal/group/append.go
+++ b/internal/group/append.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/wire"
 )
 
-// append puts one entry of the owner's own into its log.
+// append adds an entry of this term to the owner's own log.
 func (g *Group) append(e wire.Entry, out *Output) {
 	e.Index, e.Term = g.last()+1, g.hard.Term
 	g.log = append(g.log, e)
@@ -17,9 +17,9 @@
 	p.Entries = append(p.Entries, e)
 }
 
-// heartbeat opens a new round: replies to it confirm that the owner still is one.
+// heartbeat sends a new heartbeat round. Replies from a majority confirm that this replica is still the owner.
 func (g *Group) heartbeat(now time.Duration, out *Output) {
-	period := g.opts.Bounds.Of(timing.Heartbeat) // all groups of a store heartbeat together
+	period := g.opts.Bounds.Of(timing.Heartbeat) // aligned, so that all groups of a store send heartbeats together
 	g.heartbeatAt = now - now%period + period
 	g.round++
 	g.heartbeatCommit = g.hard.Commit
@@ -33,6 +33,7 @@
 	}
 }
 
+// onOwnerMessage follows the sender of an append or snapshot as the owner and postpones the next election.
 func (g *Group) onOwnerMessage(m wire.GroupMsg, now time.Duration, out *Output) {
 	if g.role != Follower || g.owner != m.From {
 		g.become(Follower, m.Term, m.From, now, out)
@@ -41,11 +42,13 @@
 	g.resetElectionTimer(now)
 }
 
+// onAppend handles entries or a heartbeat from the owner. A rejection carries the index before which the entries
+// did not fit (in Commit) and the newest index that the two logs may have in common (in Index).
 func (g *Group) onAppend(m wire.GroupMsg, now time.Duration, out *Output) {
 	g.onOwnerMessage(m, now, out)
 	reply := wire.GroupMsg{Round: m.Round, Index: g.last(), Commit: m.Index, Level: g.opts.SupportedLevel}
 	term, isHeld := g.termAt(m.Index)
-	if m.Index < g.base { // the image covers it: skip what is below
+	if m.Index < g.base { // entries up to base are in the snapshot: skip them
 		skip := min(int64(len(m.Entries)), g.base-m.Index)
 		m.Entries, m.Index = m.Entries[skip:], m.Index+skip
 		term, isHeld = g.baseTerm, m.Index == g.base
@@ -68,14 +71,14 @@
 	out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgAppendReply, m.From, reply))
 }
 
-// merge takes the owner's entries; where one differs, ours go from there on.
+// merge adds the owner's entries to the log. From the first entry that differs on, it replaces the log's own entries.
 func (g *Group) merge(entries []wire.Entry, out *Output) {
 	for i, e := range entries {
 		if term, isHeld := g.termAt(e.Index); isHeld && term == e.Term {
 			continue
 		}
 		if e.Index <= g.hard.Commit {
-			return // cannot be: a committed entry never changes
+			return // impossible: a committed entry never changes
 		}
 		g.log = g.log[:e.Index-g.base-1]
 		g.synced = min(g.synced, e.Index-1)
@@ -92,11 +95,12 @@
 	}
 }
 
+// onSnapshot handles a snapshot from the owner. It replaces the log unless the log holds all of it already.
 func (g *Group) onSnapshot(m wire.GroupMsg, now time.Duration, out *Output) {
 	g.onOwnerMessage(m, now, out)
 	if term, isHeld := g.termAt(m.Index); isHeld && term == m.LogTerm {
-		// Our log holds all that the image does, and perhaps more that we have
-		// acknowledged: dropping it would take an acknowledgement back.
+		// Our log holds everything in the snapshot, and perhaps later entries that we have acknowledged:
+		// dropping those would revoke the acknowledgement.
 		g.hard.Commit = max(g.hard.Commit, m.Index)
 	} else if m.Index > g.hard.Commit {
 		snapshot := &Snapshot{Index: m.Index, Term: m.LogTerm, Roster: m.Roster, State: m.State}
@@ -113,7 +117,7 @@
 	out.SendAfterSync = append(out.SendAfterSync, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Round: m.Round, Index: g.hard.Commit, Level: g.opts.SupportedLevel}))
 }
 
-// advanceCommit moves the commit to what a majority has synced in this term.
+// advanceCommit advances the commit index to the newest entry that a majority has synced, if it is of this term.
 func (g *Group) advanceCommit(now time.Duration, out *Output) {
 	if g.role != Owner {
 		return
@@ -133,6 +137,7 @@
 	}
 }
 
+// matchOf returns the index up to which a member's log is known to be synced and to match this owner's log.
 func (g *Group) matchOf(m string) int64 {
 	if m == g.opts.Self {
 		return g.synced
--- a/internal/group/canonical.go
+++ b/internal/group/canonical.go
@@ -10,12 +10,11 @@
 	"caperwheel/internal/wire"
 )
 
-// Canonical appends a replica's state to raw, so that two replicas that can
-// only behave alike have the same bytes. Every field counts, a later one too,
-// but for those in excludedFields. Times count only by what they decide at now: how
-// many pulses ago something was, and whether an owner was heard lately. Rosters
-// count as sets. Rename is given every member id, so that a caller can fold
-// members that stand alike.
+// Canonical appends a canonical encoding of a replica's state to raw: two replicas whose future behaviour is the same
+// have the same bytes. State-space searches use it to recognize states. All fields are encoded, including any that are
+// added later, except for those in excludedFields. Times are encoded only by what they decide as of now: their age in
+// heartbeats, and whether an owner was heard from recently. Rosters are encoded as sets. rename maps every member id,
+// so that a caller can treat interchangeable members alike.
 func (g *Group) Canonical(raw []byte, now time.Duration, rename func(member string) string) []byte {
 	w := canonicalWriter{raw, now, g.opts.Bounds.Of(timing.Heartbeat), rename}
 	w.member(g.opts.Self)
@@ -32,16 +31,17 @@
 	return w.raw
 }
 
-// excludedFields are the fields that Canonical writes in another way, or not at all:
-// what decides only when a replica campaigns or sends a heartbeat, which a search chooses
-// itself, and which member is told first that it may stand.
+// excludedFields are the fields that Canonical encodes in another way or not at all. The latter only decide when a
+// replica starts an election or sends a heartbeat, which a search chooses itself, and which member is asked first to
+// start an election.
 var excludedFields = map[string]bool{"opts": true, "rand": true, "rounds": true, "rosters": true, "log": true,
 	"heardAt": true, "electionAt": true, "campaignPause": true, "heartbeatAt": true, "ackedAt": true, "preferredSince": true}
 
-// heartbeatsAgoLimit: what is longer ago than this many pulses is as long ago as for ever.
+// heartbeatsAgoLimit caps encoded ages: all ages of this many heartbeats or more are equivalent.
 const heartbeatsAgoLimit = 16
 
-// AppendEntries appends log entries; a roster's members are left to the caller.
+// AppendEntries appends an encoding of log entries. Of rosters it encodes only the kind; their members are encoded by
+// the caller.
 func AppendEntries(raw []byte, entries []wire.Entry) []byte {
 	raw = binary.AppendVarint(raw, int64(len(entries)))
 	for _, e := range entries {
@@ -55,10 +55,10 @@
 	return raw
 }
 
-// commandPrefixBytes of a command tell it from all others.
+// commandPrefixBytes is the length of the prefix by which AppendEntries distinguishes commands.
 const commandPrefixBytes = 16
 
-// canonicalWriter writes values one after the other, each with its end marked.
+// canonicalWriter encodes values one after the other, so that the end of each is unambiguous.
 type canonicalWriter struct {
 	raw       []byte
 	now       time.Duration
@@ -83,6 +83,7 @@
 	w.raw = append(append(w.raw, m...), 0)
 }
 
+// age writes the age of a time in heartbeats; -1 for a time that is not set.
 func (w *canonicalWriter) age(at time.Duration) {
 	if at == 0 {
 		w.number(-1)
@@ -91,8 +92,7 @@
 	}
 }
 
-// value writes any field of a replica: its numbers, flags, times and members,
-// and what is known by member.
+// value writes a field of a replica of any kind: numbers, flags, times, member ids, and maps keyed by member id.
 func (w *canonicalWriter) value(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -126,6 +126,7 @@
 	}
 }
 
+// byMember writes a map that is keyed by member id.
 func (w *canonicalWriter) byMember(v reflect.Value) {
 	members, held := []string{}, map[string]reflect.Value{}
 	for i := v.MapRange(); i.Next(); {
@@ -137,8 +138,7 @@
 
 func (w *canonicalWriter) set(list []string) { w.sortedMembers(list, func(string) {}) }
 
-// sortedMembers writes members in the order of their new names, each with what more
-// there is to say of it.
+// sortedMembers writes members in the order of their mapped names, and calls more after each one for its further data.
 func (w *canonicalWriter) sortedMembers(list []string, more func(member string)) {
 	sorted := make([][2]string, 0, len(list)) // new name, old name
 	for _, m := range list {
--- a/internal/group/clone.go
+++ b/internal/group/clone.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// Clone gives an independent copy of a replica, for a search that goes on from
-// one state in several ways. The copy draws its random numbers anew from the
-// seed; nothing else tells the two apart.
+// Clone returns an independent copy of a replica, for state-space searches that continue from one state in several
+// ways. The random number generator of the copy starts again from the seed; apart from that the two are equal.
 func (g *Group) Clone() *Group {
 	c := *g
 	c.rand = rand.New(rand.NewPCG(g.opts.Seed, uint64(g.opts.Id)))
--- a/internal/group/clone_test.go
+++ b/internal/group/clone_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// immutableFields names what replicas may share: it is never written to.
+// immutableFields lists the fields that copies may share, as they are never modified.
 var immutableFields = map[string]bool{"opts": true, "Data": true, "members": true}
 
-// shared names the maps, slices and pointers that two values have in common.
+// shared returns the paths of the maps, slices and pointers that two values have in common.
 func shared(a, b reflect.Value, path string) (out []string) {
 	switch a.Kind() {
 	case reflect.Map, reflect.Slice, reflect.Pointer:
@@ -44,14 +44,14 @@
 	return out
 }
 
-// TestClone: a field that is added and not copied would have two states of a
-// search change each other.
+// TestClone guards against fields that are added to Group and not copied by Clone: two states of a search would then
+// modify each other.
 func TestClone(t *testing.T) {
-	Convey("Given an owner with all there is to know", t, func() {
+	Convey("Given an owner with a value in every field", t, func() {
 		g := ownerWithAck(1)
 		g.newIncarnations["x"] = "x/1"
 		g.Tick(time.Second / 10)
-		Convey("its copy looks the same and shares nothing that changes", func() {
+		Convey("its copy has the same canonical state and shares nothing mutable", func() {
 			c := g.Clone()
 			keep := func(m string) string { return m }
 			So(c.Canonical(nil, 0, keep), ShouldResemble, g.Canonical(nil, 0, keep))
--- a/internal/group/cluster_test.go
+++ b/internal/group/cluster_test.go
@@ -7,30 +7,29 @@
 	"caperwheel/internal/wire"
 )
 
-// testCluster is an owner and two followers over ordered links with a delay and a
-// rate, and disks that take a while. It counts the bytes of entries and images
-// that the owner sends.
+// testCluster simulates an owner and two followers over ordered links with a delay and a rate, and disks with a sync
+// time. It counts the bytes of entries and snapshots that are sent.
 type testCluster struct {
 	delay, sync    time.Duration
-	rate           int                                           // bytes a second of each link; 0 for no bound
+	rate           int                                           // bytes per second of each link; 0 for no limit
 	isLost         func(now time.Duration, m wire.GroupMsg) bool // which messages are lost
-	jitter         func() time.Duration                          // added to a delay, so that messages pass each other
-	maxLinkBacklog int                                           // bytes that may wait on a link; 0 for no bound
+	jitter         func() time.Duration                          // added to the delay, so that messages overtake each other
+	maxLinkBacklog int                                           // bytes that may wait on a link; 0 for no limit
 
 	now             time.Duration
-	events          map[time.Duration][]func()
+	events          map[time.Duration][]func() // pending work by time
 	members         map[string]*Group
-	images          map[string]*Snapshot
-	linkFreeAt      map[string]time.Duration // link -> when it has sent all that waits
-	diskFreeAt      map[string]time.Duration
-	sent            map[string]int // bytes of entries and images, by link
-	longestLinkWait time.Duration  // the longest that a message waited for its link
-	applied         int
-	accepted        int
+	snapshots       map[string]*Snapshot
+	linkFreeAt      map[string]time.Duration // link -> when it will have sent everything that waits for it
+	diskFreeAt      map[string]time.Duration // member -> when its disk will have synced everything
+	sent            map[string]int           // bytes of entries and snapshots, by link
+	longestLinkWait time.Duration            // the longest time that a message waited for its link
+	applied         int                      // bytes of commands that trio[0] has applied
+	accepted        int                      // bytes of commands that were proposed
 }
 
 func newTestCluster(delay, sync time.Duration) *testCluster {
-	return &testCluster{delay: delay, sync: sync, events: map[time.Duration][]func(){}, members: map[string]*Group{}, images: map[string]*Snapshot{},
+	return &testCluster{delay: delay, sync: sync, events: map[time.Duration][]func(){}, members: map[string]*Group{}, snapshots: map[string]*Snapshot{},
 		linkFreeAt: map[string]time.Duration{}, diskFreeAt: map[string]time.Duration{}, sent: map[string]int{}}
 }
 
@@ -60,10 +59,10 @@
 
 func (p *testCluster) send(m wire.GroupMsg) {
 	if m.Kind == MsgSnapshot {
-		if p.images[m.From].Index != m.Index {
-			return // as a host does: the next one has been made meanwhile
+		if p.snapshots[m.From].Index != m.Index {
+			return // as a host does: a newer snapshot has been made meanwhile
 		}
-		m.State = p.images[m.From].State
+		m.State = p.snapshots[m.From].State
 	}
 	link, size := m.From+">"+m.To, sizeOf(m)
 	p.sent[link] += size
@@ -101,7 +100,7 @@
 		})
 	}
 	if out.Install != nil {
-		p.images[name] = out.Install
+		p.snapshots[name] = out.Install
 	}
 	if name == trio[0] {
 		for _, e := range out.Apply {
@@ -110,7 +109,7 @@
 	}
 }
 
-// run lets time pass and proposes size bytes each pause until then; none if pause is 0.
+// run advances time and proposes a command of size bytes after each pause; none if pause is 0.
 func (p *testCluster) run(until, pause time.Duration, size int) {
 	for ; p.now < until; p.now += time.Millisecond {
 		work := p.events[p.now]
@@ -137,7 +136,7 @@
 
 func (p *testCluster) compact(name string) {
 	m := p.members[name]
-	if image := m.Compact(m.View().Commit, make([]byte, 700<<10)); image != nil {
-		p.images[name] = image
+	if snapshot := m.Compact(m.View().Commit, make([]byte, 700<<10)); snapshot != nil {
+		p.snapshots[name] = snapshot
 	}
 }
--- a/internal/group/flow_test.go
+++ b/internal/group/flow_test.go
@@ -15,13 +15,13 @@
 
 const flowSeeds = 30
 
-// TestBytesByDelay: an owner once sent again, at each heartbeat, all that had no
-// answer yet, so that the bytes of a message grew with the delay of its links.
+// TestBytesByDelay guards against sending unanswered entries again with each heartbeat: the bytes sent for a message
+// then grew with the delay of the links.
 func TestBytesByDelay(t *testing.T) {
-	Convey("Each entry goes to each follower once, with", t, func() {
+	Convey("Each entry is sent to each follower once, with", t, func() {
 		for _, c := range []struct{ delay, sync time.Duration }{{time.Millisecond, 2 * time.Millisecond}, {6 * time.Millisecond, 8 * time.Millisecond},
 			{60 * time.Millisecond, 8 * time.Millisecond}, {100 * time.Millisecond, 60 * time.Millisecond}, {3 * time.Millisecond, 200 * time.Millisecond}} {
-			Convey(fmt.Sprintf("links of %v and disks of %v", c.delay, c.sync), func() {
+			Convey(fmt.Sprintf("a link delay of %v and a sync time of %v", c.delay, c.sync), func() {
 				p := newTestCluster(c.delay, c.sync)
 				p.start()
 				p.run(2*time.Second, 0, 0)
@@ -37,10 +37,10 @@
 	})
 }
 
-// TestBytesAfterAbsence: a member that comes back over a slow link gets what it
-// misses about once, and pulses never wait long behind it.
+// TestBytesAfterAbsence checks that a member that comes back over a slow link receives the entries it lacks about once,
+// and that heartbeats never wait long behind them.
 func TestBytesAfterAbsence(t *testing.T) {
-	Convey("Given a link of 3 MB a second to a member that was away for two seconds", t, func() {
+	Convey("Given a link of 3 MB/s to a member that was unreachable for two seconds", t, func() {
 		p := newTestCluster(6*time.Millisecond, 2*time.Millisecond)
 		p.rate, p.maxLinkBacklog = 3<<20, 256<<10
 		isAway := func(now time.Duration) bool { return now > 3*time.Second && now < 5*time.Second }
@@ -49,7 +49,7 @@
 		}
 		p.start()
 		p.run(2*time.Second, 0, 0)
-		Convey("what it gets again is little", func() {
+		Convey("less than a tenth is sent twice", func() {
 			p.run(9*time.Second, 5*time.Millisecond, 8000)
 			p.run(10*time.Second, 0, 0)
 			So(p.applied, ShouldEqual, p.accepted)
@@ -57,14 +57,14 @@
 			So(float64(p.sent[trio[0]+">"+trio[1]]), ShouldBeLessThan, 1.1*float64(p.accepted))
 			So(p.longestLinkWait, ShouldBeLessThan, timing.Default.Of(timing.ElectionTimeout))
 		})
-		Convey("nothing goes to it blindly meanwhile", func() {
+		Convey("no more than two windows are sent to it while it is unreachable", func() {
 			before := 0
 			p.run(3200*time.Millisecond, 5*time.Millisecond, 8000)
 			before = p.sent[trio[0]+">"+trio[1]]
 			p.run(4900*time.Millisecond, 5*time.Millisecond, 8000)
 			So(p.sent[trio[0]+">"+trio[1]]-before, ShouldBeLessThan, 2*InFlightBytesLimit)
 		})
-		Convey("an image that takes long goes once", func() {
+		Convey("a snapshot that takes long is sent once", func() {
 			p.rate, p.maxLinkBacklog = 500<<10, 64<<10
 			p.run(4900*time.Millisecond, 20*time.Millisecond, 4000)
 			p.compact(trio[0])
@@ -72,7 +72,7 @@
 			So(p.members[trio[1]].View().Commit, ShouldBeGreaterThan, p.members[trio[0]].View().Commit-20)
 			So(p.sent[trio[0]+">"+trio[1]], ShouldBeBetween, 700<<10, 700<<10+InFlightBytesLimit+p.accepted)
 		})
-		Convey("an image that is lost goes again", func() {
+		Convey("a snapshot that is lost is sent again", func() {
 			lost := 0
 			away := p.isLost
 			p.isLost = func(now time.Duration, m wire.GroupMsg) bool {
@@ -91,10 +91,10 @@
 	})
 }
 
-// TestLostAppends: one append lost out of many under way has what follows it
-// sent again once, not once for each that was refused.
+// TestLostAppends checks that, if one of many appends in flight is lost, the entries after it are sent again once, and
+// not once for each append that was rejected.
 func TestLostAppends(t *testing.T) {
-	Convey("Given twenty entries under way of which the third is lost", t, func() {
+	Convey("Given many appends in flight, of which the one with entry 40 is lost", t, func() {
 		p := newTestCluster(60*time.Millisecond, 2*time.Millisecond)
 		index := int64(0)
 		p.isLost = func(_ time.Duration, m wire.GroupMsg) bool {
@@ -115,9 +115,9 @@
 	})
 }
 
-// TestTail: a member that misses a little of what an image holds gets just that.
+// TestTail checks that a member that lacks only a few entries of a snapshot receives entries instead of the snapshot.
 func TestTail(t *testing.T) {
-	Convey("Given an owner that makes an image while a member misses a little", t, func() {
+	Convey("Given an owner that makes a snapshot while a member lacks a few entries", t, func() {
 		p := newTestCluster(6*time.Millisecond, 2*time.Millisecond)
 		p.isLost = func(now time.Duration, m wire.GroupMsg) bool {
 			return now > 3*time.Second && now < 4*time.Second && (m.To == trio[1] || m.From == trio[1])
@@ -126,28 +126,28 @@
 		p.run(2*time.Second, 0, 0)
 		p.run(3900*time.Millisecond, 20*time.Millisecond, 1000)
 		p.compact(trio[0])
-		Convey("it gets entries and no image", func() {
+		Convey("the member receives entries and no snapshot", func() {
 			p.run(6*time.Second, 20*time.Millisecond, 1000)
 			p.run(7*time.Second, 0, 0)
 			So(p.members[trio[1]].View().Commit, ShouldEqual, p.members[trio[0]].View().Commit)
 			So(p.sent[trio[0]+">"+trio[1]], ShouldBeLessThan, p.accepted+InFlightBytesLimit)
 		})
-		Convey("the slot holds the image and what is behind it", func() {
+		Convey("the durable state continues after the snapshot", func() {
 			owner := p.members[trio[0]]
 			owner.Propose([]byte("behind it"), p.now)
 			hard, log := owner.DurableState()
-			So(log[0].Index, ShouldEqual, p.images[trio[0]].Index+1)
-			again := New(Options{Id: 1, Self: trio[0], Bounds: timing.Default}, hard, p.images[trio[0]], log, 0)
+			So(log[0].Index, ShouldEqual, p.snapshots[trio[0]].Index+1)
+			again := New(Options{Id: 1, Self: trio[0], Bounds: timing.Default}, hard, p.snapshots[trio[0]], log, 0)
 			So(again.View().Last, ShouldEqual, owner.View().Last)
 			So(again.View().Roster, ShouldResemble, trio)
 		})
 	})
 }
 
-// TestFlowUnderFaults: whatever is lost, repeated or overtaken, and whenever an
-// image is made, all members have the same log in the end.
+// TestFlowUnderFaults checks that all members have the same log in the end, whichever messages are lost, duplicated or
+// reordered, and whenever snapshots are made.
 func TestFlowUnderFaults(t *testing.T) {
-	Convey("Over links that lose, repeat and swap messages", t, func() {
+	Convey("Over links that lose, duplicate and reorder messages", t, func() {
 		for seed := range uint64(flowSeeds) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			p := newTestCluster(6*time.Millisecond, 8*time.Millisecond)
--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -1,6 +1,7 @@
-// Package group is the replicated group that places and control parts share:
-// a majority elects an owner for a term, the owner's log is replicated, and
-// its roster changes one member at a time. Group is a pure state machine.
+// Package group implements the consensus protocol that replicates places and control parts. It is a variant of Raft:
+// a majority elects an owner (leader) for a term, the owner replicates its log to the followers, and the roster (the
+// set of members) changes by one member at a time. Group is a pure state machine without I/O, clocks or goroutines.
+// Package host drives it: it passes in messages, the time and completed syncs, and carries out the Output of each step.
 package group
 
 import (
@@ -13,141 +14,141 @@
 	"caperwheel/internal/wire"
 )
 
-// Role is the explicit state of a replica.
+// Role is the current role of a replica in its group.
 type Role int
 
-// Roles. A Listener never votes: it is a learner or not in the roster at all.
+// The roles of a replica. A learner, or a replica that is not in the roster, stays a Follower and never votes.
 const (
 	Follower     Role = iota
-	PreCandidate      // asks whether an election could be won, without a new term
-	Candidate         // campaigns for owner in a new term
+	PreCandidate      // runs a pre-vote: finds out whether it could win an election, without starting a new term
+	Candidate         // requests votes in a new term
 	Owner
 )
 
 func (r Role) String() string { return [...]string{"follower", "asking", "standing", "owner"}[r] }
 
-// Kinds of log entry.
+// Kinds of log entries (wire.Entry.Kind).
 const (
-	EntryData   int32 = iota // a command of the state machine above
-	EntryNoOp                // opens an owner's term
-	EntryRoster              // a new roster
+	EntryData   int32 = iota // a command for the replicated state machine
+	EntryNoOp                // the first entry of each term, appended by its owner
+	EntryRoster              // a new roster, as a JSON array of member ids
 )
 
-// Kinds of message.
+// Kinds of messages between replicas (wire.GroupMsg.Kind).
 const (
-	MsgPreVote int32 = iota // pre-vote
+	MsgPreVote int32 = iota
 	MsgPreVoteReply
 	MsgVote
 	MsgVoteReply
 	MsgAppend
 	MsgAppendReply
-	MsgSnapshot         // a whole state for a replica that is too far behind
-	MsgCampaign         // the owner hands over: campaign at once
-	MsgWrongIncarnation // the member addressed is gone; From is its new incarnation
-	MsgSnapshotChunk    // a part of a large image; hosts put it together
+	MsgSnapshot         // a whole state, for a replica that is too far behind for the owner's log
+	MsgCampaign         // the owner transfers ownership to the receiver, which starts an election at once
+	MsgWrongIncarnation // the addressed incarnation of the member no longer exists; From is its new member id
+	MsgSnapshotChunk    // a chunk of a large snapshot; hosts reassemble it into a MsgSnapshot
 )
 
-// Options found a replica.
+// Options configure a replica.
 type Options struct {
 	Id             int64
-	Self           string // member id: name/incarnation
+	Self           string // this replica's member id: store name/incarnation
 	Roster         []string
 	Bounds         timing.Bounds
 	Seed           uint64
-	PreferredOwner func(roster []string) string // who should own the group
-	HasRoom        func(member string) bool     // whether the link to a member takes more; none given: always
+	PreferredOwner func(roster []string) string // returns the member that should own the group; optional
+	HasRoom        func(member string) bool     // reports whether the link to a member accepts more data; nil: always
 	SupportedLevel int64                        // the newest feature level that this replica can apply
-	RequiredLevel  func() int64                 // the level that the group has agreed on, or is about to; none given: 0
+	RequiredLevel  func() int64                 // returns the level that is agreed on or proposed; nil: 0
 }
 
-// HardState is what must be durable before a replica answers. Kept says that the
-// replica holds state; a replica that has none never votes.
+// HardState is what must be durable before a replica answers a message.
 type HardState struct {
 	Term   int64
 	Vote   string
 	Commit int64
 }
 
-// Snapshot is a whole state up to an index.
+// Snapshot is the whole replicated state as of a log index.
 type Snapshot struct {
 	Index, Term int64
 	Roster      []string
 	State       []byte
 }
 
-// DurableUpdate is what one step must sync before its After messages may leave.
+// DurableUpdate is what must be synced to disk before the SendAfterSync messages of the same step may be sent.
 type DurableUpdate struct {
 	Hard     *HardState
-	Entries  []wire.Entry // replaces everything from Entries[0].Index on
+	Entries  []wire.Entry // replace all entries of the log from Entries[0].Index on
 	Snapshot *Snapshot    // replaces the whole log
 }
 
-// Output is all that one step wants done.
+// Output lists everything that the caller of a step has to carry out.
 type Output struct {
 	Persist            *DurableUpdate
-	SendNow            []wire.GroupMsg // may leave at once
-	SendAfterSync      []wire.GroupMsg // may leave once Persist is synced
-	Apply              []wire.Entry    // committed, in order
-	Install            *Snapshot       // replaces the state machine's state, before Apply
-	IsOwnershipChanged bool            // role, owner or term changed
+	SendNow            []wire.GroupMsg // may be sent at once
+	SendAfterSync      []wire.GroupMsg // may be sent once Persist is synced
+	Apply              []wire.Entry    // newly committed entries, in log order
+	Install            *Snapshot       // replaces the state of the state machine, before Apply
+	IsOwnershipChanged bool            // the role, the owner or the term has changed
 }
 
-// Group is one replica.
+// Group is one replica of a group.
 //
-// Invariants: term and commit never go back; log[i].Index == base+1+i; the image
-// lies between base and what is applied; an entry
-// at or below commit is never replaced; at most one roster change is under way;
-// synced is how far this replica's own log is on disk, and only that counts
-// towards a majority.
+// Invariants: the term and the commit index never decrease; log[i].Index == base+1+i;
+// base <= snapshotIndex <= applied; an entry at or below the commit index is never replaced;
+// at most one roster change is uncommitted; synced is the index up to which this replica's own
+// log is on disk, and only that counts towards a majority.
 type Group struct {
 	opts          Options
 	rand          *rand.Rand
 	role          Role
 	hard          HardState
 	owner         string
-	base          int64 // what the log begins behind
+	base          int64 // index of the entry before log[0]
 	baseTerm      int64
-	snapshotIndex int64 // the newest image's index: base, or a little later
+	snapshotIndex int64 // index of the newest snapshot: base, or a little later, as a tail of the log is kept
 	snapshotTerm  int64
 	log           []wire.Entry
-	rosters       []rosterAt // newest last; the first is that of base
+	rosters       []rosterAt // the rosters in the log, newest last; the first is the one as of base
 	synced        int64
 
 	applied          int64
-	heardAt          time.Duration // last word from the owner
-	electionAt       time.Duration
-	campaignPause    time.Duration // after the newest vain campaign; 0 once an owner was heard
-	heartbeatAt      time.Duration
-	heartbeatCommit  int64 // commit when the last round began
+	heardAt          time.Duration // when the last message from the owner arrived
+	electionAt       time.Duration // when the next election is due
+	campaignPause    time.Duration // backoff after the last unsuccessful election; 0 once an owner was heard from
+	heartbeatAt      time.Duration // when the next heartbeat is due
+	heartbeatCommit  int64         // commit index when the last heartbeat round was sent
 	votes            map[string]bool
 	peers            map[string]*peerState
-	round            int64
-	rounds           []roundAt // sent and not yet confirmed
-	confirmedAt      time.Duration
-	ownedAt          time.Duration // when this replica became the owner
-	isConfirmed      bool          // confirmed is valid in this term
-	noOpIndex        int64
-	announcedCommit  int64         // the newest commit that went out with entries or by a tick
-	replicatedAt     time.Duration // when entries went out last
-	preferredSince   time.Duration
-	preferredMember  string
-	successor        string            // ownership is being handed to it: nothing is proposed meanwhile
-	transferDeadline time.Duration     // else this replica steps down
-	newIncarnations  map[string]string // name -> new member id told by MsgWrongIncarnation
-}
-
+	round            int64             // number of the newest heartbeat round
+	rounds           []roundAt         // heartbeat rounds that a majority has not answered yet
+	confirmedAt      time.Duration     // send time of the newest round that a majority has answered
+	ownedAt          time.Duration     // when this replica became the owner
+	isConfirmed      bool              // a majority has answered a round of this term, so confirmedAt is valid
+	noOpIndex        int64             // index of this owner's EntryNoOp
+	announcedCommit  int64             // newest commit index sent, with entries or by announceCommit
+	replicatedAt     time.Duration     // when new entries were last sent
+	preferredSince   time.Duration     // since when preferredMember has been keeping up
+	preferredMember  string            // the preferred owner, while it keeps up; else empty
+	successor        string            // target of an ownership transfer in progress; nothing is proposed meanwhile
+	transferDeadline time.Duration     // this replica steps down if the successor has not taken over by then
+	newIncarnations  map[string]string // store name -> new member id, learned from MsgWrongIncarnation
+}
+
+// rosterAt is a roster with the index of the log entry that holds it.
 type rosterAt struct {
 	index   int64
 	members []string
 }
 
+// roundAt is a heartbeat round with the time at which it was sent.
 type roundAt struct {
 	round int64
 	at    time.Duration
 }
 
-// New makes a replica from what its disk held. With no image and no roster it
-// is a listener that waits for an owner to bring it up to date.
+// New creates a replica from the state that was read from its disk. With neither a snapshot nor a roster it
+// does not vote, and waits until an owner brings it up to date.
 func New(opts Options, hard HardState, snapshot *Snapshot, log []wire.Entry, now time.Duration) *Group {
 	g := &Group{opts: opts, hard: hard, log: log, newIncarnations: map[string]string{},
 		rand: rand.New(rand.NewPCG(opts.Seed, uint64(opts.Id)))}
@@ -164,21 +165,24 @@
 	g.hard.Commit = min(g.hard.Commit, g.last())
 	g.applied, g.synced = g.base, g.last()
 	g.resetElectionTimer(now)
-	if g.isPreferred() { // the preferred owner of a fresh start campaigns first
+	if g.isPreferred() { // after a restart of the group the preferred owner is the first to call an election
 		g.electionAt = now + g.opts.Bounds.Of(timing.Heartbeat)
 	}
 	return g
 }
 
-// Committed gives the entries that New found committed, for replay.
+// Committed returns the entries in the log that were committed when New was called, so that the caller can replay
+// them, and marks them as applied.
 func (g *Group) Committed() []wire.Entry {
 	out := slices.Clone(g.log[:g.hard.Commit-g.base])
 	g.applied = g.hard.Commit
 	return out
 }
 
+// last returns the index of the last entry in the log.
 func (g *Group) last() int64 { return g.base + int64(len(g.log)) }
 
+// termAt returns the term of the entry at an index; false where the log does not reach back or up to it.
 func (g *Group) termAt(index int64) (int64, bool) {
 	switch {
 	case index == g.base:
@@ -191,30 +195,31 @@
 
 func (g *Group) lastTerm() int64 { t, _ := g.termAt(g.last()); return t }
 
-// Name gives the store's name within a member id.
+// Name returns the store name within a member id.
 func Name(member string) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(member, learner), "/")
 	return name
 }
 
+// learner is the prefix of learners in a roster.
 const learner = "~"
 
-// IsLearner reports whether a roster entry has no vote.
+// IsLearner reports whether a member of a roster is a learner, which receives the log but has no vote.
 func IsLearner(member string) bool { return strings.HasPrefix(member, learner) }
 
-// Voters gives the members that count.
+// Voters returns the members of a roster that have a vote.
 func Voters(roster []string) []string {
 	return slices.DeleteFunc(slices.Clone(roster), IsLearner)
 }
 
+// roster returns the newest roster in the log; it takes effect when it is appended, not when it is committed.
 func (g *Group) roster() []string { return g.rosters[len(g.rosters)-1].members }
 
 func (g *Group) isVoter() bool { return slices.Contains(g.roster(), g.opts.Self) }
 
-// replicationTargets are the members that this replica speaks to as an owner. There are
-// none while its own disk lacks its first entry, and so may lack the term: one
-// that was elected by its own vote alone could lose both, own the term a second
-// time, and be found to have told its learners of another first entry.
+// replicationTargets returns the members to which this replica sends as an owner. There are none while it is the only
+// voter and its first entry of the term is not synced: it could lose entry and term in a crash, elect itself in the
+// same term again, and send its learners a different first entry under the same index and term.
 func (g *Group) replicationTargets() []string {
 	out := []string{}
 	if g.role == Owner && g.synced < g.noOpIndex && len(Voters(g.roster())) == 1 {
@@ -228,11 +233,12 @@
 	return out
 }
 
+// isPreferred reports whether this replica is a voter and the preferred owner of the group.
 func (g *Group) isPreferred() bool {
 	return g.opts.PreferredOwner != nil && g.isVoter() && g.opts.PreferredOwner(g.roster()) == g.opts.Self
 }
 
-// hasMajority reports whether the members for which test holds are enough.
+// hasMajority reports whether test holds for a majority of the voters.
 func (g *Group) hasMajority(test func(member string) bool) bool {
 	voters, count := Voters(g.roster()), 0
 	for _, m := range voters {
--- a/internal/group/group_test.go
+++ b/internal/group/group_test.go
@@ -13,10 +13,12 @@
 
 var trio = []string{"a/0", "b/0", "c/0"}
 
+// follower returns "b/0" as a follower.
 func follower(roster []string, hard HardState, log []wire.Entry) *Group {
 	return New(Options{Id: 1, Self: "b/0", Roster: roster, Bounds: timing.Default, Seed: 1}, hard, nil, log, 0)
 }
 
+// entries returns log entries from index 1 on, one of each given term.
 func entries(terms ...int64) []wire.Entry {
 	out := []wire.Entry{}
 	for i, term := range terms {
@@ -25,36 +27,36 @@
 	return out
 }
 
-// TestVotes is the table of who gets a vote.
+// TestVotes checks to which candidates a replica gives its vote.
 func TestVotes(t *testing.T) {
 	cases := []struct {
-		name   string
-		roster []string
-		hard   HardState
-		log    []wire.Entry
-		ask    wire.GroupMsg
-		isYes  bool
+		name      string
+		roster    []string
+		hard      HardState
+		log       []wire.Entry
+		request   wire.GroupMsg
+		isGranted bool
 	}{
 		{"a new term and an equal log", trio, HardState{Term: 1}, entries(1, 1), wire.GroupMsg{Term: 2, Index: 2, LogTerm: 1}, true},
 		{"a shorter log", trio, HardState{Term: 1}, entries(1, 1), wire.GroupMsg{Term: 2, Index: 1, LogTerm: 1}, false},
 		{"a shorter log of a later term", trio, HardState{Term: 2}, entries(1, 1), wire.GroupMsg{Term: 3, Index: 1, LogTerm: 2}, true},
 		{"an older term", trio, HardState{Term: 5}, nil, wire.GroupMsg{Term: 4, Index: 9, LogTerm: 4}, false},
 		{"a vote already given to another", trio, HardState{Term: 2, Vote: "c/0"}, nil, wire.GroupMsg{Term: 2}, false},
-		{"a vote already given to the same", trio, HardState{Term: 2, Vote: "a/0"}, nil, wire.GroupMsg{Term: 2}, true},
-		{"a blank replica, which may have forgotten promises", nil, HardState{}, nil, wire.GroupMsg{Term: 2, Index: 9, LogTerm: 1}, false},
+		{"a vote already given to the same candidate", trio, HardState{Term: 2, Vote: "a/0"}, nil, wire.GroupMsg{Term: 2}, true},
+		{"a replica without state, which may have lost earlier votes", nil, HardState{}, nil, wire.GroupMsg{Term: 2, Index: 9, LogTerm: 1}, false},
 	}
 	Convey("A replica asked for its vote", t, func() {
 		for _, c := range cases {
 			Convey("given "+c.name, func() {
 				g := follower(c.roster, c.hard, c.log)
-				c.ask.Kind, c.ask.From, c.ask.To = MsgVote, "a/0", "b/0"
-				out := g.Receive(c.ask, time.Millisecond)
-				isYes := false
+				c.request.Kind, c.request.From, c.request.To = MsgVote, "a/0", "b/0"
+				out := g.Receive(c.request, time.Millisecond)
+				isGranted := false
 				for _, m := range append(out.SendNow, out.SendAfterSync...) {
-					isYes = isYes || m.Kind == MsgVoteReply && !m.Reject
+					isGranted = isGranted || m.Kind == MsgVoteReply && !m.Reject
 				}
-				So(isYes, ShouldEqual, c.isYes)
-				if isYes {
+				So(isGranted, ShouldEqual, c.isGranted)
+				if isGranted {
 					So(out.Persist.Hard.Vote, ShouldEqual, "a/0")
 				}
 			})
@@ -66,13 +68,13 @@
 	Convey("Given a replica that has acknowledged entry 3", t, func() {
 		g := follower(trio, HardState{Term: 1}, nil)
 		g.Receive(wire.GroupMsg{Kind: MsgAppend, From: "a/0", To: "b/0", Term: 1, Entries: entries(1, 1, 1)}, 0)
-		Convey("an image that ends at entry 2 takes nothing back", func() {
+		Convey("a snapshot up to entry 2 does not drop it", func() {
 			out := g.Receive(wire.GroupMsg{Kind: MsgSnapshot, From: "a/0", To: "b/0", Term: 1, Index: 2, LogTerm: 1, Roster: trio}, 0)
 			So(out.Install, ShouldBeNil)
 			So(g.View().Last, ShouldEqual, 3)
 			So(g.View().Commit, ShouldEqual, 2)
 		})
-		Convey("an image of another history replaces it", func() {
+		Convey("a snapshot of a different history replaces it", func() {
 			out := g.Receive(wire.GroupMsg{Kind: MsgSnapshot, From: "c/0", To: "b/0", Term: 2, Index: 2, LogTerm: 2, Roster: trio}, 0)
 			So(out.Install, ShouldNotBeNil)
 			So(g.View().Last, ShouldEqual, 2)
@@ -81,7 +83,7 @@
 }
 
 func TestReturningReplicaDisturbsNobody(t *testing.T) {
-	Convey("Given a replica that hears its owner", t, func() {
+	Convey("Given a replica that has just heard from its owner", t, func() {
 		g := follower(trio, HardState{Term: 4}, nil)
 		g.Receive(wire.GroupMsg{Kind: MsgAppend, From: "a/0", To: "b/0", Term: 4}, 0)
 		Convey("it denies a pre-vote and stays in its term", func() {
@@ -111,7 +113,7 @@
 			change Change
 			kind   errs.Kind
 		}{
-			{"a second change under way", Change{Learn: "c/0"}, errs.Conflict},
+			{"a second change before the first is committed", Change{Learn: "c/0"}, errs.Conflict},
 			{"a learner that is behind", Change{Promote: "b/0"}, errs.Conflict},
 			{"the last voter", Change{Drop: "a/0"}, errs.Rejected},
 		}
@@ -127,7 +129,7 @@
 	})
 }
 
-// TestNewOwner: what an owner may count and say before its own term is sure.
+// TestNewOwner checks what a new owner commits and confirms before an entry of its own term is committed.
 func TestNewOwner(t *testing.T) {
 	Convey("Given a new owner with an entry of an older term that is not committed", t, func() {
 		g := follower(trio, HardState{Term: 1}, entries(1))
@@ -139,17 +141,17 @@
 		reply := func(index int64) {
 			g.Receive(wire.GroupMsg{Kind: MsgAppendReply, From: "a/0", To: "b/0", Term: 2, Index: index, Round: 1}, now)
 		}
-		Convey("a majority that holds the old entry commits nothing yet", func() {
+		Convey("a majority that has the old entry does not commit it yet", func() {
 			reply(1)
 			So(g.View().Commit, ShouldEqual, 0)
 		})
-		Convey("a majority that holds its own entry commits both, once its own disk has them too", func() {
+		Convey("a majority that has the owner's first entry commits both, once the owner has synced them too", func() {
 			reply(2)
 			So(g.View().Commit, ShouldEqual, 0)
 			g.Synced(2, 2, now)
 			So(g.View().Commit, ShouldEqual, 2)
 		})
-		Convey("its view is not sure before its own entry is committed and a round is answered", func() {
+		Convey("its view is not confirmed before its first entry is committed and a heartbeat round is answered", func() {
 			So(g.View().IsConfirmed, ShouldBeFalse)
 			reply(1)
 			So(g.View().IsConfirmed, ShouldBeFalse)
--- a/internal/group/handover_test.go
+++ b/internal/group/handover_test.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/wire"
 )
 
-// ownerWithAck gives an owner of three whose own log is synced and whose peer "a/0"
-// has answered up to an index.
+// ownerWithAck returns "b/0" as the owner of three members. Its own log is synced, and "a/0" has acknowledged it up to
+// an index.
 func ownerWithAck(upTo int64) *Group {
 	g := follower(trio, HardState{}, nil)
 	var out Output
@@ -23,6 +23,7 @@
 	return g
 }
 
+// isPrompted reports whether an output asks "a/0" to start an election.
 func isPrompted(out Output) bool {
 	for _, m := range out.SendNow {
 		if m.Kind == MsgCampaign && m.To == "a/0" {
@@ -32,33 +33,33 @@
 	return false
 }
 
-// TestHandOver: an owner once handed over only if its successor happened to have
-// every entry, which a busy group's successor never has; it was dropped instead.
+// TestHandOver guards against an ownership transfer that works only if the successor has every entry at that moment. On
+// a busy group it never does, and the transfer was dropped.
 func TestHandOver(t *testing.T) {
-	Convey("Given an owner whose heir misses an entry", t, func() {
+	Convey("Given an owner whose successor lacks an entry", t, func() {
 		g := ownerWithAck(1)
 		successor := g.Successor(func(string) bool { return false }, 2*time.Millisecond)
 		So(successor, ShouldEqual, "a/0")
 		out := g.TransferOwnership(successor, 2*time.Millisecond)
-		Convey("nothing is proposed any more, and whoever asks is sent to the heir", func() {
+		Convey("no proposals are accepted any more, and clients are redirected to the successor", func() {
 			_, _, _, isOwner := g.Propose([]byte("y"), 3*time.Millisecond)
 			So(isOwner, ShouldBeFalse)
 			So(g.View().Owner, ShouldEqual, "a/0")
 		})
-		Convey("the heir is called once it has all", func() {
+		Convey("the successor is asked to start an election once it has all entries", func() {
 			So(isPrompted(out), ShouldBeFalse)
 			out = g.Receive(wire.GroupMsg{Kind: MsgAppendReply, From: "a/0", To: "b/0", Term: 1, Round: 1, Index: 2}, 3*time.Millisecond)
 			So(isPrompted(out), ShouldBeTrue)
 		})
-		Convey("one that does not take over in time has the owner step down", func() {
+		Convey("the owner steps down if the successor does not take over in time", func() {
 			g.Tick(timing.Default.Of(timing.TransferTimeout) + 10*time.Millisecond)
 			So(g.View().Role, ShouldNotEqual, Owner)
 		})
 	})
 }
 
-// TestMissing: a killed owner was once missed only for its silence, though its
-// port refused connections at once.
+// TestMissing guards against waiting for the election timeout when the owner's process is known to have ended, as its
+// port refuses connections.
 func TestMissing(t *testing.T) {
 	cases := []struct {
 		name, missing string
@@ -67,7 +68,7 @@
 		{"the owner's store", "a", true},
 		{"another store", "c", false},
 	}
-	Convey("A follower that hears of the end of", t, func() {
+	Convey("A follower gets a report of the end of", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				g := follower(trio, HardState{Term: 1}, nil)
@@ -75,11 +76,11 @@
 				g.ReportStoreDown(c.missing, time.Millisecond)
 				So(g.hasOwner(2*time.Millisecond), ShouldEqual, !c.isSoon)
 				out := g.Tick(timing.Default.Of(timing.Heartbeat) + 2*time.Millisecond)
-				isAsking := false
+				isCampaigning := false
 				for _, m := range out.SendNow {
-					isAsking = isAsking || m.Kind == MsgPreVote
+					isCampaigning = isCampaigning || m.Kind == MsgPreVote
 				}
-				So(isAsking, ShouldEqual, c.isSoon)
+				So(isCampaigning, ShouldEqual, c.isSoon)
 			})
 		}
 	})
--- a/internal/group/mend_test.go
+++ b/internal/group/mend_test.go
@@ -12,8 +12,7 @@
 	"caperwheel/internal/wire"
 )
 
-// ownerOf gives "b/0" as the owner of a roster, with all that its peers of
-// answering have acknowledged.
+// ownerOf returns "b/0" as the owner of a roster, whose whole log the peers in answering have acknowledged.
 func ownerOf(roster []string, answering ...string) *Group {
 	g := follower(roster, HardState{}, nil)
 	var out Output
@@ -26,7 +25,7 @@
 	return g
 }
 
-// TestMend is the table of the next step towards a wanted roster.
+// TestMend checks the next step towards a wanted roster.
 func TestMend(t *testing.T) {
 	here := map[string]string{"a": "a/0", "b": "b/0", "c": "c/0", "d": "d/0", "e": "e/0"}
 	without := func(names ...string) map[string]string {
@@ -45,14 +44,14 @@
 		wanted []string
 		want   Change
 	}{
-		{"nothing is due where all is as wanted", trio, here, []string{"a", "b", "c"}, Change{}},
-		{"a lost store's successor is learnt first", trio, without("a"), []string{"b", "c", "d"}, Change{Learn: "d/0"}},
-		{"it gets its vote once it has caught up", []string{"a/0", "b/0", "c/0", "~d/0"}, without("a"), []string{"b", "c", "d"}, Change{Promote: "d/0"}},
-		{"and then the lost store goes", abcd, without("a"), []string{"b", "c", "d"}, Change{Drop: "a/0"}},
-		{"one that is wanted but away counts by its old vote, so a dead one can go", abcde, without("a", "c"), []string{"b", "c", "d", "e"}, Change{Drop: "a/0"}},
-		{"but not one that is alive: its copy may be needed", abcd, without("c"), []string{"b", "c", "d"}, Change{}},
-		{"a learner that is no longer wanted goes", []string{"a/0", "b/0", "c/0", "~d/0"}, here, []string{"a", "b", "c"}, Change{Drop: "d/0"}},
-		{"a disk that came back blank loses its vote", trio, map[string]string{"a": "a/1", "b": "b/0", "c": "c/0"}, []string{"a", "b", "c"}, Change{Drop: "a/0"}},
+		{"none where the roster is as wanted", trio, here, []string{"a", "b", "c"}, Change{}},
+		{"the replacement of a lost store is added as a learner first", trio, without("a"), []string{"b", "c", "d"}, Change{Learn: "d/0"}},
+		{"it becomes a voter once it has caught up", []string{"a/0", "b/0", "c/0", "~d/0"}, without("a"), []string{"b", "c", "d"}, Change{Promote: "d/0"}},
+		{"then the lost store is removed", abcd, without("a"), []string{"b", "c", "d"}, Change{Drop: "a/0"}},
+		{"a wanted store that is absent counts as a voter, so a lost one can be removed", abcde, without("a", "c"), []string{"b", "c", "d", "e"}, Change{Drop: "a/0"}},
+		{"but not one that responds: its copy may be needed", abcd, without("c"), []string{"b", "c", "d"}, Change{}},
+		{"a learner that is no longer wanted is removed", []string{"a/0", "b/0", "c/0", "~d/0"}, here, []string{"a", "b", "c"}, Change{Drop: "d/0"}},
+		{"a store that came back with an empty disk loses its vote", trio, map[string]string{"a": "a/1", "b": "b/0", "c": "c/0"}, []string{"a", "b", "c"}, Change{Drop: "a/0"}},
 	}
 	Convey("The next step is", t, func() {
 		for _, c := range cases {
@@ -66,10 +65,10 @@
 	})
 }
 
-// TestMendKeepsWhoAnswers: an owner that had heard of an older life of a store
-// once took the vote of the newer one, which had voted under another owner.
+// TestMendKeepsWhoAnswers guards against removing a member that responds because of a late report of an older
+// incarnation of its store. The newer incarnation had become a voter under another owner.
 func TestMendKeepsWhoAnswers(t *testing.T) {
-	Convey("Given an owner that was told of an older life of a member", t, func() {
+	Convey("Given an owner that got a report of an older incarnation of a member", t, func() {
 		g := ownerOf([]string{"a/2", "b/0", "c/0"}, "a/2", "c/0")
 		g.Receive(wire.GroupMsg{Kind: MsgWrongIncarnation, From: "a/1", To: "b/0"}, 0)
 		_, isDue := g.Repair(map[string]string{"a": "a/1", "b": "b/0", "c": "c/0"}, []string{"a", "b", "c"})
@@ -77,10 +76,10 @@
 	})
 }
 
-// TestCaughtUp: a busy group's learner never has what was committed this very
-// moment, and must not wait for a lull.
+// TestCaughtUp guards against requiring a learner to have every committed entry: on a busy group it never does, and
+// would become a voter only in a lull.
 func TestCaughtUp(t *testing.T) {
-	Convey("Given a learner that has all that was committed when the last round began", t, func() {
+	Convey("Given a learner that has all that was committed when the last heartbeat round was sent", t, func() {
 		g := ownerOf([]string{"b/0", "c/0", "~d/0"}, "c/0", "d/0")
 		g.Tick(timing.Default.Of(timing.Heartbeat))
 		g.Propose([]byte("x"), 0)
@@ -88,7 +87,7 @@
 		g.Receive(wire.GroupMsg{Kind: MsgAppendReply, From: "c/0", To: "b/0", Term: 1, Round: 2, Index: g.last()}, time.Millisecond)
 		So(g.View().Commit, ShouldEqual, g.last())
 		So(g.isCaughtUp("d/0"), ShouldBeTrue)
-		Convey("it must have that of the next round to be so later", func() {
+		Convey("it is not caught up after the next round until it has what was committed by then", func() {
 			g.Tick(2 * timing.Default.Of(timing.Heartbeat))
 			So(g.isCaughtUp("d/0"), ShouldBeFalse)
 		})
--- a/internal/group/progress.go
+++ b/internal/group/progress.go
@@ -7,47 +7,45 @@
 	"caperwheel/internal/wire"
 )
 
-// Limits of what an owner sends to one member. A member's answer is never
-// waited for longer than its link and disk take, so nothing is sent again for
-// being late: only an answer tells that something was lost.
+// Limits of what an owner sends to one member. There is no retransmission timeout: the time to an answer depends only
+// on the member's link and disk, so a late answer proves nothing, and only an answer shows that a message was lost.
 const (
 	appendEntriesLimit   = 256
 	appendBytesLimit     = 64 << 10 // of one append; a single entry may be larger
-	probeBytesLimit      = 1 << 10  // of an append to a member whose log is not known
+	probeBytesLimit      = 1 << 10  // of an append to a member that is being probed
 	InFlightBytesLimit   = 256 << 10
-	inFlightAppendsLimit = 256       // appends with entries
-	tailBytesLimit       = 128 << 10 // of the log that is kept behind an image
+	inFlightAppendsLimit = 256       // appends that carry entries
+	tailBytesLimit       = 128 << 10 // of the log entries that are kept although a snapshot covers them
 )
 
-// peerState is what an owner knows of another member: its progress. It is
+// peerState is the replication progress of another member, as tracked by the owner. The member is in one of these states:
 //
-//   - probing, while it is not known where its log ends: an append that carries
-//     next to nothing goes with each heartbeat until one is accepted;
-//   - imaging, a kind of probing, while an image is on its way;
-//   - replicating: entries follow one another without waiting, as far as the
-//     flight allows.
+//   - probing, while it is unknown where its log stops matching: each heartbeat carries an append
+//     with few or no entries until one is accepted;
+//   - receiving a snapshot, a kind of probing, while a snapshot is in transit;
+//   - replicating: appends with entries are pipelined without waiting for answers, up to the limits above.
 //
-// Links are ordered, so the answer to an append that was sent later tells what
-// became of those before: a rejected one that some were lost, and of an image
-// the answer to a later heartbeat.
+// Links preserve order, so the answer to a later message shows the fate of earlier ones: a rejected append means that
+// an earlier append was lost; the answer to a heartbeat sent after a snapshot shows whether the snapshot arrived.
 type peerState struct {
-	match, next    int64
-	acked          int64 // newest heartbeat round answered
-	ackedAt        time.Duration
+	match, next    int64         // newest index known to match our log; next index to send
+	acked          int64         // newest heartbeat round that the member has answered
+	ackedAt        time.Duration // when the member's last answer arrived
 	isProbing      bool
-	snapshotIndex  int64 // of the image on its way; 0 for none
-	snapshotRound  int64 // the newest heartbeat before it
+	snapshotIndex  int64 // index of the snapshot in transit; 0 for none
+	snapshotRound  int64 // newest heartbeat round sent before that snapshot
 	inFlight       []inFlight
 	inFlightBytes  int
-	supportedLevel int64 // the newest feature level that it can apply, as it told; 0 for not told
+	supportedLevel int64 // newest feature level that the member reported it can apply; 0 if it reported none
 }
 
-// inFlight is an append that carried entries and has not been answered.
+// inFlight is an append with entries that has not been answered yet.
 type inFlight struct {
 	last  int64
 	bytes int
 }
 
+// peer returns the progress of a member; a member without one starts in the probing state.
 func (g *Group) peer(m string) *peerState {
 	p := g.peers[m]
 	if p == nil {
@@ -57,17 +55,17 @@
 	return p
 }
 
-// probe begins anew at an index.
+// probe switches to probing, from an index on, and forgets all appends in flight.
 func (p *peerState) probe(next int64) {
 	p.next, p.isProbing, p.snapshotIndex = next, true, 0
 	p.inFlight, p.inFlightBytes = nil, 0
 }
 
-// accept takes in that the member's log is ours up to an index.
+// accept records that the member's log matches ours up to an index.
 func (p *peerState) accept(index int64) {
 	p.match = max(p.match, index)
 	if p.snapshotIndex > 0 && p.match < p.snapshotIndex {
-		return // the answer to an append before the image
+		return // an answer to an append that was sent before the snapshot
 	}
 	if p.isProbing {
 		p.probe(p.match + 1)
@@ -82,17 +80,16 @@
 	p.inFlight = p.inFlight[acknowledged:]
 }
 
-// isFull reports whether the flight takes no more entries. One is always taken,
-// however large.
+// isFull reports whether the limits allow no more appends in flight. Bytes are checked before an append is added,
+// so a single entry of any size can be sent.
 func (p *peerState) isFull() bool {
 	return p.inFlightBytes >= InFlightBytesLimit || len(p.inFlight) >= inFlightAppendsLimit
 }
 
-// reject takes in that the member could not append behind an index, where its
-// hint is the newest that it may have in common with us. It is false for an
-// answer to what was sent before the probe that is under way.
+// reject records that the member could not append after the index behind; hint is the newest index that its log may
+// have in common with ours. It returns false for an answer to an append that was sent before the current probe.
 func (p *peerState) reject(behind, hint int64) bool {
-	if behind == 0 { // a member of an older build does not tell it
+	if behind == 0 { // older builds do not report it
 		behind = p.next - 1
 	}
 	if p.isProbing && behind != p.next-1 || behind <= p.match {
@@ -112,7 +109,7 @@
 	}
 }
 
-// sendPending sends what had no room before.
+// sendPending sends the entries that exceeded the limits or the link's capacity before.
 func (g *Group) sendPending(now time.Duration, out *Output) {
 	for _, m := range g.replicationTargets() {
 		if p := g.peer(m); !p.isProbing && p.next <= g.last() {
@@ -121,16 +118,16 @@
 	}
 }
 
-// hasRoom reports whether the link to a member takes more than what is small.
+// hasRoom reports whether the link to a member accepts more than small messages.
 func (g *Group) hasRoom(m string) bool { return g.opts.HasRoom == nil || g.opts.HasRoom(m) }
 
-// sendTo sends what the member misses as far as there is room, or an empty
-// append if always is set.
+// sendTo sends the entries that a member lacks, as far as the limits allow. If there are none to send, it sends an
+// append without entries where allowEmpty is set.
 func (g *Group) sendTo(m string, allowEmpty bool, now time.Duration, out *Output) {
 	p := g.peer(m)
 	prev := p.next - 1
 	term, isHeld := g.termAt(prev)
-	if !isHeld { // compacted away: the member needs an image
+	if !isHeld { // compacted: the member needs a snapshot
 		g.sendSnapshot(m, allowEmpty, out)
 		return
 	}
@@ -151,7 +148,7 @@
 	}
 }
 
-// entriesFor gives the entries that may go to a member now.
+// entriesFor returns the entries that may be sent to a member in one append now, and the sum of their sizes in bytes.
 func (g *Group) entriesFor(m string, p *peerState) (entries []wire.Entry, size int) {
 	entries = g.log[p.next-1-g.base:]
 	maxBytes, minEntries := appendBytesLimit, 1
@@ -169,8 +166,8 @@
 	return entries, size
 }
 
-// sendSnapshot sends the image if none is on its way, and else, if always is set,
-// a heartbeat that no member accepts.
+// sendSnapshot sends the newest snapshot if none is in transit. Otherwise, if allowEmpty is set, it sends a heartbeat
+// that the member answers but rejects, as no log has an entry of its previous index and term.
 func (g *Group) sendSnapshot(m string, allowEmpty bool, out *Output) {
 	p := g.peer(m)
 	if p.snapshotIndex == 0 && g.hasRoom(m) {
@@ -183,6 +180,7 @@
 	}
 }
 
+// onAppendReply handles a member's answer to an append, a heartbeat or a snapshot.
 func (g *Group) onAppendReply(m wire.GroupMsg, now time.Duration, out *Output) {
 	if g.role != Owner {
 		return
@@ -204,8 +202,8 @@
 	}
 }
 
-// onReject probes where the member's log ends, or sends the image again: it was
-// lost if the member has answered a later heartbeat without having it.
+// onReject continues to probe where the member's log stops matching, or sends the snapshot again if it was lost:
+// that is so once the member has answered a later heartbeat and still lacks it.
 func (g *Group) onReject(m wire.GroupMsg, p *peerState, now time.Duration, out *Output) {
 	if p.snapshotIndex > 0 {
 		if m.Round > p.snapshotRound {
@@ -219,8 +217,8 @@
 	}
 }
 
-// announceCommit lets members that have all entries know what is committed, when a
-// tick has passed since entries went out: while more come, the next ones tell.
+// announceCommit sends the commit index to members that have all entries, once a tick has passed since entries were
+// last sent. While entries follow one another, the next append carries the commit index anyway.
 func (g *Group) announceCommit(now time.Duration, out *Output) {
 	if g.announcedCommit == g.hard.Commit || now-g.replicatedAt < g.opts.Bounds.Of(timing.Tick) {
 		return
--- a/internal/group/progress_test.go
+++ b/internal/group/progress_test.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// TestReject is the table of what a rejected append says of a member.
+// TestReject checks what a rejected append changes in the progress of a member.
 func TestReject(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -19,16 +19,16 @@
 		isTaken      bool
 		next         int64
 	}{
-		{"one of many under way", peerState{match: 5, next: 20}, 9, 7, true, 8},
-		{"the next of them, once it is probed", peerState{match: 5, next: 8, isProbing: true}, 10, 7, false, 8},
+		{"one of many in flight", peerState{match: 5, next: 20}, 9, 7, true, 8},
+		{"the next of them, once the member is probed", peerState{match: 5, next: 8, isProbing: true}, 10, 7, false, 8},
 		{"the probe itself", peerState{match: 5, next: 20, isProbing: true}, 19, 12, true, 13},
-		{"a probe behind which the member's log differs", peerState{match: 5, next: 20, isProbing: true}, 19, 30, true, 19},
-		{"an old one of what is known to be held", peerState{match: 9, next: 20}, 7, 6, false, 20},
-		{"the probe behind what is known to be held", peerState{match: 9, next: 10, isProbing: true}, 9, 9, false, 10},
-		{"a hint below what is known to be held", peerState{match: 9, next: 20}, 15, 3, true, 10},
-		{"one of an older build, which names nothing", peerState{match: 5, next: 20}, 0, 7, true, 8},
+		{"a probe at an index at which the member's log differs", peerState{match: 5, next: 20, isProbing: true}, 19, 30, true, 19},
+		{"an old one, at an index that is known to match", peerState{match: 9, next: 20}, 7, 6, false, 20},
+		{"the probe after the last index that is known to match", peerState{match: 9, next: 10, isProbing: true}, 9, 9, false, 10},
+		{"a hint below the index that is known to match", peerState{match: 9, next: 20}, 15, 3, true, 10},
+		{"one of an older build, which does not report the index", peerState{match: 5, next: 20}, 0, 7, true, 8},
 	}
-	Convey("Of a rejected append,", t, func() {
+	Convey("A rejected append:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p := c.is
@@ -45,7 +45,7 @@
 	})
 }
 
-// TestAccept is the table of what an accepted append says.
+// TestAccept checks what an accepted append changes in the progress of a member.
 func TestAccept(t *testing.T) {
 	flight := []inFlight{{10, 100}, {12, 200}, {15, 300}}
 	cases := []struct {
@@ -56,15 +56,15 @@
 		isProbing, isImaging   bool
 		flightCount, flightSum int
 	}{
-		{"part of what is under way", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 12, 12, 16, false, false, 1, 300},
-		{"a part of one", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 11, 11, 16, false, false, 2, 500},
+		{"some of the appends in flight", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 12, 12, 16, false, false, 1, 300},
+		{"a part of one append", peerState{match: 9, next: 16, inFlight: flight, inFlightBytes: 600}, 11, 11, 16, false, false, 2, 500},
 		{"an old answer", peerState{match: 12, next: 16, inFlight: flight[2:], inFlightBytes: 300}, 9, 12, 16, false, false, 1, 300},
-		{"more than was sent", peerState{match: 9, next: 16}, 20, 20, 21, false, false, 0, 0},
+		{"more entries than were sent", peerState{match: 9, next: 16}, 20, 20, 21, false, false, 0, 0},
 		{"a probe", peerState{match: 0, next: 9, isProbing: true}, 8, 8, 9, false, false, 0, 0},
-		{"an append before the image on its way", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 4, 4, 5, true, true, 0, 0},
-		{"the image", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 40, 40, 41, false, false, 0, 0},
+		{"an append before the snapshot in transit", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 4, 4, 5, true, true, 0, 0},
+		{"the snapshot", peerState{match: 3, next: 5, isProbing: true, snapshotIndex: 40}, 40, 40, 41, false, false, 0, 0},
 	}
-	Convey("An owner takes in that a member holds", t, func() {
+	Convey("A member accepted", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p := c.is
@@ -80,7 +80,7 @@
 	})
 }
 
-// TestEntriesFor: what may go to a member at once.
+// TestEntriesFor checks how many entries may be sent to a member at once.
 func TestEntriesFor(t *testing.T) {
 	Convey("Given an owner with a small entry and large ones", t, func() {
 		hasRoom := true
@@ -98,14 +98,14 @@
 			isFree bool
 			count  int
 		}{
-			{"a probe carries what is small", peerState{next: 1, isProbing: true}, true, 1},
-			{"a probe carries nothing large", peerState{next: 2, isProbing: true}, true, 0},
+			{"a probe carries small entries", peerState{next: 1, isProbing: true}, true, 1},
+			{"a probe carries no large entries", peerState{next: 2, isProbing: true}, true, 0},
 			{"an append carries up to its limit", peerState{next: 1}, true, 2},
-			{"an append carries at least one, however large", peerState{next: 4}, true, 1},
-			{"a link without room takes none", peerState{next: 1}, false, 0},
-			{"… but a probe's little", peerState{next: 1, isProbing: true}, false, 1},
-			{"a flight full of bytes takes none", peerState{next: 1, inFlightBytes: InFlightBytesLimit}, true, 0},
-			{"a flight full of appends takes none", peerState{next: 1, inFlight: make([]inFlight, inFlightAppendsLimit)}, true, 0},
+			{"an append carries at least one entry of any size", peerState{next: 4}, true, 1},
+			{"a link without capacity accepts none", peerState{next: 1}, false, 0},
+			{"… but those of a probe", peerState{next: 1, isProbing: true}, false, 1},
+			{"the limit of bytes in flight allows none", peerState{next: 1, inFlightBytes: InFlightBytesLimit}, true, 0},
+			{"the limit of appends in flight allows none", peerState{next: 1, inFlight: make([]inFlight, inFlightAppendsLimit)}, true, 0},
 		}
 		for _, c := range cases {
 			Convey(c.name, func() {
--- a/internal/group/silence_test.go
+++ b/internal/group/silence_test.go
@@ -10,28 +10,28 @@
 	"caperwheel/internal/timing"
 )
 
-// TestSilence is the table of for how long an owner has not heard of a store. A new
-// owner once counted the silence of a store that was lost before from its own
-// beginning, so that the store's seat was free a change of owner too late.
+// TestSilence checks how long ago an owner has heard from a store. It guards against a new owner that counts the
+// silence of a store that was lost earlier from the start of its own ownership: each change of owner then delayed the
+// replacement of the store.
 func TestSilence(t *testing.T) {
-	patience := timing.Default.Of(timing.ElectionTimeout)
+	timeout := timing.Default.Of(timing.ElectionTimeout)
 	cases := []struct {
 		name, store string
 		now, want   time.Duration
 	}{
-		{"itself", "b", time.Minute, 0},
+		{"its own store", "b", time.Minute, 0},
 		{"one that has answered", "a", time.Minute, time.Minute - time.Millisecond},
-		{"one that may answer yet", "c", patience - 1, patience - 1},
-		{"one that has never answered this owner", "c", patience, math.MaxInt64},
+		{"one that may still answer", "c", timeout - 1, timeout - 1},
+		{"one that has never answered this owner", "c", timeout, math.MaxInt64},
 	}
-	Convey("An owner has not heard of", t, func() {
+	Convey("The silence, for an owner, of", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				So(ownerWithAck(2).Silence(c.store, c.now), ShouldEqual, c.want) // a has answered after 1 ms
+				So(ownerWithAck(2).Silence(c.store, c.now), ShouldEqual, c.want) // store a answered after 1 ms
 			})
 		}
 	})
-	Convey("An owner that misses the answer of one voter says so", t, func() {
+	Convey("An owner reports that not every voter responds while one has not answered", t, func() {
 		g := ownerWithAck(2)
 		So(g.IsEveryVoterResponding(), ShouldBeFalse)
 		g.peer("c/0").acked = g.round
--- a/internal/group/step.go
+++ b/internal/group/step.go
@@ -7,7 +7,7 @@
 	"caperwheel/internal/wire"
 )
 
-// Tick lets time pass.
+// Tick performs the work that is due by time: elections, heartbeats and resignations. It is called at intervals.
 func (g *Group) Tick(now time.Duration) Output {
 	out := Output{}
 	if g.role == Owner {
@@ -19,6 +19,8 @@
 	return out
 }
 
+// tickOwner does the timed work of an owner. An owner that a majority has not answered for twice the answer timeout
+// steps down, as does one whose successor did not take over in time.
 func (g *Group) tickOwner(now time.Duration, out *Output) {
 	if now-g.confirmedAt > g.opts.Bounds.Of(timing.AnswerTimeout)*2 {
 		g.become(Follower, g.hard.Term, "", now, out) // cut off from the majority
@@ -37,7 +39,7 @@
 	}
 }
 
-// Receive takes one message from another replica.
+// Receive handles one message from another replica.
 func (g *Group) Receive(m wire.GroupMsg, now time.Duration) Output {
 	out := Output{}
 	if m.To != g.opts.Self {
@@ -73,20 +75,20 @@
 	return out
 }
 
-// checkTerm compares the message's term with ours. It is false when the message
-// has been dealt with.
+// checkTerm compares the term of a message with this replica's term, and follows a newer one. It returns false for a
+// message of an older term, which needs no further handling.
 func (g *Group) checkTerm(m wire.GroupMsg, now time.Duration, out *Output) bool {
 	switch m.Kind {
 	case MsgPreVote:
 		return true
-	case MsgPreVoteReply: // carries a term that nobody has entered yet
+	case MsgPreVoteReply: // its term is that of an election that has not started
 		if m.Reject && m.Term > g.hard.Term+1 {
 			g.become(Follower, m.Term-1, "", now, out)
 		}
 		return true
 	}
 	if m.Term < g.hard.Term {
-		if m.Kind == MsgAppend || m.Kind == MsgSnapshot { // tell an old owner
+		if m.Kind == MsgAppend || m.Kind == MsgSnapshot { // the reply tells a deposed owner the newer term
 			out.SendNow = append(out.SendNow, g.msg(MsgAppendReply, m.From, wire.GroupMsg{Reject: true, Index: g.last()}))
 		}
 		return false
@@ -98,8 +100,8 @@
 	return true
 }
 
-// Synced tells that all of this replica's log up to index (of that term) is on
-// disk.
+// Synced records that this replica's log is on disk up to an index. The call has no effect if the entry at that index
+// is no longer of the given term, as it has been replaced since.
 func (g *Group) Synced(index, term int64, now time.Duration) Output {
 	out := Output{}
 	if t, isHeld := g.termAt(index); isHeld && t == term {
@@ -110,7 +112,7 @@
 	return out
 }
 
-// emitCommitted hands out what has been committed and not yet applied.
+// emitCommitted adds the entries that are committed and not yet applied to the output.
 func (g *Group) emitCommitted(out *Output) {
 	if g.applied < g.base {
 		g.applied = g.base
@@ -121,14 +123,13 @@
 	}
 }
 
-// Propose appends a command. The index and term name it; it is committed when
-// an entry with both is applied. False when this replica is not the owner.
+// Propose appends a command to the owner's log. It is committed once an entry with the returned index and term is
+// applied. isOwner is false, and nothing is proposed, on other replicas and during an ownership transfer.
 func (g *Group) Propose(data []byte, now time.Duration) (index, term int64, out Output, isOwner bool) {
 	return g.ProposeAll([][]byte{data}, now)
 }
 
-// ProposeAll appends commands, which must not be none, in one step. It returns the
-// index of the first one.
+// ProposeAll appends one or more commands in one step, and returns the index of the first one. See Propose.
 func (g *Group) ProposeAll(commands [][]byte, now time.Duration) (first, term int64, out Output, isOwner bool) {
 	if g.role != Owner || g.successor != "" {
 		return 0, 0, out, false
@@ -141,8 +142,9 @@
 	return first, g.hard.Term, out, true
 }
 
-// Compact makes state the image at an applied index and forgets the log up to
-// there, but for a tail: members that miss little need no image.
+// Compact makes state the snapshot as of an applied index, and drops the log entries up to there except for a tail,
+// so that members that lack only a few entries need no snapshot. It returns nil if the index is not newer than that
+// of the last snapshot or is not applied yet.
 func (g *Group) Compact(index int64, state []byte) *Snapshot {
 	if index <= g.snapshotIndex || index > g.applied {
 		return nil
@@ -166,7 +168,8 @@
 	return &Snapshot{Index: g.snapshotIndex, Term: g.snapshotTerm, Roster: g.rosterAt(g.snapshotIndex), State: state}
 }
 
-// Whole returns all that must be durable besides the image, for a slot on disk.
+// DurableState returns everything that must be durable besides the snapshot: the hard state and the entries after it.
+// The caller writes them to disk together with the snapshot.
 func (g *Group) DurableState() (HardState, []wire.Entry) {
 	return g.hard, append([]wire.Entry{}, g.log[g.snapshotIndex-g.base:]...)
 }
--- a/internal/group/transfer.go
+++ b/internal/group/transfer.go
@@ -7,11 +7,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TransferOwnership gives ownership to a member: from now on nothing is proposed, and as
-// soon as the member has all entries it is asked to campaign. One that does not
-// take over in time has this replica step down: what was refused meanwhile must
-// not be taken for still under way. Used before a planned stop and to bring
-// ownership back.
+// TransferOwnership starts to transfer ownership to a member. From now on this replica accepts no proposals, and as
+// soon as the member has all entries it is asked to start an election. If it does not take over within the transfer
+// timeout, this replica steps down, since proposals that were refused meanwhile must not be regarded as still in
+// progress. It is used before a planned stop and to return ownership to the preferred owner.
 func (g *Group) TransferOwnership(to string, now time.Duration) Output {
 	out := Output{}
 	if g.role == Owner && g.successor == "" && g.peers[to] != nil {
@@ -21,9 +20,9 @@
 	return out
 }
 
-// ReportStoreDown tells that a store's process is known to have ended. Followers of an
-// owner there need not wait for its silence; each campaigns after a moment of its
-// own, so that they seldom campaign together.
+// ReportStoreDown records that the process of a store is known to have ended. A follower whose owner ran there does not
+// wait for the election timeout. It starts an election after a random part of a heartbeat, so that followers rarely do
+// so at the same time.
 func (g *Group) ReportStoreDown(name string, now time.Duration) {
 	if g.role == Follower && g.owner != "" && Name(g.owner) == name {
 		g.owner = ""
@@ -31,15 +30,15 @@
 	}
 }
 
-// promptSuccessor asks the successor to campaign once it has all entries.
+// promptSuccessor asks the successor to start an election once it has all entries.
 func (g *Group) promptSuccessor(out *Output) {
 	if p := g.peers[g.successor]; g.successor != "" && p != nil && p.match == g.last() {
 		out.SendNow = append(out.SendNow, g.msg(MsgCampaign, g.successor, wire.GroupMsg{}))
 	}
 }
 
-// Successor gives the voter that is best placed to take over, other than avoid: of
-// those that answered lately the one that misses least.
+// Successor returns the best voter to take over ownership: of those that answered within three heartbeats and are not
+// avoided, the one that lacks the fewest entries. It returns "" if there is none.
 func (g *Group) Successor(isAvoided func(member string) bool, now time.Duration) string {
 	best := ""
 	for _, m := range Voters(g.roster()) {
@@ -54,8 +53,7 @@
 	return best
 }
 
-// transferToPreferred hands the group to its preferred owner once that one has kept up
-// for a whole bound.
+// transferToPreferred transfers ownership to the preferred owner once it has kept up for the time of Bounds.Config.
 func (g *Group) transferToPreferred(now time.Duration, out *Output) {
 	if g.opts.PreferredOwner == nil || g.successor != "" {
 		return
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/timing"
 )
 
-// View is what others may know of a replica.
+// View is a read-only summary of a replica's state.
 type View struct {
 	Role        Role
 	Term        int64
@@ -16,20 +16,20 @@
 	Commit      int64
 	Last        int64
 	Roster      []string
-	Lag         int64    // entries that the slowest voter misses; owners only
-	CaughtUp    []string // voters with all that was committed when the last round began; owners only
+	Lag         int64    // number of entries that the slowest voter lacks; owners only
+	CaughtUp    []string // responding voters that have all that was committed at the last heartbeat; owners only
 	ConfirmedAt time.Duration
-	IsConfirmed bool  // Confirmed holds: reads as of then are safe
-	CommonLevel int64 // the newest feature level that all members can apply; owners only
+	IsConfirmed bool  // ConfirmedAt is valid: reads as of that time are linearizable
+	CommonLevel int64 // newest feature level that all members can apply; owners only
 }
 
-// View of this replica now.
+// View returns a summary of the current state of the replica.
 func (g *Group) View() View {
 	v := View{Role: g.role, Term: g.hard.Term, Owner: g.owner, Commit: g.hard.Commit, Last: g.last(),
 		Roster: slices.Clone(g.roster()), ConfirmedAt: g.confirmedAt,
 		IsConfirmed: g.role == Owner && g.isConfirmed && g.hard.Commit >= g.noOpIndex && g.applied >= g.noOpIndex}
 	if g.successor != "" {
-		v.Owner = g.successor // whoever asks is sent there
+		v.Owner = g.successor // clients are redirected to the successor
 	}
 	for _, m := range Voters(g.roster()) {
 		if p := g.peers[m]; g.role == Owner && m != g.opts.Self && p != nil {
@@ -42,8 +42,8 @@
 	return v
 }
 
-// caughtUpVoters gives the voters whose synced log has all that was committed when the
-// owner's last round began, and that answered one of the last rounds.
+// caughtUpVoters returns the responding voters whose synced log has everything that was committed when the owner's last
+// heartbeat round was sent.
 func (g *Group) caughtUpVoters() []string {
 	out := []string{}
 	for _, m := range Voters(g.roster()) {
@@ -54,10 +54,9 @@
 	return out
 }
 
-// Silence returns for how long an owner has not heard of a store that holds the
-// group. A store that never answered this owner, and left its first rounds
-// unanswered, was silent before the owner began: how long is not known here, so the
-// longest span is returned, and whoever asks goes by what else is known.
+// Silence returns how long ago an owner last heard from a store that holds the group. A store that has not answered
+// this owner within its first election timeout was silent before the ownership began. For how long is not known here,
+// so the maximum duration is returned and the caller decides by its other information.
 func (g *Group) Silence(name string, now time.Duration) time.Duration {
 	if name == Name(g.opts.Self) {
 		return 0
@@ -74,12 +73,12 @@
 	return now - heardAt
 }
 
-// IsEveryVoterResponding reports whether every voter has answered one of the owner's last rounds.
+// IsEveryVoterResponding reports whether every voter has answered one of the owner's last heartbeat rounds.
 func (g *Group) IsEveryVoterResponding() bool {
 	return !slices.ContainsFunc(Voters(g.roster()), func(m string) bool { return !g.isResponding(m) })
 }
 
-// confirm finds the newest round that a majority has answered.
+// confirm finds the newest heartbeat round that a majority has answered. This replica was the owner when it was sent.
 func (g *Group) confirm(now time.Duration) {
 	for i := len(g.rounds) - 1; i >= 0; i-- {
 		r := g.rounds[i]
