--- a/internal/group/progress.go
+++ b/internal/group/progress.go
@@ -18,7 +18,8 @@
 	tailBytesLimit       = 128 << 10 // of the log entries that are kept although a snapshot covers them
 )
 
-// peerState is the replication progress of another member, as tracked by the owner. The member is in one of these states:
+// peerState is the replication progress of another member, as the owner tracks it. The member is in one of these
+// states:
 //
 //   - probing, while it is unknown where its log stops matching: each heartbeat carries an append
 //     with few or no entries until one is accepted;
--- a/internal/place/archive.go
+++ b/internal/place/archive.go
@@ -8,31 +8,28 @@
 	"caperwheel/internal/wire"
 )
 
-// archived is a message that is over and of which nobody has to be told any more. It
-// is kept for as long as its end may be asked for, as bytes: as a Message, with its
-// place in the queue, it would take three times the memory.
+// archived is a message that is over and needs no notification any more. It is kept, in encoded form, as long as its
+// outcome may be looked up: as a Message with its entry in the queue it would take three times the memory.
 //
-// Invariant: a message stands either in a machine's messages or in its archive.
+// Invariant: a message is either in a machine's messages or in its archive.
 type archived struct {
-	forgetAt int64 // place time at which it may be forgotten
-	size     int64 // bytes of callers that it keeps
+	forgetAt int64 // place time from which on it may be forgotten
+	size     int64 // bytes of its body and head
 	lane     string
 	state    State
 	raw      []byte
 }
 
-// The archive never leaves the process, so its records need no older form.
+// archiveCodec encodes archived messages. They never leave the process, so no older versions are needed.
 var archiveCodec = wire.NewLatestRecordCodec(&Message{})
 
-// isFinal reports whether nothing about a message can change any more until it is
-// forgotten.
+// isFinal reports whether nothing about a message can change any more until it is forgotten.
 func (m *Machine) isFinal(e *Message) bool {
 	return e.State.IsOver() && !e.IsNotificationPending && !e.IsHoldingKey && m.outbox[e.Child].Id == ""
 }
 
-// archiveIfFinal moves a message to the archive if it is settled. What is kept of its texts is
-// copied: the decoder cuts short texts out of blocks of a kilobyte, each of which lives
-// for as long as any of its texts.
+// archiveIfFinal moves a message to the archive if it is final. Strings that are kept are cloned: the decoder allocates
+// short strings in blocks of a kilobyte, and each block stays in memory as long as any of its strings.
 func (m *Machine) archiveIfFinal(id string) {
 	e := m.messages[id]
 	if e == nil || !m.isFinal(e) {
@@ -47,7 +44,7 @@
 	m.archive[id] = archived{forgetAt: e.ForgetAt, size: e.size(), lane: m.intern(e.Lane), state: e.State, raw: archiveCodec.Encode(e)}
 }
 
-// Find returns a message by id, nil if there is none. One that is settled is a copy.
+// Find returns a message by id; nil if there is none. For an archived message it returns a copy.
 func (m *Machine) Find(id string) *Message {
 	if e := m.messages[id]; e != nil {
 		return e
@@ -58,7 +55,7 @@
 	return nil
 }
 
-// message reads an archived message back. What was encoded here cannot be damaged.
+// message decodes an archived message. It panics on an error, which only a bug can cause.
 func (a archived) message() *Message {
 	e := &Message{}
 	if err := archiveCodec.Decode(a.raw, e); err != nil {
@@ -67,8 +64,7 @@
 	return e
 }
 
-// forgettableArchived gives the ids of up to most archived messages that may be forgotten,
-// the oldest first.
+// forgettableArchived returns the ids of up to limit archived messages that may be forgotten, the oldest first.
 func (m *Machine) forgettableArchived(now int64, limit int) []string {
 	due := []rank{}
 	for id, a := range m.archive {
@@ -84,7 +80,7 @@
 	return out
 }
 
-// intern returns the same text, stored once for all messages that have it.
+// intern returns an equal string that is stored only once for all messages.
 func (m *Machine) intern(text string) string {
 	if known, isKnown := m.interned[text]; isKnown {
 		return known
@@ -94,7 +90,7 @@
 	return text
 }
 
-// forget drops a message that is over, unless its call-back still stands here.
+// forget deletes a message that is over, unless its call-back is still in the outbox.
 func (m *Machine) forget(id string) {
 	e := m.Find(id)
 	if e == nil || !e.State.IsOver() || m.outbox[e.Child].Id != "" {
--- a/internal/place/command.go
+++ b/internal/place/command.go
@@ -1,32 +1,35 @@
-// Package place is the state machine of one durable place: the messages taken
-// in, their runs and their ends. It is pure; a replicated group carries its
-// commands, and every replica applies them alike.
+// Package place is the replicated state machine of one place, a durable partition of the messages. It holds the
+// accepted messages, their runs at workers, their outcomes, and the counts of tenants' limits.
+//
+// Machine has no I/O and no clock. Package store proposes its commands to a replicated group (package group), and every
+// replica applies the committed ones in the same way. Time is place time: milliseconds of the group's own clock
+// (package groupclock), which each command carries.
 package place
 
 import (
 	"caperwheel/internal/wire"
 )
 
-// Kinds of command.
+// Kinds of commands.
 const (
-	CmdTake            int32 = iota + 1 // hold a message
-	CmdStart                            // a run begins
+	CmdTake            int32 = iota + 1 // accept a message; it is held until a run starts
+	CmdStart                            // a run starts
 	CmdRunSucceeded                     // a run succeeded
-	CmdRunFailed                        // a run ended without success
-	CmdClose                            // held or started message fails or expires
-	CmdTombstone                        // an undecided message will never run
-	CmdTrim                             // forget what has been over for long enough
-	CmdOutboxDelivered                  // an outbox entry has been taken elsewhere
-	CmdNotified                         // whoever was to be told of an end has been
-	CmdLevel                            // from now on replicas apply commands as a newer feature level says
-	CmdCount                            // decide what adapters tell and ask of tenants' limits
+	CmdRunFailed                        // a run ended without success; the message is held again
+	CmdClose                            // a held or started message fails or expires
+	CmdTombstone                        // a message whose acceptance is undecided will never be accepted
+	CmdTrim                             // forget messages whose retention time is over
+	CmdOutboxDelivered                  // another place has accepted a call-back of the outbox
+	CmdNotified                         // the callers have been notified of the outcomes of these messages
+	CmdLevel                            // apply commands by a newer feature level from now on
+	CmdCount                            // decide a batch of adapters' reports and requests about tenants' limits
 )
 
-// Command is one entry of a place's log. All that depends on settings or time
-// is decided by the owner and written in, so that replicas need neither.
+// Command is one entry of a place's log. Everything that depends on settings or time is decided by the owner and
+// written into the command, so that replicas need neither. Fields apply to all kinds unless a kind is named.
 type Command struct {
 	Kind            int32      `avro:"kind"`
-	At              int64      `avro:"at"` // place time in milliseconds: durations, no wall clock
+	At              int64      `avro:"at"` // place time in milliseconds; not a wall clock
 	Id              string     `avro:"id"`
 	Lane            string     `avro:"lane"`
 	Key             string     `avro:"key"`
@@ -36,7 +39,7 @@
 	Checksum        string     `avro:"sum"`
 	Parent          string     `avro:"parent"`
 	Ordered         bool       `avro:"ordered"`
-	Deadline        int64      `avro:"cutoff"` // Take: patience left; Start: for how long the run may go on; Back: pause before the next run
+	Deadline        int64      `avro:"cutoff"` // Take: time to live; Start: how long the run may go on; RunFailed: backoff before the next run
 	Attempt         int64      `avro:"attempt"`
 	Adapter         string     `avro:"adapter"`
 	Boot            string     `avro:"boot"`
@@ -44,26 +47,26 @@
 	Worker          string     `avro:"worker"`
 	Proof           wire.Proof `avro:"proof"`
 	Cause           string     `avro:"cause"`
-	CountsAsAttempt bool       `avro:"costs"`  // Back: the run counts as an attempt
-	State           string     `avro:"state"`  // Close: failed or expired
-	Retain          int64      `avro:"retain"` // how long an end is kept
+	CountsAsAttempt bool       `avro:"costs"`  // RunFailed, Close: the run counts towards the limit of attempts
+	State           string     `avro:"state"`  // Close: the final state, failed or expired
+	Retain          int64      `avro:"retain"` // how long a message is kept after it is over
 	Child           Child      `avro:"child"`
 	Ids             []string   `avro:"ids"`
-	HoldsKey        bool       `avro:"hold"` // Close: later messages of the key wait; Back: the run may go on until the pause ends
+	HoldsKey        bool       `avro:"hold"` // Close: later messages of the key stay blocked; RunFailed: the run may go on until the backoff ends
 	Head            []byte     `avro:"head" since:"3"`
-	Delay           int64      `avro:"delay" since:"3"`  // Take: it must not run before
-	Notify          string     `avro:"notify" since:"3"` // Take: whom to tell of the end
-	DropsBody       bool       `avro:"drop" since:"3"`   // End: the bytes are not kept
-	StartWithin     int64      `avro:"prompt" since:"3"` // Take: within which a run is wanted to begin, once it may
-	Level           int64      `avro:"level" since:"6"`  // Level
-	Counts          []byte     `avro:"counts" since:"8"` // Count: a batch of package quota
+	Delay           int64      `avro:"delay" since:"3"`  // Take: no run starts before this time has passed
+	Notify          string     `avro:"notify" since:"3"` // Take: URL that is notified of the outcome; empty for none
+	DropsBody       bool       `avro:"drop" since:"3"`   // RunSucceeded: body and head are not kept
+	StartWithin     int64      `avro:"prompt" since:"3"` // Take: time within which a run should start once it may; 0 for any
+	Level           int64      `avro:"level" since:"6"`  // Level: the new feature level
+	Counts          []byte     `avro:"counts" since:"8"` // Count: an encoded quota.Batch
 }
 
-// TimeMark returns a command that does nothing but tell the place time: it forgets none.
+// TimeMark returns a command that only advances the place time: a CmdTrim of no messages.
 func TimeMark() Command { return Command{Kind: CmdTrim} }
 
-// Child is a call-back that leaves with the end of its parent: same record, so
-// neither is without the other. An empty Id means none.
+// Child is a call-back: a new message that is sent to another place when its parent succeeds. It is committed in the
+// same record as the parent's outcome, so that neither exists without the other. An empty Id means none.
 type Child struct {
 	Id          string `avro:"id"`
 	Lane        string `avro:"lane"`
@@ -73,16 +76,17 @@
 	Parent      string `avro:"parent"`
 }
 
-// The kind of a command is never 0.
+// commandCodec marks records of newer versions by a prefix that no older record can have: the kind of a command is
+// never 0.
 var commandCodec = wire.NewVersionedCodec(&Command{}, wire.PrefixIntIntString)
 
-// Encode gives the command's bytes for the log.
+// Encode returns the encoded command for the log, in the oldest version that has all fields that are set.
 func (c Command) Encode() []byte {
 	if c.Ids == nil {
 		c.Ids = []string{}
 	}
 	switch c.Kind {
-	case CmdLevel: // also builds of version 6 read it, and refuse a level that they cannot apply
+	case CmdLevel: // builds from version 6 on can decode it, and refuse a level that they cannot apply
 		return commandCodec.EncodeVersion(&c, 6)
 	case CmdCount:
 		return commandCodec.EncodeVersion(&c, 8)
@@ -90,7 +94,8 @@
 	return commandCodec.Encode(&c, len(c.Head) > 0 || c.Delay != 0 || c.Notify != "" || c.DropsBody || c.StartWithin != 0)
 }
 
-// Decode reads a command back.
+// Decode decodes a command of the log. It returns an error of the kind Rejected for a feature level that this build
+// cannot apply.
 func Decode(raw []byte) (Command, error) {
 	var c Command
 	if err := commandCodec.Decode(raw, &c); err != nil {
@@ -99,7 +104,7 @@
 	return c, checkLevel(c.Level)
 }
 
-// startBy is by when a run of a message taken now should begin; 0 for any time.
+// startBy returns the place time by which a run of a message accepted now should start; 0 for any time.
 func (c Command) startBy(clock int64) int64 {
 	if c.StartWithin == 0 {
 		return 0
--- a/internal/place/keys.go
+++ b/internal/place/keys.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// releaseKey lets the next message of the key go.
+// releaseKey removes a message from the list of its ordering key, so that the next one may run.
 func (m *Machine) releaseKey(e *Message) {
 	key := e.orderKey()
 	list := slices.DeleteFunc(m.keys[key], func(id string) bool { return id == e.Id })
@@ -14,7 +14,8 @@
 	m.queue.reindex(m, m.messages[list[0]])
 }
 
-// isFirstOfKey: an ordered message runs only when all before it are over.
+// isFirstOfKey reports whether a message may run as far as its order is concerned: it is unordered, or no earlier
+// message blocks its key.
 func (m *Machine) isFirstOfKey(e *Message) bool {
 	return !e.Ordered || len(m.keys[e.orderKey()]) > 0 && m.keys[e.orderKey()][0] == e.Id
 }
--- a/internal/place/lanestats.go
+++ b/internal/place/lanestats.go
@@ -1,13 +1,13 @@
 package place
 
-// LaneStats is what a place holds, by lane. Times are place time, in milliseconds.
+// LaneStats describes the messages of a place by lane. Times are place time, in milliseconds.
 type LaneStats struct {
 	Counts       map[string]map[State]int
-	Deadlines    map[string]int64 // the nearest of those that are not over
-	LongestWaits map[string]int64 // how long the longest has waited of those that may run
+	Deadlines    map[string]int64 // the earliest deadline of a message that is not over
+	LongestWaits map[string]int64 // the longest time that a message which may run has waited
 }
 
-// LaneStats counts the messages at a place time.
+// LaneStats returns statistics of the messages as of a place time.
 func (m *Machine) LaneStats(now int64) LaneStats {
 	counts, deadlines, waits := map[string]map[State]int{}, map[string]int64{}, map[string]int64{}
 	count := func(lane string, state State) {
@@ -31,5 +31,5 @@
 	return LaneStats{counts, deadlines, waits}
 }
 
-// CountRunning returns how many messages have a run under way.
+// CountRunning returns how many messages have a run in progress.
 func (m *Machine) CountRunning() int { return len(m.queue.running) }
--- a/internal/place/level.go
+++ b/internal/place/level.go
@@ -7,40 +7,39 @@
 	"caperwheel/internal/errs"
 )
 
-// Feature levels. A replica that applied a command otherwise than the others would go apart from
-// them, so what changes the meaning of commands is switched on by a command of its own, which an
-// owner proposes once every replica of the roster has told that it can apply the level. A level
-// is never lowered.
+// Feature levels. The state of a replica that applied a command differently from the others would diverge. A change
+// of the meaning of commands is therefore enabled by a command of its own, which an owner proposes once every replica
+// in the roster has reported that it can apply the level. A level is never lowered.
 const (
-	LevelFreesKeys int64 = 1 // a key goes on once a run that may still be going on must be over
-	LevelQuotas    int64 = 2 // the place counts what tenants' limits allow
+	LevelFreesKeys int64 = 1 // a key held by a message that has succeeded is released once its last run must be over
+	LevelQuotas    int64 = 2 // the place counts tenants' limits
 	NewestLevel          = LevelQuotas
 )
 
-// Level is the feature level that the group has agreed on.
+// Level returns the feature level that the group has agreed on.
 func (m *Machine) Level() int64 { return m.level }
 
-// RaiseLevel returns the command that raises a group's level.
+// RaiseLevel returns the command that raises the feature level of a group.
 func RaiseLevel(level int64) Command { return Command{Kind: CmdLevel, Level: level} }
 
-// checkLevel refuses what a newer build has written.
+// checkLevel returns an error for a feature level that only newer builds can apply.
 func checkLevel(level int64) error {
 	if level > NewestLevel {
-		return errs.New(errs.Rejected, "the group has agreed on feature level %d, and this build can apply %d", level, NewestLevel)
+		return errs.New(errs.Rejected, "the group has agreed on feature level %d, but this build can apply only up to %d", level, NewestLevel)
 	}
 	return nil
 }
 
-// trackKeyHolder notes a message that has succeeded while a later run of its own may still go on.
+// trackKeyHolder records a message that has succeeded although a later run of it may still go on.
 func (m *Machine) trackKeyHolder(e *Message) {
 	if e.State == Ended && e.IsHoldingKey {
 		m.keyHolders[e.Id] = true
 	}
 }
 
-// releaseHeldKeys lets the keys go on of messages that have succeeded and whose last run must be over
-// by now. That follows from the clock alone, which is the same at all replicas. A lane may ask
-// that a key waits behind a failure: that is no holder.
+// releaseHeldKeys releases the keys of messages that have succeeded and whose last run must be over by now. This
+// depends only on the place time, which is the same at all replicas. Keys that are blocked by a failure, as a lane
+// may be configured to do, are not released.
 func (m *Machine) releaseHeldKeys() {
 	if m.level < LevelFreesKeys || len(m.keyHolders) == 0 {
 		return
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -8,67 +8,64 @@
 
 // Machine is the replicated state of a place.
 //
-// Invariants: clock never goes back; messages and archive hold every id ever taken
-// until it is trimmed; keys lists, in the order taken, the ordered messages that are
-// not over, so only the first of a list may run; outbox holds each call-back
-// until another place has taken it.
+// Invariants: clock never decreases; messages and archive together hold every id ever recorded until it is trimmed;
+// keys lists, by ordering key and in the order of acceptance, the ordered messages that still block the key, so only
+// the first of a list may run; outbox holds each call-back until another place has accepted it.
 type Machine struct {
 	clock                int64
 	seq                  int64
 	messages             map[string]*Message
 	archive              map[string]archived
-	interned             map[string]string // of lanes, each stored once
+	interned             map[string]string // names of lanes, each stored once
 	idempotencyKeys      map[string]string
 	keys                 map[string][]string
 	outbox               map[string]Child
-	pendingNotifications map[string]bool // messages that are over and of whose end somebody must be told
-	bytes                int64
+	pendingNotifications map[string]bool // messages that are over and whose callers must still be notified
+	bytes                int64           // of the bodies and heads that are held
 	level                int64           // the feature level that the group has agreed on
-	keyHolders           map[string]bool // messages that have succeeded while a later run of theirs may go on
+	keyHolders           map[string]bool // messages that have succeeded although a later run of theirs may still go on
 	queue                queue
-	ledger               *quota.Allocator // of tenants; empty before the level LevelQuotas
+	ledger               *quota.Allocator // of tenants' limits; empty below LevelQuotas
 }
 
-// New gives an empty place.
+// New returns an empty place.
 func New() *Machine {
 	return &Machine{messages: map[string]*Message{}, archive: map[string]archived{}, interned: map[string]string{},
 		idempotencyKeys: map[string]string{}, keys: map[string][]string{}, outbox: map[string]Child{}, pendingNotifications: map[string]bool{}, keyHolders: map[string]bool{},
 		queue: newQueue(), ledger: quota.NewAllocator()}
 }
 
-// Result is what a command came to. A Kind other than "" means that it
-// changed nothing.
+// Result is the result of a command. A Kind other than "" means that the command was refused and changed nothing.
 type Result struct {
 	Id    string
 	State State
 	Kind  errs.Kind
 	Text  string
 
-	IsRepeat bool              // of a Take: the message is held since an earlier one
-	Grants   []wire.QuotaGrant // of a Count
+	IsRepeat bool              // of a CmdTake: an earlier one has accepted the message already
+	Grants   []wire.QuotaGrant // of a CmdCount
 }
 
-// payloadConflict is the verdict on a Take of a message that is held with other bytes.
+// payloadConflict is the result of a CmdTake whose id or idempotency key belongs to a message with other bytes.
 func payloadConflict(id string) Result {
 	return Result{Id: id, Kind: errs.Conflict, Text: "the same Idempotency-Key came with other bytes", IsRepeat: true}
 }
 
 func refuse(kind errs.Kind, id, text string) Result { return Result{Id: id, Kind: kind, Text: text} }
 
-// Clock is the place time of the newest command.
+// Clock returns the place time of the newest command.
 func (m *Machine) Clock() int64 { return m.clock }
 
-// IsIdle reports whether nothing is under way: no message waits for time to pass, but
-// for those whose end is kept for a while.
+// IsIdle reports whether nothing depends on place time except for the retention of messages that are over.
 func (m *Machine) IsIdle() bool { return len(m.messages) == 0 }
 
-// CountCommand reports how many messages and body bytes the place holds.
+// Count returns how many messages the place holds, and the bytes of their bodies and heads.
 func (m *Machine) Count() (int, int64) { return len(m.messages) + len(m.archive), m.bytes }
 
-// Outbox gives the call-backs that must still be taken elsewhere.
+// Outbox returns the call-backs that another place must still accept, by id.
 func (m *Machine) Outbox() map[string]Child { return m.outbox }
 
-// Apply takes one committed command in.
+// Apply applies a committed command.
 func (m *Machine) Apply(c Command) Result {
 	m.clock = max(m.clock, c.At)
 	verdict := m.dispatch(c, m.Find(c.Id))
@@ -77,8 +74,7 @@
 	return verdict
 }
 
-// dispatch does what a command asks for. One for a message that is settled changes
-// nothing of it: e is a copy then.
+// dispatch carries out a command on message e; nil for none. An archived message does not change, as e is a copy then.
 func (m *Machine) dispatch(c Command, e *Message) Result {
 	switch c.Kind {
 	case CmdTake:
@@ -124,13 +120,14 @@
 	case CmdClose:
 		return m.failOrExpire(c, e)
 	}
-	return refuse(errs.Internal, c.Id, "unknown command")
+	return refuse(errs.Internal, c.Id, "unknown kind of command")
 }
 
+// take accepts a message. A repeat, by id or by idempotency key, returns the message that was accepted first.
 func (m *Machine) take(c Command, e *Message) Result {
-	if e != nil { // the same take again, or a tombstone came first
+	if e != nil { // a repeat, or a tombstone was committed first
 		if e.State == Tombstone {
-			return refuse(errs.Rejected, c.Id, "settled as not taken")
+			return refuse(errs.Rejected, c.Id, "the message was settled as not accepted")
 		}
 		if e.Checksum != c.Checksum {
 			return payloadConflict(c.Id)
@@ -158,9 +155,10 @@
 	return m.finish(e, e.transition(Held))
 }
 
+// start records the start of the next run of a held message.
 func (m *Machine) start(c Command, e *Message) Result {
 	if e.State != Held || c.Attempt != e.Attempt+1 || !m.isFirstOfKey(e) {
-		return refuse(errs.Conflict, e.Id, "not to be started")
+		return refuse(errs.Conflict, e.Id, "the message is not held, not first of its key, or the run is not its next one")
 	}
 	e.IsHoldingKey = false
 	e.Attempt, e.Adapter, e.Boot, e.Pool, e.Worker = c.Attempt, c.Adapter, c.Boot, c.Pool, c.Worker
@@ -168,14 +166,14 @@
 	return m.finish(e, e.transition(Started))
 }
 
-// end records a success. An answer of an older run does not end a message
-// while a newer run is open: it waits for that run's outcome.
+// runSucceeded records the success of a run. The success of an older run does not end the message during a newer one,
+// but is kept in LateProof until the newer run has an outcome.
 func (m *Machine) runSucceeded(c Command, e *Message) Result {
 	switch {
 	case e.State.IsOver():
 		return Result{Id: e.Id, State: e.State}
 	case c.Proof.Attempt < 1 || c.Proof.Attempt > e.Attempt:
-		return refuse(errs.Conflict, e.Id, "no such run")
+		return refuse(errs.Conflict, e.Id, "the message has had no such run")
 	case e.State == Started && c.Proof.Attempt != e.Attempt:
 		e.LateProof = c.Proof
 		return Result{Id: e.Id, State: e.State}
@@ -183,13 +181,14 @@
 	return m.close(e, Ended, c, c.Proof)
 }
 
+// runFailed records that a run ended without success. The message is held again, or ends by an older run's success.
 func (m *Machine) runFailed(c Command, e *Message) Result {
 	if e.State != Started || c.Attempt != e.Attempt {
-		return Result{Id: e.Id, State: e.State} // a repeat, or an older run
+		return Result{Id: e.Id, State: e.State} // a repeat, or about an older run
 	}
 	if e.LateProof.Attempt > 0 {
 		if m.level >= LevelFreesKeys && c.HoldsKey && e.Ordered {
-			e.Due, e.IsHoldingKey = m.clock+c.Deadline, true // the run that is brought back may go on until then
+			e.Due, e.IsHoldingKey = m.clock+c.Deadline, true // the run that is reported as failed may go on until then
 		}
 		return m.close(e, Ended, c, e.LateProof)
 	}
@@ -201,6 +200,7 @@
 	return m.finish(e, e.transition(Held))
 }
 
+// failOrExpire ends a message as failed or expired, unless an older run has succeeded: that success counts instead.
 func (m *Machine) failOrExpire(c Command, e *Message) Result {
 	if e.State.IsOver() || c.Attempt != e.Attempt {
 		return Result{Id: e.Id, State: e.State}
@@ -216,6 +216,7 @@
 	return m.close(e, State(c.State), c, wire.Proof{})
 }
 
+// close moves a message to a final state, with everything that follows from that.
 func (m *Machine) close(e *Message, to State, c Command, proof wire.Proof) Result {
 	if err := e.transition(to); err != nil {
 		return refuse(errs.Conflict, e.Id, err.Error())
@@ -238,6 +239,7 @@
 	return m.finish(e, nil)
 }
 
+// finish returns the result of a state transition, and updates the queue if it succeeded.
 func (m *Machine) finish(e *Message, err error) Result {
 	if err != nil {
 		return refuse(errs.Conflict, e.Id, err.Error())
--- a/internal/place/message.go
+++ b/internal/place/message.go
@@ -5,10 +5,10 @@
 	"caperwheel/internal/wire"
 )
 
-// State of a message. Callers see these words.
+// State is the state of a message. The values are part of the API.
 type State string
 
-// The states. Tomb is a message that was never taken and never will be.
+// The states of a message. Tombstone is a message that was never accepted and never will be.
 const (
 	Held      State = "held"
 	Started   State = "started"
@@ -19,21 +19,21 @@
 	Unknown   State = "unknown"
 )
 
-// IsOver reports whether nothing more can happen to the message.
+// IsOver reports whether the state is final.
 func (s State) IsOver() bool { return s == Ended || s == Failed || s == Expired || s == Tombstone }
 
-// transitions lists every change of state that may happen.
+// transitions lists the allowed state transitions.
 var transitions = map[State][]State{
 	Held:    {Started, Ended, Failed, Expired},
 	Started: {Held, Ended, Failed, Expired},
 	"":      {Held, Tombstone},
 }
 
-// Message is one message on its way through the system.
+// Message is a message of a place, from its acceptance until it is forgotten.
 //
-// Invariants: State changes only through move; Attempt counts the runs begun
-// and never goes back; Proof is set exactly when State is Ended, and Proof
-// .Attempt names a run that this message began; Body is what the caller sent.
+// Invariants: State changes only through transition; Attempt counts the runs started and never decreases; Proof is
+// set if and only if State is Ended, and Proof.Attempt is the number of a run of this message; Body is what the
+// caller sent.
 type Message struct {
 	Id                    string     `avro:"id"`
 	Seq                   int64      `avro:"seq"`
@@ -47,26 +47,26 @@
 	Parent                string     `avro:"parent"`
 	Child                 string     `avro:"child"`
 	State                 State      `avro:"state"`
-	Deadline              int64      `avro:"cutoff"` // place time
-	Due                   int64      `avro:"due"`    // place time: held, when it may run; started and ordered, until when its run may go on though nobody tells of it
-	ForgetAt              int64      `avro:"over"`   // place time at which an end is forgotten
+	Deadline              int64      `avro:"cutoff"` // place time at which the message expires if it is held
+	Due                   int64      `avro:"due"`    // place time: held, when it may run; started, until when the run may go on without a report
+	ForgetAt              int64      `avro:"over"`   // place time from which on a message that is over may be forgotten
 	Attempt               int64      `avro:"attempt"`
-	CountedAttempts       int64      `avro:"spent"` // attempts that count
+	CountedAttempts       int64      `avro:"spent"` // runs that count towards the limit of attempts
 	Adapter               string     `avro:"adapter"`
 	Boot                  string     `avro:"boot"`
 	Pool                  string     `avro:"pool"`
 	Worker                string     `avro:"worker"`
 	Proof                 wire.Proof `avro:"proof"`
-	LateProof             wire.Proof `avro:"late"` // success of an older run that came while a newer one is open
+	LateProof             wire.Proof `avro:"late"` // success of an older run that was reported during a newer one
 	Cause                 string     `avro:"cause"`
 	Head                  []byte     `avro:"head" since:"3"`
-	StartBy               int64      `avro:"wanted" since:"3"` // place time by which a run should begin; 0 for any
+	StartBy               int64      `avro:"wanted" since:"3"` // place time by which a run should start; 0 for any
 	Notify                string     `avro:"notify" since:"3"`
-	IsNotificationPending bool       `avro:"is_owed" since:"3"` // it is over and whoever is to be told has not been
-	IsHoldingKey          bool       `avro:"is_holder"`         // the key waits behind it: failed, or held while its last run may go on until Due
+	IsNotificationPending bool       `avro:"is_owed" since:"3"` // it is over, and its caller has not been notified yet
+	IsHoldingKey          bool       `avro:"is_holder"`         // blocks later messages of its key: it failed, or its last run may go on until Due
 }
 
-// transition is the one place where a message changes its state.
+// transition changes the state of a message. No other function does.
 func (e *Message) transition(to State) error {
 	for _, allowed := range transitions[e.State] {
 		if allowed == to {
@@ -74,11 +74,11 @@
 			return nil
 		}
 	}
-	return errs.New(errs.Conflict, "errand %s cannot go from %q to %q", e.Id, e.State, to)
+	return errs.New(errs.Conflict, "message %s cannot change from state %q to %q", e.Id, e.State, to)
 }
 
-// expiry is when a message that is held has had its patience, in place time. A
-// run that may still go on is waited for: the next of the key must not begin.
+// expiry returns the place time at which a held message expires. If its last run may still go on, it expires only after
+// that, as the next message of its key must not start before.
 func (e *Message) expiry() int64 {
 	if e.IsHoldingKey {
 		return max(e.Deadline, e.Due)
@@ -86,7 +86,8 @@
 	return e.Deadline
 }
 
-// orderKey joins messages that must run one after another.
+// orderKey returns the key that is the same for all messages that must run one after another.
 func (e *Message) orderKey() string { return e.Lane + "\x00" + e.Key }
 
+// idempotencyKey returns the idempotency key of a message within its lane and ordering key.
 func (e *Message) idempotencyKey() string { return e.Lane + "\x00" + e.Key + "\x00" + e.IdempotencyKey }
--- a/internal/place/notifications.go
+++ b/internal/place/notifications.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// size is how many bytes of callers a message keeps.
+// size returns the number of bytes of a message's body and head.
 func (e *Message) size() int64 { return int64(len(e.Body) + len(e.Head)) }
 
-// dropBytes lets the bytes of a message go that succeeded. Its head stays until
-// whoever is to be told of the end has been.
+// dropBytes drops the body of a message that has succeeded, and its head once its caller needs no notification any
+// more.
 func (m *Machine) dropBytes(e *Message) {
 	m.bytes -= e.size()
 	e.Body = nil
@@ -19,7 +19,7 @@
 	m.bytes += e.size()
 }
 
-// markNotified notes that somebody has been told of an end.
+// markNotified records that the caller has been notified of the outcome of a message.
 func (m *Machine) markNotified(id string) {
 	delete(m.pendingNotifications, id)
 	e := m.messages[id]
@@ -33,8 +33,8 @@
 	m.archiveIfFinal(id)
 }
 
-// PendingNotifications gives the messages of whose end somebody must still be told, in the order
-// of their ids.
+// PendingNotifications returns the messages whose callers must still be notified of the outcome, in the order of their
+// ids.
 func (m *Machine) PendingNotifications() []*Message {
 	out := []*Message{}
 	for _, id := range slices.Sorted(maps.Keys(m.pendingNotifications)) {
@@ -43,5 +43,5 @@
 	return out
 }
 
-// CountPendingNotifications reports how many there are.
+// CountPendingNotifications returns the number of PendingNotifications.
 func (m *Machine) CountPendingNotifications() int { return len(m.pendingNotifications) }
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -7,43 +7,42 @@
 	"github.com/emirpasic/gods/maps/treemap"
 )
 
-// queue orders what the owner may do next. It is derived from the machine's
-// state, so it needs no place in the image.
+// queue orders the messages by what the owner may do with them next. It is derived from the machine's state, so it is
+// not part of snapshots.
 //
-// Invariants: a message that is over stands in over alone; one that is started
-// in open; one that is held in deadline, until it has been told late, and in at
-// most one of ready and pauses. Nothing else keeps a message alive: what is
-// forgotten stands nowhere.
+// Invariants: a message that is over is only in finished, until TakeForgettable returns it; a started one is only in
+// running; a held one is in expiries, until TakeExpired returns it, and in at most one of ready and delayed.
 type queue struct {
-	positions map[string][]position // id -> where it stands
-	ready     map[string]*laneQueue
-	delayed   *sortedSet // held, by when due
-	expiries  *sortedSet // held, by expiry
-	finished  *sortedSet // over, by when to forget
-	running   map[string]bool
-	picked    map[string]bool
+	positions map[string][]position // the positions of each message, by id
+	ready     map[string]*laneQueue // held messages that may run, by lane
+	delayed   *sortedSet            // held messages that may not run yet, by Due
+	expiries  *sortedSet            // held messages, by expiry
+	finished  *sortedSet            // messages that are over, by ForgetAt
+	running   map[string]bool       // started messages
+	picked    map[string]bool       // messages that Pick has returned and whose state has not changed since
 }
 
-// laneQueue holds the ready messages of one lane. Fresh ones were never run; those
-// to be run again stand apart, so that they cannot crowd the fresh ones out.
+// laneQueue holds the ready messages of one lane, ordered by StartBy. Messages that have run before are kept apart, so
+// that they cannot starve the fresh ones.
 type laneQueue struct {
 	fresh, retries *sortedSet
-	picks          int
+	picks          int // picks so far
 }
 
-// Of retryPickInterval turns one goes to a repeated run while both wait; of oldestPickInterval
-// turns one goes to the oldest, however late.
+// While both kinds are ready, one of retryPickInterval picks goes to a retry. One of oldestPickInterval picks goes to
+// the oldest message, however late it is.
 const retryPickInterval, oldestPickInterval = 4, 4
 
-// rank orders messages by a moment, and those of one moment as they were taken.
+// rank orders messages by a time, and messages of the same time by their acceptance.
 type rank struct {
 	at, seq int64
 	id      string
 }
 
-// sortedSet is a sorted set of messages; entering and leaving take logarithmic time.
+// sortedSet is a sorted set of messages. Adding and removing take logarithmic time.
 type sortedSet struct{ tree *treemap.Map }
 
+// position is the rank of a message in a set.
 type position struct {
 	set  *sortedSet
 	rank rank
@@ -60,7 +59,7 @@
 
 func (l *laneQueue) size() int { return l.fresh.tree.Size() + l.retries.tree.Size() }
 
-// first returns the message of the least rank.
+// first returns the message of the lowest rank; nil if the set is empty.
 func (o *sortedSet) first() (at int64, e *Message) {
 	key, value := o.tree.Min()
 	if key == nil {
@@ -69,9 +68,9 @@
 	return key.(rank).at, value.(*Message)
 }
 
-// next gives the message that can still begin when it is wanted and is wanted
-// first; else the least late, which is of the key that is soonest in time again;
-// where the turn is that of the late ones, or nothing is wanted, the oldest.
+// next returns the message to pick from a set ordered by StartBy: the one with the earliest StartBy that has not
+// passed; if all have passed, the least late one, so that the queue is in time again soonest. If this pick goes to
+// the oldest message, or none has a StartBy, it returns the oldest.
 func (o *sortedSet) next(now int64, isOldestPick bool) *Message {
 	if !isOldestPick {
 		if _, value := o.tree.Ceiling(rank{at: now}); value != nil {
@@ -90,8 +89,7 @@
 		delayed: newSortedSet(), expiries: newSortedSet(), finished: newSortedSet()}
 }
 
-// add has a message stand in a set; leave has it stand nowhere, removeFrom not
-// in one set.
+// add adds a message to a set.
 func (q *queue) add(e *Message, set *sortedSet, at int64) {
 	r := rank{at, e.Seq, e.Id}
 	set.tree.Put(r, e)
@@ -107,6 +105,7 @@
 	delete(q.picked, e.Id)
 }
 
+// removeFrom removes a message from one set.
 func (q *queue) removeFrom(e *Message, set *sortedSet) {
 	q.positions[e.Id] = slices.DeleteFunc(q.positions[e.Id], func(s position) bool {
 		if s.set == set {
@@ -119,7 +118,7 @@
 	}
 }
 
-// reindex puts a message where its state asks for.
+// reindex moves a message to the sets that correspond to its state.
 func (q *queue) reindex(m *Machine, e *Message) {
 	q.remove(e)
 	switch {
@@ -132,7 +131,7 @@
 	}
 	q.add(e, q.expiries, e.expiry())
 	switch {
-	case !m.isFirstOfKey(e): // waits in its key's list
+	case !m.isFirstOfKey(e): // waits in the list of its key
 	case e.Due > m.clock:
 		q.add(e, q.delayed, e.Due)
 	default:
@@ -153,7 +152,7 @@
 	}
 }
 
-// releaseDelayed moves messages whose pause is over to the ready ones.
+// releaseDelayed moves the messages whose delay is over to the ready ones.
 func (q *queue) releaseDelayed(now int64) {
 	for {
 		at, e := q.delayed.first()
@@ -165,7 +164,7 @@
 	}
 }
 
-// Ready counts the messages of each lane that may run at the given place time.
+// Ready returns how many messages of each lane may run at a place time.
 func (m *Machine) Ready(now int64) map[string]int {
 	m.queue.releaseDelayed(now)
 	out := map[string]int{}
@@ -177,8 +176,8 @@
 	return out
 }
 
-// Pick gives the message of the lane that is next to run, and takes it out of
-// the ready ones until its state changes; Unpick puts it back.
+// Pick returns the message of a lane that is to run next, or nil, and removes it from the ready ones until its state
+// changes or Unpick is called.
 func (m *Machine) Pick(name string, now int64) *Message {
 	q := &m.queue
 	q.releaseDelayed(now)
@@ -197,14 +196,14 @@
 			return nil
 		}
 		q.removeFrom(e, from)
-		if e.Deadline > now { // else it is about to expire
+		if e.Deadline > now { // otherwise it is about to expire
 			q.picked[e.Id] = true
 			return e
 		}
 	}
 }
 
-// Unpick undoes Pick for a message that was not started after all.
+// Unpick undoes Pick for a message that was not started.
 func (m *Machine) Unpick(e *Message) {
 	if m.queue.picked[e.Id] && e.State == Held {
 		delete(m.queue.picked, e.Id)
@@ -212,7 +211,7 @@
 	}
 }
 
-// Late gives messages that are held beyond their patience; each is told once.
+// TakeExpired returns the held messages whose expiry has passed; each is returned only once.
 func (m *Machine) TakeExpired(now int64) []*Message {
 	out := []*Message{}
 	for {
@@ -225,7 +224,7 @@
 	}
 }
 
-// TakeForgettable gives the ids of up to most messages that are over and may be forgotten.
+// TakeForgettable returns the ids of up to limit messages that may be forgotten; those not archived only once.
 func (m *Machine) TakeForgettable(now int64, limit int) []string {
 	out := []string{}
 	for len(out) < limit {
@@ -239,7 +238,7 @@
 	return append(out, m.forgettableArchived(now, limit-len(out))...)
 }
 
-// Running gives the messages whose run is under way.
+// Running returns the messages that have a run in progress, in the order of their acceptance.
 func (m *Machine) Running() []*Message {
 	out := []*Message{}
 	for id := range m.queue.running {
--- a/internal/place/runlimits.go
+++ b/internal/place/runlimits.go
@@ -6,16 +6,15 @@
 	"caperwheel/internal/errs"
 )
 
-// What can be known of a run whose answer did not come whole: while its
-// connection stands, the worker may be at it; once the connection has broken,
-// the worker is bound to have left it disconnectedBounds pool bounds after its start.
-// On an ordered lane nothing of the key begins before that.
+// Limits of a run without a complete answer, in multiples of its pool's bound. While the connection is up, the worker
+// may still be executing the run. Once the connection is broken, the worker must have stopped by disconnectedBounds
+// after the start of the run. On an ordered lane no other message of the key starts before that.
 const (
-	connectedBounds    = 10 // an ordered run's answer is waited for so many bounds
+	connectedBounds    = 10 // how long the answer of an ordered run is waited for
 	disconnectedBounds = 2
 )
 
-// Wait is how long a run's answer is waited for.
+// AnswerTimeout returns how long the answer of a run is waited for.
 func AnswerTimeout(isOrdered bool, bound time.Duration) time.Duration {
 	if isOrdered {
 		return connectedBounds * bound
@@ -23,12 +22,12 @@
 	return bound
 }
 
-// OrphanedRunLimit is how long an ordered run may go on at its worker after its adapter
-// or its connection is lost, counted from its start.
+// OrphanedRunLimit returns how long after its start an ordered run may still be executing at its worker if its adapter
+// or its connection is lost.
 func OrphanedRunLimit(bound time.Duration) time.Duration { return disconnectedBounds * bound }
 
-// RemainingRunTime is how long a run that ended with an error may yet go on at its
-// worker, took after it was sent.
+// RemainingRunTime returns how much longer a run that ended with an error may still be executing at its worker; took is
+// the time since it was sent.
 func RemainingRunTime(kind errs.Kind, isOrdered bool, bound, took time.Duration) time.Duration {
 	if !isOrdered || !MayStillRun(kind) {
 		return 0
@@ -36,7 +35,7 @@
 	return max(0, OrphanedRunLimit(bound)-took)
 }
 
-// MayStillRun: after these errors the worker may still be at the run.
+// MayStillRun reports whether the worker may still be executing a run that ended with an error of this kind.
 func MayStillRun(kind errs.Kind) bool {
 	return kind == errs.Lost || kind == errs.DeadlineExceeded || kind == errs.Truncated
 }
--- a/internal/place/snapshot.go
+++ b/internal/place/snapshot.go
@@ -14,13 +14,14 @@
 	Messages []Message `avro:"errands"`
 	Outbox   []Child   `avro:"outbox"`
 	Level    int64     `avro:"level" since:"6"`
-	Counts   []byte    `avro:"counts" since:"8"` // of package quota
+	Counts   []byte    `avro:"counts" since:"8"` // snapshot of the quota.Allocator
 }
 
-// The clock of an image is never negative.
+// snapshotCodec marks records of newer versions by a prefix that no older record can have: the clock of a snapshot is
+// never negative.
 var snapshotCodec = wire.NewVersionedCodec(&snapshot{}, wire.PrefixIntIntList)
 
-// Snapshot gives the whole state as bytes.
+// Snapshot returns the whole state in encoded form, in the oldest version that can represent it.
 func (m *Machine) Snapshot() []byte {
 	isGrown := false
 	out := snapshot{Level: m.level, Clock: m.clock, Seq: m.seq, Messages: make([]Message, 0, len(m.messages)+len(m.archive)), Outbox: []Child{}}
@@ -48,7 +49,8 @@
 	return snapshotCodec.Encode(&out, isGrown)
 }
 
-// Restore reads a whole state back.
+// Restore returns the machine with the state of a snapshot. It returns an error of the kind Rejected for a feature
+// level that this build cannot apply.
 func Restore(raw []byte) (*Machine, error) {
 	var in snapshot
 	if err := snapshotCodec.Decode(raw, &in); err != nil {
@@ -64,7 +66,7 @@
 	}
 	m.clock, m.seq, m.level, m.ledger = in.Clock, in.Seq, in.Level, counts
 	for _, read := range in.Messages {
-		e := &read // by itself, so that no message keeps all others in memory
+		e := &read // a copy, so that no message keeps the whole slice in memory
 		m.messages[e.Id] = e
 		m.bytes += e.size()
 		if e.IsNotificationPending {
@@ -88,7 +90,8 @@
 	return m, nil
 }
 
-// RebuildQueue derives the queue anew: a new owner picks afresh.
+// RebuildQueue derives the queue from the messages again. A new owner calls it, so that picks that it has not made, and
+// earlier results of TakeExpired and TakeForgettable, have no effect.
 func (m *Machine) RebuildQueue() {
 	m.queue = newQueue()
 	all := slices.SortedFunc(maps.Values(m.messages), func(a, b *Message) int { return int(a.Seq - b.Seq) })
--- a/internal/place/waitstatus.go
+++ b/internal/place/waitstatus.go
@@ -1,28 +1,29 @@
 package place
 
-// WaitReason names what a message waits for.
+// WaitReason is what a message waits for.
 type WaitReason string
 
-// What a message may wait for.
+// The reasons for which a message may wait.
 const (
-	WaitNothing WaitReason = "nothing"         // it is over
-	WaitKey     WaitReason = "another message" // of its key, before it
-	WaitTime    WaitReason = "time"            // its delay, or a pause between two runs
-	WaitSlot    WaitReason = "a slot"          // of a worker
-	WaitStart   WaitReason = "its start"       // which is being committed
-	WaitEnd     WaitReason = "its end"         // which is being committed, after its patience
-	WaitRun     WaitReason = "its run"
+	WaitNothing WaitReason = "nothing"         // the message is over
+	WaitKey     WaitReason = "another message" // an earlier message blocks its key
+	WaitTime    WaitReason = "time"            // its delay, or the backoff between two runs, is not over
+	WaitSlot    WaitReason = "a slot"          // no worker has a free slot
+	WaitStart   WaitReason = "its start"       // the start of its run is being committed
+	WaitEnd     WaitReason = "its end"         // its deadline is over, and its expiry is being committed
+	WaitRun     WaitReason = "its run"         // a run is in progress
 )
 
-// WaitStatus is where a message stands at its place. Times are place time, in milliseconds.
+// WaitStatus describes why and for how long a message waits. Times are place time, in milliseconds.
 type WaitStatus struct {
 	Reason    WaitReason
-	BlockedBy string // the message that it waits for
-	Since     int64  // how long it has waited so; -1 where that is not known
-	Remaining int64  // how long it will; -1 where that is not known
+	BlockedBy string // id of the message that blocks its key, for WaitKey
+	Since     int64  // how long it has waited for this reason; -1 if that is not known
+	Remaining int64  // how much longer it will wait; -1 if that is not known
 }
 
-// WaitStatus tells where a message stands at a place time, as the owner has it.
+// WaitStatus returns what a message waits for as of a place time; false if the place does not hold the message. It is
+// valid only on the owner, as other replicas pick no messages.
 func (m *Machine) WaitStatus(id string, now int64) (WaitStatus, bool) {
 	e := m.messages[id]
 	switch {
@@ -45,8 +46,8 @@
 	return WaitStatus{Reason: WaitSlot, Since: now - e.Due, Remaining: -1}, true
 }
 
-// Delayed returns how many messages wait for their time, and how much longer the first of them
-// does at a place time, in milliseconds; 0 where none waits.
+// Delayed returns how many messages wait for their delay or backoff, and in how many milliseconds after a place time
+// the first of them may run; 0 if there are none.
 func (m *Machine) Delayed(now int64) (count int, first int64) {
 	count = m.queue.delayed.tree.Size()
 	if at, e := m.queue.delayed.first(); e != nil {
