--- a/internal/place/archive_test.go
+++ b/internal/place/archive_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/errs"
 )
 
-// heapInUse is what the process holds once all garbage is collected.
-func heapInUse() uint64 {
+// heapBytesAfterGC returns the bytes of live heap objects after a garbage collection.
+func heapBytesAfterGC() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -20,45 +20,45 @@
 	return stats.HeapAlloc
 }
 
-// TestEndsAreSmall: messages that are over are kept for as long as their ends may be
-// asked for, two minutes at hundreds a second. They once took 1,100 bytes each on
-// every replica, so that a store took nothing new after some 105 s of ordinary traffic.
+// TestEndsAreSmall limits the memory of messages that are over, which are kept for two minutes at rates of hundreds
+// per second. When each took 1,100 bytes on every replica, a store accepted nothing new after some 105 s of ordinary
+// traffic.
 func TestEndsAreSmall(t *testing.T) {
-	const count, most = 20000, 700
-	Convey("An end takes little memory, and as little on a replica that is read back", t, func() {
-		before, failed := heapInUse(), 0
+	const count, maxBytes = 20000, 700
+	Convey("A message that is over takes little memory, also on a replica that is restored from a snapshot", t, func() {
+		before, failed := heapBytesAfterGC(), 0
 		m := New()
-		for i := range count { // without assertions, which take memory themselves
+		for i := range count { // without assertions, which would take memory themselves
 			c := take(fmt.Sprintf("9c41d07b%08x", i))
 			c.Body, c.Lane, c.ContentType, c.Checksum = make([]byte, 500), "r-x5wa5xw", "application/json", strings.Repeat("5", 32)
 			c.Head = []byte("POST /bose230/zi72/2f HTTP/1.1\nHost: boye61.example\n")
 			for _, c := range []Command{c, start(c.Id, 1), succeededAndDropped(c.Id, 1)} {
-				read, err := Decode(c.Encode()) // as from a log
+				read, err := Decode(c.Encode()) // as read from a log
 				if err != nil || m.Apply(read).Kind != "" {
 					failed++
 				}
 			}
 		}
 		So(failed, ShouldEqual, 0)
-		So((heapInUse()-before)/count, ShouldBeLessThan, most)
-		image := m.Snapshot()
+		So((heapBytesAfterGC()-before)/count, ShouldBeLessThan, maxBytes)
+		snapshot := m.Snapshot()
 		m = nil
-		before = heapInUse()
-		again, err := Restore(image)
+		before = heapBytesAfterGC()
+		restored, err := Restore(snapshot)
 		So(err, ShouldBeNil)
-		So((heapInUse()-before)/count, ShouldBeLessThan, most)
-		runtime.KeepAlive(again)
-		runtime.KeepAlive(image)
+		So((heapBytesAfterGC()-before)/count, ShouldBeLessThan, maxBytes)
+		runtime.KeepAlive(restored)
+		runtime.KeepAlive(snapshot)
 	})
 }
 
-// TestArchive: what is over and told answers as before, though it is kept as bytes.
+// TestArchive checks that archived messages, which are kept in encoded form, behave as before.
 func TestArchive(t *testing.T) {
 	done := func() *Machine {
 		c := notified("1")
 		c.IdempotencyKey = "i"
 		m := applyAll(New(), c, start("1", 1), succeededAndDropped("1", 1))
-		So(m.archive, ShouldBeEmpty) // its end is still to be told
+		So(m.archive, ShouldBeEmpty) // its caller has not been notified yet
 		m.Apply(markNotified("1"))
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.messages, ShouldBeEmpty)
@@ -70,8 +70,8 @@
 		So(m.archive, ShouldHaveLength, 1)
 		return m
 	}
-	for name, made := range map[string]func() *Machine{"a place": done, "a place that was read back": restored} {
-		Convey("On "+name+", a message that is over and told", t, func() {
+	for name, made := range map[string]func() *Machine{"a place": done, "a restored place": restored} {
+		Convey("In "+name+", a message that is over and whose caller has been notified", t, func() {
 			m := made()
 			Convey("is found with its proof, and counted", func() {
 				e := m.Find("1")
@@ -83,7 +83,7 @@
 				counts := m.LaneStats(0).Counts
 				So(counts, ShouldResemble, map[string]map[State]int{"l": {Ended: 1}})
 			})
-			Convey("is not taken again", func() {
+			Convey("is not accepted again", func() {
 				c := notified("1")
 				c.IdempotencyKey = "i"
 				So(m.Apply(c).State, ShouldEqual, Ended)
@@ -92,12 +92,12 @@
 				c.Id = "2"
 				So(m.Apply(c).Kind, ShouldEqual, errs.Conflict) // the same idempotency key
 			})
-			Convey("is changed by nothing", func() {
+			Convey("is not changed by any command", func() {
 				was := string(m.Snapshot())
 				applyAll(m, start("1", 2), runFailed("1", 1), closedAs("1", 1, Failed), runSucceeded("1", 1), markNotified("1"))
 				So(string(m.Snapshot()), ShouldEqual, was)
 			})
-			Convey("is forgotten in time, with its idempotency key", func() {
+			Convey("is forgotten after its retention time, with its idempotency key", func() {
 				So(m.TakeForgettable(99, 9), ShouldBeEmpty)
 				So(m.TakeForgettable(100, 9), ShouldResemble, []string{"1"})
 				m.Apply(Command{Kind: CmdTrim, Ids: []string{"1"}})
@@ -108,13 +108,13 @@
 			})
 		})
 	}
-	Convey("A failure keeps its bytes", t, func() {
+	Convey("A failed message keeps its body", t, func() {
 		m := applyAll(New(), take("1"), start("1", 1), closedAs("1", 1, Failed))
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.Find("1").Body, ShouldResemble, take("1").Body)
 		So(m.bytes, ShouldEqual, int64(len(take("1").Body)))
 	})
-	Convey("A parent stays as it is until its call-back is held elsewhere", t, func() {
+	Convey("A parent is not archived until another place has accepted its call-back", t, func() {
 		c := runSucceeded("1", 1)
 		c.Child = Child{Id: "c", Lane: "back", Parent: "1"}
 		m := applyAll(New(), take("1"), start("1", 1), c)
@@ -123,7 +123,7 @@
 		So(m.archive, ShouldHaveLength, 1)
 		So(m.Find("1").Child, ShouldEqual, "c")
 	})
-	Convey("The oldest ends are forgotten first, and at most so many at once", t, func() {
+	Convey("The messages that were over first are forgotten first, up to the limit", t, func() {
 		m := New()
 		for i, id := range []string{"3", "1", "2"} {
 			c := runSucceeded(id, 1)
--- a/internal/place/counts_test.go
+++ b/internal/place/counts_test.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// needing is a batch of one adapter that needs so many tokens of a tenant with a limit of 10 a second and 10.
+// needing returns a batch of one adapter that needs tokens of a tenant with a rate of 10 per second and a burst of 10.
 func needing(holder string, need int64) quota.Batch {
 	return quota.Batch{Limits: []quota.Limit{quota.LimitOf("halls", 10, 10)},
 		Asks: []quota.Ask{{Holder: holder, Lease: 1000, Count: wire.QuotaCount{Tenant: "halls", Epoch: 1, Need: need}}}}
@@ -23,7 +23,7 @@
 	return c
 }
 
-// TestCounts: counts of tenants' limits are a place's state, behind a feature level.
+// TestCounts checks that the counts of tenants' limits are part of a place's state, and enabled by a feature level.
 func TestCounts(t *testing.T) {
 	Convey("A place", t, func() {
 		Convey("counts nothing before its group has agreed on it", func() {
@@ -33,13 +33,13 @@
 			So(m.HeldTokens(), ShouldEqual, 0)
 			So(New().Snapshot(), ShouldResemble, applyAll(New()).Snapshot())
 		})
-		Convey("grants no more than the limit once it has", func() {
+		Convey("grants no more than the limit once the group has", func() {
 			m := applyAll(New(), RaiseLevel(LevelQuotas))
 			So(m.Apply(countAt(needing("a", 7), 1000)).Grants[0].Granted, ShouldEqual, 7)
 			So(m.Apply(countAt(needing("b", 7), 1000)).Grants[0].Granted, ShouldEqual, 3)
 			So(m.HeldTokens(), ShouldEqual, 10)
 			So(m.IsIdle(), ShouldBeTrue)
-			Convey("and an image goes on as it would", func() {
+			Convey("and continues in the same way from a snapshot", func() {
 				again, err := Restore(m.Snapshot())
 				So(err, ShouldBeNil)
 				So(again.Snapshot(), ShouldResemble, m.Snapshot())
@@ -48,7 +48,7 @@
 				So(again.Snapshot(), ShouldResemble, m.Snapshot())
 			})
 		})
-		Convey("tells a repeat of a held message from the first of it", func() {
+		Convey("distinguishes a repeated message from the first one", func() {
 			m := New()
 			So(m.Apply(take("1")).IsRepeat, ShouldBeFalse)
 			So(m.Apply(take("1")).IsRepeat, ShouldBeTrue)
@@ -58,29 +58,29 @@
 		})
 	})
 	Convey("A build of version 7", t, func() {
-		marks := func(raw []byte, mark string) int {
+		countPrefixes := func(raw []byte, prefix string) int {
 			count := 0
-			for bytes.HasPrefix(raw, []byte(mark)) {
-				raw, count = raw[len(mark):], count+1
+			for bytes.HasPrefix(raw, []byte(prefix)) {
+				raw, count = raw[len(prefix):], count+1
 			}
 			return count
 		}
-		commandMark, imageMark := wire.PrefixIntIntString, wire.PrefixIntIntList
-		Convey("reads what a group has that agreed on an older level", func() {
-			So(marks(RaiseLevel(LevelFreesKeys).Encode(), commandMark), ShouldEqual, 2)
+		commandPrefix, snapshotPrefix := wire.PrefixIntIntString, wire.PrefixIntIntList
+		Convey("can read the records of a group that has agreed on an older level", func() {
+			So(countPrefixes(RaiseLevel(LevelFreesKeys).Encode(), commandPrefix), ShouldEqual, 2)
 			old := applyAll(New(), RaiseLevel(LevelFreesKeys)).Snapshot()
-			So(marks(old, imageMark), ShouldEqual, 2)
-			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(old[2*len(imageMark):], &snapshot{}), ShouldBeNil)
-			written := append(bytes.Repeat([]byte(imageMark), 2), wire.NewRecordCodecAt(&snapshot{}, 7).Encode(&snapshot{Clock: 5, Level: LevelFreesKeys})...)
+			So(countPrefixes(old, snapshotPrefix), ShouldEqual, 2)
+			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(old[2*len(snapshotPrefix):], &snapshot{}), ShouldBeNil)
+			written := append(bytes.Repeat([]byte(snapshotPrefix), 2), wire.NewRecordCodecAt(&snapshot{}, 7).Encode(&snapshot{Clock: 5, Level: LevelFreesKeys})...)
 			m, err := Restore(written)
 			So(err, ShouldBeNil)
 			So([]int64{m.Clock(), m.Level()}, ShouldResemble, []int64{5, LevelFreesKeys})
 		})
 		Convey("refuses counts", func() {
 			count, state := CountCommand(needing("a", 1)).Encode(), applyAll(New(), RaiseLevel(LevelQuotas)).Snapshot()
-			So([]int{marks(count, commandMark), marks(state, imageMark)}, ShouldResemble, []int{3, 3})
-			So(wire.NewRecordCodecAt(&Command{}, 7).Decode(count[2*len(commandMark):], &Command{}), ShouldNotBeNil)
-			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(state[2*len(imageMark):], &snapshot{}), ShouldNotBeNil)
+			So([]int{countPrefixes(count, commandPrefix), countPrefixes(state, snapshotPrefix)}, ShouldResemble, []int{3, 3})
+			So(wire.NewRecordCodecAt(&Command{}, 7).Decode(count[2*len(commandPrefix):], &Command{}), ShouldNotBeNil)
+			So(wire.NewRecordCodecAt(&snapshot{}, 7).Decode(state[2*len(snapshotPrefix):], &snapshot{}), ShouldNotBeNil)
 		})
 	})
 }
--- a/internal/place/fuzz_test.go
+++ b/internal/place/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzRestore: a command or an image is read whole or refused, and a machine
-// that was read back can go on.
+// FuzzRestore checks that any bytes either decode completely or are refused, as a command and as a snapshot, and that a
+// machine can continue from what was decoded.
 func FuzzRestore(f *testing.F) {
 	m := New()
 	for _, c := range []Command{take("1"), ordered("2"), start("1", 1), runSucceeded("1", 1)} {
--- a/internal/place/level_test.go
+++ b/internal/place/level_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/wire"
 )
 
-// keyHeld is two messages of a key, the first of which succeeds while a later run of its may go on
-// until 1500.
+// keyHeld returns a machine with two messages of a key, the first of which has succeeded while a later run of it may go
+// on until 1500.
 func keyHeld(commands ...Command) *Machine {
 	m := applyAll(New(), commands...)
 	open, older := runFailed("0", 2), runSucceeded("0", 1)
@@ -26,20 +26,20 @@
 	return c
 }
 
-// TestLevels is the table of what a group's feature level decides.
+// TestLevels checks what depends on a group's feature level.
 func TestLevels(t *testing.T) {
-	Convey("A key whose message succeeded while a later run may go on", t, func() {
+	Convey("A key whose message has succeeded while a later run may go on", t, func() {
 		cases := []struct {
 			text     string
 			commands []Command
 			then     []Command
 			isFree   bool
 		}{
-			{"waits as older replicas have it, while the group has agreed on nothing", nil, []Command{timeMarkAt(1600)}, false},
-			{"goes on once that run must be over", []Command{RaiseLevel(LevelFreesKeys)}, []Command{timeMarkAt(1500)}, true},
-			{"waits until then", []Command{RaiseLevel(LevelFreesKeys)}, []Command{timeMarkAt(1499)}, false},
-			{"goes on where the level is raised later", nil, []Command{timeMarkAt(1600), RaiseLevel(LevelFreesKeys)}, true},
-			{"keeps to a level that was raised before", []Command{RaiseLevel(LevelFreesKeys), RaiseLevel(0)}, []Command{timeMarkAt(1600)}, true},
+			{"stays blocked, as on older replicas, while the group has agreed on no level", nil, []Command{timeMarkAt(1600)}, false},
+			{"is released once that run must be over", []Command{RaiseLevel(LevelFreesKeys)}, []Command{timeMarkAt(1500)}, true},
+			{"stays blocked until then", []Command{RaiseLevel(LevelFreesKeys)}, []Command{timeMarkAt(1499)}, false},
+			{"is released when the level is raised later", nil, []Command{timeMarkAt(1600), RaiseLevel(LevelFreesKeys)}, true},
+			{"is released although a lower level was proposed later", []Command{RaiseLevel(LevelFreesKeys), RaiseLevel(0)}, []Command{timeMarkAt(1600)}, true},
 		}
 		for _, c := range cases {
 			Convey(c.text, func() {
@@ -53,13 +53,13 @@
 				So(again.Ready(1600)["l"] == 1, ShouldEqual, c.isFree)
 			})
 		}
-		Convey("goes on also at a replica that was read back before", func() {
+		Convey("is released also on a replica that was restored before", func() {
 			again, err := Restore(keyHeld(RaiseLevel(LevelFreesKeys)).Snapshot())
 			So(err, ShouldBeNil)
 			So(applyAll(again, timeMarkAt(1600)).Ready(1600)["l"], ShouldEqual, 1)
 		})
 	})
-	Convey("A run that is brought back when an older one has succeeded, and may go on, holds its key", t, func() {
+	Convey("A run that fails after an older one has succeeded, and may still go on, blocks its key", t, func() {
 		open := runFailed("0", 2)
 		open.HoldsKey, open.Deadline = true, 1500
 		run := []Command{ordered("0"), ordered("1"), start("0", 1), runFailed("0", 1), start("0", 2), runSucceeded("0", 1), open}
@@ -69,22 +69,22 @@
 			So(m.Ready(1400), ShouldBeEmpty)
 			So(applyAll(m, timeMarkAt(1500)).Ready(1500)["l"], ShouldEqual, 1)
 		})
-		Convey("not where older replicas would let it go", func() {
+		Convey("not at a level at which older replicas would release it", func() {
 			So(applyAll(New(), run...).Ready(0)["l"], ShouldEqual, 1)
 		})
 	})
-	Convey("A key that waits behind a failure is not freed by time", t, func() {
+	Convey("A key that is blocked by a failure is not released by time", t, func() {
 		failed := closedAs("0", 1, Failed)
 		failed.HoldsKey, failed.Retain = true, 100_000
 		m := applyAll(New(), RaiseLevel(LevelFreesKeys), ordered("0"), ordered("1"), start("0", 1), failed, timeMarkAt(5000))
 		So(m.Ready(5000), ShouldBeEmpty)
 	})
-	Convey("What an older build cannot apply it refuses", t, func() {
+	Convey("An older build refuses what it cannot apply", t, func() {
 		raise := RaiseLevel(LevelFreesKeys)
 		marked := applyAll(New(), raise).Snapshot()
 		So(isDecodeRefused(wire.NewRecordCodec(&Command{}).Decode(raise.Encode(), &Command{})), ShouldBeTrue)
 		So(isDecodeRefused(wire.NewRecordCodec(&snapshot{}).Decode(marked, &snapshot{})), ShouldBeTrue)
-		// A build of version 5 takes what is behind its mark for a record.
+		// A build of version 5 decodes what follows the prefix as a record.
 		command, isMarked := bytes.CutPrefix(raise.Encode(), []byte(wire.PrefixIntIntString))
 		So(isMarked, ShouldBeTrue)
 		So(wire.NewRecordCodecAt(&Command{}, 5).Decode(command, &Command{}), ShouldNotBeNil)
@@ -92,7 +92,7 @@
 		So(isMarked, ShouldBeTrue)
 		So(wire.NewRecordCodecAt(&snapshot{}, 5).Decode(state, &snapshot{}), ShouldNotBeNil)
 	})
-	Convey("What a newer build has agreed on this one refuses by name", t, func() {
+	Convey("This build refuses a newer feature level, and names it in the error", t, func() {
 		newer := RaiseLevel(NewestLevel + 1)
 		_, err := Decode(newer.Encode())
 		So(errs.KindOf(err), ShouldEqual, errs.Rejected)
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -68,10 +68,10 @@
 // Apply applies a committed command.
 func (m *Machine) Apply(c Command) Result {
 	m.clock = max(m.clock, c.At)
-	verdict := m.dispatch(c, m.Find(c.Id))
+	result := m.dispatch(c, m.Find(c.Id))
 	m.archiveIfFinal(c.Id)
 	m.releaseHeldKeys()
-	return verdict
+	return result
 }
 
 // dispatch carries out a command on message e; nil for none. An archived message does not change, as e is a copy then.
@@ -139,11 +139,11 @@
 		Body: c.Body, Checksum: c.Checksum, Parent: c.Parent, Deadline: m.clock + c.Deadline, Due: m.clock + c.Delay, Head: c.Head, Notify: c.Notify,
 		StartBy: c.startBy(m.clock)}
 	if c.IdempotencyKey != "" {
-		if was := m.Find(m.idempotencyKeys[e.idempotencyKey()]); was != nil {
-			if was.Checksum != c.Checksum {
-				return payloadConflict(was.Id)
+		if existing := m.Find(m.idempotencyKeys[e.idempotencyKey()]); existing != nil {
+			if existing.Checksum != c.Checksum {
+				return payloadConflict(existing.Id)
 			}
-			return Result{Id: was.Id, State: was.State, IsRepeat: true}
+			return Result{Id: existing.Id, State: existing.State, IsRepeat: true}
 		}
 		m.idempotencyKeys[e.idempotencyKey()] = c.Id
 	}
--- a/internal/place/owed_test.go
+++ b/internal/place/owed_test.go
@@ -40,8 +40,8 @@
 	return out
 }
 
-// TestOwed is the table of whose end must still be told, on a place that goes
-// on, and on one that a new owner reads back.
+// TestOwed checks which callers must still be notified of the outcome of their messages, on a running place and on one
+// that a new owner has restored.
 func TestOwed(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -49,23 +49,23 @@
 		owed     []string
 		bytes    int64
 	}{
-		{"nobody, while it is held", []Command{notified("1")}, []string{}, 12},
-		{"nobody, while it runs", []Command{notified("1"), start("1", 1)}, []string{}, 12},
+		{"none while the message is held", []Command{notified("1")}, []string{}, 12},
+		{"none while it runs", []Command{notified("1"), start("1", 1)}, []string{}, 12},
 		{"a success", []Command{notified("1"), start("1", 1), runSucceeded("1", 1)}, []string{"1"}, 12},
 		{"a failure", []Command{notified("1"), start("1", 1), closedAs("1", 1, Failed)}, []string{"1"}, 12},
-		{"what expired unbegun", []Command{notified("1"), closedAs("1", 0, Expired)}, []string{"1"}, 12},
-		{"nobody, who has not asked", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, []string{}, 2},
-		{"nobody, once told", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1")}, []string{}, 12},
-		{"nobody, told twice and with strangers", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1", "9"), markNotified("1")}, []string{}, 12},
-		{"who was told too early", []Command{notified("1"), markNotified("1"), start("1", 1), runSucceeded("1", 1)}, []string{"1"}, 12},
-		{"all but those told", []Command{notified("2"), notified("1"), start("1", 1), runSucceeded("1", 1), start("2", 1), runSucceeded("2", 1), markNotified("2")}, []string{"1"}, 24},
-		{"nobody, once forgotten", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), {Kind: CmdTrim, Ids: []string{"1"}}}, []string{}, 0},
-		{"a success whose bytes went, with its head", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1)}, []string{"1"}, 10},
-		{"… and the head goes once told", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1), markNotified("1")}, []string{}, 0},
-		{"a failure keeps its bytes, also where successes do not", []Command{notified("1"), start("1", 1), {Kind: CmdClose, Id: "1", Attempt: 1, State: "failed", DropsBody: true}, markNotified("1")}, []string{}, 12},
-		{"nobody; bytes that went without an asker leave no head", []Command{{Kind: CmdTake, Id: "1", Head: []byte("h"), Body: []byte("b"), Deadline: 9}, start("1", 1), succeededAndDropped("1", 1)}, []string{}, 0},
+		{"a message that expired without a run", []Command{notified("1"), closedAs("1", 0, Expired)}, []string{"1"}, 12},
+		{"none for a caller that gave no URL", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, []string{}, 2},
+		{"none once it is notified", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1")}, []string{}, 12},
+		{"none after repeated notifications, some of unknown messages", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), markNotified("1", "9"), markNotified("1")}, []string{}, 12},
+		{"a success whose notification was recorded too early", []Command{notified("1"), markNotified("1"), start("1", 1), runSucceeded("1", 1)}, []string{"1"}, 12},
+		{"all but the notified ones", []Command{notified("2"), notified("1"), start("1", 1), runSucceeded("1", 1), start("2", 1), runSucceeded("2", 1), markNotified("2")}, []string{"1"}, 24},
+		{"none once the message is forgotten", []Command{notified("1"), start("1", 1), runSucceeded("1", 1), {Kind: CmdTrim, Ids: []string{"1"}}}, []string{}, 0},
+		{"a success whose body is dropped and whose head is kept", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1)}, []string{"1"}, 10},
+		{"… and the head is dropped once it is notified", []Command{notified("1"), start("1", 1), succeededAndDropped("1", 1), markNotified("1")}, []string{}, 0},
+		{"none; a failure keeps its body, also where successes do not", []Command{notified("1"), start("1", 1), {Kind: CmdClose, Id: "1", Attempt: 1, State: "failed", DropsBody: true}, markNotified("1")}, []string{}, 12},
+		{"none; the head is dropped with the body if there is nobody to notify", []Command{{Kind: CmdTake, Id: "1", Head: []byte("h"), Body: []byte("b"), Deadline: 9}, start("1", 1), succeededAndDropped("1", 1)}, []string{}, 0},
 	}
-	Convey("Of whose end somebody must be told:", t, func() {
+	Convey("Pending notifications:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				m := applyAll(New(), c.commands...)
@@ -76,7 +76,7 @@
 					So(m.CountPendingNotifications(), ShouldEqual, len(c.owed))
 					_, bytes := m.Count()
 					So(bytes, ShouldEqual, c.bytes)
-					m.RebuildQueue() // a new owner begins so
+					m.RebuildQueue() // as a new owner does
 					So(ids(m.PendingNotifications()), ShouldResemble, c.owed)
 				}
 			})
@@ -84,9 +84,9 @@
 	})
 }
 
-// TestDelays: nothing is due before its delay, counted from its take.
+// TestDelays checks that no message is due before its delay has passed since its acceptance.
 func TestDelays(t *testing.T) {
-	Convey("A message that may not run yet is due when its delay is over, also for a new owner", t, func() {
+	Convey("A delayed message is due when its delay is over, also for a new owner", t, func() {
 		late := take("1")
 		late.At, late.Delay, late.Deadline = 500, 2000, 9000
 		m := applyAll(New(), late)
@@ -97,16 +97,16 @@
 	})
 }
 
-// isDecodeRefused: a build of version 1 takes a record that ends early for a whole
-// one, so that is no refusal.
+// isDecodeRefused reports whether decoding was refused. io.EOF does not count, since a build of version 1 accepts a
+// record that ends early as a whole one.
 func isDecodeRefused(err error) bool { return err != nil && !errors.Is(err, io.EOF) }
 
-// TestVersions: what a build of version 1 wrote is read, and what this one
-// writes with new fields is refused there. Marks of one byte were once misread
-// at some place times, as commands that change nothing.
+// TestVersions checks that this build reads the records of version 1, and that version 1 refuses records with newer
+// fields. With prefixes of a single byte, version 1 misread such records at some place times, as commands without
+// effect.
 func TestVersions(t *testing.T) {
 	oldCommand, oldImage := wire.NewRecordCodec(&Command{}), wire.NewRecordCodec(&snapshot{})
-	Convey("A command without new fields is written as in version 1, and read back", t, func() {
+	Convey("A command without newer fields is encoded as in version 1, and decoded again", t, func() {
 		for _, c := range []Command{take("1"), start("1", 1), runSucceeded("1", 1), runFailed("1", 1), closedAs("1", 1, Failed), tombstone("1")} {
 			c.Ids = []string{}
 			So(c.Encode(), ShouldResemble, oldCommand.Encode(&c))
@@ -115,7 +115,7 @@
 			So(got.Encode(), ShouldResemble, c.Encode())
 		}
 	})
-	Convey("An image without new fields is written as in version 1, and read back", t, func() {
+	Convey("A snapshot without newer fields is encoded as in version 1, and decoded again", t, func() {
 		m := applyAll(New(), take("1"), ordered("2"), start("1", 1), runSucceeded("1", 1))
 		var in snapshot
 		So(oldImage.Decode(m.Snapshot(), &in), ShouldBeNil)
@@ -124,7 +124,7 @@
 		So(err, ShouldBeNil)
 		So(again.Snapshot(), ShouldResemble, m.Snapshot())
 	})
-	Convey("What has new fields is read back here, and refused by version 1 at any place time", t, func() {
+	Convey("Records with newer fields are decoded by this build, and refused by version 1 at any place time", t, func() {
 		for _, at := range []int64{0, 1, 2, 3, 5, 8, 13, 40, 90, 700, 60_000, 1 << 33} {
 			for name, c := range map[string]Command{"head": notified("1"), "delay": {Kind: CmdTake, Id: "1", Delay: 5}, "drop": succeededAndDropped("1", 1)} {
 				c.At = at
@@ -139,7 +139,7 @@
 			again, err := Restore(m.Snapshot())
 			So(err, ShouldBeNil)
 			So(again.Snapshot(), ShouldResemble, m.Snapshot())
-			SoMsg(fmt.Sprintf("image at %d", at), isDecodeRefused(oldImage.Decode(m.Snapshot(), &snapshot{})), ShouldBeTrue)
+			SoMsg(fmt.Sprintf("snapshot at %d", at), isDecodeRefused(oldImage.Decode(m.Snapshot(), &snapshot{})), ShouldBeTrue)
 		}
 	})
 }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -39,7 +39,7 @@
 
 func tombstone(id string) Command { return Command{Kind: CmdTombstone, Id: id, Retain: 100} }
 
-// TestCommands is the table of what each command does in each state.
+// TestCommands checks the effect of each command in each state.
 func TestCommands(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -49,25 +49,25 @@
 		kind   errs.Kind
 	}{
 		{"a message is held", nil, take("1"), Held, ""},
-		{"the same take again changes nothing", []Command{take("1"), start("1", 1)}, take("1"), Started, ""},
-		{"a settled message is never taken", []Command{tombstone("1")}, take("1"), Tombstone, errs.Rejected},
-		{"a held message is not settled away", []Command{take("1")}, tombstone("1"), Held, ""},
+		{"a repeated take changes nothing", []Command{take("1"), start("1", 1)}, take("1"), Started, ""},
+		{"a message with a tombstone is never accepted", []Command{tombstone("1")}, take("1"), Tombstone, errs.Rejected},
+		{"a held message gets no tombstone", []Command{take("1")}, tombstone("1"), Held, ""},
 		{"a held message starts", []Command{take("1")}, start("1", 1), Started, ""},
 		{"a started message does not start again", []Command{take("1"), start("1", 1)}, start("1", 2), Started, errs.Conflict},
 		{"an attempt number is not skipped", []Command{take("1")}, start("1", 2), Held, errs.Conflict},
-		{"a run's success ends it", []Command{take("1"), start("1", 1)}, runSucceeded("1", 1), Ended, ""},
-		{"a run that never began ends nothing", []Command{take("1"), start("1", 1)}, runSucceeded("1", 2), Started, errs.Conflict},
+		{"the success of a run ends the message", []Command{take("1"), start("1", 1)}, runSucceeded("1", 1), Ended, ""},
+		{"the success of a run that was never started is refused", []Command{take("1"), start("1", 1)}, runSucceeded("1", 2), Started, errs.Conflict},
 		{"an ended message does not start again", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, start("1", 2), Ended, errs.Conflict},
-		{"a mishap brings it back", []Command{take("1"), start("1", 1)}, runFailed("1", 1), Held, ""},
-		{"an older run's mishap is passed over", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runFailed("1", 1), Started, ""},
-		{"an older run's success ends a held message", []Command{take("1"), start("1", 1), runFailed("1", 1)}, runSucceeded("1", 1), Ended, ""},
-		{"an older run's success waits for the open run", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runSucceeded("1", 1), Started, ""},
-		{"… and counts once that run has failed", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2), runSucceeded("1", 1)}, runFailed("1", 2), Ended, ""},
+		{"after the failure of a run the message is held again", []Command{take("1"), start("1", 1)}, runFailed("1", 1), Held, ""},
+		{"the failure of an older run is ignored", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runFailed("1", 1), Started, ""},
+		{"the success of an older run ends a held message", []Command{take("1"), start("1", 1), runFailed("1", 1)}, runSucceeded("1", 1), Ended, ""},
+		{"the success of an older run does not count during a newer one", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2)}, runSucceeded("1", 1), Started, ""},
+		{"… but does once that one has failed", []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2), runSucceeded("1", 1)}, runFailed("1", 2), Ended, ""},
 		{"a held message expires", []Command{take("1")}, closedAs("1", 0, Expired), Expired, ""},
 		{"a message that has started since does not expire", []Command{take("1"), start("1", 1)}, closedAs("1", 0, Expired), Started, ""},
-		{"an end is not undone by a failure", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, closedAs("1", 1, Failed), Ended, ""},
-		{"a command for a stranger does nothing", nil, runSucceeded("1", 1), "", errs.Unknown},
-		{"an ordered message does not pass an earlier one", []Command{ordered("0"), ordered("1")}, start("1", 1), Held, errs.Conflict},
+		{"a success is not undone by a failure", []Command{take("1"), start("1", 1), runSucceeded("1", 1)}, closedAs("1", 1, Failed), Ended, ""},
+		{"a command for an unknown message is refused", nil, runSucceeded("1", 1), "", errs.Unknown},
+		{"an ordered message does not overtake an earlier one", []Command{ordered("0"), ordered("1")}, start("1", 1), Held, errs.Conflict},
 		{"… nor while that one is started", []Command{ordered("0"), ordered("1"), start("0", 1)}, start("1", 1), Held, errs.Conflict},
 		{"… but starts once it has ended", []Command{ordered("0"), ordered("1"), start("0", 1), runSucceeded("0", 1)}, start("1", 1), Started, ""},
 		{"the same idempotency key and bytes are one message", []Command{idem("0", "i", "s"), start("0", 1)}, idem("1", "i", "s"), "", ""},
@@ -87,7 +87,7 @@
 					state = e.State
 				}
 				So(state, ShouldEqual, c.state)
-				again, err := Restore(m.Snapshot()) // an image tells the same
+				again, err := Restore(m.Snapshot()) // a snapshot restores the same state
 				So(err, ShouldBeNil)
 				So(again.Snapshot(), ShouldResemble, m.Snapshot())
 			})
@@ -96,19 +96,19 @@
 }
 
 func TestProofIsOfTheRunThatSucceeded(t *testing.T) {
-	Convey("Given a message whose first run's answer came late", t, func() {
+	Convey("Given a message whose first run was reported as a success during the second run", t, func() {
 		m := New()
 		for _, c := range []Command{take("1"), start("1", 1), runFailed("1", 1), start("1", 2), runSucceeded("1", 1)} {
 			m.Apply(c)
 		}
-		Convey("the second run's success is proved by the second run", func() {
+		Convey("after the success of the second run the proof is that of the second run", func() {
 			m.Apply(runSucceeded("1", 2))
 			So(m.Find("1").Proof.Attempt, ShouldEqual, 2)
 		})
-		Convey("the second run's mishap leaves the first run's proof", func() {
+		Convey("after the failure of the second run the proof is that of the first run", func() {
 			m.Apply(runFailed("1", 2))
 			So(m.Find("1").Proof.Attempt, ShouldEqual, 1)
-			Convey("which no later answer replaces", func() {
+			Convey("which no later report replaces", func() {
 				m.Apply(runSucceeded("1", 2))
 				So(m.Find("1").Proof.Attempt, ShouldEqual, 1)
 			})
@@ -117,14 +117,14 @@
 }
 
 func TestQueue(t *testing.T) {
-	Convey("Given three ordered messages and two free ones", t, func() {
+	Convey("Given three ordered messages of a key and two unordered ones", t, func() {
 		m := New()
 		for _, id := range []string{"1", "2", "3"} {
 			m.Apply(ordered(id))
 		}
 		m.Apply(take("4"))
 		m.Apply(take("5"))
-		Convey("only the first of the key and the free ones are ready", func() {
+		Convey("only the first of the key and the unordered ones are ready", func() {
 			So(m.Ready(0), ShouldResemble, map[string]int{"l": 3})
 			So(m.Pick("l", 0).Id, ShouldEqual, "1")
 			So(m.Pick("l", 0).Id, ShouldEqual, "4")
@@ -133,7 +133,7 @@
 			m.Unpick(m.Find("4"))
 			So(m.Pick("l", 0).Id, ShouldEqual, "4")
 		})
-		Convey("a pause is kept, and a new owner keeps it too", func() {
+		Convey("a backoff is observed, also by a new owner", func() {
 			m.Apply(start("4", 1))
 			pause := runFailed("4", 1)
 			pause.Deadline = 50
@@ -143,7 +143,7 @@
 			So(again.Ready(49)["l"], ShouldEqual, 2)
 			So(again.Ready(50)["l"], ShouldEqual, 3)
 		})
-		Convey("repeated runs cannot crowd out fresh ones", func() {
+		Convey("retries cannot starve fresh messages", func() {
 			for i := range 8 {
 				id := "r" + string(rune('a'+i))
 				m.Apply(take(id))
@@ -158,7 +158,7 @@
 			}
 			So(fresh, ShouldEqual, 3)
 		})
-		Convey("what is late is told once, what is over is told to be forgotten", func() {
+		Convey("expired messages are returned once, and those that are over can be forgotten", func() {
 			So(len(m.TakeExpired(999)), ShouldEqual, 0)
 			So(len(m.TakeExpired(1000)), ShouldEqual, 5)
 			m.Apply(closedAs("4", 0, Expired))
@@ -167,7 +167,7 @@
 			m.Apply(Command{Kind: CmdTrim, Ids: []string{"4"}})
 			So(m.Find("4"), ShouldBeNil)
 		})
-		Convey("a failure that holds its key keeps the next waiting", func() {
+		Convey("a failure that blocks its key keeps the next message waiting until it is forgotten", func() {
 			c := closedAs("1", 0, Failed)
 			c.HoldsKey = true
 			m.Apply(c)
@@ -175,7 +175,7 @@
 			m.Apply(Command{Kind: CmdTrim, Ids: []string{"1"}})
 			So(m.Ready(0)["l"], ShouldEqual, 3)
 		})
-		Convey("a call-back stays in the outbox until it is taken elsewhere", func() {
+		Convey("a call-back stays in the outbox until another place has accepted it", func() {
 			m.Apply(start("4", 1))
 			e := runSucceeded("4", 1)
 			e.Child = Child{Id: "c", Lane: "back"}
--- a/internal/place/queue_test.go
+++ b/internal/place/queue_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestQueueHoldsNothingBack: the queue once had one more entry for each change
-// of a message's state, and kept forgotten messages alive by them.
+// TestQueueHoldsNothingBack guards against a memory leak: the queue got another entry with each state transition of a
+// message, and so kept forgotten messages in memory.
 func TestQueueHoldsNothingBack(t *testing.T) {
-	Convey("Given messages that were run again and again", t, func() {
+	Convey("Given messages that have run several times", t, func() {
 		m := New()
 		for i := range 50 {
 			id := fmt.Sprint(i)
@@ -21,11 +21,11 @@
 				m.Apply(runFailed(id, attempt+1))
 			}
 		}
-		Convey("each stands in the queue for as much as its state asks", func() {
+		Convey("each has one position in each set of its state", func() {
 			So(m.queue.expiries.tree.Size(), ShouldEqual, 50)
 			So(m.Ready(0), ShouldResemble, map[string]int{"l": 50})
 		})
-		Convey("and nowhere once it is forgotten", func() {
+		Convey("and none once it is forgotten", func() {
 			for i := range 50 {
 				m.Apply(closedAs(fmt.Sprint(i), 5, Failed))
 				m.Apply(Command{Kind: CmdTrim, Ids: []string{fmt.Sprint(i)}})
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestWaitsForARunThatMayGoOn: an ordered message whose run may still be going
-// on neither expires nor lets the next one begin before that run must be over.
+// TestWaitsForARunThatMayGoOn checks that an ordered message whose run may still be in progress does not expire, and
+// that the next one of its key does not start, before that run must be over.
 func TestWaitsForARunThatMayGoOn(t *testing.T) {
 	Convey("Given two messages of a key, the first with a run that may go on until 1500", t, func() {
 		m := New()
@@ -63,10 +63,10 @@
 	})
 }
 
-// TestPrompt: after an outage every message once waited behind the whole backlog,
-// and all that came were late too.
+// TestPrompt guards against strict first-in-first-out order after an outage: every new message waited behind the whole
+// backlog, and was late as well.
 func TestPrompt(t *testing.T) {
-	Convey("Given a backlog that is late and messages that can still begin in time", t, func() {
+	Convey("Given a backlog that is late and messages that can still start in time", t, func() {
 		m := New()
 		for i := range 40 {
 			c := take(fmt.Sprint(i))
@@ -80,16 +80,16 @@
 		for range 40 {
 			order = append(order, m.Pick("l", 5010).Id)
 		}
-		Convey("those in time go first, with every fourth turn for the oldest", func() {
+		Convey("those in time are picked first, with every fourth pick for the oldest", func() {
 			So(order[:5], ShouldResemble, []string{"30", "31", "32", "0", "33"})
 		})
-		Convey("and then the backlog, least late first, with every fourth turn for the oldest; none is left out", func() {
+		Convey("and then the backlog, least late first, with every fourth pick for the oldest; none is left out", func() {
 			So(order[13:17], ShouldResemble, []string{"29", "28", "3", "27"})
 			So(slices.Sorted(slices.Values(order)), ShouldHaveLength, 40)
 			So(m.Pick("l", 5010), ShouldBeNil)
 		})
 	})
-	Convey("A message is wanted so long after its delay", t, func() {
+	Convey("StartBy is counted from the end of the delay", t, func() {
 		m := New()
 		c := take("1")
 		c.Delay, c.StartWithin = 300, 100
@@ -101,7 +101,7 @@
 	})
 }
 
-// BenchmarkExpiry has 100,000 messages fail once and then expire one by one.
+// BenchmarkExpiry measures 100,000 messages, of which a tenth fail once, and which then all expire.
 func BenchmarkExpiry(b *testing.B) {
 	const count = 100_000
 	for range b.N {
--- a/internal/place/size_test.go
+++ b/internal/place/size_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkBacklog measures a place that holds messages of 256 bytes: what each takes in memory and in
-// the image, and how long the image is made and read.
+// BenchmarkBacklog measures a place that holds messages of 256 bytes: the bytes of each in memory and in a snapshot,
+// and the time to make and to restore a snapshot.
 func BenchmarkBacklog(b *testing.B) {
 	for _, count := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -19,21 +19,21 @@
 					Body: make([]byte, 256), Checksum: fmt.Sprintf("%064d", i), ContentType: "application/octet-stream"})
 			}
 			held := liveBytes() - before
-			var image []byte
+			var snapshot []byte
 			made, read := time.Duration(0), time.Duration(0)
 			for b.Loop() {
 				began := time.Now()
-				image = m.Snapshot()
+				snapshot = m.Snapshot()
 				made += time.Since(began)
 				began = time.Now()
-				if _, err := Restore(image); err != nil {
+				if _, err := Restore(snapshot); err != nil {
 					b.Fatal(err)
 				}
 				read += time.Since(began)
 			}
 			n := float64(count)
 			b.ReportMetric(held/n, "B-held/message")
-			b.ReportMetric(float64(len(image))/n, "B-image/message")
+			b.ReportMetric(float64(len(snapshot))/n, "B-image/message")
 			b.ReportMetric(float64(made.Nanoseconds())/float64(b.N)/n, "ns-image/message")
 			b.ReportMetric(float64(read.Nanoseconds())/float64(b.N)/n, "ns-restore/message")
 			runtime.KeepAlive(m)
@@ -41,7 +41,7 @@
 	}
 }
 
-// liveBytes returns the bytes that are live now.
+// liveBytes returns the bytes of live heap objects after a garbage collection.
 func liveBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/place/walk_test.go
+++ b/internal/place/walk_test.go
@@ -13,8 +13,8 @@
 	walkSteps = 400
 )
 
-// placeWalk does what an owner may do, in any order: its proposals are committed later than
-// they are made, and other commands come between.
+// placeWalk performs the operations of an owner in random order. Proposals are committed later than they are made, with
+// other commands in between.
 type placeWalk struct {
 	m        *Machine
 	random   *rand.Rand
@@ -25,7 +25,7 @@
 
 func newPlaceWalk(seed uint64) *placeWalk {
 	w := &placeWalk{m: New(), random: rand.New(rand.NewPCG(seed, 7))}
-	if seed%2 == 0 { // as older replicas apply commands, and as newer ones do
+	if seed%2 == 0 { // half of the walks at the newest feature level, half at none
 		w.apply(RaiseLevel(NewestLevel))
 	}
 	return w
@@ -36,7 +36,7 @@
 	return w.m.Apply(c)
 }
 
-// any returns one of the messages that are not settled, or nil.
+// anyMessage returns one of the messages that are not archived, or nil.
 func (w *placeWalk) any() *Message {
 	for id := range w.m.messages {
 		return w.m.messages[id]
@@ -53,7 +53,7 @@
 	w.apply(c)
 }
 
-// pickAndStart picks a message and starts it, or does not after all.
+// pickAndStart picks a message, and starts it or puts it back.
 func (w *placeWalk) pickAndStart() {
 	e := w.m.Pick("l", w.now)
 	if e == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// end tells of a run, of the newest or of an older one.
+// finishRun reports the outcome of the newest run of a message or of an older one.
 func (w *placeWalk) finishRun() {
 	e := w.any()
 	if e == nil || e.Attempt == 0 {
@@ -95,7 +95,7 @@
 	case 6, 7:
 		w.finishRun()
 	case 8:
-		for _, e := range w.m.TakeExpired(w.now) { // committed after what else was under way
+		for _, e := range w.m.TakeExpired(w.now) { // committed after other commands
 			w.proposed = append(w.proposed, closedAs(e.Id, e.Attempt, Expired))
 		}
 		w.apply(Command{Kind: CmdTrim, Ids: w.m.TakeForgettable(w.now, 5)})
@@ -105,12 +105,12 @@
 		}
 		w.proposed = nil
 		if w.random.IntN(8) == 0 {
-			w.m.RebuildQueue() // another ownership
+			w.m.RebuildQueue() // as after a change of owner
 		}
 	}
 }
 
-// stuck names a message that nothing will take up again, if there is one.
+// stuck describes a message that would never make progress again; "" if there is none.
 func (w *placeWalk) stuck() string {
 	for key, list := range w.m.keys {
 		if e := w.m.messages[list[0]]; e == nil || e.State.IsOver() && !e.IsHoldingKey {
@@ -132,7 +132,7 @@
 		case w.m.level >= LevelFreesKeys && e.State == Ended && e.IsHoldingKey && e.Due <= w.m.clock:
 			return id + " holds its key though its last run must be over"
 		case e.State == Started && !w.m.queue.running[id]:
-			return id + " is started and not open"
+			return id + " is started and not running"
 		case e.State == Held && !isWatched:
 			return id + " is held and never expires"
 		case e.State == Held && w.m.isFirstOfKey(e) && !isReady && !sets[w.m.queue.delayed] && e.Deadline > w.now:
@@ -142,10 +142,10 @@
 	return ""
 }
 
-// TestNothingIsForgotten: in any order of events each message that is not over is ready, in
-// a pause, under way or behind another of its key, and expires at last.
+// TestNothingIsForgotten checks that, in any order of events, each message that is not over is ready, delayed,
+// running or blocked by another message of its key, and expires in the end.
 func TestNothingIsForgotten(t *testing.T) {
-	Convey("Whatever an owner does, no message is left lying", t, func() {
+	Convey("No message is stuck after any sequence of an owner's operations", t, func() {
 		stuck := []string{}
 		for seed := uint64(1); seed <= walks; seed++ {
 			w := newPlaceWalk(seed)
@@ -161,10 +161,10 @@
 	})
 }
 
-// TestKeyOfAnOlderSuccess: where the success of an older run ends a message whose newest run
-// may still go on, its key goes on once that run must be over.
+// TestKeyOfAnOlderSuccess checks that a key is released once the newest run of its message must be over, where the
+// success of an older run ended the message before.
 func TestKeyOfAnOlderSuccess(t *testing.T) {
-	Convey("Given two messages of a key, the first with a run that may go on until 1500, once replicas have agreed on that", t, func() {
+	Convey("Given two messages of a key, the first with a run that may go on until 1500, at the level that releases keys", t, func() {
 		m := New()
 		m.Apply(RaiseLevel(LevelFreesKeys))
 		for _, c := range []Command{ordered("0"), ordered("1"), start("0", 1), runFailed("0", 1), start("0", 2)} {
