--- a/internal/feed/changelog.go
+++ b/internal/feed/changelog.go
@@ -7,17 +7,17 @@
 	"caperwheel/internal/wire"
 )
 
-// trail keeps the newest change of each key, and the keys in the order of their
-// revisions, so that what lies behind a revision is found without a look at the rest.
+// changeLog keeps the newest change of each key, indexed by revision, so that the changes since a revision are found
+// without a scan of all keys.
 //
-// Invariants: order grows in its revisions; each key's newest revision stands in it;
-// an entry whose revision is not its key's newest is void, and at most about half
-// of the entries are.
+// Invariants: the revisions of entries increase; entries has the newest revision of each key. An entry whose revision
+// is not the newest of its key is obsolete; at most about half of the entries are.
 type changeLog struct {
 	newest  map[string]wire.Change
 	entries []logEntry
 }
 
+// logEntry is a change of a key; the change itself is in newest, unless a later one has replaced it.
 type logEntry struct {
 	revision int64
 	key      string
@@ -25,7 +25,7 @@
 
 func newChangeLog() changeLog { return changeLog{newest: map[string]wire.Change{}} }
 
-// put takes a change in that is newer than all before it.
+// put adds a change that is newer than all others, and removes obsolete entries once they are too many.
 func (t *changeLog) put(c wire.Change) {
 	t.newest[c.Key] = c
 	t.entries = append(t.entries, logEntry{c.Revision, c.Key})
@@ -34,7 +34,7 @@
 	}
 }
 
-// load takes a whole state in, in any order.
+// load adds the changes of a snapshot, which may be in any order.
 func (t *changeLog) load(changes []wire.Change) {
 	sorted := slices.SortedFunc(slices.Values(changes), func(a, b wire.Change) int { return int(a.Revision - b.Revision) })
 	for _, c := range sorted {
@@ -42,8 +42,8 @@
 	}
 }
 
-// since returns the changes behind a revision in order, at most so many; isAll
-// tells whether there are no more.
+// since returns up to limit changes after a revision, in the order of their revisions; isAll reports whether there are
+// no more.
 func (t *changeLog) since(from int64, limit int) (out []wire.Change, isAll bool) {
 	out = []wire.Change{}
 	at := sort.Search(len(t.entries), func(i int) bool { return t.entries[i].revision > from })
@@ -60,7 +60,8 @@
 	return out, true
 }
 
-// newsSince gives the news of a part behind a revision, up to its newest revision.
+// newsSince returns the changes of a part after revision from, with the revision that they reach; isNewest reports
+// whether that is the newest one.
 func (t *changeLog) newsSince(part, from, newest int64) (news wire.PartNews, isNewest bool) {
 	changes, isAll := t.since(from, newsChangesLimit)
 	news = wire.PartNews{Part: part, From: from, To: newest, Age: -1, Changes: changes}
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -20,16 +20,16 @@
 		last wire.Edit
 		kind string
 	}{
-		{"a new key on nothing", edit("b", 0), ""},
-		{"a known key as if it were new", edit("a", 0), "conflict"},
-		{"a known key on its stamp", edit("a", 2), ""},
-		{"a known key on an old stamp", edit("a", 1), "conflict"},
-		{"a known key on any stamp", edit("a", -1), ""},
-		{"an unknown key on a stamp", edit("b", 1), "conflict"},
-		{"a gone key as new", edit("gone", 0), ""},
-		{"a gone key on its stamp", edit("gone", 3), "conflict"},
+		{"a new key that does not exist", edit("b", 0), ""},
+		{"an existing key as a new one", edit("a", 0), "conflict"},
+		{"an existing key based on its revision", edit("a", 2), ""},
+		{"an existing key based on an old revision", edit("a", 1), "conflict"},
+		{"an existing key based on any revision", edit("a", -1), ""},
+		{"a key that does not exist based on a revision", edit("b", 1), "conflict"},
+		{"a deleted key as a new one", edit("gone", 0), ""},
+		{"a deleted key based on its revision", edit("gone", 3), "conflict"},
 	}
-	Convey("A part takes", t, func() {
+	Convey("A part gets an edit of", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				p := NewPart()
@@ -59,7 +59,7 @@
 			}
 			v.Update([]wire.PartNews{news}, 10*time.Second)
 		}
-		Convey("it is not sure before it has all", func() {
+		Convey("its view is not confirmed before it has all changes", func() {
 			ask(0)
 			_, isSure := v.Age(10 * time.Second)
 			So(isSure, ShouldBeFalse)
@@ -69,7 +69,7 @@
 			So(v.IsFresh(12*time.Second, 2*time.Second), ShouldBeTrue)
 			So(v.IsFresh(12*time.Second+1, 2*time.Second), ShouldBeFalse)
 		})
-		Convey("the age told is taken off, and passed on with our own", func() {
+		Convey("the age in an answer counts, and is included in what the view passes on", func() {
 			for range 3 {
 				ask(500_000)
 			}
@@ -78,8 +78,8 @@
 			news := v.News([]wire.PartRevision{{Part: 0, Revision: 1200}}, 11*time.Second)
 			So(news[0].Age, ShouldEqual, 1_500_000)
 		})
-		Convey("news older than its own life are as old as they say", func() {
-			// A daemon that had just started once took them for confirmed at its start.
+		Convey("an answer may be older than the process of the follower", func() {
+			// A daemon that had just started used to treat such answers as confirmed at its start.
 			for range 3 {
 				ask(30_000_000)
 			}
@@ -87,7 +87,7 @@
 			So(isSure, ShouldBeTrue)
 			So(age, ShouldEqual, 30*time.Second)
 		})
-		Convey("it never goes back to an older history", func() {
+		Convey("it never goes back to an older state", func() {
 			for range 3 {
 				ask(0)
 			}
@@ -97,7 +97,7 @@
 			So(string(c.Value), ShouldEqual, "k1")
 			So(v.IsFresh(20*time.Second, time.Second), ShouldBeFalse)
 		})
-		Convey("news that leave a gap are passed over", func() {
+		Convey("an answer that leaves a gap is ignored", func() {
 			v.Update([]wire.PartNews{{From: 100, To: 101}}, 0)
 			So(v.Revision(0), ShouldEqual, 0)
 		})
--- a/internal/feed/orders.go
+++ b/internal/feed/orders.go
@@ -13,18 +13,17 @@
 	"caperwheel/internal/wire"
 )
 
-// How many orders a part remembers. Operators may send a configuration again at
-// any time, so nothing but their count ends what is remembered of them: a site's
-// longest day has hundreds. An edit of a single call is sent again within
-// seconds, and a part takes far fewer of them in that time.
+// Numbers of orders that a part remembers, so that a retry does not take effect twice. Operators may send an order
+// again at any time, so theirs are dropped only by number; the busiest day of a site has hundreds. An edit of a
+// single call is retried within seconds, in which a part receives far fewer than maxCalls.
 const (
 	maxOrders = 4096
 	maxCalls  = 256
 )
 
-// takenOrder is an order that was taken: the revision that it made, and when. Rank
-// grows with each: what it builds on for an operators' order, its revision for the
-// edit of a single call.
+// takenOrder is an order (an edit with an operation id) that has taken effect, with the revision that it made and the
+// part time. Rank increases from order to order: it is the version that an operators' order is based on, and the
+// revision that the edit of a single call made.
 type takenOrder struct {
 	Id       string `avro:"id"`
 	Revision int64  `avro:"stamp"`
@@ -32,11 +31,10 @@
 	At       int64  `avro:"at"`
 }
 
-// orderHistory has the newest orders that were taken.
+// orderHistory has the newest orders that have taken effect.
 //
-// Invariants: queue is in the order in which they were taken, and byId has the
-// same ones; every order ever taken that is not there has a rank of at most
-// floor.
+// Invariants: queue and byId have the same orders, queue in the order in which they took effect; every order that has
+// been forgotten has a rank of at most forgottenRank.
 type orderHistory struct {
 	capacity      int
 	byId          map[string]takenOrder
@@ -48,7 +46,7 @@
 	return &orderHistory{capacity: capacity, byId: map[string]takenOrder{}, forgottenRank: -1}
 }
 
-// put remembers an order, and forgets the oldest one if there are too many.
+// put adds an order, and forgets the oldest one if there are more than capacity.
 func (m *orderHistory) put(one takenOrder) {
 	if _, isKnown := m.byId[one.Id]; isKnown {
 		return
@@ -62,7 +60,7 @@
 	}
 }
 
-// load takes a whole memory in.
+// load adds the orders of a snapshot.
 func (m *orderHistory) load(orders []takenOrder, floor int64) {
 	m.forgottenRank = floor
 	for _, one := range orders {
@@ -70,9 +68,9 @@
 	}
 }
 
-// recordOrder notes the order of an edit that holds as of the part's newest revision.
-// What an older build kept in the configuration itself is taken over, and what it
-// forgot before is below the floor.
+// recordOrder adds the order of an edit that has made the part's newest revision. Older builds kept the operators'
+// orders in the configuration itself: those that the edit lists as earlier ones are added too, and those that such a
+// build has forgotten have ranks of at most forgottenRank.
 func (p *Part) recordOrder(e wire.Edit) {
 	switch {
 	case e.OperationId == "":
@@ -89,8 +87,8 @@
 	}
 }
 
-// outcomeOf reports what became of an order: the revision that it made, or Unknown if it
-// was never taken, or Stale if it may have been so long ago that it is forgotten.
+// outcomeOf returns the outcome of an operators' order: the revision that it made, the kind Unknown if it has not taken
+// effect, or Stale if it may have taken effect and been forgotten since.
 func (p *Part) outcomeOf(order string, base int64) (revision int64, kind errs.Kind) {
 	if one, isTaken := p.findOrder(order); isTaken {
 		return one.Revision, ""
@@ -101,6 +99,7 @@
 	return 0, errs.Unknown
 }
 
+// findOrder returns the order with an operation id, if it is remembered.
 func (p *Part) findOrder(order string) (takenOrder, bool) {
 	if one, isTaken := p.orders.byId[order]; isTaken {
 		return one, order != ""
@@ -109,9 +108,9 @@
 	return one, isTaken && order != ""
 }
 
-// mayBeForgotten tells of an edit that does not hold now and is not remembered
-// whether it may have held before. It held on a higher revision, or a higher
-// version, than what it builds on.
+// mayBeForgotten reports whether an edit that conflicts now, and is not remembered, may have taken effect before. If it
+// did, its rank was at least the revision or version that it is based on, so it can have been forgotten only if
+// forgottenRank is that high too.
 func (p *Part) mayBeForgotten(e wire.Edit) bool {
 	if e.OperationId == "" {
 		return false
@@ -123,21 +122,21 @@
 	return kind == errs.Stale
 }
 
-// TimeMark returns an edit that changes nothing and tells the part time: it builds on a
-// revision that no key ever has.
+// TimeMark returns an edit that only advances the part time. It changes nothing, as it is based on a revision that no
+// key ever has.
 func TimeMark(at int64) wire.Edit {
 	return wire.Edit{Value: []byte{}, IfRevision: math.MaxInt64, At: at}
 }
 
-// HasRecentOrder reports whether an order of a single call was taken within a span before a
-// moment of part time: its age decides what the next one means.
+// HasRecentOrder reports whether the edit of a single call has taken effect within a span before a part time. The owner
+// commits time marks while there is one, as later edits are judged by its age.
 func (p *Part) HasRecentOrder(now int64, span time.Duration) bool {
 	n := len(p.calls.queue)
 	return n > 0 && now-p.calls.queue[n-1].At < span.Milliseconds()
 }
 
-// ageOf reports how long before a moment of part time a change was made, in
-// milliseconds; one that nothing is remembered of is as old as can be.
+// ageOf returns how long before a part time a change was made, in milliseconds. For a change whose order is not
+// remembered it returns the maximum.
 func (p *Part) ageOf(c wire.Change, now int64) int64 {
 	for _, m := range []*orderHistory{p.calls, p.orders} {
 		i, isKnown := slices.BinarySearchFunc(m.queue, c.Revision, func(one takenOrder, revision int64) int { return cmp.Compare(one.Revision, revision) })
@@ -148,8 +147,7 @@
 	return math.MaxInt64
 }
 
-// Read answers for a key at a moment of part time: one that stands, History, or
-// what OrderKey gives.
+// Read returns the value of a key as of a part time. The key is one of the part, or History, or an OrderKey.
 func (p *Part) Read(key string, now int64) wire.Pulled {
 	if key == History {
 		raw, err := json.Marshal(p.history)
@@ -169,15 +167,15 @@
 	return wire.Pulled{Change: c, Age: p.ageOf(c, now)}
 }
 
-// orderKeyPrefix begins the names under which it can be pulled what became of an order.
+// orderKeyPrefix is the prefix of the keys under which the outcomes of orders can be read.
 const orderKeyPrefix = "#order/"
 
-// OrderKey gives the name under which an order can be pulled.
+// OrderKey returns the key under which the outcome of an order can be read; base is the version that it is based on.
 func OrderKey(order string, base int64) string {
 	return orderKeyPrefix + strconv.FormatInt(base, 10) + "/" + order
 }
 
-// parseOrderKey reads such a name.
+// parseOrderKey parses the result of OrderKey.
 func parseOrderKey(key string) (order string, base int64, isOrder bool) {
 	rest, isOrder := strings.CutPrefix(key, orderKeyPrefix)
 	number, order, isWhole := strings.Cut(rest, "/")
--- a/internal/feed/orders_test.go
+++ b/internal/feed/orders_test.go
@@ -11,20 +11,20 @@
 	"caperwheel/internal/wire"
 )
 
-// entries is an operators' order on a version, and on the revision that the last one made.
+// order returns an operators' order based on a version, and on the revision that the last one made.
 func order(p *Part, name string, base int64) wire.Edit {
 	was, _ := p.Get(TrackedKey)
 	return wire.Edit{Key: TrackedKey, Value: []byte(name), IfRevision: was.Revision, OperationId: name, BaseVersion: base}
 }
 
-// chain takes so many orders, one on another: "1" on 0, "2" on 1, …
+// chain applies orders, each based on the one before: "1" on version 0, "2" on version 1, …
 func chain(p *Part, from, to int) {
 	for i := from; i < to; i++ {
 		p.Apply(order(p, fmt.Sprint(i+1), int64(i)))
 	}
 }
 
-// TestOrders: an order that was taken is never told that another came first.
+// TestOrders checks that an order which has taken effect is never answered with a conflict when it is sent again.
 func TestOrders(t *testing.T) {
 	again := func(p *Part, name string, base int64) wire.Edited {
 		return p.Apply(wire.Edit{Key: TrackedKey, Value: []byte(name), IfRevision: base, OperationId: name, BaseVersion: base})
@@ -35,12 +35,12 @@
 		So(next.Snapshot(), ShouldResemble, p.Snapshot())
 		return next
 	}
-	Convey("Of orders taken one on another,", t, func() {
+	Convey("Given orders that are each based on the one before,", t, func() {
 		p := NewPart()
 		chain(p, 0, maxOrders)
-		for _, how := range []string{"as they were taken", "out of an image"} {
-			Convey("each is told that it was taken, "+how, func() {
-				if how == "out of an image" {
+		for _, how := range []string{"in the same part", "in a restored part"} {
+			Convey("a repeat of each gets the first answer "+how, func() {
+				if how == "in a restored part" {
 					p = restored(p)
 				}
 				for _, i := range []int{1, 2, 17, 500, maxOrders} {
@@ -49,9 +49,9 @@
 				So(p.Revision(), ShouldEqual, maxOrders)
 				So(errs.Kind(again(p, "rival", 3).Kind), ShouldEqual, errs.Conflict)
 			})
-			Convey("those that are forgotten get no clear answer, "+how, func() {
+			Convey("a repeat of a forgotten one is answered as stale "+how, func() {
 				chain(p, maxOrders, maxOrders+10)
-				if how == "out of an image" {
+				if how == "in a restored part" {
 					p = restored(p)
 				}
 				for i := 1; i <= 10; i++ {
@@ -63,7 +63,7 @@
 				So(len(p.orders.byId), ShouldEqual, maxOrders)
 			})
 		}
-		Convey("what became of each can be read", func() {
+		Convey("the outcome of each can be read", func() {
 			chain(p, maxOrders, maxOrders+1)
 			read := func(name string, base int64) []any {
 				got := p.Read(OrderKey(name, base), 0)
@@ -75,7 +75,7 @@
 			So(read("a/b", 6), ShouldResemble, []any{errs.Unknown, int64(0)})
 		})
 	})
-	Convey("What an older build remembered is taken over, and what it forgot gets no clear answer", t, func() {
+	Convey("The orders that an older build remembered are known, and those that it forgot are answered as stale", t, func() {
 		p := NewPart()
 		p.Apply(wire.Edit{Key: TrackedKey, Value: []byte(`{"edits":["a","b"]}`)})
 		p.Apply(wire.Edit{Key: TrackedKey, Value: []byte("c"), IfRevision: 1, OperationId: "c", BaseVersion: 7, EarlierOperations: []string{"a", "b"}})
@@ -87,7 +87,7 @@
 	})
 }
 
-// TestCalls: an edit that a manager sends again holds once.
+// TestCalls checks that an edit which a manager retries takes effect only once.
 func TestCalls(t *testing.T) {
 	call := func(name string, ifRevision int64) wire.Edit {
 		return wire.Edit{Key: "a", Value: []byte(name), IfRevision: ifRevision, OperationId: name, BaseVersion: wire.SingleCallBase}
@@ -96,20 +96,20 @@
 		p := NewPart()
 		first, gone := call("first", -1), wire.Edit{Key: "a", Gone: true, IfRevision: -1}
 		So(p.Apply(first).Revision, ShouldEqual, 1)
-		Convey("does not hold again on any stamp", func() {
+		Convey("does not take effect again, based on any revision", func() {
 			p.Apply(gone)
 			So(p.Apply(first), ShouldResemble, wire.Edited{Revision: 1, IsRepeat: true})
-			_, isStanding := p.Get("a")
-			So(isStanding, ShouldBeFalse)
+			_, isPresent := p.Get("a")
+			So(isPresent, ShouldBeFalse)
 		})
-		Convey("does not hold again on a key that is absent once more", func() {
+		Convey("does not take effect again on a key that has been deleted since", func() {
 			p.Apply(gone)
 			again := call("again", 0)
 			So(p.Apply(again).Revision, ShouldEqual, 3)
 			p.Apply(gone)
 			So(p.Apply(again), ShouldResemble, wire.Edited{Revision: 3, IsRepeat: true})
 		})
-		Convey("that is forgotten gets no clear answer, and a rival does where nothing is", func() {
+		Convey("is answered as stale once forgotten; an edit that cannot have been forgotten as a conflict", func() {
 			So(p.Apply(call("second", 1)).Revision, ShouldEqual, 2)
 			for i := range maxCalls + 1 {
 				p.Apply(call(fmt.Sprint("later ", i), -1))
@@ -121,13 +121,13 @@
 	})
 }
 
-// TestAges: how long ago a change was made is told by the part's own time.
+// TestAges checks that the age of a change is counted by part time.
 func TestAges(t *testing.T) {
-	Convey("A change is as old as the part's time says", t, func() {
+	Convey("A change has the age that the part time gives", t, func() {
 		p := NewPart()
 		p.Apply(wire.Edit{Key: "a", Value: []byte{}, OperationId: "1", BaseVersion: wire.SingleCallBase, At: 1000})
-		p.Apply(wire.Edit{Key: "b", Value: []byte{}, OperationId: "2", BaseVersion: wire.SingleCallBase, At: 700}) // part time never goes back
-		p.Apply(wire.Edit{Key: "c", Value: []byte{}})                                                              // an older build's
+		p.Apply(wire.Edit{Key: "b", Value: []byte{}, OperationId: "2", BaseVersion: wire.SingleCallBase, At: 700}) // part time never decreases
+		p.Apply(wire.Edit{Key: "c", Value: []byte{}})                                                              // as from an older build
 		for range 2 {
 			So(p.Read("a", 1500).Age, ShouldEqual, 500)
 			So(p.Read("b", 1500).Age, ShouldEqual, 500)
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestOlderRecords: a record that uses nothing new is as it always was; an older
-// build refuses the others, and what it wrote is read.
+// TestOlderRecords checks that a record without newer fields is encoded as before, that an older build refuses the
+// others, and that this build reads what an older one wrote.
 func TestOlderRecords(t *testing.T) {
 	oldEdit, oldImage := wire.NewRecordCodec(&wire.Edit{}), wire.NewRecordCodec(&partSnapshot{})
 	Convey("Between builds,", t, func() {
@@ -158,7 +158,7 @@
 			So(got, ShouldResemble, remembered)
 			So(oldEdit.Decode(EncodeEdit(remembered), &wire.Edit{}), ShouldNotBeNil)
 		})
-		Convey("an image", func() {
+		Convey("a snapshot", func() {
 			p := NewPart()
 			p.Apply(edit("a", 0))
 			state := partSnapshot{Revision: 1, Changes: []wire.Change{{Key: "a", Value: []byte("a"), Revision: 1}}, Past: []wire.Change{}}
--- a/internal/feed/size_test.go
+++ b/internal/feed/size_test.go
@@ -7,7 +7,7 @@
 	"caperwheel/internal/wire"
 )
 
-// BenchmarkNews measures what a follower costs that is one change behind, by the number of keys.
+// BenchmarkNews measures an answer to a follower that lacks one change, by the number of keys.
 func BenchmarkNews(b *testing.B) {
 	for _, count := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/feed/view.go
+++ b/internal/feed/view.go
@@ -10,19 +10,18 @@
 	"caperwheel/internal/wire"
 )
 
-// View is what a daemon knows of the control state. It is safe for many
-// goroutines.
+// View is a daemon's copy of the control state. It is safe for concurrent use.
 //
-// Invariants: a part's revision never goes back; confirmedAt only moves forward, and
-// is a moment by this daemon's own clock at or after which the part's owner
-// confirmed, through a majority, that nothing newer had been acknowledged.
+// Invariants: the revision of a part never decreases; confirmedAt never decreases, and is a time of this daemon's own
+// clock at or after which the part's owner confirmed, through a majority, that no newer change had been acknowledged.
 type View struct {
 	mu      sync.RWMutex
 	parts   map[int64]*partView
 	count   int
-	version int64 // grows with every change, for those that cache
+	version int64 // increases with every update that changes a key, for caches
 }
 
+// partView is the copy of one part.
 type partView struct {
 	revision    int64
 	confirmedAt time.Duration
@@ -30,7 +29,7 @@
 	changes     changeLog
 }
 
-// NewView gives an empty view that follows the configuration part and count others.
+// NewView returns an empty view of the configuration part and count other parts.
 func NewView(count int) *View {
 	v := &View{parts: map[int64]*partView{}, count: count}
 	for part := range int64(count) + 1 {
@@ -39,7 +38,7 @@
 	return v
 }
 
-// Revisions reports how far the view has come, for the next poll.
+// Revisions returns the revision of each part that the view has, for the next poll.
 func (v *View) Revisions() []wire.PartRevision {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -50,15 +49,15 @@
 	return out
 }
 
-// Update brings news in. askedAt is when they were asked for, by our own clock:
-// what the answer confirms was true then or later, less its age.
+// Update applies the changes of an answer, and reports whether a key has changed. askedAt is when they were
+// requested, by this daemon's own clock: the answer was confirmed at that time or later, less the age that it states.
 func (v *View) Update(news []wire.PartNews, askedAt time.Duration) (isChanged bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, n := range news {
 		p := v.parts[n.Part]
 		if p == nil || n.From > p.revision || n.To < p.revision {
-			continue // another history, or a gap: never go back, never guess
+			continue // an older state, or a gap between the revisions: not applicable
 		}
 		for _, c := range n.Changes {
 			if c.Revision > p.revision {
@@ -77,15 +76,15 @@
 	return isChanged
 }
 
-// confirm notes a moment as of which the part was the newest. The first one may
-// lie before the daemon's own start, where its clock is below 0.
+// confirm records a time as of which the copy of the part was current. The first one may be before the daemon's start,
+// where its clock is negative.
 func (p *partView) confirm(at time.Duration) {
 	if !p.isConfirmed || at > p.confirmedAt {
 		p.confirmedAt, p.isConfirmed = at, true
 	}
 }
 
-// Age reports how old the oldest part's confirmation is; false before the first.
+// Age returns the age of the oldest confirmation of all parts; false while a part has none.
 func (v *View) Age(now time.Duration) (time.Duration, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -99,15 +98,14 @@
 	return oldest, true
 }
 
-// IsFresh reports whether the daemon may act: every part was confirmed within
-// the bound.
+// IsFresh reports whether every part was confirmed within the bound, so that the daemon may act on the view.
 func (v *View) IsFresh(now, bound time.Duration) bool {
 	age, isSure := v.Age(now)
 	return isSure && age <= bound
 }
 
-// News passes on what this view has, with its own age: no hop ever confirms
-// more than it was told itself.
+// News returns the changes after the given revisions for other daemons. The age in the answer includes the age of this
+// view, so that a chain of daemons never confirms more than the owner did.
 func (v *View) News(revisions []wire.PartRevision, now time.Duration) []wire.PartNews {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -126,7 +124,7 @@
 	return out
 }
 
-// Get returns a key of a part.
+// Get returns the newest change of a key of a part; false if the key does not exist or has been deleted.
 func (v *View) Get(part int64, key string) (wire.Change, bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -134,8 +132,7 @@
 	return c, isKnown && !c.Gone
 }
 
-// Size reports how many keys the view has and how many bytes they and their
-// values are.
+// Size returns the number of keys in the view, and the number of bytes of keys, values and authors.
 func (v *View) Size() (keys, bytes int) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -148,23 +145,22 @@
 	return keys, bytes
 }
 
-// Version grows with every change.
+// Version returns a number that increases with every update that changes a key, so that callers can cache results.
 func (v *View) Version() int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.version
 }
 
-// Revision is the sum of all parts' revisions, a measure of how far the view is.
+// Revision returns the revision of a part that the view has.
 func (v *View) Revision(part int64) int64 {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.parts[part].revision
 }
 
-// ChangesSince returns all changes behind the given revisions of parts, gone keys too, in the order of
-// their revisions within a part, and the revisions that they reach. A part that is not given is
-// returned whole.
+// ChangesSince returns all changes after the given revisions, including deletions, in the order of their revisions
+// within each part, and the revisions that they reach. Of a part that is not given it returns all changes.
 func (v *View) ChangesSince(revisions map[int64]int64) (changes []wire.Change, reached map[int64]int64) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -178,7 +174,7 @@
 	return changes, reached
 }
 
-// Keys iterates over a snapshot of the standing keys with a prefix, of all parts.
+// Keys iterates over a snapshot of the keys with a prefix in all parts, without deleted ones.
 func (v *View) Keys(prefix string) iter.Seq2[int64, wire.Change] {
 	type row struct {
 		part   int64
