--- a/internal/group/transfer.go
+++ b/internal/group/transfer.go
@@ -53,7 +53,8 @@
 	return best
 }
 
-// transferToPreferred transfers ownership to the preferred owner once it has kept up for the time of Bounds.Config.
+// transferToPreferred transfers ownership to the preferred owner once it has kept up for the time of
+// Bounds.ConfigApply.
 func (g *Group) transferToPreferred(now time.Duration, out *Output) {
 	if g.opts.PreferredOwner == nil || g.successor != "" {
 		return
--- a/internal/groupclock/cache.go
+++ b/internal/groupclock/cache.go
@@ -7,49 +7,49 @@
 	"caperwheel/internal/errs"
 )
 
-// Reading is what an owner has told of its group's time in a term, in milliseconds.
+// Reading is a group's time as reported by its owner.
 type Reading struct {
-	Term   int64
-	Millis int64
+	Term   int64 // of the owner
+	Millis int64 // group time in milliseconds
 }
 
-// maxReadingMillis is the longest time that a group can have counted: a hundred years, in milliseconds.
+// maxReadingMillis is the highest group time that is accepted: a hundred years, in milliseconds.
 const maxReadingMillis = 100 * 365 * 24 * int64(time.Hour/time.Millisecond)
 
-// maxGroups is of how many groups a Keeper keeps the time.
+// maxGroups is the maximum number of groups in a Cache.
 const maxGroups = 1 << 16
 
-// Check returns an error of the kind Invalid for a word that no owner can have told.
+// Check returns an error of the kind Invalid for a reading that no owner can have reported.
 func (w Reading) Check() error {
 	if w.Term <= 0 || w.Millis < 0 || w.Millis > maxReadingMillis {
-		return errs.New(errs.Invalid, "a group's time cannot be %d ms in term %d", w.Millis, w.Term)
+		return errs.New(errs.Invalid, "check a reading of a group's time: %d ms in term %d is out of range", w.Millis, w.Term)
 	}
 	return nil
 }
 
-// Cache keeps the time of groups for their next owners, in a daemon that is not one of their
-// replicas: what it was told, and for how long that is ago by its own steady clock. It may be
-// used by several goroutines.
+// Cache keeps the time of groups for their next owners, in a daemon that is not a replica of them: the reported
+// readings, and how long ago each was received by the daemon's own monotonic clock. It is safe for concurrent use.
 //
-// Invariant: of each group it has a word of the newest term that it was told of, and of those
-// of one term the one that is farthest on.
+// Invariant: of each group it has a reading of the newest reported term, and of the readings of that term the one
+// that is furthest ahead.
 type Cache struct {
 	mu       sync.Mutex
-	readings map[int64]cachedReading
+	readings map[int64]cachedReading // by group
 }
 
+// cachedReading is a reading with the time at which it was received.
 type cachedReading struct {
 	Reading
 	receivedAt time.Duration
 }
 
-// timeAt returns what the group's time is at a moment, by this word.
+// timeAt returns the group's time as of a time of the daemon's clock, according to this reading.
 func (k cachedReading) timeAt(now time.Duration) int64 {
 	return k.Millis + int64((now-k.receivedAt)/time.Millisecond)
 }
 
-// Record takes in a word at a moment of the daemon's own clock. Errors: Invalid for one that no
-// owner can have told, Full where the times of too many groups are kept.
+// Record records a reading that is received now, by the daemon's own clock. Errors: Invalid for a reading that no
+// owner can have reported, Full if the cache has its maximum number of groups.
 func (k *Cache) Record(group int64, reading Reading, now time.Duration) error {
 	if err := reading.Check(); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	known, isKnown := k.readings[group]
 	switch {
 	case !isKnown && len(k.readings) >= maxGroups:
-		return errs.New(errs.Full, "the times of %d groups are kept", maxGroups)
+		return errs.New(errs.Full, "record a group's time: the cache is full with %d groups", maxGroups)
 	case isKnown && (reading.Term < known.Term || reading.Term == known.Term && reading.Millis <= known.timeAt(now)):
 		return nil
 	}
@@ -70,8 +70,7 @@
 	return nil
 }
 
-// Lookup returns what a group's time is at a moment of the daemon's own clock; false where it was
-// told nothing of the group.
+// Lookup returns a group's time as of a time of the daemon's own clock; false if it has no reading of the group.
 func (k *Cache) Lookup(group int64, now time.Duration) (Reading, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -82,27 +81,27 @@
 	return Reading{known.Term, known.timeAt(now)}, true
 }
 
-// Ownership tells which words an owner may go on from.
+// Ownership determines which readings a new owner may use.
 type Ownership struct {
-	Term       int64 // of the ownership
+	Term       int64 // term of the new owner
 	NewestTerm int64 // term of the newest command in the log, or a later one
 }
 
-// Recover has a new owner go on from what a keeper tells, if that is ahead of its own count, and
-// returns by how much it was. It must be called before the owner's first command.
+// Recover sets the clock of a new owner to a cached reading, if that is ahead of its own count, and returns the
+// difference. It must be called before the owner's first command.
 //
-// A word counts only if it was told in the ownership of the newest command in the log, or in a
-// later one: one of an earlier ownership may be ahead of what that command's spans count from.
-// Errors: Invalid, Stale for a word of an earlier ownership, Conflict for one of this or a later.
+// A reading is valid only if it was reported in the ownership of the newest command in the log, or in a later one: a
+// reading of an earlier ownership may be ahead of the time from which the spans of that command are counted. Errors:
+// Invalid; Stale for a reading of an earlier ownership; Conflict for one of this ownership or a later one.
 func (c *Clock) Recover(reading Reading, own Ownership, now time.Duration) (gained time.Duration, err error) {
 	if err := reading.Check(); err != nil {
 		return 0, err
 	}
 	switch {
 	case reading.Term < own.NewestTerm:
-		return 0, errs.New(errs.Stale, "a word of term %d, older than the newest command's %d", reading.Term, own.NewestTerm)
+		return 0, errs.New(errs.Stale, "recover the group's time: the reading is of term %d, before term %d of the newest command", reading.Term, own.NewestTerm)
 	case reading.Term >= own.Term:
-		return 0, errs.New(errs.Conflict, "a word of term %d before the first command of term %d", reading.Term, own.Term)
+		return 0, errs.New(errs.Conflict, "recover the group's time: the reading is of term %d, not of a term before the new owner's term %d", reading.Term, own.Term)
 	}
 	if more := reading.Millis - c.At(now); more > 0 {
 		c.Reset(reading.Millis, now)
--- a/internal/groupclock/groupclock_test.go
+++ b/internal/groupclock/groupclock_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestClock is the table of what a clock does with a command.
+// TestClock checks the effect of a command on a clock.
 func TestClock(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -20,7 +20,7 @@
 		{"a command of this ownership leaves it as it is", 1500, true, 3000},
 		{"… unless it is ahead, which none can be", 9000, true, 9000},
 	}
-	Convey("Of a clock that has counted two seconds from 1,000,", t, func() {
+	Convey("On a clock that has counted two seconds from 1,000 ms,", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				clock := New(time.Minute)
--- a/internal/groupclock/model_test.go
+++ b/internal/groupclock/model_test.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// The model: replicas of a group, its committed commands, a keeper of its time, and one
-// real time. Each step is one of: a second passes; a replica applies the next command; one
-// that has applied all becomes the owner, by its own count or by what the keeper tells; the
-// owner commits a command, or tells the keeper its time, at once or a second late; a replica
-// is restarted, with a snapshot of the commands that it had applied or with its log alone;
-// the keeper is.
+// modelReplica is a replica of the model, which consists of the replicas of a group, its committed commands, a cache
+// of its time, and the real time. Each step is one of these: a second passes; a replica applies the next command; a
+// replica that has applied all commands becomes the owner, by its own count or by the cached time; the owner commits
+// a command, or reports its time to the cache, which receives it at once or a second late; a replica is restarted,
+// with a snapshot of the commands that it has applied or with its log alone; the cache is restarted.
 type modelReplica struct {
 	clock         Clock
 	applied       int
-	snapshotCount int // commands that its disk has in a snapshot
-	loggedCount   int // commands that its log had as its process began
+	snapshotCount int // commands in its snapshot on disk
+	loggedCount   int // commands that its log had when its process started
 	start         time.Duration
 }
 
+// modelCommand is a committed command.
 type modelCommand struct {
 	stamp     int64
 	real      time.Duration
-	ownership int // counts ownerships
+	ownership int // number of the ownership
 }
 
-// modelMutant takes one guard of the clock out.
+// modelMutant is a variant of the clock without one of its guards.
 type modelMutant int
 
 const (
 	noMutant           modelMutant = iota
-	keepsOwnCount                  // a replica keeps its own count where that is ahead
-	acceptsAnyTerm                 // a word counts whatever ownership it was told in
-	acceptsLateReading             // a word counts after the ownership's first command as well
-	countsAllAsLogged              // every command counts as one that the log had as the process began
+	keepsOwnCount                  // a replica keeps its own count if that is ahead
+	acceptsAnyTerm                 // a reading is valid whichever ownership it was reported in
+	acceptsLateReading             // a reading is valid also after the first command of the ownership
+	countsAllAsLogged              // every command counts as one that the log had when the process started
 )
 
 // modelSize bounds what is explored.
@@ -44,20 +44,21 @@
 	depth    int
 }
 
+// model is a state of the model.
 type model struct {
 	now             time.Duration
 	replicas        [3]modelReplica
 	log             []modelCommand
 	owner           int // index of the owner; -1 for none
-	ownerships      int // counts ownerships
-	newestOwnership int // the ownership of the newest command when the owner began
+	ownerships      int // number of ownerships so far
+	newestOwnership int // the ownership of the newest command when the owner took over
 	cached          Reading
-	cachedAt        time.Duration // of the word, by the real time: the keeper's clock runs as fast
-	inTransit       Reading       // a word that comes a second late
+	cachedAt        time.Duration // real time at which cached was received; the daemon's clock runs at the same rate
+	inTransit       Reading       // a reading that arrives a second late
 	sentAt          time.Duration
 }
 
-// own is the replica's own clock, which begins with its process.
+// own returns the time of a replica's own clock, which starts with its process.
 func (m *model) own(r int) time.Duration { return m.now - m.replicas[r].start }
 
 func (m *model) apply(r int, mutant modelMutant) {
@@ -71,7 +72,7 @@
 	x.applied++
 }
 
-// cache returns the keeper as it is now.
+// cache returns the cache in its current state.
 func (m *model) cache() *Cache {
 	k := &Cache{}
 	if m.cached.Term > 0 {
@@ -80,17 +81,17 @@
 	return k
 }
 
-// record has the keeper hear a word.
-func (m *model) record(word Reading) {
+// record records a reading in the cache.
+func (m *model) record(reading Reading) {
 	k := m.cache()
-	_ = k.Record(0, word, m.now)
+	_ = k.Record(0, reading, m.now)
 	m.cached, _ = k.Lookup(0, m.now)
 	m.cachedAt = m.now
 }
 
-// recall has the owner go on from what the keeper tells, if that counts.
-func (m *model) recall(mutant modelMutant) {
-	word, isKnown := m.cache().Lookup(0, m.now)
+// recoverTime sets the owner's clock to the cached time, if that is valid.
+func (m *model) recoverTime(mutant modelMutant) {
+	reading, isKnown := m.cache().Lookup(0, m.now)
 	if !isKnown {
 		return
 	}
@@ -98,10 +99,10 @@
 	if mutant == acceptsAnyTerm {
 		own.NewestTerm = 0
 	}
-	_, _ = m.replicas[m.owner].clock.Recover(word, own, m.own(m.owner))
+	_, _ = m.replicas[m.owner].clock.Recover(reading, own, m.own(m.owner))
 }
 
-// become has a replica that has applied all own the group.
+// become makes a replica that has applied all commands the owner.
 func (m *model) become(r int) {
 	m.owner, m.ownerships, m.newestOwnership = r, m.ownerships+1, 0
 	if len(m.log) > 0 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// steps lists what may come next.
+// steps returns the steps that are possible next.
 func (m *model) steps(mutant modelMutant, size modelSize) []func(*model) {
 	out := []func(*model){func(m *model) { m.now += time.Second }}
 	for r := range size.replicas {
@@ -118,7 +119,7 @@
 		} else if r != m.owner {
 			out = append(out, func(m *model) { m.become(r) })
 			if m.cached.Term > 0 {
-				out = append(out, func(m *model) { m.become(r); m.recall(mutant) })
+				out = append(out, func(m *model) { m.become(r); m.recoverTime(mutant) })
 			}
 		}
 		if size.restarts {
@@ -138,27 +139,26 @@
 	return out
 }
 
-// cacheSteps lists what may come next of the keeper.
+// cacheSteps returns the steps of the cache that are possible next.
 func (m *model) cacheSteps(mutant modelMutant) []func(*model) {
 	out := []func(*model){}
 	if m.owner >= 0 {
-		word := Reading{int64(m.ownerships), m.replicas[m.owner].clock.At(m.own(m.owner))}
-		out = append(out, func(m *model) { m.record(word) }, func(m *model) { m.inTransit, m.sentAt = word, m.now })
+		reading := Reading{int64(m.ownerships), m.replicas[m.owner].clock.At(m.own(m.owner))}
+		out = append(out, func(m *model) { m.record(reading) }, func(m *model) { m.inTransit, m.sentAt = reading, m.now })
 		if mutant == acceptsLateReading && m.cached.Term > 0 {
-			out = append(out, func(m *model) { m.recall(mutant) })
+			out = append(out, func(m *model) { m.recoverTime(mutant) })
 		}
 	}
 	if m.inTransit.Term > 0 && m.now > m.sentAt {
 		out = append(out, func(m *model) { m.record(m.inTransit); m.inTransit = Reading{} })
 	}
 	if m.cached.Term > 0 {
-		out = append(out, func(m *model) { m.cached, m.cachedAt = Reading{}, 0 }) // a new life knows nothing
+		out = append(out, func(m *model) { m.cached, m.cachedAt = Reading{}, 0 }) // a restarted cache is empty
 	}
 	return out
 }
 
-// restart ends a replica's process and begins another one, from a snapshot of all that
-// it had applied, or from the log.
+// restart restarts the process of a replica, from a snapshot of everything that it has applied or from the log.
 func (m *model) restart(r int, isSnapshot bool) {
 	x := &m.replicas[r]
 	x.start = m.now
@@ -175,8 +175,7 @@
 	}
 }
 
-// violation tells of two commands between which the group's time has advanced by more than
-// real time has.
+// violation describes two commands between which group time has advanced by more than real time; "" if there are none.
 func (m *model) violation() string {
 	for j, a := range m.log {
 		for _, b := range m.log[j+1:] {
@@ -188,8 +187,8 @@
 	return ""
 }
 
-// explore walks through every state that can be reached within so many steps, and
-// returns how many there are and the first broken one.
+// explore visits every state that can be reached within size.depth steps, and returns their number and the first
+// violation.
 func explore(mutant modelMutant, size modelSize) (states int, violation string) {
 	level, seen := []model{{owner: -1}}, map[string]bool{}
 	for range size.depth {
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -8,26 +8,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestDeathThenPower: a process that dies leaves writes that it never synced.
-// Its next life once acted on them; when power was lost later, they were gone,
-// and the store took its groups for damaged.
+// TestDeathThenPower guards against acting on records that a crashed process wrote and never synced: they were lost
+// in a later power loss, and the store regarded its groups as damaged.
 func TestDeathThenPower(t *testing.T) {
-	Convey("Given a record that was written and not synced when its process died", t, func() {
+	Convey("Given a record that was written and not synced when its process crashed", t, func() {
 		dir := t.TempDir()
-		l, _, err := Open(newLossyFolder(dir), Options{})
+		l, _, err := Open(newTrackingFolder(dir), Options{})
 		So(err, ShouldBeNil)
 		persistEntries(l, 1, 1, 3, 1)
 		saveSlot(l, 1, 2, 3)
 		l.Close()
-		l.files.(*lossyFolder).Close()
+		l.files.(*trackingFolder).Close()
 		at := filepath.Join(dir, segmentName(1))
 		raw, err := os.ReadFile(at)
 		So(err, ShouldBeNil)
 		synced := int64(len(raw))
 		last := recordCodec.Encode(&record{Group: 1, HasHard: true, Term: 1, Roster: []string{}})
 		So(os.WriteFile(at, appendRecord(raw, last, synced), 0o644), ShouldBeNil)
-		Convey("its next life syncs what it read before it acts on it", func() {
-			files := newLossyFolder(dir)
+		Convey("the next process syncs what it has read before it acts on it", func() {
+			files := newTrackingFolder(dir)
 			l, _, err := Open(files, Options{})
 			So(err, ShouldBeNil)
 			So(files.synced[segmentName(1)], ShouldBeGreaterThan, synced)
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -1,5 +1,6 @@
-// Package storage keeps a store's state on its one disk: a short shared log that
-// one goroutine syncs, and for each group two slots that are written in turn.
+// Package storage keeps the durable state of a store's replicas on disk. A write-ahead log that all groups share is
+// synced by one goroutine (group commit). Each group has two slots, files that alternately receive its whole state; a
+// log segment is deleted once the slots of all groups cover it. Package host writes to it, package store opens it.
 package storage
 
 import (
@@ -12,51 +13,52 @@
 	"caperwheel/internal/errs"
 )
 
-// FileSystem is the file system below a data folder. Tests put faults in it.
+// FileSystem gives access to the files of a data folder. Tests inject faults by it.
 type FileSystem interface {
-	Open(name string) (File, error) // made if absent, opened for append and read
+	Open(name string) (File, error) // creates the file if it does not exist; for appending and reading
 	Read(name string) ([]byte, error)
-	Write(name string, raw []byte) error // whole, synced before it returns
+	Write(name string, raw []byte) error // replaces the whole content and syncs it
 	Remove(name string) error
 	Truncate(name string, size int64) error
-	Sync(name string) error // what was read of it lasts from now on
+	Sync(name string) error // makes what was read of the file durable
 	List() ([]string, error)
 	Free() (free, whole uint64, err error)
 }
 
-// File is a log segment being written.
+// File is a log segment that is open for writing.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Folder is the real thing. Invariant: one process holds the lock.
+// Folder is the FileSystem of a folder on disk. Invariant: only one process at a time holds the lock of a folder.
 type Folder struct {
 	dir  string
 	lock *os.File
 }
 
-// OpenFolder makes and locks a data folder.
+// OpenFolder creates a data folder if it does not exist, and locks it. It returns an error of the kind Conflict if
+// another process holds the lock.
 func OpenFolder(dir string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, errs.Wrap(err, errs.Disk, "make %s", dir)
+		return nil, errs.Wrap(err, errs.Disk, "create data folder %s", dir)
 	}
 	lock, err := os.OpenFile(filepath.Join(dir, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Disk, "open lock")
+		return nil, errs.Wrap(err, errs.Disk, "open lock file")
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
-		return nil, errs.Wrap(err, errs.Conflict, "%s is in use by another process", dir)
+		return nil, errs.Wrap(err, errs.Conflict, "lock data folder %s: it is in use by another process", dir)
 	}
 	return &Folder{dir: dir, lock: lock}, nil
 }
 
-// Close gives the lock up.
+// Close releases the lock.
 func (f *Folder) Close() { f.lock.Close() }
 
-// Open opens a segment and makes its name durable.
+// Open opens a log segment, and syncs the folder so that a new file's name is durable.
 func (f *Folder) Open(name string) (File, error) {
 	file, err := os.OpenFile(filepath.Join(f.dir, name), os.O_CREATE|os.O_APPEND|os.O_RDWR, 0o644)
 	if err != nil {
@@ -68,13 +70,13 @@
 func (f *Folder) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
-		return errs.Wrap(err, errs.Disk, "open folder")
+		return errs.Wrap(err, errs.Disk, "open data folder")
 	}
 	defer dir.Close()
-	return errs.Wrap(dir.Sync(), errs.Disk, "sync folder")
+	return errs.Wrap(dir.Sync(), errs.Disk, "sync data folder")
 }
 
-// Read returns a whole file.
+// Read returns the content of a file. It returns an error of the kind Unknown if the file does not exist.
 func (f *Folder) Read(name string) ([]byte, error) {
 	raw, err := os.ReadFile(filepath.Join(f.dir, name))
 	if os.IsNotExist(err) {
@@ -83,8 +85,8 @@
 	return raw, errs.Wrap(err, errs.Disk, "read %s", name)
 }
 
-// Write replaces a file's content in place and syncs it: slots come in pairs,
-// so the other one is whole while this one is torn.
+// Write replaces the content of a file in place and syncs it. A crash may leave it torn: that is safe, as slots come in
+// pairs and the other one is intact meanwhile.
 func (f *Folder) Write(name string, raw []byte) error {
 	file, err := os.OpenFile(filepath.Join(f.dir, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -107,13 +109,13 @@
 	return errs.Wrap(os.Remove(filepath.Join(f.dir, name)), errs.Disk, "remove %s", name)
 }
 
-// Truncate shortens a file.
+// Truncate cuts a file to a size.
 func (f *Folder) Truncate(name string, size int64) error {
-	return errs.Wrap(os.Truncate(filepath.Join(f.dir, name), size), errs.Disk, "cut %s", name)
+	return errs.Wrap(os.Truncate(filepath.Join(f.dir, name), size), errs.Disk, "truncate %s", name)
 }
 
-// Sync makes a file as it is durable: a process that died may have left writes
-// in it that it never synced.
+// Sync makes the current content of a file durable: a process that crashed may have left writes in it that were never
+// synced.
 func (f *Folder) Sync(name string) error {
 	file, err := os.OpenFile(filepath.Join(f.dir, name), os.O_RDWR, 0o644)
 	if err != nil {
@@ -123,7 +125,7 @@
 	return errs.Wrap(file.Sync(), errs.Disk, "sync %s", name)
 }
 
-// List returns the names in the folder, sorted.
+// List returns the names of the files in the folder, sorted.
 func (f *Folder) List() ([]string, error) {
 	dir, err := os.ReadDir(f.dir)
 	names := []string{}
@@ -131,10 +133,10 @@
 		names = append(names, e.Name())
 	}
 	slices.Sort(names)
-	return names, errs.Wrap(err, errs.Disk, "list folder")
+	return names, errs.Wrap(err, errs.Disk, "list data folder")
 }
 
-// Free reports how much room the disk has.
+// Free returns the free and the total bytes of the disk.
 func (f *Folder) Free() (uint64, uint64, error) {
 	var stat syscall.Statfs_t
 	err := syscall.Statfs(f.dir, &stat)
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/wire"
 )
 
-// FuzzRecord: a record is read as it was written, or not at all, and never beyond what is there.
+// FuzzRecord checks that a record is read as it was written or not at all, and never beyond the end of the data.
 func FuzzRecord(f *testing.F) {
 	f.Add(appendRecord(nil, []byte("body"), 7))
 	f.Add(append(bytes.Clone(recordMagic), 0xff, 0xff, 0xff, 0xff))
@@ -18,7 +18,7 @@
 		if size > len(raw) || size > 0 && !bytes.Equal(appendRecord(nil, body, synced), raw[:size]) {
 			t.Fatalf("%d of %d bytes are read as %q", size, len(raw), body)
 		}
-		if size == 0 && len(raw) > 0 { // a broken record, with what comes behind it
+		if size == 0 && len(raw) > 0 { // a broken record and the data after it
 			wasSynced(raw, 0)
 		}
 		if sequence, body, isWhole := readSlot(raw); isWhole && len(body)+slotHeaderBytes != len(raw) {
@@ -27,8 +27,8 @@
 	})
 }
 
-// FuzzSegment: a store opens on whatever its disk has, or says what is wrong with it; and a whole record before that is kept or
-// its group is known to be damaged.
+// FuzzSegment checks that a log with any tail opens or returns an error, and that an intact record before the tail is
+// kept or its group is marked as damaged.
 func FuzzSegment(f *testing.F) {
 	one := toRecord(1, &group.DurableUpdate{Hard: &group.HardState{Term: 1, Vote: "a"}, Entries: []wire.Entry{{Index: 1, Term: 1, Data: []byte("d")}}})
 	first := appendRecord(nil, recordCodec.Encode(&one), 0)
@@ -51,7 +51,7 @@
 		}
 		defer log.Close()
 		if h := held[1]; h == nil || !h.IsDamaged && h.Hard.Term < 1 {
-			t.Fatalf("the first record is lost in silence: %+v", h)
+			t.Fatalf("the first record is lost, and its group is not marked as damaged: %+v", h)
 		}
 	})
 }
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -11,27 +11,27 @@
 	"caperwheel/internal/group"
 )
 
-// Options of the disk. Zero values mean defaults.
+// Options of a Log. Zero values mean defaults.
 type Options struct {
-	SegmentBytes int64  // a log segment is closed beyond this
-	QueueLength  int    // writes that may wait for the syncing goroutine
-	FreePermille uint64 // intake stops when less of the disk is free
-	FreeBytes    uint64 // … or less than this
+	SegmentBytes int64  // a new log segment is started once the current one has this size
+	QueueLength  int    // number of writes that may wait for the syncing goroutine
+	FreePermille uint64 // the disk counts as full if less than this share of it is free
+	FreeBytes    uint64 // … or fewer bytes than this
 }
 
-// writeRequest is one thing for the syncing goroutine to do.
+// writeRequest is a request to the syncing goroutine. It has a record in body, or a whole state in slot, or neither if
+// only done is to be called.
 type writeRequest struct {
 	group int64
 	body  []byte
-	slot  *record // when set, save the group's slot instead
+	slot  *record // the whole state of the group, for its next slot
 	done  func(error)
 }
 
-// Log is the store's disk.
+// Log stores the state of all groups of a store: the log and the slots.
 //
-// Invariants: writes reach the log in the order in which they were given; then
-// is called only once all that came before it is synced; a segment goes only
-// when each group's newest slot stands behind it.
+// Invariants: writes reach the log in the order of the calls; a callback is called only once all writes before it are
+// synced; a log segment is deleted only once the newest slot of each group covers it.
 type Log struct {
 	opts     Options
 	files    FileSystem
@@ -42,19 +42,20 @@
 
 	mu          sync.Mutex
 	pairs       map[int64]*Pair
-	firstNeeded map[int64]int64 // group -> segment of its newest slot
-	segments    []int64
-	hasLostData bool // replay found that something promised is gone
-	err         error
+	firstNeeded map[int64]int64 // group -> first segment that its newest slot does not cover
+	segments    []int64         // numbers of the segments on disk, oldest first
+	hasLostData bool            // replay found that synced records are missing
+	err         error           // why the log has stopped
 
 	file          File
 	segment       int64
 	offset        int64
-	syncedAt      int64
+	syncedOffset  int64
 	slotDone      sync.WaitGroup
-	unsyncedBytes atomic.Int64 // bytes given to the log and not synced yet
+	unsyncedBytes atomic.Int64 // bytes of records that are queued or written, but not synced yet
 }
 
+// slotRequest is a request to write a slot.
 type slotRequest struct {
 	group   int64
 	state   slotState
@@ -77,17 +78,17 @@
 
 func segmentName(n int64) string { return fmt.Sprintf("log-%012d", n) }
 
-// Persist queues what one step of a group must have on disk.
+// Persist queues the durable update of one step of a group. then is called once it is synced or has failed.
 func (l *Log) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	r := toRecord(id, p)
 	l.put(writeRequest{group: id, body: recordCodec.Encode(&r), done: then})
 }
 
-// After calls then once all that was queued before is synced.
+// AfterWrites calls then once everything that was queued before is synced or has failed.
 func (l *Log) AfterWrites(then func(error)) { l.put(writeRequest{done: then}) }
 
-// SaveSlot writes the group's whole state into its next slot, in the
-// background; what is persisted later stays in the log behind it.
+// SaveSlot writes the whole state of a group to its next slot, in the background. Updates that are persisted later
+// stay in the log and are replayed after the slot.
 func (l *Log) SaveSlot(id int64, hard group.HardState, snapshot *group.Snapshot, entries *group.DurableUpdate, then func(error)) {
 	r := toRecord(id, &group.DurableUpdate{Hard: &hard, Snapshot: snapshot, Entries: entries.Entries})
 	l.put(writeRequest{group: id, slot: &r, done: then})
@@ -95,18 +96,18 @@
 
 func (l *Log) put(w writeRequest) {
 	l.unsyncedBytes.Add(int64(len(w.body)))
-	l.queue <- w // the syncing goroutine takes writes even when it has stopped
+	l.queue <- w // does not block for ever: the goroutine receives requests also after the log has stopped
 }
 
-// rejectWrites answers all writes once the disk has stopped.
+// rejectWrites answers all requests with an error once the log has stopped.
 func (l *Log) rejectWrites() {
 	for w := range l.queue {
-		w.done(errs.New(errs.Disk, "the disk is closed"))
+		w.done(errs.New(errs.Disk, "write to disk: the log has stopped after an error or is closed"))
 	}
 }
 
-// sync is the one goroutine that writes the log: it takes all that waits,
-// writes it, syncs once, and then tells everyone (group commit).
+// sync is the goroutine that writes the log. It takes all waiting requests, writes them, syncs once, and then calls
+// their callbacks (group commit).
 func (l *Log) sync() {
 	buffer := []byte{}
 	for {
@@ -136,7 +137,7 @@
 		l.mu.Unlock()
 		for _, w := range batch {
 			if w.body != nil {
-				buffer = appendRecord(buffer, w.body, l.syncedAt)
+				buffer = appendRecord(buffer, w.body, l.syncedOffset)
 				counters.records.Inc()
 			}
 			if w.slot != nil {
@@ -160,30 +161,32 @@
 	}
 }
 
+// flush writes and syncs a batch of encoded records, and starts a new segment if the current one is large enough.
 func (l *Log) flush(buffer []byte) error {
 	if len(buffer) == 0 {
 		return nil
 	}
 	if _, err := l.file.Write(buffer); err != nil {
-		return errs.Wrap(err, errs.Disk, "write log")
+		return errs.Wrap(err, errs.Disk, "write log segment")
 	}
 	if err := l.file.Sync(); err != nil {
-		return errs.Wrap(err, errs.Disk, "sync log")
+		return errs.Wrap(err, errs.Disk, "sync log segment")
 	}
 	counters.syncs.Inc()
 	counters.bytes.Add(float64(len(buffer)))
 	l.offset += int64(len(buffer))
-	l.syncedAt = l.offset
+	l.syncedOffset = l.offset
 	if l.offset >= l.opts.SegmentBytes {
 		return l.rotate()
 	}
 	return nil
 }
 
+// rotate closes the current segment and starts a new one.
 func (l *Log) rotate() error {
 	if l.file != nil {
 		if err := l.file.Close(); err != nil {
-			return errs.Wrap(err, errs.Disk, "close log")
+			return errs.Wrap(err, errs.Disk, "close log segment")
 		}
 	}
 	l.mu.Lock()
@@ -193,12 +196,12 @@
 	if err != nil {
 		return err
 	}
-	l.file, l.offset, l.syncedAt = file, 0, 0
+	l.file, l.offset, l.syncedOffset = file, 0, 0
 	l.segments = append(l.segments, l.segment)
 	return nil
 }
 
-// fail stops the disk for good: what was promised stays, nothing new is taken.
+// fail stops the log for good: what was synced stays on disk, and all later writes are rejected.
 func (l *Log) fail(err error) {
 	l.mu.Lock()
 	if l.err == nil {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -8,7 +8,7 @@
 	"caperwheel/internal/errs"
 )
 
-// Open reads all that the disk holds and readies it for writing.
+// Open reads the state of all groups from disk, and starts a log for writing. It returns the groups by id.
 func Open(files FileSystem, opts Options) (*Log, map[int64]*StoredGroup, error) {
 	if opts.SegmentBytes == 0 {
 		opts.SegmentBytes = 16 << 20
@@ -39,9 +39,8 @@
 	return l, held, nil
 }
 
-// syncLastSegment syncs the last segment, cut or not: a process that died may have left
-// records in it that it never synced. What is acted on from here on must not go
-// with the next loss of power. Pairs do the same for their newest slots.
+// syncLastSegment syncs the last segment: a process that crashed may have left records in it that were never synced.
+// They were replayed, so they must not be lost in the next power loss. OpenPair does the same for the newest slot.
 func (l *Log) syncLastSegment() error {
 	if len(l.segments) == 0 {
 		return nil
@@ -49,6 +48,7 @@
 	return l.files.Sync(segmentName(l.segments[len(l.segments)-1]))
 }
 
+// position is a position in the log.
 type position struct{ segment, offset int64 }
 
 func (p position) before(q position) bool {
@@ -103,9 +103,9 @@
 
 func groupFile(id int64) string { return fmt.Sprintf("group-%d", id) }
 
-// replay applies the log behind each group's slot.
+// replay applies the records of the log that the slots of their groups do not cover.
 func (l *Log) replay(held map[int64]*StoredGroup, from map[int64]position) error {
-	for _, p := range from { // a slot that fell back needs segments that may be gone
+	for _, p := range from { // if the newest slot is torn, the older one may need segments that are deleted
 		if len(l.segments) > 0 && p.segment < l.segments[0] && p.segment > 0 {
 			l.markDamaged(held, from, position{l.segments[0], 0})
 		}
@@ -125,8 +125,8 @@
 					}
 					break
 				}
-				// A restart cuts the torn tail and opens a new segment, so an older
-				// segment has none: this was promised and is lost.
+				// A restart truncates the torn tail and starts a new segment, so older segments have no torn
+				// tail: a record that had been synced is lost.
 				l.markDamaged(held, from, position{n, int64(len(raw))})
 				break
 			}
@@ -139,11 +139,11 @@
 	return nil
 }
 
-// replayRecord takes one record in, unless the group's slot stands behind it.
+// replayRecord applies one record, unless the group's slot covers it.
 func (l *Log) replayRecord(held map[int64]*StoredGroup, from map[int64]position, body []byte, at position) error {
 	id, isWhole := groupOf(body)
 	if !isWhole {
-		return errs.New(errs.Corrupt, "record in %s at %d", segmentName(at.segment), at.offset)
+		return errs.New(errs.Corrupt, "read group of the record in %s at byte %d: no valid number", segmentName(at.segment), at.offset)
 	}
 	if held[id] == nil {
 		held[id] = &StoredGroup{}
@@ -154,20 +154,20 @@
 	}
 	var r record
 	if err := recordCodec.Decode(body, &r); err != nil {
-		return errs.Wrap(err, errs.Corrupt, "record in %s at %d", segmentName(at.segment), at.offset)
+		return errs.Wrap(err, errs.Corrupt, "decode record in %s at byte %d", segmentName(at.segment), at.offset)
 	}
 	held[id].apply(&r)
 	return nil
 }
 
-// noteNeeded remembers the first segment that a group without a slot needs.
+// noteNeeded records the first segment that a group without a slot needs.
 func (l *Log) noteNeeded(id, segment int64) {
 	if _, isKnown := l.firstNeeded[id]; !isKnown {
 		l.firstNeeded[id] = segment
 	}
 }
 
-// markDamaged marks all groups whose slot does not stand behind the lost part.
+// markDamaged marks all groups as damaged whose slots do not cover the lost part of the log.
 func (l *Log) markDamaged(held map[int64]*StoredGroup, from map[int64]position, lost position) {
 	l.hasLostData = true
 	for id, h := range held {
@@ -177,7 +177,7 @@
 	}
 }
 
-// slotLoop is the one goroutine that writes slots and drops old segments.
+// slotLoop is the goroutine that writes slots and deletes old segments.
 func (l *Log) slotLoop() {
 	for {
 		select {
@@ -209,7 +209,7 @@
 	return l.removeUnneeded()
 }
 
-// removeUnneeded removes segments that every group's newest slot stands behind.
+// removeUnneeded deletes the segments that the newest slots of all groups cover.
 func (l *Log) removeUnneeded() error {
 	least := l.segment
 	for _, at := range l.firstNeeded {
--- a/internal/storage/pair.go
+++ b/internal/storage/pair.go
@@ -10,8 +10,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Pair is two slots written in turn. Invariant: the newest whole slot counts;
-// a write never touches the slot that holds the newest.
+// Pair is a pair of slots that are written alternately. Invariant: the newest intact slot is valid, and a write never
+// touches it.
 type Pair struct {
 	files    FileSystem
 	name     string
@@ -20,8 +20,8 @@
 
 const slotHeaderBytes = 8 + 4 + 4
 
-// OpenPair reads the newest whole slot; nil when neither was ever written.
-// isTorn tells that a slot was found broken.
+// OpenPair reads the newest intact slot; raw is nil if there is none. isTorn reports whether a slot was found that is
+// not intact.
 func OpenPair(files FileSystem, name string) (p *Pair, raw []byte, isTorn bool, err error) {
 	p = &Pair{files: files, name: name}
 	for turn := range uint64(2) {
@@ -41,7 +41,7 @@
 			p.sequence, raw = sequence, body
 		}
 	}
-	if raw != nil { // a process that died may not have synced what is read now
+	if raw != nil { // a process that crashed may not have synced what has been read
 		err = files.Sync(p.file(p.sequence))
 	}
 	return p, raw, isTorn, err
@@ -49,6 +49,7 @@
 
 func (p *Pair) file(turn uint64) string { return fmt.Sprintf("%s.%d", p.name, turn%2) }
 
+// readSlot checks the header and the checksum of a slot, and returns its sequence number and content.
 func readSlot(got []byte) (sequence uint64, body []byte, isWhole bool) {
 	if len(got) < slotHeaderBytes {
 		return 0, nil, false
@@ -62,7 +63,7 @@
 	return sequence, body, true
 }
 
-// Save writes the slot whose turn it is and syncs it.
+// Save writes and syncs the slot that does not hold the newest content.
 func (p *Pair) Save(body []byte) error {
 	sequence := p.sequence + 1
 	raw := binary.BigEndian.AppendUint64(nil, sequence)
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// record is what the log holds of one step of one group.
+// record is the log record of one step of one group.
 type record struct {
 	Group       int64        `avro:"group"`
 	HasHard     bool         `avro:"has_hard"`
@@ -24,7 +24,7 @@
 	State       []byte       `avro:"state"`
 }
 
-// whole is a group's slot: all of its state at a position of the log.
+// slotState is the content of a slot: the whole state of a group as of a position in the log.
 type slotState struct {
 	Segment int64  `avro:"segment"`
 	Offset  int64  `avro:"offset"`
@@ -36,6 +36,7 @@
 	slotCodec   = wire.NewRecordCodec(&slotState{})
 )
 
+// toRecord returns the log record for a durable update of a group.
 func toRecord(id int64, p *group.DurableUpdate) record {
 	r := record{Group: id, Entries: p.Entries, Roster: []string{}}
 	if r.Entries == nil {
@@ -51,21 +52,22 @@
 	return r
 }
 
-// groupOf returns the group of an encoded record without decoding the rest: it is the
-// record's first field. It reports false where there is none.
+// groupOf returns the group of an encoded record without decoding the rest, as it is the first field. It returns
+// false if there is no valid number.
 func groupOf(body []byte) (id int64, isWhole bool) {
 	id, size := binary.Varint(body)
 	return id, size > 0
 }
 
-// StoredGroup is a group as the disk has it.
+// StoredGroup is the state of a group as read from disk.
 type StoredGroup struct {
 	Hard      group.HardState
 	Snapshot  *group.Snapshot
 	Log       []wire.Entry
-	IsDamaged bool // something synced was lost: rebuild from peers
+	IsDamaged bool // synced data was lost, so the replica must be rebuilt from its peers
 }
 
+// base returns the index of the snapshot; 0 for none.
 func (h *StoredGroup) base() int64 {
 	if h.Snapshot != nil {
 		return h.Snapshot.Index
@@ -73,7 +75,7 @@
 	return 0
 }
 
-// apply takes one record in, as the replica's log did.
+// apply applies one record, with the same effect as the durable update that it was written for.
 func (h *StoredGroup) apply(r *record) {
 	if r.HasSnapshot {
 		h.Snapshot = &group.Snapshot{Index: r.Index, Term: r.LogTerm, Roster: r.Roster, State: r.State}
@@ -87,15 +89,15 @@
 	}
 	keep := r.Entries[0].Index - h.base() - 1
 	if keep < 0 || keep > int64(len(h.Log)) {
-		h.IsDamaged = true // a gap: a record between is missing
+		h.IsDamaged = true // a gap: the record in between is missing
 		return
 	}
 	h.Log = append(h.Log[:keep], r.Entries...)
 }
 
-// A log record is a head and an Avro body. synced is how much of the segment
-// was known to be on disk when the record was written: it tells a torn tail,
-// which was never promised, from damage to something that was.
+// recordHeaderBytes is the size of a log record's header, which precedes an Avro body: magic, length, checksum, and how
+// many bytes of the segment had been synced when the record was written. The last distinguishes a torn tail, which was
+// never acknowledged, from damage to synced records.
 const recordHeaderBytes = 4 + 4 + 4 + 8
 
 var recordMagic = []byte{0xca, 0x9e, 0x10, 0x91}
@@ -109,7 +111,7 @@
 	return append(append(into, tail...), body...)
 }
 
-// readRecord reads the record at the start of raw. size 0 means none is whole.
+// readRecord reads the record at the start of raw. A size of 0 means that there is no intact one.
 func readRecord(raw []byte) (body []byte, synced int64, size int) {
 	if len(raw) < recordHeaderBytes || !bytes.Equal(raw[:4], recordMagic) {
 		return nil, 0, 0
@@ -125,8 +127,8 @@
 	return body, int64(binary.BigEndian.Uint64(raw[12:])), recordHeaderBytes + length
 }
 
-// wasSynced looks behind a broken record at offset for a whole one that was
-// written after the broken one had been synced.
+// wasSynced reports whether a broken record at offset had been synced. If so, and if any intact record was written
+// after that, its header says so.
 func wasSynced(raw []byte, offset int) bool {
 	for at := offset + 1; ; {
 		next := bytes.Index(raw[at:], recordMagic)
--- a/internal/storage/removed_test.go
+++ b/internal/storage/removed_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// recordingFolder is a folder that remembers what was removed from it: a name that goes
-// without a sync of its folder may be back after a loss of power, each by itself.
+// recordingFolder is a folder that records the content of removed files. A file that was removed without a sync of its
+// folder may exist again after a power loss, independently of others.
 type recordingFolder struct {
-	*lossyFolder
+	*trackingFolder
 	removed map[string][]byte
 }
 
@@ -27,12 +27,12 @@
 	return f.Folder.Remove(name)
 }
 
-// TestRemovedNamesComeBack: whichever of the removed segments are there again after a
-// loss of power, the disk holds what it held, and goes on as before.
+// TestRemovedNamesComeBack checks that the state of the groups is unchanged whichever of the removed segments exist
+// again after a power loss.
 func TestRemovedNamesComeBack(t *testing.T) {
-	Convey("Given a disk whose groups passed some segments", t, func() {
+	Convey("Given a log from which segments have been removed", t, func() {
 		dir := t.TempDir()
-		files := &recordingFolder{newLossyFolder(dir), map[string][]byte{}}
+		files := &recordingFolder{newTrackingFolder(dir), map[string][]byte{}}
 		l, _, err := Open(files, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
 		for i := int64(1); i < 40; i++ {
@@ -47,13 +47,13 @@
 		files.Close()
 		names := slices.Sorted(maps.Keys(files.removed))
 		So(len(names), ShouldBeGreaterThan, 4)
-		whole := newLossyFolder(dir)
+		whole := newTrackingFolder(dir)
 		l, want, err := Open(whole, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
 		l.Close()
 		whole.Close()
 		for back := range 1 << min(len(names), 6) {
-			Convey(fmt.Sprintf("where %06b of them are back, all is as it was", back), func() {
+			Convey(fmt.Sprintf("if those of the bit mask %06b exist again, the state is unchanged", back), func() {
 				for i, name := range names[:min(len(names), 6)] {
 					if back>>i&1 == 1 {
 						So(os.WriteFile(filepath.Join(dir, name), files.removed[name], 0o644), ShouldBeNil)
@@ -70,7 +70,7 @@
 				persistEntries(l, 1, 41, 41, 1)
 				saveSlot(l, 1, 41, 41)
 				saveSlot(l, 2, 35, 35)
-				So(l.Segments(), ShouldEqual, 1) // those that came back are removed again
+				So(l.Segments(), ShouldEqual, 1) // those that exist again are removed again
 				l.Close()
 			})
 		}
--- a/internal/storage/replay_test.go
+++ b/internal/storage/replay_test.go
@@ -9,8 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// replayed returns how many bytes are allocated as a log of so many records, each with one
-// entry, is taken in.
+// replayed returns the bytes that are allocated while records with one entry each are applied to a group.
 func replayed(records int) uint64 {
 	h := &StoredGroup{}
 	var before, after runtime.MemStats
@@ -25,22 +24,21 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// TestReplayIsLinear: the log of a group was once copied whole for each record that was read
-// back. A store that started after a loss of power spent 190 ms of its processor on that, of
-// 230 until its groups were open.
+// TestReplayIsLinear guards against copying the whole log of a group for each record that is replayed. A store that
+// started after a power loss spent 190 ms of processor time on that, of 230 ms until its groups were open.
 func TestReplayIsLinear(t *testing.T) {
-	Convey("Four times the records take four times the memory traffic, and no more by far", t, func() {
+	Convey("Four times the records need about four times the allocated bytes", t, func() {
 		few, many := replayed(1000), replayed(4000)
 		So(few, ShouldBeGreaterThan, 0)
 		So(many, ShouldBeLessThan, 8*few)
 	})
-	Convey("Entries that differ from some on replace those", t, func() {
+	Convey("Entries replace those from the same index on", t, func() {
 		h := &StoredGroup{}
 		h.apply(&record{Entries: []wire.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}}})
 		h.apply(&record{Entries: []wire.Entry{{Index: 2, Term: 2}}})
 		So(h.Log, ShouldResemble, []wire.Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}})
 	})
-	Convey("A record tells its group before it is decoded", t, func() {
+	Convey("The group of a record can be read without decoding the record", t, func() {
 		for _, id := range []int64{0, 4, wire.FirstPlaceGroup + 47, -3} {
 			got, isWhole := groupOf(recordCodec.Encode(&record{Group: id, Entries: []wire.Entry{}, Roster: []string{}}))
 			So(isWhole, ShouldBeTrue)
--- a/internal/storage/slot_test.go
+++ b/internal/storage/slot_test.go
@@ -12,27 +12,27 @@
 	"caperwheel/internal/wire"
 )
 
-// lossyFolder is a folder whose machine can lose power: what was not synced goes,
-// from a random point on. failAt makes the nth write fail.
-type lossyFolder struct {
+// trackingFolder is a folder that tracks how many bytes of each file are written and how many are synced. failAt
+// makes the nth write fail.
+type trackingFolder struct {
 	*Folder
 	written map[string]int64
 	synced  map[string]int64
 	failAt  int
 }
 
-type lossyFile struct {
+type trackingFile struct {
 	File
-	f    *lossyFolder
+	f    *trackingFolder
 	name string
 }
 
-func (f *lossyFolder) Open(name string) (File, error) {
+func (f *trackingFolder) Open(name string) (File, error) {
 	file, err := f.Folder.Open(name)
-	return &lossyFile{file, f, name}, err
+	return &trackingFile{file, f, name}, err
 }
 
-func (w *lossyFile) Write(raw []byte) (int, error) {
+func (w *trackingFile) Write(raw []byte) (int, error) {
 	if w.f.failAt--; w.f.failAt == 0 {
 		return 0, errs.New(errs.Disk, "caused by the test")
 	}
@@ -40,23 +40,24 @@
 	return w.File.Write(raw)
 }
 
-func (w *lossyFile) Sync() error {
+func (w *trackingFile) Sync() error {
 	w.f.synced[w.name] = w.f.written[w.name]
 	return nil
 }
 
-func (f *lossyFolder) Sync(name string) error {
+func (f *trackingFolder) Sync(name string) error {
 	raw, err := f.Folder.Read(name)
 	f.written[name], f.synced[name] = int64(len(raw)), int64(len(raw))
 	return err
 }
 
-func newLossyFolder(dir string) *lossyFolder {
+func newTrackingFolder(dir string) *trackingFolder {
 	folder, err := OpenFolder(dir)
 	So(err, ShouldBeNil)
-	return &lossyFolder{Folder: folder, written: map[string]int64{}, synced: map[string]int64{}}
+	return &trackingFolder{Folder: folder, written: map[string]int64{}, synced: map[string]int64{}}
 }
 
+// persistEntries persists the entries of a group from one index to another, and waits until they are synced.
 func persistEntries(l *Log, id, from, to, term int64) {
 	got := make(chan error, 1)
 	entries := []wire.Entry{}
@@ -67,6 +68,7 @@
 	So(<-got, ShouldBeNil)
 }
 
+// saveSlot saves a slot with a snapshot up to index and the entries from there to last, and waits until it is written.
 func saveSlot(l *Log, id, index, last int64) {
 	got := make(chan error, 1)
 	entries := []wire.Entry{}
@@ -79,7 +81,7 @@
 }
 
 func reopen(dir string, opts Options) (*Log, map[int64]*StoredGroup) {
-	l, held, err := Open(newLossyFolder(dir), opts)
+	l, held, err := Open(newTrackingFolder(dir), opts)
 	So(err, ShouldBeNil)
 	return l, held
 }
@@ -87,12 +89,12 @@
 func TestLogAndSlots(t *testing.T) {
 	Convey("Given a disk with two groups", t, func() {
 		dir := t.TempDir()
-		files := newLossyFolder(dir)
+		files := newTrackingFolder(dir)
 		l, _, err := Open(files, Options{SegmentBytes: 400})
 		So(err, ShouldBeNil)
 		persistEntries(l, 1, 1, 3, 1)
 		persistEntries(l, 2, 1, 2, 1)
-		Convey("all that was synced is there again", func() {
+		Convey("everything that was synced is read again", func() {
 			l.Close()
 			files.Close()
 			_, held := reopen(dir, Options{})
@@ -107,13 +109,13 @@
 			So(len(held[1].Log), ShouldEqual, 2)
 			So(held[1].Log[1].Term, ShouldEqual, 2)
 		})
-		Convey("segments go once every slot stands behind them", func() {
+		Convey("segments are removed once the slots of all groups cover them", func() {
 			for i := int64(4); i < 60; i++ {
 				persistEntries(l, 1, i, i, 1)
 			}
 			So(l.Segments(), ShouldBeGreaterThan, 5)
 			saveSlot(l, 1, 50, 59)
-			So(l.Segments(), ShouldBeGreaterThan, 5) // group 2 still needs the first
+			So(l.Segments(), ShouldBeGreaterThan, 5) // group 2 still needs the first one
 			So(l.GroupsHoldingSegments([]int64{1, 2}), ShouldResemble, []int64{2})
 			saveSlot(l, 2, 2, 2)
 			So(l.Segments(), ShouldEqual, 1)
@@ -124,11 +126,11 @@
 			So(len(held[1].Log), ShouldEqual, 9)
 			So(held[1].IsDamaged, ShouldBeFalse)
 		})
-		Convey("a second process is kept out", func() {
+		Convey("a second process cannot open the folder", func() {
 			_, err := OpenFolder(dir)
 			So(errs.Is(err, errs.Conflict), ShouldBeTrue)
 		})
-		Convey("a failed write is told and stops the disk", func() {
+		Convey("a failed write is reported and stops the log", func() {
 			files.failAt = 1
 			got := make(chan error, 2)
 			l.Persist(1, &group.DurableUpdate{}, func(err error) { got <- err })
@@ -140,7 +142,7 @@
 	})
 }
 
-// TestDamage is the table of what a crash or a rotten disk may leave.
+// TestDamage checks what is detected after a crash or corruption on disk.
 func TestDamage(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -150,15 +152,15 @@
 	}{
 		{"nothing", func(raw []byte) []byte { return raw }, false, 5},
 		{"a torn tail", func(raw []byte) []byte { return raw[:len(raw)-3] }, false, 4},
-		{"rubbish behind the tail", func(raw []byte) []byte { return append(raw, recordMagic...) }, false, 5},
+		{"garbage after the tail", func(raw []byte) []byte { return append(raw, recordMagic...) }, false, 5},
 		{"a flipped bit in the last record", func(raw []byte) []byte { raw[len(raw)-1] ^= 1; return raw }, false, 4},
-		{"a flipped bit in what was promised", func(raw []byte) []byte { raw[30] ^= 1; return raw }, true, 0},
+		{"a flipped bit in a synced record", func(raw []byte) []byte { raw[30] ^= 1; return raw }, true, 0},
 	}
 	Convey("A log of five records", t, func() {
 		for _, c := range cases {
 			Convey("with "+c.name, func() {
 				dir := t.TempDir()
-				l, _, err := Open(newLossyFolder(dir), Options{})
+				l, _, err := Open(newTrackingFolder(dir), Options{})
 				So(err, ShouldBeNil)
 				for i := int64(1); i <= 5; i++ {
 					persistEntries(l, 1, i, i, 1)
@@ -166,11 +168,11 @@
 				persistEntries(l, 2, 1, 1, 1)
 				saveSlot(l, 2, 1, 1)
 				l.Close()
-				l.files.(*lossyFolder).Close()
-				folder := newLossyFolder(dir)
+				l.files.(*trackingFolder).Close()
+				folder := newTrackingFolder(dir)
 				raw, err := folder.Read(segmentName(1))
 				So(err, ShouldBeNil)
-				// The record of group 2 is the last: cut it off first.
+				// The record of group 2 is the last one: cut it off first.
 				at := 0
 				for range 5 {
 					_, _, size := readRecord(raw[at:])
@@ -186,7 +188,7 @@
 					So(held[1].IsDamaged, ShouldBeFalse)
 					So(len(held[1].Log), ShouldEqual, c.log)
 				}
-				So(held[2].IsDamaged, ShouldBeFalse) // its slot stands behind
+				So(held[2].IsDamaged, ShouldBeFalse) // its slot covers the lost record
 			})
 		}
 	})
@@ -194,7 +196,7 @@
 
 func TestPairFallsBack(t *testing.T) {
 	Convey("Given a pair written three times", t, func() {
-		files := newLossyFolder(t.TempDir())
+		files := newTrackingFolder(t.TempDir())
 		pair, raw, _, err := OpenPair(files, "x")
 		So(err, ShouldBeNil)
 		So(raw, ShouldBeNil)
@@ -204,7 +206,7 @@
 		_, raw, isTorn, _ := OpenPair(files, "x")
 		So(string(raw), ShouldEqual, "three")
 		So(isTorn, ShouldBeFalse)
-		Convey("a torn newest slot falls back to the other, at any length", func() {
+		Convey("if the newest slot is torn, at any length, the other one is read", func() {
 			body, err := files.Read(pair.file(3))
 			So(err, ShouldBeNil)
 			for range 10 {
--- a/internal/storage/stall_test.go
+++ b/internal/storage/stall_test.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/wire"
 )
 
-// stallingFolder is a folder whose log segments sync only when they are let.
+// stallingFolder is a folder whose log segments sync only when the test allows it.
 type stallingFolder struct {
 	*Folder
 	release chan bool
@@ -30,8 +30,8 @@
 	return f.File.Sync()
 }
 
-// TestWaiting: nothing once told how much a disk that stalls had yet to write,
-// so that intake went on until memory was full.
+// TestWaiting guards against accepting messages until memory is full while the disk stalls, as happened when the
+// unsynced bytes were not counted.
 func TestWaiting(t *testing.T) {
 	Convey("Given a disk that stalls", t, func() {
 		folder, err := OpenFolder(t.TempDir())
@@ -45,7 +45,7 @@
 			l.Persist(1, &group.DurableUpdate{Entries: entries}, func(err error) { done <- err })
 		}
 		So(l.UnsyncedBytes(), ShouldBeGreaterThanOrEqualTo, 100*10<<10)
-		Convey("nothing waits once it goes on", func() {
+		Convey("no bytes are unsynced once the disk continues", func() {
 			close(let)
 			for range 100 {
 				So(<-done, ShouldBeNil)
--- a/internal/storage/status.go
+++ b/internal/storage/status.go
@@ -1,6 +1,7 @@
 package storage
 
-// GroupsHoldingSegments gives the groups whose newest slot keeps old segments alive.
+// GroupsHoldingSegments returns those of the groups whose slots do not cover all segments before the current one, so
+// that these cannot be deleted.
 func (l *Log) GroupsHoldingSegments(groups []int64) []int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -13,33 +14,33 @@
 	return out
 }
 
-// Segments reports how many log segments there are.
+// Segments returns the number of log segments on disk.
 func (l *Log) Segments() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.segments)
 }
 
-// IsFull reports whether the disk is too full for more intake. It leaves room
-// for what is held to come to its end.
+// IsFull reports whether the disk is too full to accept more messages. The reserve is for finishing those that are
+// held.
 func (l *Log) IsDiskFull() bool {
 	free, all, err := l.files.Free()
 	return err != nil || free < max(l.opts.FreeBytes, all/1000*l.opts.FreePermille)
 }
 
-// UnsyncedBytes reports how many bytes were given to the log and are not synced yet.
+// UnsyncedBytes returns the number of bytes that were passed to the log and are not synced yet.
 func (l *Log) UnsyncedBytes() int64 { return l.unsyncedBytes.Load() }
 
-// HasLostData reports whether something promised was found gone at the start. A
-// group that the disk then knows nothing of is damaged too.
+// HasLostData reports whether Open found that synced records are missing. A group that is not on the disk must be
+// regarded as damaged then, too.
 func (l *Log) HasLostData() bool { return l.hasLostData }
 
-// Err reports why the disk stopped, if it did.
+// Err returns the error that stopped the log; nil if there was none.
 func (l *Log) Err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.err
 }
 
-// Close stops writing; what was synced stays.
+// Close stops the log. What was synced stays on disk.
 func (l *Log) Close() { l.stopOnce.Do(func() { close(l.done) }) }
