--- a/internal/repair/delivery.go
+++ b/internal/repair/delivery.go
@@ -10,15 +10,16 @@
 	"caperwheel/internal/wire"
 )
 
-// Steps of an outcome that is not simply meant for the owner.
+// Steps of a wire.Outcome that is meant for a ResultBuffer. An outcome without a step is meant for the owner of the
+// place.
 const (
-	StepLeave  = "leave"  // keep it, and hand it over should we not come back
-	StepForget = "forget" // it is durable: drop it
-	StepHas    = "has"    // is the run's result kept?
+	StepLeave  = "leave"  // keep the result, and deliver it unless it is forgotten in time
+	StepForget = "forget" // forget the result, as it is durable
+	StepHas    = "has"    // report whether the result of the run is kept
 )
 
-// Handle takes an outcome that is to be kept, forgotten or asked for; nil when
-// it is meant for an owner.
+// Handle carries out the step of an outcome and returns the answer. It returns nil for an outcome that is meant for an
+// owner.
 func (k *ResultBuffer) Handle(o *wire.Outcome, now time.Duration) *wire.OutcomeAck {
 	ack := &wire.OutcomeAck{}
 	switch o.Step {
@@ -36,7 +37,7 @@
 	return ack
 }
 
-// DeliverResults delivers kept results to their owners until ctx ends.
+// DeliverResults delivers the due results to the owners of their places until ctx is cancelled.
 func (k *ResultBuffer) DeliverResults(ctx context.Context, r *ownerclient.Client, group func(place int64) int64, now func() time.Duration) {
 	timing.Every(ctx, r.Bounds.Of(timing.Resend), func() {
 		for _, o := range k.Due(now()) {
@@ -52,7 +53,8 @@
 	})
 }
 
-// ParseAck tells an owner's acknowledgement from the word of a store that is not.
+// ParseAck reports whether a reply is the acknowledgement of an owner. If it is from a store that is not the owner,
+// hint names the owner that this store knows of.
 func ParseAck(reply any) (isOwner bool, hint string) {
 	ack, isAck := reply.(*wire.OutcomeAck)
 	if !isAck {
--- a/internal/repair/plan.go
+++ b/internal/repair/plan.go
@@ -7,19 +7,18 @@
 	"caperwheel/internal/timing"
 )
 
-// How many of its groups one owner's store changes at a time: few for the sake
-// of an even spread, so that traffic does not feel it, more where copies are
-// missing.
+// Limits of how many of the groups that a store owns have their rosters changed at a time: a low one for moves that
+// only even out the distribution, so that they do not slow traffic down, and a higher one for groups that lack
+// copies.
 const (
 	maxConcurrentMoves   = 2
 	maxConcurrentRepairs = 8
 )
 
-// Silence tells for how long a group's owner has not heard of a store that holds
-// the group.
+// Silence returns how long ago the owner of a group last heard from a store that holds it.
 type Silence func(name string, now time.Duration) time.Duration
 
-// Planner says which stores should hold the groups that one daemon owns.
+// Planner decides which stores should hold the groups that one daemon owns.
 type Planner struct {
 	bounds   timing.Bounds
 	copies   int
@@ -27,35 +26,32 @@
 	members  []Store
 }
 
-// NewPlanner makes one for groups of so many copies.
+// NewPlanner returns a planner for groups with a number of copies.
 func NewPlanner(bounds timing.Bounds, copies int) *Planner {
 	return &Planner{bounds: bounds, copies: copies, presence: NewPresence()}
 }
 
-// Note takes in which stores are members now; the owner calls it only while what
-// it knows of them is fresh.
+// UpdateMembers sets the stores that are members now. The owner calls it only while its view of them is fresh.
 func (p *Planner) UpdateMembers(members []Store, now time.Duration) {
 	p.members = members
 	p.presence.Update(members, now)
 }
 
-// Group is one group as its owner sees it.
+// Group describes a group as known to its owner.
 type Group struct {
 	Id         int64
 	Holders    []string // names of the stores in its roster
-	IsChanging bool     // a change of its roster is not finished
+	IsChanging bool     // a change of its roster is in progress
 	Silence    Silence
 }
 
-// HoldersFor names the stores that should hold a group: an even spread where nothing
-// is missing, else as little change as repairs it. under is how many groups of the
-// owner are changing now.
+// HoldersFor returns the names of the stores that should hold a group: an even distribution if no copy is missing,
+// else as few changes as will repair it. changing is the number of the owner's groups whose rosters are changing now.
 //
-// A holder that is away is replaced only when both the managers and the group's
-// owner have not heard of it for long: for Replace where its successor may be
-// here, for Abandon where any other store would have to do, and for Outage where
-// all of its zone is away: a zone that is cut off comes back with its disks, and
-// until then each group bears its loss.
+// An absent holder is replaced only if neither the managers nor the owner of the group have heard from it for a timeout:
+// ReplaceTimeout if its successor may be a member already, ReassignTimeout if any other store has to take over, and
+// ZoneOutageTimeout if its whole zone is absent. A zone that is partitioned comes back with its disks, and until then
+// each group tolerates its loss.
 func (p *Planner) HoldersFor(g Group, retired map[string]bool, changing int, now time.Duration) []string {
 	stores, isWhole := slices.Clone(p.members), len(g.Holders) >= p.copies
 	isMember := func(name string) bool {
@@ -80,6 +76,7 @@
 	return SelectHolders(g.Id, g.Holders, stores, p.copies)
 }
 
+// isLost reports whether an absent store has been silent for so long that another one may replace it.
 func (p *Planner) isLost(absent Store, span time.Duration) bool {
 	isOfZone := func(s Store) bool { return s.Zone == absent.Zone }
 	limit := timing.ReassignTimeout
--- a/internal/repair/plan_test.go
+++ b/internal/repair/plan_test.go
@@ -10,42 +10,42 @@
 	"caperwheel/internal/timing"
 )
 
-// TestSeats is the table of who should hold a group once some of its holders
-// have been away for a time. A store that was replaced by another machine once
-// kept its seat for ever, so that the next loss took the group's majority.
+// TestSeats checks which stores should hold a group once some of its holders have been absent for a time. It guards
+// against keeping a store that another machine has replaced as a holder for ever: the next loss then cost the group its
+// majority.
 func TestSeats(t *testing.T) {
 	store := func(name, zone string) Store { return Store{Name: name, Zone: zone} }
 	a, b, c := store("a", "x"), store("b", "y"), store("c", "z")
-	replace, abandon, outage := timing.Default.Of(timing.ReplaceTimeout), timing.Default.Of(timing.ReassignTimeout), timing.Default.Of(timing.ZoneOutageTimeout)
+	replace, reassign, outage := timing.Default.Of(timing.ReplaceTimeout), timing.Default.Of(timing.ReassignTimeout), timing.Default.Of(timing.ZoneOutageTimeout)
 	trio := []string{"a", "b", "c"}
 	cases := []struct {
 		name    string
 		holders []string
-		first   []Store // members at first
-		later   []Store // members from then on
+		first   []Store // members at the start
+		later   []Store // members after that
 		after   time.Duration
-		silence time.Duration // of any holder that is away, as the group's owner has it
+		silence time.Duration // of any absent holder, as seen by the owner of the group
 		under   int
 		want    []string
 	}{
-		{"a successor in the zone takes a lost store's seat", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, 0, []string{"a2", "b", "c"}},
-		{"not before the lost store has been away for long", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace - 1, replace, 0, trio},
-		{"not while the owner still hears of it", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace - 1, 0, trio},
-		{"a store that came later may be its successor, whatever its zone", trio, []Store{a, b, c}, []Store{b, c, store("d", "y")}, replace, replace, 0, []string{"b", "c", "d"}},
-		{"a spare that was there long before takes no seat soon", trio, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, replace, replace, 0, trio},
-		{"but after a while", trio, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, abandon, abandon, 0, []string{"b", "c", "d"}},
-		{"a spare of another zone takes no seat soon", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, replace, replace, 0, trio},
-		{"nor while its whole zone is away", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, outage - 1, outage, 0, trio},
-		{"but in the end", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, outage, outage, 0, []string{"b", "c", "d"}},
-		{"and sooner where its zone is here", []string{"a", "b", "e"}, []Store{a, b, store("e", "x"), store("d", "y")}, []Store{b, store("e", "x"), store("d", "y")}, abandon, abandon, 0, []string{"b", "d", "e"}},
-		{"without a spare a lost store keeps its seat", trio, []Store{a, b, c}, []Store{b, c}, abandon, abandon, 0, trio},
-		{"of two lost ones one gets a successor", []string{"a", "b", "c"}, []Store{a, b, c}, []Store{c, store("a2", "x")}, replace, replace, 0, []string{"a2", "b", "c"}},
-		{"a lost store that was never seen here has any successor", trio, []Store{b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, replace, replace, 0, []string{"b", "c", "d"}},
-		{"a successor that holds the group already frees the seat for another", []string{"a", "b", "a2"}, []Store{a, b, store("d", "y")}, []Store{b, store("a2", "x"), store("d", "y")}, replace, replace, 0, []string{"a2", "b", "d"}},
-		{"while many groups change, none begins to", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, maxConcurrentRepairs, trio},
-		{"an over-full roster loses the store that is away", []string{"a", "b", "c", "d"}, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, 0, 0, 0, []string{"b", "c", "d"}},
+		{"a successor in the zone replaces a lost store", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, 0, []string{"a2", "b", "c"}},
+		{"not before the lost store has been absent for long enough", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace - 1, replace, 0, trio},
+		{"not while the owner still hears from it", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace - 1, 0, trio},
+		{"a store that became a member later may be its successor in any zone", trio, []Store{a, b, c}, []Store{b, c, store("d", "y")}, replace, replace, 0, []string{"b", "c", "d"}},
+		{"a spare that was a member long before does not replace it soon", trio, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, replace, replace, 0, trio},
+		{"… but does after ReassignTimeout", trio, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, reassign, reassign, 0, []string{"b", "c", "d"}},
+		{"a spare of another zone does not replace it soon", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, replace, replace, 0, trio},
+		{"… nor while its whole zone is absent", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, outage - 1, outage, 0, trio},
+		{"… but does after ZoneOutageTimeout", trio, []Store{a, b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, outage, outage, 0, []string{"b", "c", "d"}},
+		{"… and after ReassignTimeout if its zone is present", []string{"a", "b", "e"}, []Store{a, b, store("e", "x"), store("d", "y")}, []Store{b, store("e", "x"), store("d", "y")}, reassign, reassign, 0, []string{"b", "d", "e"}},
+		{"without a spare a lost store stays a holder", trio, []Store{a, b, c}, []Store{b, c}, reassign, reassign, 0, trio},
+		{"of two lost stores one is replaced by the only successor", []string{"a", "b", "c"}, []Store{a, b, c}, []Store{c, store("a2", "x")}, replace, replace, 0, []string{"a2", "b", "c"}},
+		{"any store may replace a lost store that was never seen here", trio, []Store{b, c, store("d", "y")}, []Store{b, c, store("d", "y")}, replace, replace, 0, []string{"b", "c", "d"}},
+		{"a successor that holds the group already lets another store replace it", []string{"a", "b", "a2"}, []Store{a, b, store("d", "y")}, []Store{b, store("a2", "x"), store("d", "y")}, replace, replace, 0, []string{"a2", "b", "d"}},
+		{"no change starts while the maximum number of groups are changing", trio, []Store{a, b, c}, []Store{b, c, store("a2", "x")}, replace, replace, maxConcurrentRepairs, trio},
+		{"of too many holders the absent one is removed", []string{"a", "b", "c", "d"}, []Store{a, b, c, store("d", "x")}, []Store{b, c, store("d", "x")}, 0, 0, 0, []string{"b", "c", "d"}},
 	}
-	Convey("A group should stand on", t, func() {
+	Convey("Holders of a group:", t, func() {
 		for _, k := range cases {
 			Convey(k.name, func() {
 				const gone = time.Hour // when the later members are first seen
@@ -62,9 +62,10 @@
 	})
 }
 
-// TestPresence: whoever comes back is no longer away, and being away begins anew.
+// TestPresence checks that the absence of a store ends when it comes back, and that its next absence is counted from
+// then on.
 func TestPresence(t *testing.T) {
-	Convey("Given a store that was away and came back", t, func() {
+	Convey("Given a store that was absent, came back and is absent again", t, func() {
 		p := NewPresence()
 		s := []Store{{Name: "a", Zone: "x"}}
 		p.Update(s, 0)
@@ -77,10 +78,10 @@
 	})
 }
 
-// TestPlannedSuccessor: a machine that is to be replaced is stopped only after its
-// successor has come.
+// TestPlannedSuccessor covers a planned replacement, in which a machine is stopped only after its successor has
+// started.
 func TestPlannedSuccessor(t *testing.T) {
-	Convey("Given a store that came shortly before another one went", t, func() {
+	Convey("Given a store that became a member shortly before another one was gone", t, func() {
 		p := NewPresence()
 		a, b := Store{Name: "a", Zone: "x"}, Store{Name: "b", Zone: "x"}
 		p.Update([]Store{a}, 0)
--- a/internal/repair/presence.go
+++ b/internal/repair/presence.go
@@ -2,23 +2,22 @@
 
 import "time"
 
-// Presence notes since when each store has been a member, or away, as seen by
-// one daemon. It does no I/O; all times are of that daemon's monotonic clock.
+// Presence records since when each store has been a member or absent, as seen by one daemon. It does no I/O; all
+// times are of that daemon's monotonic clock.
 //
-// Invariant: a store that is here has no absentSince, and one that is away keeps
-// the zone that it was last seen in.
+// Invariant: a store that is a member has no absentSince, and an absent one keeps the zone in which it was last seen.
 type Presence struct {
 	zones        map[string]string
 	presentSince map[string]time.Duration
 	absentSince  map[string]time.Duration
 }
 
-// NewPresence gives one that has seen nobody.
+// NewPresence returns a Presence without any stores.
 func NewPresence() *Presence {
 	return &Presence{zones: map[string]string{}, presentSince: map[string]time.Duration{}, absentSince: map[string]time.Duration{}}
 }
 
-// Note takes in which stores are members now.
+// Update sets the stores that are members now.
 func (p *Presence) Update(present []Store, now time.Duration) {
 	isHere := map[string]bool{}
 	for _, s := range present {
@@ -37,8 +36,8 @@
 	}
 }
 
-// Absent returns a store of a roster that is not a member now, with how long it has
-// been away. One that was never seen counts from when it was first asked for.
+// Absent returns a store of a roster that is not a member now, with how long it has been absent. For a store that was
+// never seen, this is the time since the first call for it.
 func (p *Presence) Absent(name string, now time.Duration) (store Store, span time.Duration) {
 	if _, isKnown := p.absentSince[name]; !isKnown {
 		p.absentSince[name] = now
@@ -46,11 +45,9 @@
 	return Store{Name: name, Zone: p.zones[name], IsAbsent: true}, now - p.absentSince[name]
 }
 
-// HasSuccessor reports whether one of the members may be the machine that was put
-// in an absent store's place: it came after the other one went, or not longer than
-// before that. It need not be a candidate for the very seat: it may hold the group
-// already, in place of a third store. Nothing is known of an absent store that was
-// never seen here, so any member may be its successor.
+// HasSuccessor reports whether one of the members may be the machine that replaces an absent store: it became a member
+// after the other one was gone, or at most the span before earlier. It need not become a holder itself: it may hold the
+// group already, in place of a third store. If the absent store was never seen here, any member may be its successor.
 func (p *Presence) HasSuccessor(absent Store, members []Store, before time.Duration) bool {
 	_, isKnown := p.zones[absent.Name]
 	for _, c := range members {
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -11,10 +11,10 @@
 	"caperwheel/internal/wire"
 )
 
-// TestWanted is the table of who should hold a group.
+// TestWanted checks which stores should hold a group.
 func TestWanted(t *testing.T) {
 	four := []Store{{Name: "s1", Zone: "a"}, {Name: "s2", Zone: "b"}, {Name: "s3", Zone: "c"}, {Name: "s4", Zone: "a"}}
-	away := func(s Store) Store { s.IsAbsent = true; return s }
+	absent := func(s Store) Store { s.IsAbsent = true; return s }
 	cases := []struct {
 		name    string
 		roster  []string
@@ -22,14 +22,14 @@
 		retired map[string]bool
 		want    []string
 	}{
-		{"a whole roster stays", []string{"s1", "s2", "s3"}, four, nil, []string{"s1", "s2", "s3"}},
-		{"a store that is away keeps its seat", []string{"s1", "s2", "s3"}, append([]Store{away(four[0])}, four[1:]...), nil, []string{"s1", "s2", "s3"}},
-		{"a retired store's seat goes to a spare", []string{"s1", "s2", "s3"}, four, map[string]bool{"s1": true}, []string{"s2", "s3", "s4"}},
-		{"without a spare two are left", []string{"s1", "s2", "s3"}, four[:3], map[string]bool{"s1": true}, []string{"s2", "s3"}},
-		{"the last other one is not left alone", []string{"s1", "s2"}, four[:2], map[string]bool{"s1": true}, []string{"s1", "s2"}},
-		{"an empty seat goes to a cell that has none", []string{"s1", "s2"}, four, nil, []string{"s1", "s2", "s3"}},
+		{"a complete roster stays", []string{"s1", "s2", "s3"}, four, nil, []string{"s1", "s2", "s3"}},
+		{"an absent store stays a holder", []string{"s1", "s2", "s3"}, append([]Store{absent(four[0])}, four[1:]...), nil, []string{"s1", "s2", "s3"}},
+		{"a spare replaces a retired store", []string{"s1", "s2", "s3"}, four, map[string]bool{"s1": true}, []string{"s2", "s3", "s4"}},
+		{"without a spare two holders are left", []string{"s1", "s2", "s3"}, four[:3], map[string]bool{"s1": true}, []string{"s2", "s3"}},
+		{"a retired store stays a holder if only one other is left", []string{"s1", "s2"}, four[:2], map[string]bool{"s1": true}, []string{"s1", "s2"}},
+		{"a missing copy goes to a zone that has none", []string{"s1", "s2"}, four, nil, []string{"s1", "s2", "s3"}},
 	}
-	Convey("A group is wanted on", t, func() {
+	Convey("Holders of a group:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				stores := []Store{}
@@ -45,24 +45,24 @@
 	})
 }
 
-// TestSpread: many stores hold about as many groups each, and a store that
-// comes moves no more than it takes.
+// TestSpread checks that stores hold about the same number of groups, and that an added store moves only the groups
+// that it receives.
 func TestSpread(t *testing.T) {
 	const groups = 480
 	zones := []string{"a", "b", "c"}
-	laid := func(count int) (stores []Store) {
+	storesInZones := func(count int) (stores []Store) {
 		for i := range count {
 			stores = append(stores, Store{Name: fmt.Sprint("s", i), Zone: zones[i%3]})
 		}
 		return
 	}
-	Convey("Given nine stores in three cells", t, func() {
+	Convey("Given nine stores in three zones", t, func() {
 		held := map[string]int{}
 		for g := range int64(groups) {
 			in := map[string]bool{}
-			for _, name := range SpreadHolders(g, laid(9), 3) {
+			for _, name := range SpreadHolders(g, storesInZones(9), 3) {
 				held[name]++
-				for _, s := range laid(9) {
+				for _, s := range storesInZones(9) {
 					if s.Name == name {
 						in[s.Zone] = true
 					}
@@ -70,14 +70,14 @@
 			}
 			So(len(in), ShouldEqual, 3)
 		}
-		for _, s := range laid(9) {
+		for _, s := range storesInZones(9) {
 			So(held[s.Name], ShouldBeBetween, groups/3*7/10, groups/3*13/10)
 		}
-		Convey("a tenth moves only what it takes", func() {
+		Convey("a tenth moves only the groups that it receives", func() {
 			moved, taken := 0, 0
 			for g := range int64(groups) {
-				before := SpreadHolders(g, laid(9), 3)
-				for _, name := range SpreadHolders(g, laid(10), 3) {
+				before := SpreadHolders(g, storesInZones(9), 3)
+				for _, name := range SpreadHolders(g, storesInZones(10), 3) {
 					if name == "s9" {
 						taken++
 					} else if !slices.Contains(before, name) {
@@ -95,7 +95,7 @@
 	result := func(id string, attempt int64) *wire.Outcome {
 		return &wire.Outcome{Id: id, Step: StepLeave, Proof: wire.Proof{Attempt: attempt}}
 	}
-	Convey("Given a keeper with room for two", t, func() {
+	Convey("Given a buffer with a capacity of two", t, func() {
 		k := NewResultBuffer(2, time.Second, 2*time.Second)
 		k.Handle(result("x", 1), 0)
 		ids := func(now time.Duration) string {
@@ -105,23 +105,23 @@
 			}
 			return out
 		}
-		Convey("a result is handed over in time, and again until it is forgotten", func() {
+		Convey("a result is delivered after the delay, and again until it is forgotten", func() {
 			So([]string{ids(999 * time.Millisecond), ids(time.Second), ids(2 * time.Second), ids(3 * time.Second)}, ShouldResemble,
 				[]string{"", "x", "", "x"})
 			k.Handle(&wire.Outcome{Id: "x", Step: StepForget, Proof: wire.Proof{Attempt: 1}}, 0)
 			So(ids(time.Hour), ShouldEqual, "")
 		})
-		Convey("it knows what it keeps, by attempt", func() {
+		Convey("it reports which results it keeps, by attempt", func() {
 			has := func(attempt int64) string {
 				return k.Handle(&wire.Outcome{Id: "x", Step: StepHas, Proof: wire.Proof{Attempt: attempt}}, 0).Kind
 			}
 			So([]string{has(1), has(2)}, ShouldResemble, []string{"", "unknown"})
 		})
-		Convey("what it hands over is meant for an owner, and what is meant for one is not its own", func() {
+		Convey("what it delivers is meant for an owner, and it does not handle what is meant for an owner", func() {
 			So(k.Due(time.Hour)[0].Step, ShouldEqual, "")
 			So(k.Handle(&wire.Outcome{Id: "y"}, 0), ShouldBeNil)
 		})
-		Convey("a third result finds no room", func() {
+		Convey("a third result is refused", func() {
 			So(k.Add(result("y", 1), 0), ShouldBeTrue)
 			So(k.Add(result("z", 1), 0), ShouldBeFalse)
 			So(k.Add(result("x", 1), 0), ShouldBeTrue)
--- a/internal/repair/resultbuffer.go
+++ b/internal/repair/resultbuffer.go
@@ -9,36 +9,38 @@
 	"caperwheel/internal/wire"
 )
 
-// ResultBuffer keeps results for adapters that may not live to bring them home: an
-// agent for the adapter beside it, a store for any adapter that cannot reach a
-// place's owner. What is not forgotten in time is handed over. It does no I/O.
+// ResultBuffer keeps the results of runs for adapters that may fail before they can deliver them: an agent does so
+// for the adapter on its machine, a store for any adapter that cannot reach the owner of a place. A result that is
+// not forgotten in time is delivered to the owner of its place.
 //
-// Invariant: at most most results are kept; of one run only one, the first.
+// Invariant: at most capacity results are kept, and only the first one of each run.
 type ResultBuffer struct {
 	capacity      int
-	delay         time.Duration // a result is handed over when it was kept so long
-	retryInterval time.Duration // and again after this, until it is forgotten
+	delay         time.Duration // time after which a result is delivered
+	retryInterval time.Duration // time after which it is delivered again, until it is forgotten
 
 	mu      sync.Mutex
 	results map[resultKey]*bufferedResult
 }
 
+// resultKey identifies a run by its message and the number of the attempt.
 type resultKey struct {
 	id      string
 	attempt int64
 }
 
+// bufferedResult is a result with the time of its next delivery.
 type bufferedResult struct {
 	outcome *wire.Outcome
 	dueAt   time.Duration
 }
 
-// NewResultBuffer gives an empty one.
+// NewResultBuffer returns an empty buffer.
 func NewResultBuffer(capacity int, delay, retryInterval time.Duration) *ResultBuffer {
 	return &ResultBuffer{capacity: capacity, delay: delay, retryInterval: retryInterval, results: map[resultKey]*bufferedResult{}}
 }
 
-// Add takes a result in; false when there is no room.
+// Add adds a result, unless one of the same run is kept already; false if the buffer is full.
 func (k *ResultBuffer) Add(o *wire.Outcome, now time.Duration) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -55,21 +57,21 @@
 	return true
 }
 
-// Forget drops a result that is durable at its owner.
+// Forget removes the result of a run, which is durable at the owner of its place.
 func (k *ResultBuffer) Forget(id string, attempt int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.results, resultKey{id, attempt})
 }
 
-// Has reports whether a run's result is kept.
+// Has reports whether the result of a run is kept.
 func (k *ResultBuffer) Has(id string, attempt int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.results[resultKey{id, attempt}] != nil
 }
 
-// Due gives the results to hand over now, oldest first.
+// Due returns the results that are to be delivered now, the longest due first, and schedules their next delivery.
 func (k *ResultBuffer) Due(now time.Duration) []*wire.Outcome {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -90,7 +92,7 @@
 	return out
 }
 
-// Count reports how many results are kept.
+// Count returns the number of results that are kept.
 func (k *ResultBuffer) Count() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/repair/selection.go
+++ b/internal/repair/selection.go
@@ -1,5 +1,6 @@
-// Package repair decides who should hold what a missing or leaving daemon
-// held.
+// Package repair decides which daemons take over from a missing or retiring one. Planner selects the stores that
+// should hold the replicas of a group; package store changes the rosters accordingly. ResultBuffer keeps the results
+// of runs for adapters that may fail before they can deliver them; agents and stores use it.
 package repair
 
 import (
@@ -10,35 +11,32 @@
 	"caperwheel/internal/duty"
 )
 
-// Store is one store as repair sees it.
+// Store is a store that holds, or may hold, a replica of a group.
 type Store struct {
 	Name, Zone string
-	IsRetired  bool // it is to be emptied
-	IsAbsent   bool // it has a seat, but is not a member now
-	IsLost     bool // it has been away for so long that another may have its seat
+	IsRetired  bool // its replicas are to be moved to other stores
+	IsAbsent   bool // it holds a replica, but is not a member now
+	IsLost     bool // it has been absent for so long that another store may replace it
 }
 
-// Incarnation reads a store's incarnation out of its boot id.
+// Incarnation returns the store's incarnation, which is the first part of its boot id.
 func Incarnation(boot string) string {
 	inc, _, _ := strings.Cut(boot, ".")
 	return inc
 }
 
-// SpreadHolders gives the stores that should hold a group by name alone: one of each
-// zone first, drawn by hash, so that a store that comes or goes changes only
-// the groups that it takes or leaves.
+// SpreadHolders returns the stores that should hold a group, regardless of which hold it now: one of each zone first,
+// ordered by rendezvous hashing, so that a store that is added or removed affects only the groups that it receives or
+// gives up.
 func SpreadHolders(groupId int64, stores []Store, copies int) []string {
 	return SelectHolders(groupId, nil, stores, copies)
 }
 
-// SelectHolders gives the stores that should hold a group whose seats are taken by the
-// stores of roster. stores lists the members and, marked as away, the absent ones
-// of the roster. Seats go, as far as copies reaches, first to those that hold one
-// and are members, then to those that are merely away, since they will be back
-// with their disks, then to members that hold none, and only then to stores that
-// are lost. Within each of these the zones with the fewest seats come first, and
-// then the draw by hash. A retired store keeps its seat only where fewer than two
-// others are left to hold the group.
+// SelectHolders returns the stores that should hold a group which the stores of roster hold now. stores lists the
+// members and, marked as absent, the other stores of the roster. Up to the number of copies it selects first the
+// holders that are members, then absent holders, since they will come back with their disks, then members that are
+// not holders, and only then lost holders. Within each of these classes, zones with the fewest selected stores come
+// first, and then the order by hash decides. A retired store is selected only if fewer than minHolders others are.
 func SelectHolders(groupId int64, roster []string, stores []Store, copies int) []string {
 	d := selection{groupId: groupId, copies: copies, zones: map[string]int{}}
 	holds := func(s Store) bool { return slices.Contains(roster, s.Name) }
@@ -51,19 +49,18 @@
 	return d.names
 }
 
-// minHolders is how many stores a group stands on at least, even if one of
-// them is to be emptied.
+// minHolders is the number of stores below which a group keeps a retired store as a holder.
 const minHolders = 2
 
-// selection fills the seats of one group.
+// selection selects the holders of one group.
 type selection struct {
 	groupId int64
 	copies  int
-	zones   map[string]int // seats given, by zone
+	zones   map[string]int // number of selected stores by zone
 	names   []string
 }
 
-// fill gives seats to those that are eligible, until none is left of either.
+// fill selects eligible stores until there are enough or no more.
 func (d *selection) fill(stores []Store, isEligible func(Store) bool) {
 	for len(d.names) < d.copies {
 		best, top := Store{}, uint64(0)
@@ -83,7 +80,7 @@
 	}
 }
 
-// rank is higher the fewer seats a store's zone has; among equals the hash of
+// rank returns a rank that is higher the fewer stores of the store's zone are selected; among equals the hash of
 // group and store decides.
 func (d *selection) rank(s Store) uint64 {
 	fewest := uint64(255 - min(d.zones[s.Zone], 255))
