--- a/internal/group/group.go
+++ b/internal/group/group.go
@@ -42,7 +42,7 @@
 	MsgVoteReply
 	MsgAppend
 	MsgAppendReply
-	MsgSnapshot         // a whole state, for a replica that is too far behind for the owner's log
+	MsgSnapshot         // the whole state, for a replica that lacks entries which the owner has compacted
 	MsgCampaign         // the owner transfers ownership to the receiver, which starts an election at once
 	MsgWrongIncarnation // the addressed incarnation of the member no longer exists; From is its new member id
 	MsgSnapshotChunk    // a chunk of a large snapshot; hosts reassemble it into a MsgSnapshot
@@ -50,11 +50,11 @@
 
 // Options configure a replica.
 type Options struct {
-	Id             int64
-	Self           string // this replica's member id: store name/incarnation
-	Roster         []string
-	Bounds         timing.Bounds
-	Seed           uint64
+	Id             int64                        // of the group
+	Self           string                       // this replica's member id: store name/incarnation
+	Roster         []string                     // the members of a new group; the snapshot and the log take precedence
+	Bounds         timing.Bounds                // from which all timeouts are derived
+	Seed           uint64                       // of the randomness in election timeouts
 	PreferredOwner func(roster []string) string // returns the member that should own the group; optional
 	HasRoom        func(member string) bool     // reports whether the link to a member accepts more data; nil: always
 	SupportedLevel int64                        // the newest feature level that this replica can apply
@@ -84,7 +84,7 @@
 
 // Output lists everything that the caller of a step has to carry out.
 type Output struct {
-	Persist            *DurableUpdate
+	Persist            *DurableUpdate  // nil if nothing has to be synced
 	SendNow            []wire.GroupMsg // may be sent at once
 	SendAfterSync      []wire.GroupMsg // may be sent once Persist is synced
 	Apply              []wire.Entry    // newly committed entries, in log order
@@ -103,36 +103,36 @@
 	rand          *rand.Rand
 	role          Role
 	hard          HardState
-	owner         string
-	base          int64 // index of the entry before log[0]
+	owner         string // member id of the owner of this term; empty if it is not known
+	base          int64  // index of the entry before log[0]
 	baseTerm      int64
 	snapshotIndex int64 // index of the newest snapshot: base, or a little later, as a tail of the log is kept
 	snapshotTerm  int64
-	log           []wire.Entry
-	rosters       []rosterAt // the rosters in the log, newest last; the first is the one as of base
-	synced        int64
-
-	applied          int64
-	heardAt          time.Duration // when the last message from the owner arrived
-	electionAt       time.Duration // when the next election is due
-	campaignPause    time.Duration // backoff after the last unsuccessful election; 0 once an owner was heard from
-	heartbeatAt      time.Duration // when the next heartbeat is due
-	heartbeatCommit  int64         // commit index when the last heartbeat round was sent
-	votes            map[string]bool
-	peers            map[string]*peerState
-	round            int64             // number of the newest heartbeat round
-	rounds           []roundAt         // heartbeat rounds that a majority has not answered yet
-	confirmedAt      time.Duration     // send time of the newest round that a majority has answered
-	ownedAt          time.Duration     // when this replica became the owner
-	isConfirmed      bool              // a majority has answered a round of this term, so confirmedAt is valid
-	noOpIndex        int64             // index of this owner's EntryNoOp
-	announcedCommit  int64             // newest commit index sent, with entries or by announceCommit
-	replicatedAt     time.Duration     // when new entries were last sent
-	preferredSince   time.Duration     // since when preferredMember has been keeping up
-	preferredMember  string            // the preferred owner, while it keeps up; else empty
-	successor        string            // target of an ownership transfer in progress; nothing is proposed meanwhile
-	transferDeadline time.Duration     // this replica steps down if the successor has not taken over by then
-	newIncarnations  map[string]string // store name -> new member id, learned from MsgWrongIncarnation
+	log           []wire.Entry // the entries after base
+	rosters       []rosterAt   // the rosters in the log, newest last; the first is the one as of base
+	synced        int64        // index up to which the log is on disk
+
+	applied          int64                 // index up to which entries have been emitted for application
+	heardAt          time.Duration         // when the last message from the owner arrived
+	electionAt       time.Duration         // when the next election is due
+	campaignPause    time.Duration         // backoff after the last unsuccessful election; 0 once an owner was heard from
+	heartbeatAt      time.Duration         // when the next heartbeat is due
+	heartbeatCommit  int64                 // commit index when the last heartbeat round was sent
+	votes            map[string]bool       // members that have granted their vote; candidates only
+	peers            map[string]*peerState // progress of the other members; owners only
+	round            int64                 // number of the newest heartbeat round
+	rounds           []roundAt             // heartbeat rounds that a majority has not answered yet
+	confirmedAt      time.Duration         // send time of the newest round that a majority has answered
+	ownedAt          time.Duration         // when this replica became the owner
+	isConfirmed      bool                  // a majority has answered a round of this term, so confirmedAt is valid
+	noOpIndex        int64                 // index of this owner's EntryNoOp
+	announcedCommit  int64                 // newest commit index sent, with entries or by announceCommit
+	replicatedAt     time.Duration         // when new entries were last sent
+	preferredSince   time.Duration         // since when preferredMember has been keeping up
+	preferredMember  string                // the preferred owner, while it keeps up; else empty
+	successor        string                // target of an ownership transfer in progress; nothing is proposed meanwhile
+	transferDeadline time.Duration         // this replica steps down if the successor has not taken over by then
+	newIncarnations  map[string]string     // store name -> new member id, learned from MsgWrongIncarnation
 }
 
 // rosterAt is a roster with the index of the log entry that holds it.
--- a/internal/group/progress.go
+++ b/internal/group/progress.go
@@ -10,10 +10,10 @@
 // Limits of what an owner sends to one member. There is no retransmission timeout: the time to an answer depends only
 // on the member's link and disk, so a late answer proves nothing, and only an answer shows that a message was lost.
 const (
-	appendEntriesLimit   = 256
-	appendBytesLimit     = 64 << 10 // of one append; a single entry may be larger
-	probeBytesLimit      = 1 << 10  // of an append to a member that is being probed
-	InFlightBytesLimit   = 256 << 10
+	appendEntriesLimit   = 256       // of one append
+	appendBytesLimit     = 64 << 10  // of one append; a single entry may be larger
+	probeBytesLimit      = 1 << 10   // of an append to a member that is being probed
+	InFlightBytesLimit   = 256 << 10 // of all appends in flight; the last one may exceed it
 	inFlightAppendsLimit = 256       // appends that carry entries
 	tailBytesLimit       = 128 << 10 // of the log entries that are kept although a snapshot covers them
 )
@@ -42,8 +42,8 @@
 
 // inFlight is an append with entries that has not been answered yet.
 type inFlight struct {
-	last  int64
-	bytes int
+	last  int64 // index of its last entry
+	bytes int   // sum of the sizes of its entries
 }
 
 // peer returns the progress of a member; a member without one starts in the probing state.
--- a/internal/group/transfer.go
+++ b/internal/group/transfer.go
@@ -53,7 +53,7 @@
 	return best
 }
 
-// transferToPreferred transfers ownership to the preferred owner once it has kept up for the time of
+// transferToPreferred transfers ownership to the preferred owner once it has kept up for longer than
 // Bounds.ConfigApply.
 func (g *Group) transferToPreferred(now time.Duration, out *Output) {
 	if g.opts.PreferredOwner == nil || g.successor != "" {
--- a/internal/group/view.go
+++ b/internal/group/view.go
@@ -12,15 +12,15 @@
 type View struct {
 	Role        Role
 	Term        int64
-	Owner       string
-	Commit      int64
-	Last        int64
-	Roster      []string
-	Lag         int64    // number of entries that the slowest voter lacks; owners only
-	CaughtUp    []string // responding voters that have all that was committed at the last heartbeat; owners only
-	ConfirmedAt time.Duration
-	IsConfirmed bool  // ConfirmedAt is valid: reads as of that time are linearizable
-	CommonLevel int64 // newest feature level that all members can apply; owners only
+	Owner       string        // member id of the owner, or of its successor during a transfer; empty if not known
+	Commit      int64         // commit index
+	Last        int64         // index of the last entry in the log
+	Roster      []string      // the newest roster in the log
+	Lag         int64         // number of entries that the slowest voter lacks; owners only
+	CaughtUp    []string      // responding voters that have all that was committed at the last heartbeat; owners only
+	ConfirmedAt time.Duration // send time of the newest heartbeat round that a majority has answered
+	IsConfirmed bool          // ConfirmedAt is valid: reads as of that time are linearizable
+	CommonLevel int64         // newest feature level that all members can apply; owners only
 }
 
 // View returns a summary of the current state of the replica.
--- a/internal/place/archive.go
+++ b/internal/place/archive.go
@@ -17,7 +17,7 @@
 	size     int64 // bytes of its body and head
 	lane     string
 	state    State
-	raw      []byte
+	raw      []byte // the encoded Message
 }
 
 // archiveCodec encodes archived messages. They never leave the process, so no older versions are needed.
--- a/internal/place/keys.go
+++ b/internal/place/keys.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// releaseKey removes a message from the list of its ordering key, so that the next one may run.
+// releaseKey removes a message from the list of its ordering key, and makes the next one eligible to run.
 func (m *Machine) releaseKey(e *Message) {
 	key := e.orderKey()
 	list := slices.DeleteFunc(m.keys[key], func(id string) bool { return id == e.Id })
--- a/internal/place/machine.go
+++ b/internal/place/machine.go
@@ -13,17 +13,17 @@
 // the first of a list may run; outbox holds each call-back until another place has accepted it.
 type Machine struct {
 	clock                int64
-	seq                  int64
-	messages             map[string]*Message
-	archive              map[string]archived
-	interned             map[string]string // names of lanes, each stored once
-	idempotencyKeys      map[string]string
-	keys                 map[string][]string
-	outbox               map[string]Child
-	pendingNotifications map[string]bool // messages that are over and whose callers must still be notified
-	bytes                int64           // of the bodies and heads that are held
-	level                int64           // the feature level that the group has agreed on
-	keyHolders           map[string]bool // messages that have succeeded although a later run of theirs may still go on
+	seq                  int64               // number of messages accepted so far
+	messages             map[string]*Message // by id
+	archive              map[string]archived // by id
+	interned             map[string]string   // names of lanes, each stored once
+	idempotencyKeys      map[string]string   // idempotency key -> id of the message
+	keys                 map[string][]string // ordering key -> ids of messages
+	outbox               map[string]Child    // call-backs that are to be sent to other places, by id
+	pendingNotifications map[string]bool     // messages that are over and whose callers must still be notified
+	bytes                int64               // of the bodies and heads that are held
+	level                int64               // the feature level that the group has agreed on
+	keyHolders           map[string]bool     // messages that have succeeded although a later run of theirs may still go on
 	queue                queue
 	ledger               *quota.Allocator // of tenants' limits; empty below LevelQuotas
 }
--- a/internal/place/message.go
+++ b/internal/place/message.go
@@ -48,7 +48,7 @@
 	Child                 string     `avro:"child"`
 	State                 State      `avro:"state"`
 	Deadline              int64      `avro:"cutoff"` // place time at which the message expires if it is held
-	Due                   int64      `avro:"due"`    // place time: held, when it may run; started, until when the run may go on without a report
+	Due                   int64      `avro:"due"`    // place time: held, when it may run; started and ordered, until when the run may go on without a report
 	ForgetAt              int64      `avro:"over"`   // place time from which on a message that is over may be forgotten
 	Attempt               int64      `avro:"attempt"`
 	CountedAttempts       int64      `avro:"spent"` // runs that count towards the limit of attempts
--- a/internal/place/queue.go
+++ b/internal/place/queue.go
@@ -89,7 +89,7 @@
 		delayed: newSortedSet(), expiries: newSortedSet(), finished: newSortedSet()}
 }
 
-// add adds a message to a set.
+// add adds a message to a set, ranked by a time.
 func (q *queue) add(e *Message, set *sortedSet, at int64) {
 	r := rank{at, e.Seq, e.Id}
 	set.tree.Put(r, e)
--- a/internal/repair/plan.go
+++ b/internal/repair/plan.go
@@ -48,10 +48,10 @@
 // HoldersFor returns the names of the stores that should hold a group: an even distribution if no copy is missing,
 // else as few changes as will repair it. changing is the number of the owner's groups whose rosters are changing now.
 //
-// An absent holder is replaced only if neither the managers nor the owner of the group have heard from it for a timeout:
-// ReplaceTimeout if its successor may be a member already, ReassignTimeout if any other store has to take over, and
-// ZoneOutageTimeout if its whole zone is absent. A zone that is partitioned comes back with its disks, and until then
-// each group tolerates its loss.
+// An absent holder is replaced only if neither the managers nor the owner of the group have heard from it for a
+// timeout: ReplaceTimeout if its successor may be a member already, ReassignTimeout if any other store has to take
+// over, and ZoneOutageTimeout if its whole zone is absent. A zone that is partitioned comes back with its disks, and
+// until then each group tolerates its loss.
 func (p *Planner) HoldersFor(g Group, retired map[string]bool, changing int, now time.Duration) []string {
 	stores, isWhole := slices.Clone(p.members), len(g.Holders) >= p.copies
 	isMember := func(name string) bool {
--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -22,7 +22,7 @@
 	Truncate(name string, size int64) error
 	Sync(name string) error // makes what was read of the file durable
 	List() ([]string, error)
-	Free() (free, whole uint64, err error)
+	Free() (free, total uint64, err error)
 }
 
 // File is a log segment that is open for writing.
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -35,9 +35,9 @@
 type Log struct {
 	opts     Options
 	files    FileSystem
-	queue    chan writeRequest
-	slots    chan slotRequest
-	done     chan struct{}
+	queue    chan writeRequest // requests to the syncing goroutine
+	slots    chan slotRequest  // requests to the goroutine that writes slots
+	done     chan struct{}     // closed when the log stops
 	stopOnce sync.Once
 
 	mu          sync.Mutex
@@ -47,19 +47,19 @@
 	hasLostData bool            // replay found that synced records are missing
 	err         error           // why the log has stopped
 
-	file          File
-	segment       int64
-	offset        int64
-	syncedOffset  int64
-	slotDone      sync.WaitGroup
-	unsyncedBytes atomic.Int64 // bytes of records that are queued or written, but not synced yet
+	file          File           // the current segment
+	segment       int64          // its number
+	offset        int64          // bytes written to it
+	syncedOffset  int64          // bytes of it that are synced
+	slotDone      sync.WaitGroup // slots that are being written
+	unsyncedBytes atomic.Int64   // bytes of records that are queued or written, but not synced yet
 }
 
 // slotRequest is a request to write a slot.
 type slotRequest struct {
 	group   int64
 	state   slotState
-	segment int64
+	segment int64 // first segment that the slot does not cover
 	done    func(error)
 }
 
@@ -141,9 +141,9 @@
 				counters.records.Inc()
 			}
 			if w.slot != nil {
-				all := slotState{Segment: l.segment, Offset: l.offset + int64(len(buffer)), State: *w.slot}
+				state := slotState{Segment: l.segment, Offset: l.offset + int64(len(buffer)), State: *w.slot}
 				l.slotDone.Add(1)
-				l.slots <- slotRequest{w.group, all, l.segment, w.done}
+				l.slots <- slotRequest{w.group, state, l.segment, w.done}
 			}
 		}
 		err := l.flush(buffer)
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -21,11 +21,11 @@
 	}
 	l := &Log{opts: opts, files: files, queue: make(chan writeRequest, opts.QueueLength), slots: make(chan slotRequest, 256),
 		done: make(chan struct{}), pairs: map[int64]*Pair{}, firstNeeded: map[int64]int64{}}
-	held, from, err := l.readSlots()
+	groups, covered, err := l.readSlots()
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := l.replay(held, from); err != nil {
+	if err := l.replay(groups, covered); err != nil {
 		return nil, nil, err
 	}
 	if err := l.syncLastSegment(); err != nil {
@@ -36,7 +36,7 @@
 	}
 	go l.sync()
 	go l.slotLoop()
-	return l, held, nil
+	return l, groups, nil
 }
 
 // syncLastSegment syncs the last segment: a process that crashed may have left records in it that were never synced.
@@ -55,8 +55,10 @@
 	return p.segment < q.segment || p.segment == q.segment && p.offset < q.offset
 }
 
+// readSlots reads the newest slots of all groups and the numbers of all segments. It returns the groups, and for each
+// the position in the log up to which its slot covers the records.
 func (l *Log) readSlots() (map[int64]*StoredGroup, map[int64]position, error) {
-	held, from := map[int64]*StoredGroup{}, map[int64]position{}
+	groups, covered := map[int64]*StoredGroup{}, map[int64]position{}
 	names, err := l.files.List()
 	if err != nil {
 		return nil, nil, err
@@ -70,16 +72,17 @@
 		}
 		number, isGroup := strings.CutPrefix(strings.TrimSuffix(strings.TrimSuffix(name, ".0"), ".1"), "group-")
 		id, err := strconv.ParseInt(number, 10, 64)
-		if !isGroup || err != nil || held[id] != nil {
+		if !isGroup || err != nil || groups[id] != nil {
 			continue
 		}
-		if held[id], from[id], err = l.readGroup(id); err != nil {
+		if groups[id], covered[id], err = l.readGroup(id); err != nil {
 			return nil, nil, err
 		}
 	}
-	return held, from, nil
+	return groups, covered, nil
 }
 
+// readGroup reads the newest slot of one group.
 func (l *Log) readGroup(id int64) (*StoredGroup, position, error) {
 	pair, raw, isTorn, err := OpenPair(l.files, groupFile(id))
 	if err != nil {
@@ -91,23 +94,23 @@
 		h.IsDamaged = isTorn && pair.sequence > 1
 		return h, position{}, nil
 	}
-	var all slotState
-	if err := slotCodec.Decode(raw, &all); err != nil {
+	var state slotState
+	if err := slotCodec.Decode(raw, &state); err != nil {
 		h.IsDamaged = true
 		return h, position{}, nil
 	}
-	h.apply(&all.State)
-	l.firstNeeded[id] = all.Segment
-	return h, position{all.Segment, all.Offset}, nil
+	h.apply(&state.State)
+	l.firstNeeded[id] = state.Segment
+	return h, position{state.Segment, state.Offset}, nil
 }
 
 func groupFile(id int64) string { return fmt.Sprintf("group-%d", id) }
 
 // replay applies the records of the log that the slots of their groups do not cover.
-func (l *Log) replay(held map[int64]*StoredGroup, from map[int64]position) error {
-	for _, p := range from { // if the newest slot is torn, the older one may need segments that are deleted
+func (l *Log) replay(groups map[int64]*StoredGroup, covered map[int64]position) error {
+	for _, p := range covered { // if the newest slot is torn, the older one may need segments that are deleted
 		if len(l.segments) > 0 && p.segment < l.segments[0] && p.segment > 0 {
-			l.markDamaged(held, from, position{l.segments[0], 0})
+			l.markDamaged(groups, covered, position{l.segments[0], 0})
 		}
 	}
 	for i, n := range l.segments {
@@ -127,10 +130,10 @@
 				}
 				// A restart truncates the torn tail and starts a new segment, so older segments have no torn
 				// tail: a record that had been synced is lost.
-				l.markDamaged(held, from, position{n, int64(len(raw))})
+				l.markDamaged(groups, covered, position{n, int64(len(raw))})
 				break
 			}
-			if err := l.replayRecord(held, from, body, position{n, int64(at)}); err != nil {
+			if err := l.replayRecord(groups, covered, body, position{n, int64(at)}); err != nil {
 				return err
 			}
 			at += size
@@ -140,23 +143,23 @@
 }
 
 // replayRecord applies one record, unless the group's slot covers it.
-func (l *Log) replayRecord(held map[int64]*StoredGroup, from map[int64]position, body []byte, at position) error {
+func (l *Log) replayRecord(groups map[int64]*StoredGroup, covered map[int64]position, body []byte, at position) error {
 	id, isWhole := groupOf(body)
 	if !isWhole {
 		return errs.New(errs.Corrupt, "read group of the record in %s at byte %d: no valid number", segmentName(at.segment), at.offset)
 	}
-	if held[id] == nil {
-		held[id] = &StoredGroup{}
+	if groups[id] == nil {
+		groups[id] = &StoredGroup{}
 	}
 	l.noteNeeded(id, at.segment)
-	if at.before(from[id]) {
+	if at.before(covered[id]) {
 		return nil
 	}
 	var r record
 	if err := recordCodec.Decode(body, &r); err != nil {
 		return errs.Wrap(err, errs.Corrupt, "decode record in %s at byte %d", segmentName(at.segment), at.offset)
 	}
-	held[id].apply(&r)
+	groups[id].apply(&r)
 	return nil
 }
 
@@ -168,10 +171,10 @@
 }
 
 // markDamaged marks all groups as damaged whose slots do not cover the lost part of the log.
-func (l *Log) markDamaged(held map[int64]*StoredGroup, from map[int64]position, lost position) {
+func (l *Log) markDamaged(groups map[int64]*StoredGroup, covered map[int64]position, lost position) {
 	l.hasLostData = true
-	for id, h := range held {
-		if from[id].before(lost) {
+	for id, h := range groups {
+		if covered[id].before(lost) {
 			h.IsDamaged = true
 		}
 	}
@@ -190,6 +193,7 @@
 	}
 }
 
+// writeSlot writes a slot, and deletes the segments that are not needed any more.
 func (l *Log) writeSlot(s slotRequest) error {
 	l.mu.Lock()
 	pair := l.pairs[s.group]
@@ -211,11 +215,11 @@
 
 // removeUnneeded deletes the segments that the newest slots of all groups cover.
 func (l *Log) removeUnneeded() error {
-	least := l.segment
+	oldestNeeded := l.segment
 	for _, at := range l.firstNeeded {
-		least = min(least, at)
+		oldestNeeded = min(oldestNeeded, at)
 	}
-	for len(l.segments) > 0 && l.segments[0] < least {
+	for len(l.segments) > 0 && l.segments[0] < oldestNeeded {
 		if err := l.files.Remove(segmentName(l.segments[0])); err != nil {
 			return err
 		}
