--- a/internal/group/canonical.go
+++ b/internal/group/canonical.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// member writes the mapped name of a member id.
 func (w *canonicalWriter) member(m string) {
 	if m != "" {
 		m = w.rename(m)
--- a/internal/place/command.go
+++ b/internal/place/command.go
@@ -28,18 +28,19 @@
 // Command is one entry of a place's log. Everything that depends on settings or time is decided by the owner and
 // written into the command, so that replicas need neither. Fields apply to all kinds unless a kind is named.
 type Command struct {
-	Kind            int32      `avro:"kind"`
-	At              int64      `avro:"at"` // place time in milliseconds; not a wall clock
-	Id              string     `avro:"id"`
-	Lane            string     `avro:"lane"`
-	Key             string     `avro:"key"`
-	IdempotencyKey  string     `avro:"idem"`
-	ContentType     string     `avro:"ctype"`
-	Body            []byte     `avro:"body"`
-	Checksum        string     `avro:"sum"`
-	Parent          string     `avro:"parent"`
-	Ordered         bool       `avro:"ordered"`
-	Deadline        int64      `avro:"cutoff"` // Take: time to live; Start: how long the run may go on; RunFailed: backoff before the next run
+	Kind           int32  `avro:"kind"`
+	At             int64  `avro:"at"` // place time in milliseconds; not a wall clock
+	Id             string `avro:"id"`
+	Lane           string `avro:"lane"`
+	Key            string `avro:"key"`
+	IdempotencyKey string `avro:"idem"`
+	ContentType    string `avro:"ctype"`
+	Body           []byte `avro:"body"`
+	Checksum       string `avro:"sum"`
+	Parent         string `avro:"parent"`
+	Ordered        bool   `avro:"ordered"`
+	// Deadline is a duration. Take: time to live; Start: how long the run may go on; RunFailed: backoff.
+	Deadline        int64      `avro:"cutoff"`
 	Attempt         int64      `avro:"attempt"`
 	Adapter         string     `avro:"adapter"`
 	Boot            string     `avro:"boot"`
@@ -52,14 +53,17 @@
 	Retain          int64      `avro:"retain"` // how long a message is kept after it is over
 	Child           Child      `avro:"child"`
 	Ids             []string   `avro:"ids"`
-	HoldsKey        bool       `avro:"hold"` // Close: later messages of the key stay blocked; RunFailed: the run may go on until the backoff ends
-	Head            []byte     `avro:"head" since:"3"`
-	Delay           int64      `avro:"delay" since:"3"`  // Take: no run starts before this time has passed
-	Notify          string     `avro:"notify" since:"3"` // Take: URL that is notified of the outcome; empty for none
-	DropsBody       bool       `avro:"drop" since:"3"`   // RunSucceeded: body and head are not kept
-	StartWithin     int64      `avro:"prompt" since:"3"` // Take: time within which a run should start once it may; 0 for any
-	Level           int64      `avro:"level" since:"6"`  // Level: the new feature level
-	Counts          []byte     `avro:"counts" since:"8"` // Count: an encoded quota.Batch
+	// HoldsKey blocks the later messages of the key; RunFailed: until the backoff ends, as the run may go on so long.
+	HoldsKey bool   `avro:"hold"`
+	Head     []byte `avro:"head" since:"3"`
+	Delay    int64  `avro:"delay" since:"3"`  // Take: no run starts before this time has passed
+	Notify   string `avro:"notify" since:"3"` // Take: URL that is notified of the outcome; empty for none
+	// DropsBody, of RunSucceeded: the body is not kept, and the head only until the notification.
+	DropsBody bool `avro:"drop" since:"3"`
+	// StartWithin, of Take: time within which a run should start once it may; 0 for any.
+	StartWithin int64  `avro:"prompt" since:"3"`
+	Level       int64  `avro:"level" since:"6"`  // Level: the new feature level
+	Counts      []byte `avro:"counts" since:"8"` // Count: an encoded quota.Batch
 }
 
 // TimeMark returns a command that only advances the place time: a CmdTrim of no messages.
--- a/internal/place/message.go
+++ b/internal/place/message.go
@@ -35,21 +35,23 @@
 // set if and only if State is Ended, and Proof.Attempt is the number of a run of this message; Body is what the
 // caller sent.
 type Message struct {
-	Id                    string     `avro:"id"`
-	Seq                   int64      `avro:"seq"`
-	Lane                  string     `avro:"lane"`
-	Key                   string     `avro:"key"`
-	Ordered               bool       `avro:"ordered"`
-	IdempotencyKey        string     `avro:"idem"`
-	ContentType           string     `avro:"ctype"`
-	Body                  []byte     `avro:"body"`
-	Checksum              string     `avro:"sum"`
-	Parent                string     `avro:"parent"`
-	Child                 string     `avro:"child"`
-	State                 State      `avro:"state"`
-	Deadline              int64      `avro:"cutoff"` // place time at which the message expires if it is held
-	Due                   int64      `avro:"due"`    // place time: held, when it may run; started and ordered, until when the run may go on without a report
-	ForgetAt              int64      `avro:"over"`   // place time from which on a message that is over may be forgotten
+	Id             string `avro:"id"`
+	Seq            int64  `avro:"seq"`
+	Lane           string `avro:"lane"`
+	Key            string `avro:"key"`
+	Ordered        bool   `avro:"ordered"`
+	IdempotencyKey string `avro:"idem"`
+	ContentType    string `avro:"ctype"`
+	Body           []byte `avro:"body"`
+	Checksum       string `avro:"sum"`
+	Parent         string `avro:"parent"`
+	Child          string `avro:"child"`
+	State          State  `avro:"state"`
+	Deadline       int64  `avro:"cutoff"` // place time at which the message expires if it is held
+	// Due is a place time. Held: when the message may run; started and ordered: until when the run may go on
+	// without a report.
+	Due                   int64      `avro:"due"`
+	ForgetAt              int64      `avro:"over"` // place time from which on a message that is over may be forgotten
 	Attempt               int64      `avro:"attempt"`
 	CountedAttempts       int64      `avro:"spent"` // runs that count towards the limit of attempts
 	Adapter               string     `avro:"adapter"`
@@ -63,7 +65,8 @@
 	StartBy               int64      `avro:"wanted" since:"3"` // place time by which a run should start; 0 for any
 	Notify                string     `avro:"notify" since:"3"`
 	IsNotificationPending bool       `avro:"is_owed" since:"3"` // it is over, and its caller has not been notified yet
-	IsHoldingKey          bool       `avro:"is_holder"`         // blocks later messages of its key: it failed, or its last run may go on until Due
+	// IsHoldingKey: the message blocks later ones of its key. It failed, or its last run may go on until Due.
+	IsHoldingKey bool `avro:"is_holder"`
 }
 
 // transition changes the state of a message. No other function does.
--- a/internal/place/snapshot.go
+++ b/internal/place/snapshot.go
@@ -8,6 +8,7 @@
 	"caperwheel/internal/wire"
 )
 
+// snapshot is the stored form of a Machine.
 type snapshot struct {
 	Clock    int64     `avro:"clock"`
 	Seq      int64     `avro:"seq"`
--- a/internal/place/walk_test.go
+++ b/internal/place/walk_test.go
@@ -36,7 +36,7 @@
 	return w.m.Apply(c)
 }
 
-// anyMessage returns one of the messages that are not archived, or nil.
+// any returns one of the messages that are not archived, or nil.
 func (w *placeWalk) any() *Message {
 	for id := range w.m.messages {
 		return w.m.messages[id]
--- a/internal/storage/log.go
+++ b/internal/storage/log.go
@@ -94,6 +94,7 @@
 	l.put(writeRequest{group: id, slot: &r, done: then})
 }
 
+// put queues a request for the syncing goroutine.
 func (l *Log) put(w writeRequest) {
 	l.unsyncedBytes.Add(int64(len(w.body)))
 	l.queue <- w // does not block for ever: the goroutine receives requests also after the log has stopped
--- a/internal/storage/pair.go
+++ b/internal/storage/pair.go
@@ -18,6 +18,7 @@
 	sequence uint64
 }
 
+// slotHeaderBytes is the size of a slot's header: sequence number, length and checksum of the content.
 const slotHeaderBytes = 8 + 4 + 4
 
 // OpenPair reads the newest intact slot; raw is nil if there is none. isTorn reports whether a slot was found that is
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -100,8 +100,10 @@
 // never acknowledged, from damage to synced records.
 const recordHeaderBytes = 4 + 4 + 4 + 8
 
+// recordMagic is the start of each log record, by which wasSynced finds records after a broken one.
 var recordMagic = []byte{0xca, 0x9e, 0x10, 0x91}
 
+// appendRecord appends an encoded record with its header; synced is the number of bytes of the segment that are synced.
 func appendRecord(into []byte, body []byte, synced int64) []byte {
 	tail := binary.BigEndian.AppendUint64(nil, uint64(synced))
 	sum := crc32.Update(crc32.Checksum(tail, castagnoli), castagnoli, body)
--- a/internal/storage/status.go
+++ b/internal/storage/status.go
@@ -21,11 +21,11 @@
 	return len(l.segments)
 }
 
-// IsFull reports whether the disk is too full to accept more messages. The reserve is for finishing those that are
+// IsDiskFull reports whether the disk is too full to accept more messages. The reserve is for finishing those that are
 // held.
 func (l *Log) IsDiskFull() bool {
-	free, all, err := l.files.Free()
-	return err != nil || free < max(l.opts.FreeBytes, all/1000*l.opts.FreePermille)
+	free, total, err := l.files.Free()
+	return err != nil || free < max(l.opts.FreeBytes, total/1000*l.opts.FreePermille)
 }
 
 // UnsyncedBytes returns the number of bytes that were passed to the log and are not synced yet.
