--- a/internal/feed/orders.go
+++ b/internal/feed/orders.go
@@ -178,7 +178,7 @@
 // parseOrderKey parses the result of OrderKey.
 func parseOrderKey(key string) (order string, base int64, isOrder bool) {
 	rest, isOrder := strings.CutPrefix(key, orderKeyPrefix)
-	number, order, isWhole := strings.Cut(rest, "/")
+	number, order, hasBase := strings.Cut(rest, "/")
 	base, err := strconv.ParseInt(number, 10, 64)
-	return order, base, isOrder && isWhole && err == nil
+	return order, base, isOrder && hasBase && err == nil
 }
--- a/internal/place/owed_test.go
+++ b/internal/place/owed_test.go
@@ -46,7 +46,7 @@
 	cases := []struct {
 		name     string
 		commands []Command
-		owed     []string
+		pending  []string
 		bytes    int64
 	}{
 		{"none while the message is held", []Command{notified("1")}, []string{}, 12},
@@ -72,12 +72,12 @@
 				again, err := Restore(m.Snapshot())
 				So(err, ShouldBeNil)
 				for _, m := range []*Machine{m, again} {
-					So(ids(m.PendingNotifications()), ShouldResemble, c.owed)
-					So(m.CountPendingNotifications(), ShouldEqual, len(c.owed))
+					So(ids(m.PendingNotifications()), ShouldResemble, c.pending)
+					So(m.CountPendingNotifications(), ShouldEqual, len(c.pending))
 					_, bytes := m.Count()
 					So(bytes, ShouldEqual, c.bytes)
 					m.RebuildQueue() // as a new owner does
-					So(ids(m.PendingNotifications()), ShouldResemble, c.owed)
+					So(ids(m.PendingNotifications()), ShouldResemble, c.pending)
 				}
 			})
 		}
--- a/internal/repair/plan.go
+++ b/internal/repair/plan.go
@@ -53,12 +53,12 @@
 // over, and ZoneOutageTimeout if its whole zone is absent. A zone that is partitioned comes back with its disks, and
 // until then each group tolerates its loss.
 func (p *Planner) HoldersFor(g Group, retired map[string]bool, changing int, now time.Duration) []string {
-	stores, isWhole := slices.Clone(p.members), len(g.Holders) >= p.copies
+	stores, isComplete := slices.Clone(p.members), len(g.Holders) >= p.copies
 	isMember := func(name string) bool {
 		return slices.ContainsFunc(p.members, func(s Store) bool { return s.Name == name })
 	}
 	for _, name := range g.Holders {
-		isWhole = isWhole && isMember(name) && !retired[name]
+		isComplete = isComplete && isMember(name) && !retired[name]
 		if isMember(name) {
 			continue
 		}
@@ -68,9 +68,9 @@
 		stores = append(stores, absent)
 	}
 	switch {
-	case isWhole && (g.IsChanging || changing < maxConcurrentMoves):
+	case isComplete && (g.IsChanging || changing < maxConcurrentMoves):
 		return SpreadHolders(g.Id, stores, p.copies)
-	case !isWhole && !g.IsChanging && changing >= maxConcurrentRepairs:
+	case !isComplete && !g.IsChanging && changing >= maxConcurrentRepairs:
 		return g.Holders
 	}
 	return SelectHolders(g.Id, g.Holders, stores, p.copies)
--- a/internal/repair/presence.go
+++ b/internal/repair/presence.go
@@ -19,9 +19,9 @@
 
 // Update sets the stores that are members now.
 func (p *Presence) Update(present []Store, now time.Duration) {
-	isHere := map[string]bool{}
+	isPresent := map[string]bool{}
 	for _, s := range present {
-		isHere[s.Name] = true
+		isPresent[s.Name] = true
 		p.zones[s.Name] = s.Zone
 		delete(p.absentSince, s.Name)
 		if _, isKnown := p.presentSince[s.Name]; !isKnown {
@@ -29,7 +29,7 @@
 		}
 	}
 	for name := range p.presentSince {
-		if !isHere[name] {
+		if !isPresent[name] {
 			delete(p.presentSince, name)
 			p.absentSince[name] = now
 		}
--- a/internal/repair/selection.go
+++ b/internal/repair/selection.go
@@ -1,6 +1,7 @@
 // Package repair decides which daemons take over from a missing or retiring one. Planner selects the stores that
-// should hold the replicas of a group; package store changes the rosters accordingly. ResultBuffer keeps the results
-// of runs for adapters that may fail before they can deliver them; agents and stores use it.
+// should hold the replicas of a group; the group then changes its roster step by step (see group.Group.Repair).
+// ResultBuffer keeps the results of runs for adapters that may fail before they can deliver them; agents and stores
+// use it.
 package repair
 
 import (
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -21,7 +21,7 @@
 		if size == 0 && len(raw) > 0 { // a broken record and the data after it
 			wasSynced(raw, 0)
 		}
-		if sequence, body, isWhole := readSlot(raw); isWhole && len(body)+slotHeaderBytes != len(raw) {
+		if sequence, body, isIntact := readSlot(raw); isIntact && len(body)+slotHeaderBytes != len(raw) {
 			t.Fatalf("slot %d has %d bytes of %d", sequence, len(body), len(raw))
 		}
 	})
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -144,8 +144,8 @@
 
 // replayRecord applies one record, unless the group's slot covers it.
 func (l *Log) replayRecord(groups map[int64]*StoredGroup, covered map[int64]position, body []byte, at position) error {
-	id, isWhole := groupOf(body)
-	if !isWhole {
+	id, isValid := groupOf(body)
+	if !isValid {
 		return errs.New(errs.Corrupt, "read group of the record in %s at byte %d: no valid number", segmentName(at.segment), at.offset)
 	}
 	if groups[id] == nil {
--- a/internal/storage/pair.go
+++ b/internal/storage/pair.go
@@ -33,8 +33,8 @@
 		if err != nil {
 			return p, nil, false, err
 		}
-		sequence, body, isWhole := readSlot(got)
-		if !isWhole {
+		sequence, body, isIntact := readSlot(got)
+		if !isIntact {
 			isTorn = true
 			continue
 		}
@@ -51,7 +51,7 @@
 func (p *Pair) file(turn uint64) string { return fmt.Sprintf("%s.%d", p.name, turn%2) }
 
 // readSlot checks the header and the checksum of a slot, and returns its sequence number and content.
-func readSlot(got []byte) (sequence uint64, body []byte, isWhole bool) {
+func readSlot(got []byte) (sequence uint64, body []byte, isIntact bool) {
 	if len(got) < slotHeaderBytes {
 		return 0, nil, false
 	}
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -54,7 +54,7 @@
 
 // groupOf returns the group of an encoded record without decoding the rest, as it is the first field. It returns
 // false if there is no valid number.
-func groupOf(body []byte) (id int64, isWhole bool) {
+func groupOf(body []byte) (id int64, isValid bool) {
 	id, size := binary.Varint(body)
 	return id, size > 0
 }
--- a/internal/storage/replay_test.go
+++ b/internal/storage/replay_test.go
@@ -40,11 +40,11 @@
 	})
 	Convey("The group of a record can be read without decoding the record", t, func() {
 		for _, id := range []int64{0, 4, wire.FirstPlaceGroup + 47, -3} {
-			got, isWhole := groupOf(recordCodec.Encode(&record{Group: id, Entries: []wire.Entry{}, Roster: []string{}}))
-			So(isWhole, ShouldBeTrue)
+			got, isValid := groupOf(recordCodec.Encode(&record{Group: id, Entries: []wire.Entry{}, Roster: []string{}}))
+			So(isValid, ShouldBeTrue)
 			So(got, ShouldEqual, id)
 		}
-		_, isWhole := groupOf(nil)
-		So(isWhole, ShouldBeFalse)
+		_, isValid := groupOf(nil)
+		So(isValid, ShouldBeFalse)
 	})
 }
