--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -19,37 +19,37 @@
 )
 
 func main() {
-	source := platform.Settings("adapter")
+	source := platform.SettingsSource("adapter")
 	d := daemon.New("adapter", source)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	configs := &config.Cache{View: d.View}
 	d.CanReadConfig = configs.CanRead
-	workers := deliver.DefaultCodec
+	codec := deliver.DefaultCodec
 	if source != nil {
-		workers = platform.Deliveries
+		codec = platform.DeliverCodec
 	}
-	out := deliver.New(ctx, d, configs, workers)
-	d.OpenTransport(map[string]transport.Handler{"run": out.Serve})
-	out.UseNode()
-	in := intake.New(d, configs)
-	d.Mux.HandleFunc("GET /v1/messages/{id}/story", in.RequireAccess(out.ServeRuns))
+	deliverer := deliver.New(ctx, d, configs, codec)
+	d.OpenTransport(map[string]transport.Handler{"run": deliverer.Serve})
+	deliverer.UseNode()
+	intakeServer := intake.New(d, configs)
+	d.Mux.HandleFunc("GET /v1/messages/{id}/story", intakeServer.RequireAccess(deliverer.ServeRuns))
 	limits := limit.New(limit.Options{Holder: d.Who.Boot, Places: d.Settings.Places, Bounds: d.Bounds, Now: d.Now,
 		RequestTokens: limit.ClientFor(&ownerclient.Client{Node: d.Node, Membership: d.Membership, Bounds: d.Bounds, Link: wire.PlaceLink, AttemptTimeout: timing.AnswerTimeout})})
-	in.SetLimiter(limits)
+	intakeServer.SetLimiter(limits)
 	d.AddMetrics(limits.Measure)
 	client := d.NewSessionClient(func() wire.Poll {
 		poll := d.NewPoll()
-		out.AddCounts(poll.Fact.Counts)
+		deliverer.AddCounts(poll.Fact.Counts)
 		return poll
 	})
 	go client.Run(ctx)
-	go out.Run(ctx)
-	go in.Run(ctx)
+	go deliverer.Run(ctx)
+	go intakeServer.Run(ctx)
 	go limits.Run(ctx)
 	d.Ready = func() (bool, string) {
 		switch {
-		case out.IsLeaving():
+		case deliverer.IsLeaving():
 			return false, "leaving"
 		case !d.IsFresh():
 			return false, string(errs.Stale)
@@ -61,10 +61,10 @@
 		return true, ""
 	}
 	if source != nil {
-		platform.ServeCallers(d.FrontMux, in)
+		platform.ServeCallers(d.FrontMux, intakeServer)
 		platform.ServeReadiness(d.ProbeMux, d.IsReady)
 	} else {
-		d.FrontMux.HandleFunc("/", in.PassthroughHandler(intake.DefaultCodec))
+		d.FrontMux.HandleFunc("/", intakeServer.PassthroughHandler(intake.DefaultCodec))
 	}
-	d.Serve(out.Drain)
+	d.Serve(deliverer.Drain)
 }
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	d := daemon.New("agent", platform.Settings("agent"))
+	d := daemon.New("agent", platform.SettingsSource("agent"))
 	a := agent.New(d)
 	d.OpenTransport(a.Handlers())
 	a.Measure()
--- a/cmd/fleet/backend.go
+++ b/cmd/fleet/backend.go
@@ -16,8 +16,8 @@
 
 func backend(a *backendCommand) error {
 	began := time.Now()
-	b := fleet.Backend{Pool: "standin", Name: "standin", Work: a.Work}
-	b.Record(check.NewHistory(), func() time.Duration { return time.Since(began) })
+	b := fleet.Backend{Pool: "standin", Name: "standin", MeanRunTime: a.Work}
+	b.RecordTo(check.NewHistory(), func() time.Duration { return time.Since(began) })
 	if err := b.Start(a.Listen); err != nil {
 		return err
 	}
--- a/cmd/fleet/bench.go
+++ b/cmd/fleet/bench.go
@@ -26,7 +26,7 @@
 }
 
 // body is 46 bytes as an encoded Look with its correlation number.
-const bodyId = "0123456789012345678901234567890123456789"
+const benchMessageId = "0123456789012345678901234567890123456789"
 
 func bench(a *benchCommand) error {
 	if a.Serve {
@@ -42,7 +42,7 @@
 	for range a.Rounds {
 		for _, batch := range a.Batches {
 			for _, pool := range a.Pools {
-				rate, err := benchCell(batch, pool, a.For)
+				rate, err := measureCell(batch, pool, a.For)
 				if err != nil {
 					return err
 				}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func benchCell(batch, pool int, length time.Duration) (float64, error) {
+func measureCell(batch, pool int, length time.Duration) (float64, error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return 0, errs.Wrap(err, errs.Internal, "executable")
@@ -101,20 +101,20 @@
 	defer node.Close()
 	peer := node.Peer(wire.PlaceLink, strings.TrimSpace(string(raw[:n])))
 	done := make(chan struct{})
-	for peer.Post(&wire.Look{Id: bodyId}, nil) != nil {
+	for peer.Post(&wire.Look{Id: benchMessageId}, nil) != nil {
 		time.Sleep(time.Millisecond)
 	}
 	sent, began := 0, time.Now()
 	for time.Since(began) < length {
 		for range 64 {
-			if peer.Post(&wire.Look{Id: bodyId}, nil) == nil {
+			if peer.Post(&wire.Look{Id: benchMessageId}, nil) == nil {
 				sent++
 			} else {
 				time.Sleep(20 * time.Microsecond) // the window is full
 			}
 		}
 	}
-	for peer.Post(&wire.Look{Id: bodyId, Body: true}, func(any, error) { close(done) }) != nil {
+	for peer.Post(&wire.Look{Id: benchMessageId, Body: true}, func(any, error) { close(done) }) != nil {
 		time.Sleep(100 * time.Microsecond)
 	}
 	<-done
--- a/cmd/fleet/check.go
+++ b/cmd/fleet/check.go
@@ -25,17 +25,17 @@
 // checkGroup explores the group's code: searches first, then random walks. What is
 // broken is printed with the events that lead to it.
 func checkGroup(a *checkCommand) error {
-	if a.Members < 1 || a.Members > explore.MostMembers {
-		return errs.New(errs.Invalid, "members must be from 1 to %d", explore.MostMembers)
+	if a.Members < 1 || a.Members > explore.MaxMembers {
+		return errs.New(errs.Invalid, "members must be from 1 to %d", explore.MaxMembers)
 	}
 	if a.Jobs < 1 {
 		a.Jobs = runtime.NumCPU()
 	}
 	pool := pond.NewPool(a.Jobs)
 	var broken atomic.Int64
-	tell := func(name string, r explore.Result) {
+	report := func(name string, r explore.Result) {
 		fmt.Println(name + ": " + r.String())
-		if r.Broken != "" {
+		if r.Breach != "" {
 			broken.Add(1)
 		}
 	}
@@ -49,7 +49,7 @@
 		if a.Depth > 0 {
 			s.Depth = a.Depth
 		}
-		searches.Submit(func() { tell(s.Name, explore.Search(&s.Options, s.Depth, a.States)) })
+		searches.Submit(func() { report(s.Name, explore.Search(&s.Options, s.Depth, a.States)) })
 	}
 	if !isKnown {
 		return errs.New(errs.Unknown, "search %q", a.Scenario)
@@ -58,9 +58,9 @@
 	var events atomic.Int64
 	for seed := a.From; seed < a.From+a.Walks; seed++ {
 		walks.Submit(func() {
-			r := explore.Walk(explore.Free(a.Members, 1, seed), seed, a.Steps)
-			if events.Add(int64(r.Events)); r.Broken != "" {
-				tell(fmt.Sprintf("walk %d", seed), r)
+			r := explore.Walk(explore.UnrestrictedOptions(a.Members, 1, seed), seed, a.Steps)
+			if events.Add(int64(r.Events)); r.Breach != "" {
+				report(fmt.Sprintf("walk %d", seed), r)
 			}
 		})
 	}
--- a/cmd/fleet/lists.go
+++ b/cmd/fleet/lists.go
@@ -18,7 +18,7 @@
 	Workers []int         `arg:"--workers" help:"lengths of the list to measure; 100, 1000, 10000 and 100000 if not given"`
 	Page    int           `arg:"--page" default:"50" help:"entries of a page"`
 	Rate    float64       `arg:"--rate" default:"50" help:"calls a second that the list takes from all"`
-	Most    time.Duration `arg:"--most" default:"10m" help:"longest time for one length"`
+	Timeout time.Duration `arg:"--most" default:"10m" help:"longest time for one length"`
 	Root    string        `arg:"--root" default:"." help:"root of the sources, for building"`
 }
 
@@ -39,11 +39,11 @@
 		return err
 	}
 	for _, workers := range a.Workers {
-		bounded, done := context.WithTimeout(ctx, a.Most)
-		got, err := standin.MeasureList(bounded, standin.ListsOptions{Workers: workers, Page: a.Page, Rate: a.Rate, Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(workers))})
-		done()
+		bounded, cancelMeasurement := context.WithTimeout(ctx, a.Timeout)
+		got, err := standin.MeasureList(bounded, standin.ListOptions{Workers: workers, Page: a.Page, Rate: a.Rate, Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(workers))})
+		cancelMeasurement()
 		fmt.Printf("%d workers: first run %v, all known %v, all held %v, a change known %v, %d calls, %d refused\n  idle cores %v\n  memory %v\n", workers,
-			got.FirstRun.Round(time.Millisecond), got.Listed.Round(time.Millisecond), got.Held.Round(time.Millisecond), got.Changed.Round(time.Millisecond),
+			got.FirstRun.Round(time.Millisecond), got.Listed.Round(time.Millisecond), got.Assigned.Round(time.Millisecond), got.Changed.Round(time.Millisecond),
 			got.Calls, got.Refused, got.Idle, got.Memory)
 		if err != nil {
 			return err
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -101,11 +101,11 @@
 	if err != nil {
 		return err
 	}
-	defer f.Down()
+	defer f.Stop()
 	upCtx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
 	began := time.Now()
-	if err := f.Up(upCtx); err != nil {
+	if err := f.Start(upCtx); err != nil {
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "fleet: %d daemons serve after %v.\n", len(f.All()), time.Since(began).Round(time.Millisecond))
@@ -115,20 +115,20 @@
 		if schedule, err = fleet.ReadSchedule(a.Faults); err != nil {
 			return err
 		}
-		if schedule.For != "" {
-			if a.For, err = time.ParseDuration(schedule.For); err != nil {
+		if schedule.Duration != "" {
+			if a.For, err = time.ParseDuration(schedule.Duration); err != nil {
 				return errs.Wrap(err, errs.Invalid, "schedule")
 			}
 		}
 	}
 	if a.Seed > 0 {
-		f.IsDrawn = true
+		f.IsRandomSchedule = true
 		schedule = fleet.RandomSchedule(plan, a.Seed, a.For)
 	}
 	loadCtx, cancel := context.WithTimeout(ctx, a.For)
 	defer cancel()
 	caused := make(chan struct{})
-	go func() { f.Cause(loadCtx, schedule); close(caused) }()
+	go func() { f.RunSchedule(loadCtx, schedule); close(caused) }()
 	go f.Probe(loadCtx, callers)
 	callers.Run(loadCtx)
 	<-caused
@@ -137,15 +137,15 @@
 	report := f.Report(callers, f.Settle(settleCtx, true))
 	readCtx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
-	report.Config, report.Counts = f.CheckConfig(readCtx), f.Counts(readCtx)
+	report.Config, report.Counters = f.CheckConfig(readCtx), f.SumCounters(readCtx)
 	raw, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "report")
 	}
 	fmt.Println(string(raw))
-	if len(report.Breaches) > 0 || report.Unsettled != "" || len(report.Config) > 0 || len(report.Failures)+len(report.Crashes) > 0 || report.Runs == 0 {
+	if len(report.Breaches) > 0 || report.Unsettled != "" || len(report.Config) > 0 || len(report.FailedSteps)+len(report.Crashes) > 0 || report.Runs == 0 {
 		return errs.New(errs.Unhealthy, "%d rules broken, %d steps not carried out, %d crashes", len(report.Breaches)+len(report.Config),
-			len(report.Failures), len(report.Crashes))
+			len(report.FailedSteps), len(report.Crashes))
 	}
 	return nil
 }
--- a/cmd/fleet/platform.go
+++ b/cmd/fleet/platform.go
@@ -28,14 +28,14 @@
 		if schedule, err = fleet.ReadScheduleOf(a.Faults, standin.IsFault); err != nil {
 			return err
 		}
-		if schedule.For != "" {
-			if a.For, err = time.ParseDuration(schedule.For); err != nil {
+		if schedule.Duration != "" {
+			if a.For, err = time.ParseDuration(schedule.Duration); err != nil {
 				return errs.Wrap(err, errs.Invalid, "schedule")
 			}
 		}
 	}
 	if a.Seed > 0 {
-		schedule = fleet.DrawSchedule(standin.Draws(), a.Seed, a.For)
+		schedule = fleet.DrawSchedule(standin.RandomFaults(), a.Seed, a.For)
 	}
 	w := workspace{Dir: a.Dir, Bin: a.Bin}
 	err = w.prepare(ctx, a.Root)
@@ -45,5 +45,5 @@
 	if err != nil {
 		return err
 	}
-	return standin.Play(ctx, w.Bin, w.Dir, schedule, a.For, os.Stdout)
+	return standin.RunSchedule(ctx, w.Bin, w.Dir, schedule, a.For, os.Stdout)
 }
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -95,14 +95,14 @@
 	o, out := a.options(seed), &bytes.Buffer{}
 	o.Bin, o.Dir = a.Bin, dir
 	began := time.Now()
-	o.Tell = func(form string, args ...any) {
+	o.Progress = func(form string, args ...any) {
 		fmt.Fprintf(os.Stderr, "seed %d, %v: %s\n", seed, time.Since(began).Round(time.Second), fmt.Sprintf(form, args...))
 	}
-	figures, err := standin.Soak(ctx, o, out)
+	result, err := standin.Soak(ctx, o, out)
 	if err != nil {
 		return out.String(), false, errs.Wrap(err, errs.KindOf(err), "seed %d", seed)
 	}
 	fmt.Fprintf(out, "seed %d: %d processes, %d requests, answers %v, %d asked at other doors, %d runs, ends %v, %d configurations, %d broken, %d failures, %d crashes\n",
-		seed, figures.Processes, figures.Tries, figures.Codes, figures.Doors, figures.Runs, figures.Ends, figures.Changes, len(figures.Breaches), len(figures.Failures), len(figures.Crashes))
-	return out.String(), figures.IsClean(), nil
+		seed, result.Processes, result.Tries, result.Codes, result.AdminRequests, result.Runs, result.FinalStates, result.Changes, len(result.Breaches), len(result.Failures), len(result.Crashes))
+	return out.String(), result.IsClean(), nil
 }
--- a/cmd/fleet/sweep.go
+++ b/cmd/fleet/sweep.go
@@ -16,15 +16,15 @@
 	"caperwheel/internal/sim"
 )
 
-// sweepGC is by how many hundredths the heap grows between two collections.
-const sweepGC = 400
+// sweepGCPercent is by how many hundredths the heap grows between two collections.
+const sweepGCPercent = 400
 
 // sweep simulates many seeds, each with all faults mixed. A failing seed
 // prints its number, its trace and what was broken; the same seed fails alike.
 func sweep(a *sweepCommand) error {
 	klog.LogToStderr(false)
-	klog.SetOutput(io.Discard)  // what the real code logs in the simulation
-	debug.SetGCPercent(sweepGC) // worlds are short-lived: memory is cheaper than collecting them
+	klog.SetOutput(io.Discard)         // what the real code logs in the simulation
+	debug.SetGCPercent(sweepGCPercent) // worlds are short-lived: memory is cheaper than collecting them
 	pool := pond.NewPool(runtime.NumCPU())
 	var failed atomic.Int64
 	var printing sync.Mutex
@@ -35,14 +35,14 @@
 		group := pool.NewGroup()
 		for seed := a.From; seed < a.From+a.Seeds; seed++ {
 			group.Submit(func() {
-				broken, trace := sim.Sweep{Kind: kind, Only: a.Only, Span: a.Span}.Seed(seed)
-				if len(broken) == 0 {
+				breaches, trace := sim.Sweep{Kind: kind, FaultNames: a.Only, FaultTime: a.Span}.RunSeed(seed)
+				if len(breaches) == 0 {
 					return
 				}
 				failed.Add(1)
 				printing.Lock()
 				defer printing.Unlock()
-				fmt.Printf("%s seed %d is broken:\n%s\n%s\n", kind, seed, strings.Join(trace, "\n"), strings.Join(broken, "\n"))
+				fmt.Printf("%s seed %d is broken:\n%s\n%s\n", kind, seed, strings.Join(trace, "\n"), strings.Join(breaches, "\n"))
 			})
 		}
 		if err := group.Wait(); err != nil {
--- a/cmd/fleet/up.go
+++ b/cmd/fleet/up.go
@@ -35,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	defer f.Down()
+	defer f.Stop()
 	upCtx, cancelUp := context.WithTimeout(ctx, time.Minute)
 	defer cancelUp()
-	if err := f.Up(upCtx); err != nil {
+	if err := f.Start(upCtx); err != nil {
 		return err
 	}
 	fmt.Printf("%d daemons serve; logs and data are in %s until the end.\n", len(f.All()), w.Dir)
--- a/cmd/manager/main.go
+++ b/cmd/manager/main.go
@@ -9,14 +9,14 @@
 )
 
 func main() {
-	source := platform.Settings("manager")
+	source := platform.SettingsSource("manager")
 	manager.Run(source, func(d *daemon.Daemon) manager.Options {
 		if source == nil {
 			return manager.Options{}
 		}
-		list := platform.ListOptions{Address: func() string { return d.CurrentSettings().List }, Bound: d.Settings.ListLag.Duration}
+		list := platform.ListOptions{Address: func() string { return d.CurrentSettings().List }, PageTimeout: d.Settings.ListLag.Duration}
 		return manager.Options{
-			Source: &manager.Source{Page: platform.Pages(list), Rate: func() float64 { return d.CurrentSettings().ListRate },
+			Source: &manager.Source{Page: platform.NewPageReader(list), Rate: func() float64 { return d.CurrentSettings().ListRate },
 				MaxLag: d.Settings.ListLag.Duration},
 			ResendWindow: d.Settings.ResendWindow.Duration,
 			ServeOperators: func(ops *manager.Operators) {
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -6,4 +6,4 @@
 	"caperwheel/platform"
 )
 
-func main() { store.Run(platform.Settings("store")) }
+func main() { store.Run(platform.SettingsSource("store")) }
--- /dev/null
+++ b/internal/check/configs.go
@@ -0,0 +1,80 @@
+package check
+
+import (
+	"slices"
+	"time"
+)
+
+// configTimeout is how long after its acknowledgement a configuration may not yet
+// hold everywhere.
+const configTimeout = 3 * time.Second
+
+func (c *checker) inForce(first, last time.Duration) []Edit { return InForce(c.h.Edits, first, last) }
+
+// InForce lists the configurations that may have been acted on at some moment from
+// first to last: sent by then, and not behind one that was acknowledged more
+// than the bound before first.
+func InForce(edits []Edit, first, last time.Duration) []Edit {
+	newest := int64(0)
+	for _, e := range edits {
+		if e.AcknowledgedAt > 0 && e.AcknowledgedAt+configTimeout < first {
+			newest = max(newest, e.Revision)
+		}
+	}
+	return slices.DeleteFunc(slices.Clone(edits), func(e Edit) bool {
+		return e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+	})
+}
+
+// isPoolAllowed: some configuration that may be in force lets the lane use the run's pool.
+func (c *checker) isPoolAllowed(lane string, r Run) bool {
+	if len(c.h.Edits) == 0 {
+		return slices.Contains(c.h.LanePools[lane], r.Pool)
+	}
+	return slices.ContainsFunc(c.inForce(r.Start, r.Start), func(e Edit) bool { return slices.Contains(e.Pools[lane], r.Pool) })
+}
+
+// maxRateCap gives the largest cap of a pool in the window before a moment.
+func (c *checker) maxRateCap(pool string, at time.Duration) float64 {
+	if len(c.h.Edits) == 0 {
+		return c.h.RateCaps[pool]
+	}
+	maxCap := 0.0
+	for _, e := range c.inForce(at-rateWindow, at) {
+		maxCap = max(maxCap, e.RateCaps[pool])
+	}
+	return maxCap
+}
+
+// checkConfigs: the bound after an acknowledgement, nothing is done under an older
+// configuration, and no adapter slips back.
+func (c *checker) checkConfigs() {
+	acked := slices.DeleteFunc(slices.Clone(c.h.Edits), func(e Edit) bool { return e.AcknowledgedAt == 0 })
+	checkRevision := func(at time.Duration, revision int64, form string, args ...any) {
+		for _, e := range acked {
+			if revision > 0 && e.AcknowledgedAt+configTimeout < at && revision < e.Revision {
+				c.addBreach(RuleStaleConfig, form+" at %v under charter %d, though %d was acknowledged at %v", append(args, at, revision, e.Revision, e.AcknowledgedAt)...)
+				return
+			}
+		}
+	}
+	for _, r := range c.h.Runs {
+		checkRevision(r.Start, r.Revision, "%s ran %s", r.Adapter, r.Token)
+	}
+	for _, s := range c.h.Sent {
+		checkRevision(s.SentAt, s.Revision, "%s was answered", s.Token)
+	}
+}
+
+// checkDrains holds leaving workers and emptied zones against their bounds.
+func (c *checker) checkDrains() {
+	for _, m := range c.h.Drains {
+		for _, r := range c.h.Runs {
+			isHit := m.Worker != "" && r.Pool == m.Pool && r.Worker == m.Worker ||
+				m.Worker == "" && c.h.Zones[r.Pool+"/"+r.Worker] == m.Zone
+			if isHit && r.Start > m.From+m.Grace && (m.Until == 0 || r.Start < m.Until) {
+				c.addBreach(RuleRunAfterDrain, "%s/%s got %s %v after it was to get no more", r.Pool, r.Worker, r.Token, r.Start-m.From)
+			}
+		}
+	}
+}
--- a/internal/check/runs.go
+++ b/internal/check/runs.go
@@ -7,69 +7,69 @@
 )
 
 const (
-	rateWindow   = 5 * time.Second
-	rateAllowed  = 1.15 // "not much more" than the agreed rate
-	rateHeadroom = 2
+	rateWindow    = 5 * time.Second
+	rateTolerance = 1.15 // "not much more" than the agreed rate
+	rateExtraRuns = 2
 )
 
 func (r Run) isSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// run holds one run against what its message may do.
-func (c *checker) run(r Run) {
-	s, isKnown := c.bySent[r.Token]
+// checkRun holds one run against what its message may do.
+func (c *checker) checkRun(r Run) {
+	s, isKnown := c.sentByToken[r.Token]
 	if !isKnown {
 		return // a call-back: its bytes are an answer, not a caller's
 	}
-	if !c.mayUse(s.Lane, r) {
-		c.breach(RulePool, "%s of lane %s ran in pool %s", r.Token, s.Lane, r.Pool)
+	if !c.isPoolAllowed(s.Lane, r) {
+		c.addBreach(RuleWrongPool, "%s of lane %s ran in pool %s", r.Token, s.Lane, r.Pool)
 	}
-	if r.Sum != s.Sum {
-		c.breach(RuleBytes, "%s arrived altered at %s", r.Token, r.Worker)
+	if r.BodySum != s.BodySum {
+		c.addBreach(RuleAlteredBody, "%s arrived altered at %s", r.Token, r.Worker)
 	}
-	if s.Delay > 0 && r.Start < s.At+s.Delay-rounding {
-		c.breach(RuleEarly, "%s began %v before its delay of %v was over", r.Token, s.At+s.Delay-r.Start, s.Delay)
+	if s.Delay > 0 && r.Start < s.SentAt+s.Delay-millisecondRounding {
+		c.addBreach(RuleEarly, "%s began %v before its delay of %v was over", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
 	}
 }
 
-// rounding is by how much a span that is told in milliseconds may end early.
-const rounding = 2 * time.Millisecond
+// millisecondRounding is by how much a span that is told in milliseconds may end early.
+const millisecondRounding = 2 * time.Millisecond
 
-// expiries: nobody may say that a message has expired before it may have.
-func (c *checker) expiries() {
+// checkExpiries: nobody may say that a message has expired before it may have.
+func (c *checker) checkExpiries() {
 	byId := map[string]Sent{}
 	for _, s := range c.h.Sent {
 		byId[s.Id] = s
 	}
-	for _, x := range c.h.Sights {
+	for _, x := range c.h.Reads {
 		s, isKnown := byId[x.Id]
-		if isKnown && s.Patience > 0 && x.State == "expired" && x.ToldAt < s.At+s.Patience-rounding {
-			c.breach(RuleExpired, "%s was expired %v before its patience of %v was over", s.Token, s.At+s.Patience-x.ToldAt, s.Patience)
+		if isKnown && s.Patience > 0 && x.State == "expired" && x.AnsweredAt < s.SentAt+s.Patience-millisecondRounding {
+			c.addBreach(RuleEarlyExpiry, "%s was expired %v before its patience of %v was over", s.Token, s.SentAt+s.Patience-x.AnsweredAt, s.Patience)
 		}
 	}
 }
 
-// order holds each key's runs against the order in which its messages were
+// checkKeyOrder holds each key's runs against the order in which its messages were
 // taken, as far as the callers know it.
-func (c *checker) order() {
+func (c *checker) checkKeyOrder() {
 	keys := map[string][]Sent{}
 	for _, s := range c.h.Sent {
-		if c.h.Order[s.Lane] && s.Told == Taken {
+		if c.h.OrderedLanes[s.Lane] && s.Outcome == Taken {
 			keys[s.Lane+"\x00"+s.Key] = append(keys[s.Lane+"\x00"+s.Key], s)
 		}
 	}
 	for _, list := range keys {
-		slices.SortFunc(list, func(a, b Sent) int { return cmp.Compare(a.ToldAt, b.ToldAt) })
+		slices.SortFunc(list, func(a, b Sent) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
 		busy, by := time.Duration(0), ""
 		for i, s := range list {
-			if i > 0 && s.At < list[i-1].ToldAt {
+			if i > 0 && s.SentAt < list[i-1].AnsweredAt {
 				busy = 0 // sent before the other was told taken: their order is open
 			}
-			for _, r := range c.runs[s.Token] {
+			for _, r := range c.runsByToken[s.Token] {
 				if r.Start < busy {
-					c.breach(RuleOrder, "key %s: %s started at %v, before %s ended at %v", s.Key, s.Token, r.Start, by, busy)
+					c.addBreach(RuleKeyOverlap, "key %s: %s started at %v, before %s ended at %v", s.Key, s.Token, r.Start, by, busy)
 				}
 			}
-			for _, r := range c.runs[s.Token] {
+			for _, r := range c.runsByToken[s.Token] {
 				if r.End > busy {
 					busy, by = r.End, s.Token
 				}
@@ -78,20 +78,20 @@
 	}
 }
 
-// overlaps: whatever their callers were told, no two messages of one key are at
+// checkKeyOverlap: whatever their callers were told, no two messages of one key are at
 // back ends at the same time.
-func (c *checker) overlaps() {
+func (c *checker) checkKeyOverlap() {
 	busy := map[string][]Run{}
 	for _, r := range c.h.Runs { // by start
-		s, isKnown := c.bySent[r.Token]
-		if !isKnown || !c.h.Order[s.Lane] {
+		s, isKnown := c.sentByToken[r.Token]
+		if !isKnown || !c.h.OrderedLanes[s.Lane] {
 			continue
 		}
 		key := s.Lane + "\x00" + s.Key
 		busy[key] = slices.DeleteFunc(busy[key], func(b Run) bool { return b.End != 0 && b.End <= r.Start })
 		for _, b := range busy[key] {
 			if b.Token != r.Token {
-				c.breach(RuleOrder, "key %s: %s/%d started at %v at %s, while %s/%d was at %s until %v", s.Key, r.Token, r.Attempt,
+				c.addBreach(RuleKeyOverlap, "key %s: %s/%d started at %v at %s, while %s/%d was at %s until %v", s.Key, r.Token, r.Attempt,
 					r.Start, r.Worker, b.Token, b.Attempt, b.Worker, b.End)
 				break
 			}
@@ -100,12 +100,12 @@
 	}
 }
 
-// rates holds each capped pool against its rate over any window. Where the cap
+// checkRates holds each capped pool against its rate over any window. Where the cap
 // was edited, the largest one counts that was in force within the window.
-func (c *checker) rates() {
+func (c *checker) checkRates() {
 	starts := map[string][]time.Duration{}
 	for _, r := range c.h.Runs {
-		if c.h.Caps[r.Pool] > 0 {
+		if c.h.RateCaps[r.Pool] > 0 {
 			starts[r.Pool] = append(starts[r.Pool], r.Start)
 		}
 	}
@@ -115,9 +115,9 @@
 			for list[first] <= at-rateWindow {
 				first++
 			}
-			most := int(c.capOf(pool, at)*rateWindow.Seconds()*rateAllowed) + rateHeadroom
-			if i-first+1 > most {
-				c.breach(RuleRate, "%s got %d runs in the %v before %v, allowed are %d", pool, i-first+1, rateWindow, at, most)
+			maxRuns := int(c.maxRateCap(pool, at)*rateWindow.Seconds()*rateTolerance) + rateExtraRuns
+			if i-first+1 > maxRuns {
+				c.addBreach(RuleRateExceeded, "%s got %d runs in the %v before %v, allowed are %d", pool, i-first+1, rateWindow, at, maxRuns)
 				break
 			}
 		}
--- a/internal/cli/words_test.go
+++ b/internal/cli/aliases_test.go
@@ -46,11 +46,11 @@
 		}
 		for _, c := range cases {
 			Convey(c.now+" is "+c.call, func() {
-				So(run(c.now), ShouldEqual, ExitWell)
+				So(run(c.now), ShouldEqual, ExitOk)
 				So(calls, ShouldResemble, []string{c.call})
 			})
 			Convey(c.before+" is "+c.call, func() {
-				So(run(c.before), ShouldEqual, ExitWell)
+				So(run(c.before), ShouldEqual, ExitOk)
 				So(calls, ShouldResemble, []string{c.call})
 			})
 		}
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -29,13 +29,13 @@
 // apply makes the system what a folder declares. All files are checked before
 // anything is written; each document is then written whole, on the base that
 // the plan was made from, or not at all. What is as declared is left alone.
-func (t *tool) apply(c *applyCommand) error {
+func (t *runner) apply(c *applyCommand) error {
 	plan, err := readFolder(c.Folder)
 	if err != nil {
 		return err
 	}
 	for i := range plan {
-		if err := t.compare(&plan[i]); err != nil {
+		if err := t.diffDeclaration(&plan[i]); err != nil {
 			return err
 		}
 	}
@@ -59,7 +59,7 @@
 		if len(d.changes) == 0 {
 			continue
 		}
-		if err := t.write(d); err != nil {
+		if err := t.putDocument(d); err != nil {
 			return errs.Wrap(err, errs.KindOf(err), "%s is not applied, nor what comes behind it", d.file)
 		}
 	}
@@ -150,9 +150,9 @@
 	return out
 }
 
-// compare reads how the system has a document. A pool that only the configuration of
+// diffDeclaration reads how the system has a document. A pool that only the configuration of
 // this plan brings has no list yet.
-func (t *tool) compare(d *declaration) error {
+func (t *runner) diffDeclaration(d *declaration) error {
 	resp, err := t.get(d.path)
 	base := []byte(`{"workers":[]}`)
 	switch {
@@ -181,8 +181,8 @@
 	return nil
 }
 
-func (t *tool) write(d declaration) error {
-	resp, err := t.send("PUT", d.path, d.revision, d.body, false)
+func (t *runner) putDocument(d declaration) error {
+	resp, err := t.sendChange("PUT", d.path, d.revision, d.body, false)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -19,11 +19,11 @@
 
 // Exit codes of the command line, stable for scripts.
 const (
-	ExitWell     = 0 // done
-	ExitFailed   = 1 // the request failed, or the doctor found a fault
-	ExitUsage    = 2 // the command line or a file given is wrong
-	ExitConflict = 3 // lost a race, or a stale base: read again and retry
-	ExitOpen     = 4 // undecided: the change may or may not hold
+	ExitOk        = 0 // done
+	ExitFailed    = 1 // the request failed, or the doctor found a fault
+	ExitUsage     = 2 // the command line or a file given is wrong
+	ExitConflict  = 3 // lost a race, or a stale base: read again and retry
+	ExitUndecided = 4 // undecided: the change may or may not hold
 )
 
 type configCommand struct {
@@ -110,11 +110,11 @@
 // Version returns the text that --version prints.
 func (arguments) Version() string { return "caperwheel (unreleased)" }
 
-type tool struct {
-	args     arguments
-	in       io.Reader
-	out, err io.Writer
-	client   *resty.Client
+type runner struct {
+	args        arguments
+	in          io.Reader
+	out, errOut io.Writer
+	client      *resty.Client
 }
 
 // Main runs the command that args name and returns the exit code. Results go to
@@ -122,7 +122,7 @@
 func Main(args []string, out, errOut io.Writer) int { return run(args, os.Stdin, out, errOut) }
 
 func run(args []string, in io.Reader, out, errOut io.Writer) int {
-	t := &tool{in: in, out: out, err: errOut, client: resty.New()}
+	t := &runner{in: in, out: out, errOut: errOut, client: resty.New()}
 	parser, err := arg.NewParser(arg.Config{Program: "caperwheel"}, &t.args)
 	if err != nil {
 		fmt.Fprintln(errOut, err)
@@ -131,35 +131,35 @@
 	switch err := parser.Parse(args); {
 	case errors.Is(err, arg.ErrHelp):
 		_ = parser.WriteHelpForSubcommand(out, parser.SubcommandNames()...)
-		return ExitWell
+		return ExitOk
 	case errors.Is(err, arg.ErrVersion):
 		fmt.Fprintln(out, t.args.Version())
-		return ExitWell
+		return ExitOk
 	case err != nil:
 		fmt.Fprintln(errOut, err)
 		return ExitUsage
 	}
 	t.client.SetBaseURL("http://"+t.args.Manager).SetHeader("X-Operator", t.args.Operator)
-	return t.code(t.run(parser))
+	return t.exitCode(t.run(parser))
 }
 
-func (t *tool) code(err error) int {
+func (t *runner) exitCode(err error) int {
 	if err == nil {
-		return ExitWell
+		return ExitOk
 	}
-	fmt.Fprintln(t.err, err)
+	fmt.Fprintln(t.errOut, err)
 	switch errs.KindOf(err) {
 	case errs.Conflict:
 		return ExitConflict
 	case errs.Undecided:
-		return ExitOpen
+		return ExitUndecided
 	case errs.Invalid, errs.Missing:
 		return ExitUsage
 	}
 	return ExitFailed
 }
 
-func (t *tool) run(parser *arg.Parser) error {
+func (t *runner) run(parser *arg.Parser) error {
 	a := t.args
 	switch {
 	case a.Doctor != nil:
@@ -167,25 +167,25 @@
 	case a.Apply != nil:
 		return t.apply(a.Apply)
 	case a.Config != nil && a.Config.Get != nil:
-		return t.getConfig(a.Config.Get.Whole)
+		return t.printConfig(a.Config.Get.Whole)
 	case a.Config != nil && a.Config.History != nil:
-		return t.show("/v1/charter/history")
+		return t.printDocument("/v1/charter/history")
 	case a.Config != nil && a.Config.Check != nil:
 		return t.checkConfig(a.Config.Check.File)
 	case a.Config != nil && a.Config.Diff != nil:
-		return t.edit("PUT", "/v1/charter", editCommand{File: a.Config.Diff.File, DryRun: true})
+		return t.editDocument("PUT", "/v1/charter", editCommand{File: a.Config.Diff.File, DryRun: true})
 	case a.Config != nil && a.Config.Set != nil:
-		return t.edit("PUT", "/v1/charter", *a.Config.Set)
+		return t.editDocument("PUT", "/v1/charter", *a.Config.Set)
 	case a.Config != nil && a.Config.Patch != nil:
-		return t.edit("PATCH", "/v1/charter", *a.Config.Patch)
+		return t.editDocument("PATCH", "/v1/charter", *a.Config.Patch)
 	case a.Tenants != nil:
 		return t.tenants(a.Tenants)
 	case a.Workers != nil && a.Workers.Set != nil:
-		return t.edit("PUT", "/v1/pools/"+a.Workers.Set.Pool+"/workers", a.Workers.Set.editCommand)
+		return t.editDocument("PUT", "/v1/pools/"+a.Workers.Set.Pool+"/workers", a.Workers.Set.editCommand)
 	case a.Workers != nil && a.Workers.Patch != nil:
-		return t.edit("PATCH", "/v1/pools/"+a.Workers.Patch.Pool+"/workers", a.Workers.Patch.editCommand)
+		return t.editDocument("PATCH", "/v1/pools/"+a.Workers.Patch.Pool+"/workers", a.Workers.Patch.editCommand)
 	case a.Workers != nil && a.Workers.Get != nil:
-		return t.show("/v1/pools/" + a.Workers.Get.Name + "/workers")
+		return t.printDocument("/v1/pools/" + a.Workers.Get.Name + "/workers")
 	case a.Zone != nil && a.Zone.Empty != nil:
 		return t.post("/v1/cells/" + a.Zone.Empty.Name + "/empty")
 	case a.Zone != nil && a.Zone.Restore != nil:
@@ -195,7 +195,7 @@
 	case a.Store != nil && a.Store.Restore != nil:
 		return t.post("/v1/stores/" + a.Store.Restore.Name + "/restore")
 	case a.Store != nil && a.Store.Progress != nil:
-		return t.show("/v1/stores/" + a.Store.Progress.Name)
+		return t.printDocument("/v1/stores/" + a.Store.Progress.Name)
 	case a.Status != nil:
 		return t.status()
 	case a.Message != nil:
@@ -214,8 +214,8 @@
 	return raw, errs.Wrap(err, errs.Invalid, "file %s", name)
 }
 
-// problem makes an error of an answer that is no success.
-func problem(resp *resty.Response) error {
+// responseError makes an error of an answer that is no success.
+func responseError(resp *resty.Response) error {
 	var p struct {
 		Error string `json:"error"`
 		Text  string `json:"text"`
--- a/internal/cli/doctor.go
+++ b/internal/cli/doctor.go
@@ -21,14 +21,14 @@
 
 // finding is one fault that the doctor names, with what to do about it.
 type finding struct {
-	Grave  bool   `json:"grave"`
-	Where  string `json:"where"`
-	Fault  string `json:"fault"`
-	Remedy string `json:"remedy"`
+	IsSevere bool   `json:"grave"`
+	Where    string `json:"where"`
+	Fault    string `json:"fault"`
+	Remedy   string `json:"remedy"`
 }
 
 // doctor looks for common faults. It compares no clocks.
-func (t *tool) doctor(c *doctorCommand) error {
+func (t *runner) doctor(c *doctorCommand) error {
 	found := []finding{}
 	for _, pair := range c.Settings {
 		found = append(found, checkSettings(pair)...)
@@ -37,10 +37,10 @@
 		found = append(found, finding{true, t.args.Manager, "the manager does not answer: " + err.Error(),
 			"is it running, and is --manager its HTTP address?"})
 	} else {
-		found = append(found, examine(status)...)
-		found = append(found, t.tenantFindings()...)
+		found = append(found, checkStatus(status)...)
+		found = append(found, t.checkTenants()...)
 	}
-	isGrave := false
+	hasSevere := false
 	if t.args.Json {
 		raw, err := json.MarshalIndent(found, "", "  ")
 		if err != nil {
@@ -49,12 +49,12 @@
 		fmt.Fprintln(t.out, string(raw))
 	}
 	for _, f := range found {
-		isGrave = isGrave || f.Grave
+		hasSevere = hasSevere || f.IsSevere
 		if !t.args.Json {
-			fmt.Fprintf(t.out, "%s %s: %s\n    %s\n", map[bool]string{true: "FAULT", false: "note "}[f.Grave], f.Where, f.Fault, f.Remedy)
+			fmt.Fprintf(t.out, "%s %s: %s\n    %s\n", map[bool]string{true: "FAULT", false: "note "}[f.IsSevere], f.Where, f.Fault, f.Remedy)
 		}
 	}
-	if isGrave {
+	if hasSevere {
 		return errs.New(errs.Unhealthy, "the doctor found faults")
 	}
 	if len(found) == 0 && !t.args.Json {
@@ -88,11 +88,11 @@
 	return out
 }
 
-// examine looks through a manager's status.
-func examine(s manager.Status) []finding {
+// checkStatus looks through a manager's status.
+func checkStatus(s manager.Status) []finding {
 	out := []finding{}
-	add := func(isGrave bool, where, fault, remedy string) {
-		out = append(out, finding{isGrave, where, fault, remedy})
+	add := func(isSevere bool, where, fault, remedy string) {
+		out = append(out, finding{isSevere, where, fault, remedy})
 	}
 	if !s.IsFresh {
 		add(true, s.Manager, "its view is stale", "are the stores up, and a majority of each part's replicas?")
@@ -123,7 +123,7 @@
 			}
 		case "manager":
 			managers++
-			out = append(out, listFindings(m)...)
+			out = append(out, checkLists(m)...)
 		}
 	}
 	if len(clusters) > 1 {
@@ -174,11 +174,11 @@
 	return out
 }
 
-// mostListAge is the age of a list of workers beyond which something is wrong, in milliseconds.
-const mostListAge = 60_000
+// maxListAgeMs is the age of a list of workers beyond which something is wrong, in milliseconds.
+const maxListAgeMs = 60_000
 
-// listFindings looks at the lists of workers that a manager reads.
-func listFindings(m manager.StatusMember) []finding {
+// checkLists looks at the lists of workers that a manager reads.
+func checkLists(m manager.StatusMember) []finding {
 	out := []finding{}
 	for _, count := range slices.Sorted(maps.Keys(m.Counts)) {
 		zone, isList := strings.CutPrefix(count, manager.ListAgePrefix)
@@ -193,7 +193,7 @@
 		case age < 0:
 			out = append(out, finding{false, where, fmt.Sprintf("%s has not read it whole yet; %d calls were refused", m.Name, m.Counts[manager.ListRefusedCount]),
 				"a long list takes its time: see list_calls_total and the log of " + m.Name})
-		case age > mostListAge:
+		case age > maxListAgeMs:
 			out = append(out, finding{true, where, fmt.Sprintf("what is known of it is %d s old; %d calls were refused", age/1000, m.Counts[manager.ListRefusedCount]),
 				"can " + m.Name + " reach the list, and does list_rate leave it enough calls?"})
 		}
--- a/internal/cli/doctor_test.go
+++ b/internal/cli/doctor_test.go
@@ -14,8 +14,8 @@
 	"caperwheel/internal/wire"
 )
 
-// well is the status of a deployment in which nothing is wrong.
-func well() manager.Status {
+// healthyStatus is the status of a deployment in which nothing is wrong.
+func healthyStatus() manager.Status {
 	s := manager.Status{Manager: "manager-1", IsFresh: true, Revision: 7}
 	add := func(kind, name, zone string) {
 		s.Members = append(s.Members, manager.StatusMember{Who: wire.Who{Name: name, Kind: kind, Zone: zone}, IsFresh: true, Revision: 7,
@@ -34,9 +34,9 @@
 // TestDoctor provokes each of the doctor's checks by its fault.
 func TestDoctor(t *testing.T) {
 	cases := []struct {
-		says    string
-		isGrave bool
-		hurt    func(s *manager.Status)
+		says        string
+		isGrave     bool
+		injectFault func(s *manager.Status)
 	}{
 		{"manager-1: its view is stale", true, func(s *manager.Status) { s.IsFresh = false }},
 		{"store-a: its view is stale", true, func(s *manager.Status) { s.Members[0].IsFresh = false }},
@@ -61,17 +61,17 @@
 		{"list of workers of zone b: what is known of it is 61 s old", true, func(s *manager.Status) { s.Members[1].Counts[manager.ListAgePrefix+"b"] = 61_000 }},
 		{"zone a: is emptied", false, func(s *manager.Status) { s.DrainedZones = []string{"a"} }},
 	}
-	Convey("The doctor finds nothing wrong with a sound deployment", t, func() { So(examine(well()), ShouldBeEmpty) })
+	Convey("The doctor finds nothing wrong with a sound deployment", t, func() { So(checkStatus(healthyStatus()), ShouldBeEmpty) })
 	Convey("The doctor says", t, func() {
 		for _, c := range cases {
 			Convey(c.says, func() {
-				s := well()
-				c.hurt(&s)
+				s := healthyStatus()
+				c.injectFault(&s)
 				found := ""
-				for _, f := range examine(s) {
+				for _, f := range checkStatus(s) {
 					if line := f.Where + ": " + f.Fault; strings.HasPrefix(line, c.says) {
 						found = line
-						So(f.Grave, ShouldEqual, c.isGrave)
+						So(f.IsSevere, ShouldEqual, c.isGrave)
 						So(f.Remedy, ShouldNotBeEmpty)
 					}
 				}
@@ -92,7 +92,7 @@
 		So(checkSettings(good), ShouldBeEmpty)
 		free.Close()
 		So(checkSettings(good)[0].Fault, ShouldContainSubstring, "does not answer")
-		So(checkSettings(write(`{"name":"agent-1","cel`))[0].Grave, ShouldBeTrue)
+		So(checkSettings(write(`{"name":"agent-1","cel`))[0].IsSevere, ShouldBeTrue)
 	})
 	Convey("Without a manager the doctor fails and says so", t, func() {
 		var out, errOut bytes.Buffer
--- a/internal/cli/story_test.go
+++ b/internal/cli/messagetrace_test.go
@@ -28,7 +28,7 @@
 		Reset(s.Close)
 		return s.Listener.Addr().String()
 	}
-	tell := func(flags string, daemons ...[3]string) (code int, out, err string) {
+	runTrace := func(flags string, daemons ...[3]string) (code int, out, err string) {
 		members := []string{}
 		for _, d := range daemons {
 			members = append(members, fmt.Sprintf(`{"Name":%q,"Kind":%q,"Http":%q}`, d[0], d[1], d[2]))
@@ -44,27 +44,27 @@
 	}
 	Convey("The story of a message", t, func() {
 		Convey("has what its owner and its run's adapter know", func() {
-			code, out, _ := tell("", [3]string{"s1", "store", daemon(owner)}, [3]string{"s2", "store", daemon("")}, [3]string{"a1", "adapter", daemon(runs)},
+			code, out, _ := runTrace("", [3]string{"s1", "store", daemon(owner)}, [3]string{"s2", "store", daemon("")}, [3]string{"a1", "adapter", daemon(runs)},
 				[3]string{"m1", "manager", "127.0.0.1:1"})
-			So(code, ShouldEqual, ExitWell)
+			So(code, ShouldEqual, ExitOk)
 			So(out, ShouldContainSubstring, "s1: owner of place 4 in term 9; started, 2 runs begun; waits for its run; run at w by a1 (life b, session false, away 1200 ms); pool p: 3 workers to ask, 3 resting, 1 asks under way\n")
 			So(out, ShouldContainSubstring, "a1: run 2 at p/w, stage owner for 800 ms\n")
 			So(out, ShouldNotContainSubstring, "s2")
 		})
 		Convey("tells what is waited for, since when and for how long", func() {
-			_, out, _ := tell("", [3]string{"s1", "store", daemon(held)})
+			_, out, _ := runTrace("", [3]string{"s1", "store", daemon(held)})
 			So(out, ShouldContainSubstring, "held, 0 runs begun; waits for another message 4-y, for 7 ms, 20 ms more\n")
 		})
 		Convey("names daemons that cannot be asked", func() {
-			_, out, _ := tell("", [3]string{"s1", "store", daemon(held)}, [3]string{"a9", "adapter", "127.0.0.1:1"})
+			_, out, _ := runTrace("", [3]string{"s1", "store", daemon(held)}, [3]string{"a9", "adapter", "127.0.0.1:1"})
 			So(out, ShouldContainSubstring, "a9: cannot be asked")
 		})
 		Convey("is JSON if that is asked for", func() {
-			_, out, _ := tell("--json", [3]string{"a1", "adapter", daemon(runs)})
+			_, out, _ := runTrace("--json", [3]string{"a1", "adapter", daemon(runs)})
 			So(out, ShouldContainSubstring, `"stage": "owner"`)
 		})
 		Convey("says so where nobody knows the message", func() {
-			code, _, err := tell("", [3]string{"s1", "store", daemon("")})
+			code, _, err := runTrace("", [3]string{"s1", "store", daemon("")})
 			So(code, ShouldEqual, ExitFailed)
 			So(err, ShouldContainSubstring, "no daemon knows 4-x")
 		})
--- a/internal/cli/calls.go
+++ b/internal/cli/requests.go
@@ -13,33 +13,33 @@
 	"caperwheel/internal/web"
 )
 
-func (t *tool) get(path string) (*resty.Response, error) {
+func (t *runner) get(path string) (*resty.Response, error) {
 	resp, err := t.client.R().Get(path)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Lost, "manager %s", t.args.Manager)
 	}
 	if resp.IsError() {
-		return nil, problem(resp)
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-func (t *tool) show(path string) error {
+func (t *runner) printDocument(path string) error {
 	resp, err := t.get(path)
 	if err != nil {
 		return err
 	}
 	if tag := resp.Header().Get("ETag"); tag != "" {
-		fmt.Fprintf(t.err, "stamp %s\n", strings.Trim(tag, `"`))
+		fmt.Fprintf(t.errOut, "stamp %s\n", strings.Trim(tag, `"`))
 	}
 	fmt.Fprint(t.out, string(resp.Body()))
 	return nil
 }
 
-// getConfig prints the configuration, without its origin unless it is asked for whole.
-func (t *tool) getConfig(isWhole bool) error {
+// printConfig prints the configuration, without its origin unless it is asked for whole.
+func (t *runner) printConfig(isWhole bool) error {
 	if isWhole {
-		return t.show("/v1/charter")
+		return t.printDocument("/v1/charter")
 	}
 	resp, err := t.get("/v1/charter")
 	if err != nil {
@@ -50,26 +50,26 @@
 		return err
 	}
 	if tag := resp.Header().Get("ETag"); tag != "" {
-		fmt.Fprintf(t.err, "stamp %s\n", strings.Trim(tag, `"`))
+		fmt.Fprintf(t.errOut, "stamp %s\n", strings.Trim(tag, `"`))
 	}
 	fmt.Fprint(t.out, string(doc))
 	return nil
 }
 
-func (t *tool) post(path string) error {
+func (t *runner) post(path string) error {
 	resp, err := t.client.R().Post(path)
 	if err != nil {
 		return errs.Wrap(err, errs.Lost, "manager %s", t.args.Manager)
 	}
 	if resp.IsError() {
-		return problem(resp)
+		return responseError(resp)
 	}
 	fmt.Fprint(t.out, string(resp.Body()))
 	return nil
 }
 
-// edit changes a document on a base: the revision given, or the newest.
-func (t *tool) edit(method, path string, e editCommand) error {
+// editDocument changes a document on a base: the revision given, or the newest.
+func (t *runner) editDocument(method, path string, e editCommand) error {
 	body, err := readFile(e.File)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		}
 		base = strings.Trim(resp.Header().Get("ETag"), `"`)
 	}
-	resp, err := t.send(method, path, base, body, e.DryRun)
+	resp, err := t.sendChange(method, path, base, body, e.DryRun)
 	if err != nil {
 		return err
 	}
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// send brings a change of a document on a base to the manager, or only has it
+// sendChange brings a change of a document on a base to the manager, or only has it
 // checked.
-func (t *tool) send(method, path, revision string, body []byte, isDryRun bool) (*resty.Response, error) {
+func (t *runner) sendChange(method, path, revision string, body []byte, isDryRun bool) (*resty.Response, error) {
 	req := t.client.R().SetHeader("If-Match", `"`+revision+`"`).SetHeader("Content-Type", "application/json").SetBody(body)
 	if isDryRun {
 		req.SetQueryParam("check", "true")
@@ -105,12 +105,12 @@
 		return nil, errs.Wrap(err, errs.Undecided, "manager %s; read the document back", t.args.Manager)
 	}
 	if resp.IsError() {
-		return nil, problem(resp)
+		return nil, responseError(resp)
 	}
 	return resp, nil
 }
 
-func (t *tool) checkConfig(file string) error {
+func (t *runner) checkConfig(file string) error {
 	doc, err := readFile(file)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (t *tool) readStatus() (manager.Status, error) {
+func (t *runner) readStatus() (manager.Status, error) {
 	var status manager.Status
 	resp, err := t.get("/v1/status")
 	if err != nil {
@@ -135,9 +135,9 @@
 	return status, errs.Wrap(json.Unmarshal(resp.Body(), &status), errs.Corrupt, "status")
 }
 
-func (t *tool) status() error {
+func (t *runner) status() error {
 	if t.args.Json {
-		return t.show("/v1/status")
+		return t.printDocument("/v1/status")
 	}
 	s, err := t.readStatus()
 	if err != nil {
@@ -162,9 +162,9 @@
 	return nil
 }
 
-func (t *tool) message(c *messageCommand) error {
+func (t *runner) message(c *messageCommand) error {
 	if c.Story {
-		return t.story(c)
+		return t.printTrace(c)
 	}
 	if c.Adapter == "" {
 		resp, err := t.get("/v1/daemons?ready=true&kind=adapter")
@@ -181,19 +181,19 @@
 	if c.Body {
 		path += "/body"
 	}
-	resp, err := asTenant(t.client.R(), c.ApiKey).Get(path)
+	resp, err := withApiKey(t.client.R(), c.ApiKey).Get(path)
 	if err != nil {
 		return errs.Wrap(err, errs.Lost, "adapter %s", c.Adapter)
 	}
 	if resp.IsError() {
-		return problem(resp)
+		return responseError(resp)
 	}
 	fmt.Fprint(t.out, string(resp.Body()))
 	return nil
 }
 
-// asTenant has a request to an adapter carry an API key, if there is one.
-func asTenant(r *resty.Request, key string) *resty.Request {
+// withApiKey has a request to an adapter carry an API key, if there is one.
+func withApiKey(r *resty.Request, key string) *resty.Request {
 	if key == "" {
 		return r
 	}
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -44,8 +44,8 @@
 	Burst float64  `json:"burst"`
 }
 
-// shown is what is printed of a tenant.
-type shown struct {
+// tenantSummary is what is printed of a tenant.
+type tenantSummary struct {
 	Name  string   `json:"name"`
 	Keys  []string `json:"keys"` // how the hashes begin
 	Rate  float64  `json:"rate"`
@@ -54,64 +54,64 @@
 
 // Digits of a key's hash.
 const (
-	shownDigits = 12
-	leastDigits = 8 // that name a key
+	shownHashDigits = 12
+	minHashDigits   = 8 // that name a key
 )
 
-// tenantBook is the tenants of a revision of the configuration.
-type tenantBook struct {
+// tenantSet is the tenants of a revision of the configuration.
+type tenantSet struct {
 	revision   string
-	isMade     bool // from a document that another interface changes
+	isDerived  bool // from a document that another interface changes
 	hasTenants bool // else lanes need no API key
 	tenants    map[string]tenant
 }
 
-func (t *tool) tenants(c *tenantsCommand) error {
-	book, err := t.readTenants()
+func (t *runner) tenants(c *tenantsCommand) error {
+	set, err := t.readTenants()
 	if err != nil {
 		return err
 	}
 	switch {
 	case c.List != nil:
-		return t.listTenants(book)
+		return t.listTenants(set)
 	case c.Show != nil:
-		return t.showTenant(book, c.Show.Name)
+		return t.showTenant(set, c.Show.Name)
 	case c.Set != nil:
-		return t.setTenant(book, c.Set)
+		return t.setTenant(set, c.Set)
 	case c.AddKey != nil:
-		return t.addKey(book, c.AddKey)
+		return t.addKey(set, c.AddKey)
 	case c.RemoveKey != nil:
-		return t.removeKey(book, c.RemoveKey)
+		return t.removeKey(set, c.RemoveKey)
 	case c.Remove != nil:
-		return t.removeTenant(book, c.Remove.Name)
+		return t.removeTenant(set, c.Remove.Name)
 	}
 	return errs.New(errs.Invalid, "one of list, show, set, add-key, remove-key, remove is missing")
 }
 
-func (t *tool) readTenants() (tenantBook, error) {
+func (t *runner) readTenants() (tenantSet, error) {
 	resp, err := t.get("/v1/charter")
 	if err != nil {
-		return tenantBook{}, err
+		return tenantSet{}, err
 	}
-	book := tenantBook{revision: strings.Trim(resp.Header().Get("ETag"), `"`), tenants: map[string]tenant{}}
+	set := tenantSet{revision: strings.Trim(resp.Header().Get("ETag"), `"`), tenants: map[string]tenant{}}
 	root := gjson.ParseBytes(resp.Body())
-	book.isMade = root.Get("origin").Exists()
+	set.isDerived = root.Get("origin").Exists()
 	tenants := root.Get("tenants")
-	if book.hasTenants = tenants.Exists(); book.hasTenants {
-		err = json.Unmarshal([]byte(tenants.Raw), &book.tenants)
+	if set.hasTenants = tenants.Exists(); set.hasTenants {
+		err = json.Unmarshal([]byte(tenants.Raw), &set.tenants)
 	}
-	return book, errs.Wrap(err, errs.Corrupt, "tenants")
+	return set, errs.Wrap(err, errs.Corrupt, "tenants")
 }
 
-// tenantFindings tells of tenants whose callers cannot get in.
-func (t *tool) tenantFindings() []finding {
-	book, err := t.readTenants()
+// checkTenants tells of tenants whose callers cannot get in.
+func (t *runner) checkTenants() []finding {
+	set, err := t.readTenants()
 	if err != nil {
 		return []finding{{false, t.args.Manager, "the configuration cannot be read: " + err.Error(), "ask again, or another manager"}}
 	}
 	out := []finding{}
-	for _, name := range slices.Sorted(maps.Keys(book.tenants)) {
-		if len(book.tenants[name].Keys) == 0 {
+	for _, name := range slices.Sorted(maps.Keys(set.tenants)) {
+		if len(set.tenants[name].Keys) == 0 {
 			out = append(out, finding{false, "tenant " + name, "it has no key: its callers are refused with 401", "give it one, or take it away"})
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 // find returns a tenant that must be there.
-func (b tenantBook) find(name string) (tenant, error) {
+func (b tenantSet) find(name string) (tenant, error) {
 	found, isThere := b.tenants[name]
 	if !isThere {
 		return tenant{}, errs.New(errs.Unknown, "no tenant %s; 'tenants set %s' adds it", name, name)
@@ -127,18 +127,18 @@
 	return found, nil
 }
 
-func show(name string, of tenant) shown {
-	out := shown{Name: name, Keys: []string{}, Rate: of.Rate, Burst: of.Burst}
+func summarize(name string, of tenant) tenantSummary {
+	out := tenantSummary{Name: name, Keys: []string{}, Rate: of.Rate, Burst: of.Burst}
 	for _, hash := range of.Keys {
-		out.Keys = append(out.Keys, hash[:min(len(hash), shownDigits)])
+		out.Keys = append(out.Keys, hash[:min(len(hash), shownHashDigits)])
 	}
 	return out
 }
 
-func (t *tool) listTenants(book tenantBook) error {
-	all := []shown{}
-	for _, name := range slices.Sorted(maps.Keys(book.tenants)) {
-		all = append(all, show(name, book.tenants[name]))
+func (t *runner) listTenants(set tenantSet) error {
+	all := []tenantSummary{}
+	for _, name := range slices.Sorted(maps.Keys(set.tenants)) {
+		all = append(all, summarize(name, set.tenants[name]))
 	}
 	if t.args.Json {
 		return t.printJson(all)
@@ -150,12 +150,12 @@
 	return nil
 }
 
-func (t *tool) showTenant(book tenantBook, name string) error {
-	found, err := book.find(name)
+func (t *runner) showTenant(set tenantSet, name string) error {
+	found, err := set.find(name)
 	if err != nil {
 		return err
 	}
-	s := show(name, found)
+	s := summarize(name, found)
 	if t.args.Json {
 		return t.printJson(s)
 	}
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func (t *tool) printJson(what any) error {
+func (t *runner) printJson(what any) error {
 	raw, err := json.MarshalIndent(what, "", "  ")
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "tenants")
--- a/internal/deliver/codecs_test.go
+++ b/internal/deliver/codecs_test.go
@@ -19,7 +19,7 @@
 var codecs = []struct {
 	name  string
 	codec deliver.Codec
-}{{"our own codec", deliver.DefaultCodec}, {"the platform's codec", platform.Deliveries}}
+}{{"our own codec", deliver.DefaultCodec}, {"the platform's codec", platform.DeliverCodec}}
 
 // answer returns a handler that answers with a status, header fields and a complete body.
 func answer(code int, fields ...string) http.HandlerFunc {
--- a/internal/deliver/replymatch_test.go
+++ b/internal/deliver/replymatch_test.go
@@ -38,7 +38,7 @@
 }{
 	{"a lane's own request", deliver.DefaultCodec, true, "X-Message-Id"},
 	{"a passthrough request in the default codec", deliver.DefaultCodec, false, "X-Message-Id"},
-	{"a passthrough request in the platform's codec", platform.Deliveries, false, "X-Attempt-Id"},
+	{"a passthrough request in the platform's codec", platform.DeliverCodec, false, "X-Attempt-Id"},
 }
 
 // TestWrongRun checks replies that arrive when the next run has already been written on a kept connection. It guards
--- a/internal/deliver/workeridentity_test.go
+++ b/internal/deliver/workeridentity_test.go
@@ -19,9 +19,9 @@
 	long := strings.Repeat("zone/rack/", 9) + "i-4"
 	cases := []struct{ name, worker, identifier, expects string }{
 		{"a worker whose identifier is its name", "i-4", "", "i-4"},
-		{"a worker with a long identifier", platform.NameOf(long), long, long},
-		{"a worker with an identifier of the maximum length", platform.NameOf(long), strings.Repeat("i", config.MaxIdentifierBytes), strings.Repeat("i", config.MaxIdentifierBytes)},
-		{"a worker of which only the identifier's hash is known", platform.NameOf(long), "", ""},
+		{"a worker with a long identifier", platform.EncodeName(long), long, long},
+		{"a worker with an identifier of the maximum length", platform.EncodeName(long), strings.Repeat("i", config.MaxIdentifierBytes), strings.Repeat("i", config.MaxIdentifierBytes)},
+		{"a worker of which only the identifier's hash is known", platform.EncodeName(long), "", ""},
 		{"a listed worker with the name reserved for endpoints", config.EndpointWorker, "", config.EndpointWorker},
 	}
 	Convey("A message for", t, func() {
@@ -34,7 +34,7 @@
 				}))
 				defer server.Close()
 				listed := config.Worker{Name: c.worker, Identifier: c.identifier, Address: server.Listener.Addr().String(), Zone: "c", State: "live"}
-				o := deliver.DeliverToWorker(platform.Deliveries, listed, newHead("m-1"))
+				o := deliver.DeliverToWorker(platform.DeliverCodec, listed, newHead("m-1"))
 				if c.expects == "" {
 					So(len(got), ShouldEqual, 0)
 					So([]any{o.Kind != "", o.MayHaveStarted, o.Final}, ShouldResemble, []any{true, false, false})
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -19,22 +19,22 @@
 
 // Digest of this world.
 func (w *World) Digest() Digest {
-	order, rename := w.fold()
+	order, rename := w.canonicalOrder()
 	raw := make([]byte, 0, 2048)
 	for _, at := range order {
 		raw = w.replicas[at].canonical(raw, rename)
 	}
-	raw = appendMessages(raw, w.sent, rename)
-	raw = group.AppendEntries(raw, w.ghost.chosen)
-	raw = appendSet(appendSet(raw, w.ghost.roster, rename), w.ghost.counted, rename)
-	for _, n := range w.spent[Repeat:] {
+	raw = appendMessages(raw, w.inFlight, rename)
+	raw = group.AppendEntries(raw, w.ghost.committed)
+	raw = appendSet(appendSet(raw, w.ghost.roster, rename), w.ghost.commitRoster, rename)
+	for _, n := range w.eventCounts[Duplicate:] {
 		raw = binary.AppendVarint(raw, int64(n))
 	}
 	lines := []string{}
-	for m, d := range w.ghost.gone {
+	for m, d := range w.ghost.replacedDisks {
 		lines = append(lines, string(d.canonical([]byte(rename(m)), rename)))
 	}
-	for term, life := range w.ghost.owners {
+	for term, life := range w.ghost.termOwners {
 		id, rest, _ := strings.Cut(life, " ")
 		lines = append(lines, fmt.Sprint(term, rename(id), rest))
 	}
@@ -46,20 +46,20 @@
 	return Digest(sum[:16])
 }
 
-// fold orders the replicas by how they stand, and names them by that order.
-func (w *World) fold() ([]int, func(string) string) {
-	signs := make([][]byte, len(w.replicas))
+// canonicalOrder orders the replicas by how they stand, and names them by that order.
+func (w *World) canonicalOrder() ([]int, func(string) string) {
+	signatures := make([][]byte, len(w.replicas))
 	order := make([]int, len(w.replicas))
 	for i, r := range w.replicas {
 		order[i] = i
-		signs[i] = slices.Clip(r.sign(i >= w.options.Members))
-		for _, m := range w.sent {
+		signatures[i] = slices.Clip(r.signature(i >= w.options.Members))
+		for _, m := range w.inFlight {
 			if group.Name(m.To) == r.name {
-				signs[i] = append(signs[i], byte(m.Kind), byte(m.Term), byte(m.Index))
+				signatures[i] = append(signatures[i], byte(m.Kind), byte(m.Term), byte(m.Index))
 			}
 		}
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return bytes.Compare(signs[a], signs[b]) })
+	slices.SortStableFunc(order, func(a, b int) int { return bytes.Compare(signatures[a], signatures[b]) })
 	renamed := make(map[string]string, len(order))
 	for i, at := range order {
 		renamed[w.replicas[at].name] = string(rune('A' + i))
@@ -74,56 +74,56 @@
 	}
 }
 
-// sign reports how a replica stands without a name. A spare is never taken for a
+// signature reports how a replica stands without a name. A spare is never taken for a
 // founder.
-func (r *replica) sign(isSpare bool) []byte {
-	if r.stands == nil {
+func (r *replica) signature(isSpare bool) []byte {
+	if r.cachedSignature == nil {
 		first := byte(0)
 		if isSpare {
 			first = 1
 		}
-		r.stands = r.canonical([]byte{first}, func(string) string { return "" })
+		r.cachedSignature = r.canonical([]byte{first}, func(string) string { return "" })
 	}
-	return r.stands
+	return r.cachedSignature
 }
 
 func (r *replica) canonical(raw []byte, rename func(string) string) []byte {
 	raw = r.machine.Canonical(append(raw, 0), r.now, rename)
-	for _, m := range r.marks {
-		raw = binary.AppendVarint(raw, int64(m.chosen))
+	for _, m := range r.commitMarks {
+		raw = binary.AppendVarint(raw, int64(m.committed))
 	}
 	raw = binary.AppendVarint(raw, r.applied)
-	raw = binary.AppendVarint(raw, int64(r.life))
+	raw = binary.AppendVarint(raw, int64(r.startCount))
 	if r.isOwner {
 		raw = append(raw, 1)
 	}
-	if r.image != nil {
-		raw = binary.AppendVarint(raw, r.image.Index)
+	if r.snapshot != nil {
+		raw = binary.AppendVarint(raw, r.snapshot.Index)
 	}
 	raw = r.disk.canonical(raw, rename)
 	for _, first := range r.unsynced {
 		raw = append(raw, 2)
-		if first.slot != nil {
-			raw = first.slot.canonical(raw, rename)
+		if first.fullState != nil {
+			raw = first.fullState.canonical(raw, rename)
 		}
 		if p := first.persist; p != nil {
-			raw = disk{image: p.Snapshot, log: p.Entries}.canonical(raw, rename)
+			raw = disk{snapshot: p.Snapshot, log: p.Entries}.canonical(raw, rename)
 			if p.Hard != nil {
-				raw = disk{hard: *p.Hard}.canonical(raw, rename)
+				raw = disk{hardState: *p.Hard}.canonical(raw, rename)
 			}
 		}
-		for i := range first.after {
-			raw = append(raw, appendMessage(nil, &first.after[i], rename)...)
+		for i := range first.sendAfter {
+			raw = append(raw, appendMessage(nil, &first.sendAfter[i], rename)...)
 		}
 	}
 	return raw
 }
 
 func (d disk) canonical(raw []byte, rename func(string) string) []byte {
-	raw = append(append(raw, 3, byte(d.hard.Term), byte(d.hard.Commit)), rename(d.hard.Vote)...)
-	if d.image != nil {
-		raw = append(raw, 4, byte(d.image.Index), byte(d.image.Term))
-		raw = appendSet(raw, d.image.Roster, rename)
+	raw = append(append(raw, 3, byte(d.hardState.Term), byte(d.hardState.Commit)), rename(d.hardState.Vote)...)
+	if d.snapshot != nil {
+		raw = append(raw, 4, byte(d.snapshot.Index), byte(d.snapshot.Term))
+		raw = appendSet(raw, d.snapshot.Roster, rename)
 	}
 	return appendLog(raw, d.log, rename)
 }
--- a/internal/explore/elections.go
+++ b/internal/explore/elections.go
@@ -17,26 +17,26 @@
 		_, log := r.machine.DurableState()
 		v := r.machine.View()
 		voters := group.Voters(v.Roster)
-		if !slices.Contains(voters, r.id) || w.holdsChosen(v.Last-int64(len(log)), log) {
+		if !slices.Contains(voters, r.id) || w.holdsCommitted(v.Last-int64(len(log)), log) {
 			continue
 		}
-		own := disk{image: r.image, log: log}
+		own := disk{snapshot: r.snapshot, log: log}
 		granting := []string{}
 		for _, m := range voters {
-			at := w.at(m) // a disk that is gone gives no vote, nor does one that is blank
+			at := w.replicaIndex(m) // a disk that is gone gives no vote, nor does one that is blank
 			if m == r.id || at >= 0 && w.replicas[at].id == m && len(w.replicas[at].machine.View().Roster) > 0 &&
-				own.isNoOlder(w.replicas[at].disk) {
+				own.isUpToDate(w.replicas[at].disk) {
 				granting = append(granting, m)
 			}
 		}
 		if len(granting) > len(voters)/2 {
-			w.breach("%s lacks a committed entry and could be elected by %v", r.id, granting)
+			w.recordBreach("%s lacks a committed entry and could be elected by %v", r.id, granting)
 		}
 	}
 }
 
-// isNoOlder compares logs as a vote does.
-func (d disk) isNoOlder(other disk) bool {
+// isUpToDate compares logs as a vote does.
+func (d disk) isUpToDate(other disk) bool {
 	return d.lastTerm() > other.lastTerm() || d.lastTerm() == other.lastTerm() && d.last() >= other.last()
 }
 
@@ -46,8 +46,8 @@
 	if n := len(d.log); n > 0 {
 		return d.log[n-1].Term
 	}
-	if d.image != nil {
-		return d.image.Term
+	if d.snapshot != nil {
+		return d.snapshot.Term
 	}
 	return 0
 }
@@ -59,27 +59,27 @@
 	if c.Promote == "" {
 		return
 	}
-	d, isGone := w.ghost.gone[c.Promote]
-	if at := w.at(c.Promote); !isGone && at >= 0 {
+	d, isGone := w.ghost.replacedDisks[c.Promote]
+	if at := w.replicaIndex(c.Promote); !isGone && at >= 0 {
 		d = w.replicas[at].disk
 	}
-	if d.last() < r.pulsed {
-		w.breach("%s is made a voter with %d of %d committed entries", c.Promote, d.last(), r.pulsed)
+	if d.last() < r.heartbeatCommit {
+		w.recordBreach("%s is made a voter with %d of %d committed entries", c.Promote, d.last(), r.heartbeatCommit)
 	}
 }
 
-// rosters keeps what rosterOf has read.
-var rosters sync.Map
+// rosterCache keeps what rosterOf has read.
+var rosterCache sync.Map
 
 // rosterOf reads the members from a roster entry.
 func rosterOf(e wire.Entry) []string {
-	if held, isHeld := rosters.Load(string(e.Data)); isHeld {
+	if held, isHeld := rosterCache.Load(string(e.Data)); isHeld {
 		return held.([]string)
 	}
 	out := []string{}
 	for _, m := range strings.Split(strings.Trim(string(e.Data), "[]"), ",") {
 		out = append(out, strings.Trim(m, `"`))
 	}
-	rosters.Store(string(e.Data), out)
+	rosterCache.Store(string(e.Data), out)
 	return out
 }
--- a/internal/explore/enabled.go
+++ b/internal/explore/enabled.go
@@ -9,45 +9,45 @@
 
 // Options bound a search.
 type Options struct {
-	Members  int                 // founding members
-	Spares   int                 // blank machines that may be learned
-	Limits   [kinds]int          // how often an event of each kind may happen; Deliver and Sync always may
-	Padding  int                 // bytes of a command beyond its word; logs of many bytes give way to images
-	UnderWay int                 // messages under way at once; the oldest are lost beyond it. 0 is no limit
-	Set      func(*World) *World // brings the first state about; nil starts as founded
+	Members       int                 // founding members
+	SpareMachines int                 // blank machines that may be learned
+	MaxEvents     [kindCount]int      // how often an event of each kind may happen; Deliver and Sync always may
+	PaddingBytes  int                 // bytes of a command beyond its word; logs of many bytes give way to images
+	MaxInFlight   int                 // messages under way at once; the oldest are lost beyond it. 0 is no limit
+	Setup         func(*World) *World // brings the first state about; nil starts as founded
 }
 
-// isAllowed reports whether the budget has room for another event.
-func (w *World) isAllowed(k Kind) bool {
-	return k == Deliver || k == Sync || w.spent[k] < w.options.Limits[k]
+// hasBudget reports whether the budget has room for another event.
+func (w *World) hasBudget(k Kind) bool {
+	return k == Deliver || k == Sync || w.eventCounts[k] < w.options.MaxEvents[k]
 }
 
 // Enabled gives all events that may come next, in a fixed order.
 func (w *World) Enabled() []Event {
 	out := []Event{}
-	for _, m := range w.sent {
-		if at := w.at(m.To); at >= 0 && w.replicas[at].name != w.down {
-			out = append(out, Event{Kind: Deliver, At: at, Message: m})
-			if w.isAllowed(Repeat) {
-				out = append(out, Event{Kind: Repeat, At: at, Message: m})
+	for _, m := range w.inFlight {
+		if at := w.replicaIndex(m.To); at >= 0 && w.replicas[at].name != w.stoppedMachine {
+			out = append(out, Event{Kind: Deliver, Replica: at, Message: m})
+			if w.hasBudget(Duplicate) {
+				out = append(out, Event{Kind: Duplicate, Replica: at, Message: m})
 			}
 		}
 	}
 	for at, r := range w.replicas {
-		if r.name == w.down {
+		if r.name == w.stoppedMachine {
 			continue
 		}
 		if len(r.unsynced) > 0 {
-			out = append(out, Event{Kind: Sync, At: at})
+			out = append(out, Event{Kind: Sync, Replica: at})
 		}
 		v := r.machine.View()
-		for _, k := range []Kind{Timeout, Pulse, Lapse, Propose, Compact, Wipe} {
-			if w.isAllowed(k) && w.isApt(k, r, v) {
-				out = append(out, Event{Kind: k, At: at})
+		for _, k := range []Kind{Timeout, HeartbeatTick, ClockJump, Propose, Compact, ReplaceDisk} {
+			if w.hasBudget(k) && w.canChange(k, r, v) {
+				out = append(out, Event{Kind: k, Replica: at})
 			}
 		}
-		for keep := 0; w.isAllowed(Restart) && keep <= len(r.unsynced); keep++ {
-			out = append(out, Event{Kind: Restart, At: at, Keep: keep})
+		for keep := 0; w.hasBudget(Restart) && keep <= len(r.unsynced); keep++ {
+			out = append(out, Event{Kind: Restart, Replica: at, SyncedWrites: keep})
 		}
 		if v.Role == group.Owner {
 			out = w.ownerEvents(out, at, r, v)
@@ -56,33 +56,33 @@
 	return out
 }
 
-// isApt leaves out events that could not change anything.
-func (w *World) isApt(k Kind, r *replica, v group.View) bool {
+// canChange leaves out events that could not change anything.
+func (w *World) canChange(k Kind, r *replica, v group.View) bool {
 	switch k {
 	case Timeout:
 		return v.Role != group.Owner && slices.Contains(v.Roster, r.id)
-	case Pulse, Lapse, Propose:
+	case HeartbeatTick, ClockJump, Propose:
 		return v.Role == group.Owner
 	case Compact:
-		return r.applied > v.Last-int64(r.held())
-	case Wipe:
-		return w.isRepaired()
+		return r.applied > v.Last-int64(r.logLength())
+	case ReplaceDisk:
+		return w.isFullyReplicated()
 	}
 	return false
 }
 
-// held is the length of a replica's log.
-func (r *replica) held() int {
+// logLength is the length of a replica's log.
+func (r *replica) logLength() int {
 	_, log := r.machine.DurableState()
 	return len(log)
 }
 
-// isRepaired reports whether every disk of the committed roster is there and has
+// isFullyReplicated reports whether every disk of the committed roster is there and has
 // all that was committed: only then may another be lost.
-func (w *World) isRepaired() bool {
+func (w *World) isFullyReplicated() bool {
 	for _, m := range group.Voters(w.ghost.roster) {
-		at := w.at(m)
-		if at < 0 || w.replicas[at].id != m || !w.holdsChosen(w.replicas[at].disk.base(), w.replicas[at].disk.log) {
+		at := w.replicaIndex(m)
+		if at < 0 || w.replicas[at].id != m || !w.holdsCommitted(w.replicas[at].disk.base(), w.replicas[at].disk.log) {
 			return false
 		}
 	}
@@ -93,19 +93,19 @@
 func (w *World) ownerEvents(out []Event, at int, r *replica, v group.View) []Event {
 	for _, other := range w.replicas {
 		isIn, isLearner := slices.Contains(v.Roster, other.id), slices.Contains(v.Roster, "~"+other.id)
-		if w.isAllowed(HandOver) && isIn && other.id != r.id {
-			out = append(out, Event{Kind: HandOver, At: at, Member: other.id})
+		if w.hasBudget(TransferOwnership) && isIn && other.id != r.id {
+			out = append(out, Event{Kind: TransferOwnership, Replica: at, Member: other.id})
 		}
-		if w.isAllowed(Learn) && !isIn && !isLearner {
-			out = append(out, Event{Kind: Learn, At: at, Member: other.id})
+		if w.hasBudget(AddLearner) && !isIn && !isLearner {
+			out = append(out, Event{Kind: AddLearner, Replica: at, Member: other.id})
 		}
-		if w.isAllowed(Promote) && isLearner {
-			out = append(out, Event{Kind: Promote, At: at, Member: other.id})
+		if w.hasBudget(Promote) && isLearner {
+			out = append(out, Event{Kind: Promote, Replica: at, Member: other.id})
 		}
 	}
 	for _, m := range v.Roster {
-		if w.isAllowed(Drop) && len(group.Voters(v.Roster)) > 1 {
-			out = append(out, Event{Kind: Drop, At: at, Member: strings.TrimPrefix(m, "~")})
+		if w.hasBudget(RemoveMember) && len(group.Voters(v.Roster)) > 1 {
+			out = append(out, Event{Kind: RemoveMember, Replica: at, Member: strings.TrimPrefix(m, "~")})
 		}
 	}
 	return out
--- a/internal/explore/event.go
+++ b/internal/explore/event.go
@@ -16,25 +16,25 @@
 // Kinds of event. Loss and delay have none: a message that is under way may be
 // delivered at any later time, or never.
 const (
-	Deliver  Kind = iota // a message arrives
-	Repeat               // a message arrives and stays under way to come again
-	Sync                 // the oldest unsynced write of a replica becomes durable
-	Timeout              // a replica has heard no owner for the longest silence
-	Pulse                // an owner's clock reaches its next heartbeat
-	Lapse                // an owner's clock passes all bounds at once, as after a freeze
-	Restart              // the process ends; some of the unsynced writes are kept
-	Wipe                 // the disk is replaced; the replica comes back blank as another member
-	Propose              // an owner is given a command
-	Read                 // an owner is asked for what is committed
-	Compact              // a replica puts its log into an image
-	HandOver             // an owner gives ownership to a member
-	Learn                // an owner adds a learner
-	Promote              // an owner makes a learner a voter
-	Drop                 // an owner drops a member
-	kinds
+	Deliver           Kind = iota // a message arrives
+	Duplicate                     // a message arrives and stays under way to come again
+	Sync                          // the oldest unsynced write of a replica becomes durable
+	Timeout                       // a replica has heard no owner for the longest silence
+	HeartbeatTick                 // an owner's clock reaches its next heartbeat
+	ClockJump                     // an owner's clock passes all bounds at once, as after a freeze
+	Restart                       // the process ends; some of the unsynced writes are kept
+	ReplaceDisk                   // the disk is replaced; the replica comes back blank as another member
+	Propose                       // an owner is given a command
+	Read                          // an owner is asked for what is committed
+	Compact                       // a replica puts its log into an image
+	TransferOwnership             // an owner gives ownership to a member
+	AddLearner                    // an owner adds a learner
+	Promote                       // an owner makes a learner a voter
+	RemoveMember                  // an owner drops a member
+	kindCount
 )
 
-var kindNames = [kinds]string{"deliver", "repeat", "sync", "timeout", "pulse", "lapse", "restart", "wipe", "propose",
+var kindNames = [kindCount]string{"deliver", "repeat", "sync", "timeout", "pulse", "lapse", "restart", "wipe", "propose",
 	"compact", "hand over", "learn", "promote", "drop"}
 
 // String gives an event kind's name.
@@ -42,18 +42,18 @@
 
 // Event is one step of a world.
 type Event struct {
-	Kind    Kind
-	At      int            // the replica, by its place in the world
-	Message *wire.GroupMsg // Deliver and Repeat
-	Keep    int            // Restart: unsynced writes that reached the disk
-	Member  string         // HandOver, Learn, Promote and Drop
+	Kind         Kind
+	Replica      int            // the replica, by its place in the world
+	Message      *wire.GroupMsg // Deliver and Repeat
+	SyncedWrites int            // Restart: unsynced writes that reached the disk
+	Member       string         // TransferOwnership, Learn, Promote and Drop
 }
 
 // String tells an event in a trace.
 func (e Event) String() string {
-	text := fmt.Sprintf("%-9s %s", e.Kind, names[e.At])
+	text := fmt.Sprintf("%-9s %s", e.Kind, names[e.Replica])
 	switch e.Kind {
-	case Deliver, Repeat:
+	case Deliver, Duplicate:
 		m := e.Message
 		text += fmt.Sprintf(" <- %s %s term %d index %d/%d commit %d round %d", m.From, messageNames[m.Kind], m.Term,
 			m.Index, m.LogTerm, m.Commit, m.Round)
@@ -61,11 +61,11 @@
 			text += " rejected"
 		}
 		for _, entry := range m.Entries {
-			text += fmt.Sprintf(" [%d/%d %s]", entry.Index, entry.Term, word(entry))
+			text += fmt.Sprintf(" [%d/%d %s]", entry.Index, entry.Term, commandText(entry))
 		}
 	case Restart:
-		text += fmt.Sprintf(" keeps %d unsynced", e.Keep)
-	case HandOver, Learn, Promote, Drop:
+		text += fmt.Sprintf(" keeps %d unsynced", e.SyncedWrites)
+	case TransferOwnership, AddLearner, Promote, RemoveMember:
 		text += " " + e.Member
 	}
 	return text
@@ -77,9 +77,9 @@
 
 // Spans by which a clock moves: time is only ever passed in these few steps.
 var (
-	pulseSpan   = timing.Default.Of(timing.Heartbeat)
-	silenceSpan = timing.Default.Of(timing.ElectionTimeout) + timing.Default.Of(timing.ElectionSpread) + time.Millisecond
-	lapseSpan   = timing.Default.Of(timing.AnswerTimeout)*2 + time.Millisecond
+	heartbeatStep       = timing.Default.Of(timing.Heartbeat)
+	electionTimeoutStep = timing.Default.Of(timing.ElectionTimeout) + timing.Default.Of(timing.ElectionSpread) + time.Millisecond
+	clockJumpStep       = timing.Default.Of(timing.AnswerTimeout)*2 + time.Millisecond
 )
 
 // Next returns the world after one event. A panic breaks it, too.
@@ -87,68 +87,68 @@
 	w = w.clone()
 	defer func() {
 		if cause := recover(); cause != nil {
-			w.breach("panic: %v", cause)
+			w.recordBreach("panic: %v", cause)
 			next = w
 		}
 	}()
-	w.spent[e.Kind]++
-	r := w.own(e.At)
+	w.eventCounts[e.Kind]++
+	r := w.ownReplica(e.Replica)
 	switch e.Kind {
 	case Deliver:
-		w.take(e.Message)
-		w.do(r, r.machine.Receive(*e.Message, r.now))
-	case Repeat:
-		w.do(r, r.machine.Receive(*e.Message, r.now))
+		w.removeMessage(e.Message)
+		w.applyOutput(r, r.machine.Receive(*e.Message, r.now))
+	case Duplicate:
+		w.applyOutput(r, r.machine.Receive(*e.Message, r.now))
 	case Sync:
 		w.sync(r)
 	case Timeout:
-		w.tick(r, silenceSpan)
-	case Pulse:
-		r.pulsed = r.machine.View().Commit
-		w.tick(r, pulseSpan)
-	case Lapse:
-		w.tick(r, lapseSpan)
+		w.tick(r, electionTimeoutStep)
+	case HeartbeatTick:
+		r.heartbeatCommit = r.machine.View().Commit
+		w.tick(r, heartbeatStep)
+	case ClockJump:
+		w.tick(r, clockJumpStep)
 	case Restart:
-		w.restart(r, e.Keep)
-	case Wipe:
+		w.restart(r, e.SyncedWrites)
+	case ReplaceDisk:
 		w.wipe(r)
 	case Propose:
 		_, _, out, _ := r.machine.Propose(w.command(), r.now)
-		w.do(r, out)
+		w.applyOutput(r, out)
 	case Compact:
 		w.compact(r)
-	case HandOver:
-		w.do(r, r.machine.TransferOwnership(e.Member, r.now))
-	case Learn, Promote, Drop:
+	case TransferOwnership:
+		w.applyOutput(r, r.machine.TransferOwnership(e.Member, r.now))
+	case AddLearner, Promote, RemoveMember:
 		w.changeRoster(r, e)
 	}
-	w.check()
+	w.checkDurability()
 	return w
 }
 
-// commands keeps what was made before: states share it.
-var commands sync.Map
+// commandCache keeps what was made before: states share it.
+var commandCache sync.Map
 
 // command makes the next command, with as many bytes as the options ask for.
 func (w *World) command() []byte {
-	word := fmt.Sprintf("x%d", w.spent[Propose])
-	if w.options.Padding == 0 {
+	word := fmt.Sprintf("x%d", w.eventCounts[Propose])
+	if w.options.PaddingBytes == 0 {
 		return []byte(word)
 	}
-	data, _ := commands.LoadOrStore(word, append([]byte(word), make([]byte, w.options.Padding)...))
+	data, _ := commandCache.LoadOrStore(word, append([]byte(word), make([]byte, w.options.PaddingBytes)...))
 	return data.([]byte)
 }
 
 func (w *World) tick(r *replica, span time.Duration) {
 	r.now += span
-	w.do(r, r.machine.Tick(r.now))
+	w.applyOutput(r, r.machine.Tick(r.now))
 }
 
-// take removes a message from those under way.
-func (w *World) take(m *wire.GroupMsg) {
-	for i, other := range w.sent {
+// removeMessage removes a message from those under way.
+func (w *World) removeMessage(m *wire.GroupMsg) {
+	for i, other := range w.inFlight {
 		if isSame(m, other) {
-			w.sent = append(w.sent[:i:i], w.sent[i+1:]...)
+			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 			return
 		}
 	}
@@ -157,16 +157,16 @@
 func (w *World) changeRoster(r *replica, e Event) {
 	change := group.Change{}
 	switch e.Kind {
-	case Learn:
+	case AddLearner:
 		change.Learn = e.Member
 	case Promote:
 		change.Promote = e.Member
-	case Drop:
+	case RemoveMember:
 		change.Drop = e.Member
 	}
 	if out, err := r.machine.ChangeRoster(change, r.now); err == nil {
 		w.checkPromote(r, change)
-		w.do(r, out)
+		w.applyOutput(r, out)
 		w.checkRoster(r)
 	}
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -29,7 +29,7 @@
 	Convey("No state of a group breaks an invariant", t, func() {
 		for _, r := range results {
 			Println(r.name, r.Result.String())
-			So(r.Broken, ShouldBeEmpty)
+			So(r.Breach, ShouldBeEmpty)
 			So(r.States, ShouldBeGreaterThan, 10)
 		}
 	})
@@ -39,8 +39,8 @@
 func TestGroupWalked(t *testing.T) {
 	Convey("On random ways", t, func() {
 		for seed := range uint64(testWalks) {
-			r := Walk(Free(3+int(seed%2), 1, seed), seed, testSteps)
-			So(r.Broken, ShouldBeEmpty)
+			r := Walk(UnrestrictedOptions(3+int(seed%2), 1, seed), seed, testSteps)
+			So(r.Breach, ShouldBeEmpty)
 			So(r.Events, ShouldEqual, testSteps)
 		}
 	})
--- a/internal/explore/ghost.go
+++ b/internal/explore/ghost.go
@@ -12,22 +12,22 @@
 // ghost records what no replica can see: all that was ever committed, who
 // owned which term, and the disks that are gone.
 type ghost struct {
-	chosen  []wire.Entry     // chosen[i] was committed at index i+1
-	roster  []string         // the newest committed one
-	counted []string         // the roster by which the newest commit was counted
-	owners  map[int64]string // term -> the replica, with its life
-	gone    map[string]disk  // member -> what its disk held when it was replaced
-	disks   int              // disks replaced so far
+	committed     []wire.Entry     // chosen[i] was committed at index i+1
+	roster        []string         // the newest committed one
+	commitRoster  []string         // the roster by which the newest commit was counted
+	termOwners    map[int64]string // term -> the replica, with its life
+	replacedDisks map[string]disk  // member -> what its disk held when it was replaced
+	replacedCount int              // disks replaced so far
 }
 
-func (w *World) breach(form string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(form, args...)
+func (w *World) recordBreach(form string, args ...any) {
+	if w.firstBreach == "" {
+		w.firstBreach = fmt.Sprintf(form, args...)
 	}
 }
 
-// Broken tells which invariant does not hold; empty if all do.
-func (w *World) Broken() string { return w.broken }
+// Breach tells which invariant does not hold; empty if all do.
+func (w *World) Breach() string { return w.firstBreach }
 
 // apply compares what a replica applies with what was committed before.
 func (w *World) apply(r *replica, entries []wire.Entry) {
@@ -35,19 +35,19 @@
 		at := int(e.Index) - 1
 		switch {
 		case e.Index != r.applied+1:
-			w.breach("%s applies index %d after %d", r.id, e.Index, r.applied)
-		case at < len(w.ghost.chosen) && !isEqual(w.ghost.chosen[at], e):
-			w.breach("%s applies %d/%d %s where %d %s was committed", r.id, e.Index, e.Term, word(e),
-				w.ghost.chosen[at].Term, word(w.ghost.chosen[at]))
-		case at == len(w.ghost.chosen):
-			w.choose(r, e)
+			w.recordBreach("%s applies index %d after %d", r.id, e.Index, r.applied)
+		case at < len(w.ghost.committed) && !isEqual(w.ghost.committed[at], e):
+			w.recordBreach("%s applies %d/%d %s where %d %s was committed", r.id, e.Index, e.Term, commandText(e),
+				w.ghost.committed[at].Term, commandText(w.ghost.committed[at]))
+		case at == len(w.ghost.committed):
+			w.recordCommit(r, e)
 		}
 		r.applied = e.Index
 	}
 }
 
-// word tells a command without its padding.
-func word(e wire.Entry) string {
+// commandText tells a command without its padding.
+func commandText(e wire.Entry) string {
 	text, _, _ := strings.Cut(string(e.Data), "\x00")
 	return text
 }
@@ -56,10 +56,10 @@
 	return a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
 
-// choose records a commit. Every owner of a later term must hold it already.
-func (w *World) choose(r *replica, e wire.Entry) {
-	w.ghost.chosen = append(w.ghost.chosen, e)
-	w.ghost.counted = r.machine.View().Roster
+// recordCommit records a commit. Every owner of a later term must hold it already.
+func (w *World) recordCommit(r *replica, e wire.Entry) {
+	w.ghost.committed = append(w.ghost.committed, e)
+	w.ghost.commitRoster = r.machine.View().Roster
 	if e.Kind == group.EntryRoster {
 		w.ghost.roster = rosterOf(e)
 	}
@@ -72,40 +72,40 @@
 }
 
 // install checks that an image stands for what was committed up to it.
-func (w *World) install(r *replica, image *group.Snapshot) {
-	at := int(image.Index) - 1
-	if at >= len(w.ghost.chosen) || w.ghost.chosen[at].Term != image.Term {
-		w.breach("%s installs an image at %d/%d that was never committed", r.id, image.Index, image.Term)
+func (w *World) install(r *replica, snapshot *group.Snapshot) {
+	at := int(snapshot.Index) - 1
+	if at >= len(w.ghost.committed) || w.ghost.committed[at].Term != snapshot.Term {
+		w.recordBreach("%s installs an image at %d/%d that was never committed", r.id, snapshot.Index, snapshot.Term)
 	}
-	if image.Index < r.applied {
-		w.breach("%s goes back from %d to an image at %d", r.id, r.applied, image.Index)
+	if snapshot.Index < r.applied {
+		w.recordBreach("%s goes back from %d to an image at %d", r.id, r.applied, snapshot.Index)
 	}
-	r.applied = image.Index
+	r.applied = snapshot.Index
 }
 
-// noteOwner holds that a term has one owner, in one life of its process, and
+// recordOwner holds that a term has one owner, in one life of its process, and
 // that a new one has all that was committed. What its disk does not know and
 // nobody was told may happen again after a restart.
-func (w *World) noteOwner(r *replica, v group.View) {
-	if v.Role != group.Owner || r.disk.hard.Term < v.Term && !w.hasSpoken(r, v.Term) {
+func (w *World) recordOwner(r *replica, v group.View) {
+	if v.Role != group.Owner || r.disk.hardState.Term < v.Term && !w.hasSentAsOwner(r, v.Term) {
 		return
 	}
-	life := fmt.Sprintf("%s in life %d", r.id, r.life)
-	was := w.ghost.owners[v.Term]
+	life := fmt.Sprintf("%s in life %d", r.id, r.startCount)
+	was := w.ghost.termOwners[v.Term]
 	if was == life {
 		return
 	}
 	if was != "" {
-		w.breach("term %d is owned by %s and by %s", v.Term, was, life)
+		w.recordBreach("term %d is owned by %s and by %s", v.Term, was, life)
 	}
-	w.ghost.owners[v.Term] = life
+	w.ghost.termOwners[v.Term] = life
 	w.checkComplete(r)
 	w.checkRoster(r)
 }
 
-// hasSpoken reports whether a replica has sent anything as the owner of a term.
-func (w *World) hasSpoken(r *replica, term int64) bool {
-	return slices.ContainsFunc(w.sent, func(m *wire.GroupMsg) bool {
+// hasSentAsOwner reports whether a replica has sent anything as the owner of a term.
+func (w *World) hasSentAsOwner(r *replica, term int64) bool {
+	return slices.ContainsFunc(w.inFlight, func(m *wire.GroupMsg) bool {
 		return m.From == r.id && m.Term == term && (m.Kind == group.MsgAppend || m.Kind == group.MsgSnapshot)
 	})
 }
@@ -113,51 +113,51 @@
 // checkComplete: an owner holds every entry that was committed.
 func (w *World) checkComplete(r *replica) {
 	hard, log := r.machine.DurableState()
-	if base := r.machine.View().Last - int64(len(log)); !w.holdsChosen(base, log) {
-		w.breach("%s owns term %d and lacks a committed entry", r.id, hard.Term)
+	if base := r.machine.View().Last - int64(len(log)); !w.holdsCommitted(base, log) {
+		w.recordBreach("%s owns term %d and lacks a committed entry", r.id, hard.Term)
 	}
 }
 
-// holdsChosen reports whether a log above an image has all that was committed.
-func (w *World) holdsChosen(base int64, log []wire.Entry) bool {
-	if base+int64(len(log)) < int64(len(w.ghost.chosen)) {
+// holdsCommitted reports whether a log above an image has all that was committed.
+func (w *World) holdsCommitted(base int64, log []wire.Entry) bool {
+	if base+int64(len(log)) < int64(len(w.ghost.committed)) {
 		return false
 	}
-	for i := base; i < int64(len(w.ghost.chosen)); i++ {
-		if !isEqual(log[i-base], w.ghost.chosen[i]) {
+	for i := base; i < int64(len(w.ghost.committed)); i++ {
+		if !isEqual(log[i-base], w.ghost.committed[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// check holds in every state: of the voters by whom the newest commit was
+// checkDurability holds in every state: of the voters by whom the newest commit was
 // counted, a majority have synced all that was committed, and no majority of
 // the committed roster is without one who has. A disk that was replaced counts
 // with what it held: its loss was a fault's doing, not the system's.
-func (w *World) check() {
-	if len(w.ghost.chosen) == 0 {
+func (w *World) checkDurability() {
+	if len(w.ghost.committed) == 0 {
 		return
 	}
-	counted, voters := group.Voters(w.ghost.counted), group.Voters(w.ghost.roster)
-	if whole := w.whole(counted); whole <= len(counted)/2 {
-		w.breach("%d committed entries are synced by %d of the voters %v", len(w.ghost.chosen), whole, counted)
+	counted, voters := group.Voters(w.ghost.commitRoster), group.Voters(w.ghost.roster)
+	if whole := w.countComplete(counted); whole <= len(counted)/2 {
+		w.recordBreach("%d committed entries are synced by %d of the voters %v", len(w.ghost.committed), whole, counted)
 	}
-	if whole := w.whole(voters); len(voters)-whole > len(voters)/2 {
-		w.breach("of the voters %v only %d have synced all %d committed entries", voters, whole, len(w.ghost.chosen))
+	if whole := w.countComplete(voters); len(voters)-whole > len(voters)/2 {
+		w.recordBreach("of the voters %v only %d have synced all %d committed entries", voters, whole, len(w.ghost.committed))
 	}
 	w.checkElections()
 }
 
-// whole counts the members whose disks have all that was committed.
-func (w *World) whole(members []string) int {
+// countComplete counts the members whose disks have all that was committed.
+func (w *World) countComplete(members []string) int {
 	count := 0
 	for _, m := range members {
-		d, isGone := w.ghost.gone[m]
-		if at := w.at(m); !isGone && at >= 0 && w.replicas[at].id == m {
+		d, isGone := w.ghost.replacedDisks[m]
+		if at := w.replicaIndex(m); !isGone && at >= 0 && w.replicas[at].id == m {
 			d = w.replicas[at].disk
 		}
-		if w.holdsChosen(d.base(), d.log) {
+		if w.holdsCommitted(d.base(), d.log) {
 			count++
 		}
 	}
@@ -169,17 +169,17 @@
 // that was committed by then must have been applied.
 func (w *World) checkReads(r *replica, v group.View) {
 	if v.Role != group.Owner {
-		r.marks, r.pulsed = nil, 0
+		r.commitMarks, r.heartbeatCommit = nil, 0
 		return
 	}
-	if n := len(r.marks); n == 0 || r.marks[n-1].at < r.now {
-		r.marks = append(slices.Clip(r.marks), mark{r.now, len(w.ghost.chosen)})
+	if n := len(r.commitMarks); n == 0 || r.commitMarks[n-1].at < r.now {
+		r.commitMarks = append(slices.Clip(r.commitMarks), commitMark{r.now, len(w.ghost.committed)})
 	}
-	for len(r.marks) > 1 && r.marks[0].at < v.ConfirmedAt {
-		r.marks = r.marks[1:]
+	for len(r.commitMarks) > 1 && r.commitMarks[0].at < v.ConfirmedAt {
+		r.commitMarks = r.commitMarks[1:]
 	}
-	if first := r.marks[0]; r.isOwner && v.IsConfirmed && first.at == v.ConfirmedAt && r.applied < int64(first.chosen) {
-		w.breach("%s answers a read from %d, though %d were committed when it was asked", r.id, r.applied, first.chosen)
+	if first := r.commitMarks[0]; r.isOwner && v.IsConfirmed && first.at == v.ConfirmedAt && r.applied < int64(first.committed) {
+		w.recordBreach("%s answers a read from %d, though %d were committed when it was asked", r.id, r.applied, first.committed)
 	}
 }
 
@@ -187,7 +187,7 @@
 // one voter at most, so that any two majorities meet.
 func (w *World) checkRoster(r *replica) {
 	v := r.machine.View()
-	for term := range w.ghost.owners {
+	for term := range w.ghost.termOwners {
 		if v.Role != group.Owner || term > v.Term {
 			return
 		}
@@ -206,6 +206,6 @@
 		}
 	}
 	if apart > 1 {
-		w.breach("%s owns term %d under %v while %v is committed", r.id, v.Term, v.Roster, w.ghost.roster)
+		w.recordBreach("%s owns term %d under %v while %v is committed", r.id, v.Term, v.Roster, w.ghost.roster)
 	}
 }
--- a/internal/explore/drive.go
+++ b/internal/explore/host.go
@@ -7,31 +7,31 @@
 	"caperwheel/internal/wire"
 )
 
-// do carries out what one step of a replica wants, in the order in which the
+// applyOutput carries out what one step of a replica wants, in the order in which the
 // host does: what may leave now, the write, the new state.
-func (w *World) do(r *replica, out group.Output) {
+func (w *World) applyOutput(r *replica, out group.Output) {
 	w.send(r, out.SendNow)
 	switch {
 	case out.Persist != nil:
-		r.unsynced = append(r.unsynced, write{persist: out.Persist, after: out.SendAfterSync})
+		r.unsynced = append(r.unsynced, write{persist: out.Persist, sendAfter: out.SendAfterSync})
 	case len(out.SendAfterSync) > 0 && len(r.unsynced) == 0:
 		w.send(r, out.SendAfterSync)
 	case len(out.SendAfterSync) > 0:
-		r.unsynced = append(r.unsynced, write{after: out.SendAfterSync})
+		r.unsynced = append(r.unsynced, write{sendAfter: out.SendAfterSync})
 	}
 	if out.Install != nil {
-		r.image = out.Install
+		r.snapshot = out.Install
 		w.install(r, out.Install)
 	}
 	w.apply(r, out.Apply)
-	w.settle(r)
+	w.updateOwnership(r)
 }
 
-// settle does what the host does when ownership begins or ends.
-func (w *World) settle(r *replica) {
+// updateOwnership does what the host does when ownership begins or ends.
+func (w *World) updateOwnership(r *replica) {
 	v := r.machine.View()
 	r.isOwner = v.Role == group.Owner && (v.IsConfirmed || r.isOwner)
-	w.noteOwner(r, v)
+	w.recordOwner(r, v)
 	w.checkReads(r, v)
 }
 
@@ -39,15 +39,15 @@
 // is the same: what may come twice is tried by its own event.
 func (w *World) send(r *replica, messages []wire.GroupMsg) {
 	for _, m := range messages {
-		if m.Kind == group.MsgSnapshot && (r.image == nil || r.image.Index != m.Index) {
+		if m.Kind == group.MsgSnapshot && (r.snapshot == nil || r.snapshot.Index != m.Index) {
 			continue
 		}
-		if !slices.ContainsFunc(w.sent, func(other *wire.GroupMsg) bool { return isSame(&m, other) }) {
-			w.sent = append(w.sent, &m)
+		if !slices.ContainsFunc(w.inFlight, func(other *wire.GroupMsg) bool { return isSame(&m, other) }) {
+			w.inFlight = append(w.inFlight, &m)
 		}
 	}
-	if over := len(w.sent) - w.options.UnderWay; w.options.UnderWay > 0 && over > 0 {
-		w.sent = slices.Delete(w.sent, 0, over)
+	if over := len(w.inFlight) - w.options.MaxInFlight; w.options.MaxInFlight > 0 && over > 0 {
+		w.inFlight = slices.Delete(w.inFlight, 0, over)
 	}
 }
 
@@ -63,28 +63,28 @@
 func (w *World) sync(r *replica) {
 	first := r.unsynced[0]
 	r.unsynced = r.unsynced[1:]
-	r.disk = r.disk.with(first)
-	w.send(r, first.after)
+	r.disk = r.disk.afterWrite(first)
+	w.send(r, first.sendAfter)
 	if p := first.persist; p != nil && len(p.Entries) > 0 {
 		last := p.Entries[len(p.Entries)-1]
-		w.do(r, r.machine.Synced(last.Index, last.Term, r.now))
+		w.applyOutput(r, r.machine.Synced(last.Index, last.Term, r.now))
 	}
 }
 
-// with gives the disk after one more write.
-func (d disk) with(first write) disk {
-	if first.slot != nil {
-		return *first.slot
+// afterWrite gives the disk after one more write.
+func (d disk) afterWrite(first write) disk {
+	if first.fullState != nil {
+		return *first.fullState
 	}
 	p := first.persist
 	if p == nil {
 		return d
 	}
 	if p.Snapshot != nil {
-		d.image, d.log = p.Snapshot, nil
+		d.snapshot, d.log = p.Snapshot, nil
 	}
 	if p.Hard != nil {
-		d.hard = *p.Hard
+		d.hardState = *p.Hard
 	}
 	if len(p.Entries) > 0 {
 		kept := p.Entries[0].Index - d.base() - 1
@@ -94,17 +94,17 @@
 }
 
 func (d disk) base() int64 {
-	if d.image == nil {
+	if d.snapshot == nil {
 		return 0
 	}
-	return d.image.Index
+	return d.snapshot.Index
 }
 
 // restart loses the process and all writes but the first few that are not
 // synced, as a loss of power would.
-func (w *World) restart(r *replica, kept int) {
-	for _, first := range r.unsynced[:kept] {
-		r.disk = r.disk.with(first)
+func (w *World) restart(r *replica, keptWrites int) {
+	for _, first := range r.unsynced[:keptWrites] {
+		r.disk = r.disk.afterWrite(first)
 	}
 	r.unsynced = nil
 	w.start(r)
@@ -112,19 +112,19 @@
 
 // wipe replaces a machine's disk; it comes back blank as another member.
 func (w *World) wipe(r *replica) {
-	w.ghost.gone[r.id] = r.disk
-	w.ghost.disks++
-	r.id, r.disk, r.unsynced = idOf(r.name, w.ghost.disks), disk{}, nil
+	w.ghost.replacedDisks[r.id] = r.disk
+	w.ghost.replacedCount++
+	r.id, r.disk, r.unsynced = idOf(r.name, w.ghost.replacedCount), disk{}, nil
 	w.start(r)
 }
 
 // compact puts a replica's log into an image.
 func (w *World) compact(r *replica) {
-	image := r.machine.Compact(r.applied, nil)
-	if image == nil {
+	snapshot := r.machine.Compact(r.applied, nil)
+	if snapshot == nil {
 		return
 	}
-	r.image = image
+	r.snapshot = snapshot
 	hard, log := r.machine.DurableState()
-	r.unsynced = append(r.unsynced, write{slot: &disk{hard, image, log}})
+	r.unsynced = append(r.unsynced, write{fullState: &disk{hard, snapshot, log}})
 }
--- a/internal/explore/mutants_run_test.go
+++ b/internal/explore/mutants_run_test.go
@@ -8,27 +8,27 @@
 
 // Bounds of the hunt for one mutant.
 const (
-	huntStates = 60_000
-	huntWalks  = 60
-	huntSteps  = 400
+	mutantMaxStates = 60_000
+	mutantWalks     = 60
+	mutantWalkSteps = 400
 )
 
-// hunt looks for a broken invariant: by the named search, or by random walks
+// searchMutant looks for a broken invariant: by the named search, or by random walks
 // from a seed on.
-func hunt(search string) (broken, how string) {
+func searchMutant(search string) (broken, how string) {
 	for _, s := range Scenarios(3) {
 		if s.Name == search {
-			r := Search(&s.Options, s.Depth, huntStates)
-			return r.Broken, fmt.Sprintf("%s, %d events, %d states", search, len(r.Trace), r.States)
+			r := Search(&s.Options, s.Depth, mutantMaxStates)
+			return r.Breach, fmt.Sprintf("%s, %d events, %d states", search, len(r.Trace), r.States)
 		}
 	}
 	first := uint64(0)
 	if _, err := fmt.Sscanf(search, "walk %d", &first); err != nil && search != "" {
 		return "no search " + search, ""
 	}
-	for seed := first; seed < first+huntWalks; seed++ {
-		if r := Walk(Free(3, 1, seed), seed, huntSteps); r.Broken != "" {
-			return r.Broken, fmt.Sprintf("walk %d, %d events", seed, r.Events)
+	for seed := first; seed < first+mutantWalks; seed++ {
+		if r := Walk(UnrestrictedOptions(3, 1, seed), seed, mutantWalkSteps); r.Breach != "" {
+			return r.Breach, fmt.Sprintf("walk %d, %d events", seed, r.Events)
 		}
 	}
 	return "", ""
@@ -39,14 +39,14 @@
 	if testing.Short() {
 		t.Skip("builds and runs children")
 	}
-	binary := buildMutants(t, append(append([]mutant{}, mutants...), harmless...))
+	binary := buildMutants(t, append(append([]mutant{}, mutants...), equivalentMutants...))
 	var all sync.WaitGroup
 	turn := make(chan struct{}, 2)
 	run := func(m mutant, isHarmless bool) {
 		all.Go(func() {
 			turn <- struct{}{}
 			defer func() { <-turn }()
-			broken, how := found(t, binary, m)
+			broken, how := runMutant(t, binary, m)
 			t.Logf("%s: %q by %s", m.name, broken, how)
 			if isHarmless != (broken == "") {
 				t.Errorf("%s: found %q by %s", m.name, broken, how)
@@ -56,7 +56,7 @@
 	for _, m := range mutants {
 		run(m, false)
 	}
-	for _, m := range harmless {
+	for _, m := range equivalentMutants {
 		run(m, true)
 	}
 	run(mutant{name: "none"}, true)
--- a/internal/explore/mutants_test.go
+++ b/internal/explore/mutants_test.go
@@ -7,7 +7,7 @@
 	name     string
 	file     string
 	old, new string
-	by       string // the search that must find it, or the first seed of walks; from 0 on if empty
+	search   string // the search that must find it, or the first seed of walks; from 0 on if empty
 }
 
 // mutants is the table of guards. Each must be found by its search.
@@ -59,17 +59,17 @@
 		"if g.role == Owner && p.next", "if (IsMutant(NAME) || g.role == Owner) && p.next", "walk 95"},
 	{"an owner alone speaks before its disk knows", "group/group.go",
 		"if g.role == Owner && g.synced < g.noOpIndex", "if !IsMutant(NAME) && g.role == Owner && g.synced < g.noOpIndex", "one"},
-	{"messages leave before the write is synced", "explore/drive.go",
+	{"messages leave before the write is synced", "explore/host.go",
 		"case out.Persist != nil:", "case out.Persist != nil && group.IsMutant(NAME):\n\t\tw.send(r, out.SendAfterSync)\n\t\tr.unsynced = append(r.unsynced, write{persist: out.Persist})\n\tcase out.Persist != nil:", ""},
-	{"a blank disk under its old name", "explore/drive.go",
+	{"a blank disk under its old name", "explore/host.go",
 		"r.id, r.disk, r.unsynced = idOf", "if group.IsMutant(NAME) {\n\t\tr.disk, r.unsynced = disk{}, nil\n\t\tw.start(r)\n\t\treturn\n\t}\n\tr.id, r.disk, r.unsynced = idOf", ""},
 }
 
-// harmless are guards that others cover: nothing is found without them. A successor
+// equivalentMutants are guards that others cover: nothing is found without them. A successor
 // that lacks entries is refused by those who have them. A majority that has
 // synced an owner's first entry has answered its first round, too. Writes are
 // synced in order, so that none of before an election is left after it.
-var harmless = []mutant{
+var equivalentMutants = []mutant{
 	{"a sync of replaced entries counts", "group/step.go",
 		"isHeld && t == term {", "isHeld && (IsMutant(NAME) || t == term) {", ""},
 	{"sure of the term before", "group/elect.go",
--- a/internal/explore/overlay_test.go
+++ b/internal/explore/overlay_test.go
@@ -82,15 +82,15 @@
 	return binary
 }
 
-// found runs one mutant's search in a child and tells what it found, and how.
-func found(t *testing.T, binary string, m mutant) (broken, how string) {
+// runMutant runs one mutant's search in a child and tells what it found, and how.
+func runMutant(t *testing.T, binary string, m mutant) (broken, how string) {
 	child := exec.Command(binary, "-test.run", "^TestMutantChild$", "-test.v")
-	child.Env = append(os.Environ(), mutantEnv+"="+m.name, searchEnv+"="+m.by)
+	child.Env = append(os.Environ(), mutantEnv+"="+m.name, searchEnv+"="+m.search)
 	out, err := child.CombinedOutput()
 	if err != nil {
 		t.Errorf("%s: %v\n%s", m.name, err, out)
 	}
-	_, verdict, isTold := strings.Cut(string(out), childMark)
+	_, verdict, isTold := strings.Cut(string(out), verdictPrefix)
 	if !isTold {
 		t.Errorf("%s: no verdict\n%s", m.name, out)
 	}
@@ -100,8 +100,8 @@
 }
 
 const (
-	searchEnv = "CAPERWHEEL_SEARCH"
-	childMark = "VERDICT "
+	searchEnv     = "CAPERWHEEL_SEARCH"
+	verdictPrefix = "VERDICT "
 )
 
 // TestMutantChild is the search in a child; by itself it does nothing.
@@ -109,6 +109,6 @@
 	if os.Getenv(mutantEnv) == "" {
 		t.Skip("runs in the children of TestMutants")
 	}
-	broken, how := hunt(os.Getenv(searchEnv))
-	fmt.Printf("%s%s|%s\n", childMark, strings.ReplaceAll(broken, "\n", " "), how)
+	broken, how := searchMutant(os.Getenv(searchEnv))
+	fmt.Printf("%s%s|%s\n", verdictPrefix, strings.ReplaceAll(broken, "\n", " "), how)
 }
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -4,8 +4,8 @@
 
 // weights of the kinds of event in a random walk: most of what happens is that
 // messages come and writes are synced, so that a group gets somewhere.
-var weights = [kinds]int{Deliver: 60, Repeat: 4, Sync: 40, Timeout: 2, Pulse: 4, Lapse: 1, Restart: 2, Wipe: 1,
-	Propose: 5, Compact: 2, HandOver: 1, Learn: 2, Promote: 4, Drop: 1}
+var weights = [kindCount]int{Deliver: 60, Duplicate: 4, Sync: 40, Timeout: 2, HeartbeatTick: 4, ClockJump: 1, Restart: 2, ReplaceDisk: 1,
+	Propose: 5, Compact: 2, TransferOwnership: 1, AddLearner: 2, Promote: 4, RemoveMember: 1}
 
 // Walk takes one random way of so many steps from the first state. The same
 // seed takes the same way.
@@ -13,24 +13,24 @@
 	draw := rand.New(rand.NewPCG(seed, 0))
 	w, out := o.First(), Result{}
 	for range steps {
-		e, isAny := w.draw(draw)
+		e, isAny := w.drawEvent(draw)
 		if !isAny {
 			break
 		}
 		w = w.Next(e)
 		out.Events++
 		out.Trace = append(out.Trace, e)
-		if w.broken != "" {
-			out.Broken = w.broken
+		if w.firstBreach != "" {
+			out.Breach = w.firstBreach
 			break
 		}
 	}
 	return out
 }
 
-// draw picks a kind by weight and one of its events.
-func (w *World) draw(draw *rand.Rand) (Event, bool) {
-	byKind := [kinds][]Event{}
+// drawEvent picks a kind by weight and one of its events.
+func (w *World) drawEvent(draw *rand.Rand) (Event, bool) {
+	byKind := [kindCount][]Event{}
 	total := 0
 	for _, e := range w.Enabled() {
 		if len(byKind[e.Kind]) == 0 {
@@ -53,15 +53,15 @@
 	return Event{}, false
 }
 
-// large is a command of which few fit into a log beside its image.
-const large = 96 << 10
+// largeCommandBytes is a command of which few fit into a log beside its image.
+const largeCommandBytes = 96 << 10
 
-// Free gives the options of a walk that may do everything, as often as it will.
+// UnrestrictedOptions gives the options of a walk that may do everything, as often as it will.
 // Every other seed has large commands.
-func Free(members, spares int, seed uint64) *Options {
-	o := &Options{Members: members, Spares: spares, UnderWay: 24, Padding: int(seed%2) * large}
-	for k := range o.Limits {
-		o.Limits[k] = 1 << 30
+func UnrestrictedOptions(members, spares int, seed uint64) *Options {
+	o := &Options{Members: members, SpareMachines: spares, MaxInFlight: 24, PaddingBytes: int(seed%2) * largeCommandBytes}
+	for k := range o.MaxEvents {
+		o.MaxEvents[k] = 1 << 30
 	}
 	return o
 }
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -23,7 +23,7 @@
 var apiClient = &http.Client{Timeout: 15 * time.Second}
 
 // Do sends one request to one daemon.
-func Do(ctx context.Context, method, url, ifMatch string, body []byte) (int, http.Header, []byte, error) {
+func SendRequest(ctx context.Context, method, url, ifMatch string, body []byte) (int, http.Header, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, nil, errs.Wrap(err, errs.Internal, "request")
@@ -40,36 +40,36 @@
 	return resp.StatusCode, resp.Header, raw, errs.Wrap(err, errs.Truncated, "%s %s", method, url)
 }
 
-// try repeats work by turns over the managers until it holds or ctx ends.
-func (a *Api) try(ctx context.Context, work func(manager string) error) error {
+// retryManagers repeats work by turns over the managers until it holds or ctx ends.
+func (a *Api) retryManagers(ctx context.Context, attempt func(manager string) error) error {
 	var last error
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if last = work("http://" + a.f.Managers[turn%len(a.f.Managers)].Http); last == nil {
+		if last = attempt("http://" + a.f.Managers[turn%len(a.f.Managers)].Http); last == nil {
 			return nil
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return last
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// put reads a document's revision and replaces the document.
-func (a *Api) put(ctx context.Context, path string, body []byte) error {
-	return a.try(ctx, func(manager string) error {
-		code, head, _, err := Do(ctx, "GET", manager+path, "", nil)
+// putDocument reads a document's revision and replaces the document.
+func (a *Api) putDocument(ctx context.Context, path string, body []byte) error {
+	return a.retryManagers(ctx, func(manager string) error {
+		code, head, _, err := SendRequest(ctx, "GET", manager+path, "", nil)
 		if err != nil {
 			return err
 		}
 		if code != 200 {
 			return errs.New(errs.Unhealthy, "GET %s: %d", path, code)
 		}
-		code, _, raw, err := Do(ctx, "PUT", manager+path, head.Get("ETag"), body)
+		code, _, raw, err := SendRequest(ctx, "PUT", manager+path, head.Get("ETag"), body)
 		if err == nil && code != 200 {
 			err = errs.New(errs.Unhealthy, "PUT %s: %d %s", path, code, raw)
 		}
@@ -79,10 +79,10 @@
 
 // PutConfig replaces the configuration.
 func (a *Api) PutConfig(ctx context.Context, doc []byte) error {
-	edit := allows(doc, a.f.Now())
-	err := a.put(ctx, "/v1/charter", doc)
+	edit := newConfigEdit(doc, a.f.Now())
+	err := a.putDocument(ctx, "/v1/charter", doc)
 	if err == nil {
-		edit.AckAt, edit.Revision = a.f.Now(), 1
+		edit.AcknowledgedAt, edit.Revision = a.f.Now(), 1
 		a.f.History.AddEdit(edit)
 	}
 	return err
@@ -90,13 +90,13 @@
 
 // PutWorkers replaces a pool's live list.
 func (a *Api) PutWorkers(ctx context.Context, pool string, workers []config.Worker) error {
-	return a.put(ctx, "/v1/pools/"+pool+"/workers", config.Workers{Workers: workers}.Encode())
+	return a.putDocument(ctx, "/v1/pools/"+pool+"/workers", config.Workers{Workers: workers}.Encode())
 }
 
 // Post does what needs no body.
 func (a *Api) Post(ctx context.Context, path string) error {
-	return a.try(ctx, func(manager string) error {
-		code, _, raw, err := Do(ctx, "POST", manager+path, "", nil)
+	return a.retryManagers(ctx, func(manager string) error {
+		code, _, raw, err := SendRequest(ctx, "POST", manager+path, "", nil)
 		if err == nil && code != 200 {
 			err = errs.New(errs.Unhealthy, "POST %s: %d %s", path, code, raw)
 		}
@@ -108,28 +108,28 @@
 func (a *Api) Status(ctx context.Context, turn int) (manager.Status, error) {
 	var out manager.Status
 	m := a.f.Managers[turn%len(a.f.Managers)]
-	code, _, raw, err := Do(ctx, "GET", "http://"+m.Http+"/v1/status", "", nil)
+	code, _, raw, err := SendRequest(ctx, "GET", "http://"+m.Http+"/v1/status", "", nil)
 	if err != nil || code != 200 {
 		return out, errs.New(errs.Unhealthy, "status of %s: %d", m.Name, code)
 	}
 	return out, errs.Wrap(json.Unmarshal(raw, &out), errs.Corrupt, "status")
 }
 
-// Ready waits until all adapters are ready, and every worker has a holder.
-func (a *Api) Ready(ctx context.Context) error {
+// WaitReady waits until all adapters are ready, and every worker has a holder.
+func (a *Api) WaitReady(ctx context.Context) error {
 	why := ""
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if why = a.unready(ctx, turn); why == "" {
+		if why = a.notReadyReason(ctx, turn); why == "" {
 			return nil
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return errs.New(errs.DeadlineExceeded, "the fleet does not get ready: %s", why)
 }
 
-func (a *Api) unready(ctx context.Context, turn int) string {
+func (a *Api) notReadyReason(ctx context.Context, turn int) string {
 	for _, p := range a.f.Adapters {
-		if code, _, raw, err := Do(ctx, "GET", "http://"+p.Http+"/readyz", "", nil); err != nil || code != 200 {
+		if code, _, raw, err := SendRequest(ctx, "GET", "http://"+p.Http+"/readyz", "", nil); err != nil || code != 200 {
 			return fmt.Sprintf("%s: %d %s %v", p.Name, code, raw, err)
 		}
 	}
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -21,43 +21,43 @@
 	"caperwheel/internal/check"
 )
 
-// Mode is how a stand-in back end behaves.
-type Mode int32
+// FaultMode is how a stand-in back end behaves.
+type FaultMode int32
 
 // The modes.
 const (
-	Well  Mode = iota
-	Fail       // answers 500
-	Crawl      // takes twenty times as long
-	Cut        // cuts its answers short
-	Lose       // does the job and loses its answer
-	Stall      // answers only long after a run's bound
+	ModeHealthy    FaultMode = iota
+	ModeFail                 // answers 500
+	ModeSlow                 // takes twenty times as long
+	ModeTruncate             // cuts its answers short
+	ModeDropAnswer           // does the job and loses its answer
+	ModeStall                // answers only long after a run's bound
 )
 
-const stallFor = 4 * time.Second
+const stallDelay = 4 * time.Second
 
 // Backend is a stand-in worker or endpoint.
 type Backend struct {
 	Pool, Name, Zone string
 	Addr             string
-	Work             time.Duration
+	MeanRunTime      time.Duration
 	mode             atomic.Int32
-	met              atomic.Int64 // runs that met a mode other than Well
-	h                *check.History
+	faultyRuns       atomic.Int64 // runs that met a mode other than Well
+	history          *check.History
 	now              func() time.Duration
 	mu               sync.Mutex
 	server           *http.Server
-	inUse, most      int
+	inUse, maxInUse  int
 }
 
 // NewBackend starts a stand-in at a free port.
 func NewBackend(pool, name, zone string, work time.Duration, h *check.History, now func() time.Duration) (*Backend, error) {
-	b := &Backend{Pool: pool, Name: name, Zone: zone, Work: work, h: h, now: now}
+	b := &Backend{Pool: pool, Name: name, Zone: zone, MeanRunTime: work, history: h, now: now}
 	return b, b.Start("127.0.0.1:0")
 }
 
-// Record tells where to write runs down, and by which clock.
-func (b *Backend) Record(h *check.History, now func() time.Duration) { b.h, b.now = h, now }
+// RecordTo tells where to write runs down, and by which clock.
+func (b *Backend) RecordTo(h *check.History, now func() time.Duration) { b.history, b.now = h, now }
 
 // Start listens; also after a stop, at the same address.
 func (b *Backend) Start(addr string) error {
@@ -90,11 +90,11 @@
 	b.server = nil
 }
 
-// Behave changes the mode.
-func (b *Backend) Behave(m Mode) { b.mode.Store(int32(m)) }
+// SetMode changes the mode.
+func (b *Backend) SetMode(m FaultMode) { b.mode.Store(int32(m)) }
 
-// Sum is a checksum as the system gives it.
-func Sum(raw []byte) string {
+// Checksum is a checksum as the system gives it.
+func Checksum(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
@@ -115,37 +115,37 @@
 	_ = json.Unmarshal(body, &p)
 	attempt, _ := strconv.ParseInt(r.Header.Get("X-Attempt"), 10, 64)
 	run := check.Run{Token: p.Token, Id: r.Header.Get("X-Message-Id"), Attempt: attempt, Pool: b.Pool, Worker: b.Name,
-		Sum: Sum(body), Start: start}
+		BodySum: Checksum(body), Start: start}
 	if name, isNamed := strings.CutPrefix(r.UserAgent(), "caperwheel/"); isNamed {
 		run.Adapter = name
 	}
 	run.Revision, _ = strconv.ParseInt(r.Header.Get("X-Charter-Stamp"), 10, 64)
 	b.mu.Lock()
 	b.inUse++
-	b.most = max(b.most, b.inUse)
+	b.maxInUse = max(b.maxInUse, b.inUse)
 	b.mu.Unlock()
 	for _, field := range []string{"X-Message-Id", "X-Attempt"} { // so that the answer tells whose it is
 		if value := r.Header.Get(field); value != "" {
 			w.Header().Set(field, value)
 		}
 	}
-	mode, work := Mode(b.mode.Load()), b.Work/2+time.Duration(rand.Int64N(int64(b.Work)+1))
+	mode, work := FaultMode(b.mode.Load()), b.MeanRunTime/2+time.Duration(rand.Int64N(int64(b.MeanRunTime)+1))
 	switch mode {
-	case Crawl:
+	case ModeSlow:
 		work *= 20
-	case Stall:
-		work += stallFor
+	case ModeStall:
+		work += stallDelay
 	}
-	if mode != Well {
-		b.met.Add(1)
+	if mode != ModeHealthy {
+		b.faultyRuns.Add(1)
 	}
 	time.Sleep(work) // the work itself
 	answer, _ := json.Marshal(map[string]any{"token": check.AnswerOf(p.Token), "by": b.Name, "attempt": attempt})
-	run.Status, run.Answer = 200, Sum(answer)
+	run.Status, run.AnswerSum = 200, Checksum(answer)
 	switch {
 	case p.Poison:
 		run.Status = 422
-	case mode == Fail:
+	case mode == ModeFail:
 		run.Status = 500
 	}
 	run.End = b.now()
@@ -153,17 +153,17 @@
 		b.mu.Lock()
 		b.inUse--
 		b.mu.Unlock()
-		b.h.AddRun(run)
+		b.history.AddRun(run)
 	}()
 	switch mode {
-	case Lose:
+	case ModeDropAnswer:
 		if hj, isHj := w.(http.Hijacker); isHj {
 			if conn, _, err := hj.Hijack(); err == nil {
 				conn.Close()
 			}
 		}
 		return
-	case Cut:
+	case ModeTruncate:
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 		w.WriteHeader(run.Status)
 		_, _ = w.Write(answer[:len(answer)/2])
@@ -173,7 +173,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
 	w.WriteHeader(run.Status)
 	_, err = w.Write(answer)
-	run.IsWhole = err == nil && r.Context().Err() == nil
+	run.IsAnswerComplete = err == nil && r.Context().Err() == nil
 }
 
 // Backends is a set that can be found by name.
--- a/internal/fleet/callers.go
+++ b/internal/fleet/callers.go
@@ -21,19 +21,19 @@
 
 // Callers send the plan's load until their context ends.
 type Callers struct {
-	f      *Fleet
-	client *http.Client
-	serial atomic.Int64
-	mu     sync.Mutex
-	Times  []time.Duration // of requests that were answered taken
-	taken  []string        // ids
-	Codes  map[int]int
-	wg     sync.WaitGroup
+	f               *Fleet
+	client          *http.Client
+	serial          atomic.Int64
+	mu              sync.Mutex
+	IntakeLatencies []time.Duration // of requests that were answered taken
+	takenIds        []string        // ids
+	StatusCodes     map[int]int
+	wg              sync.WaitGroup
 }
 
 // NewCallers readies them.
 func NewCallers(f *Fleet) *Callers {
-	f.callers = &Callers{f: f, Codes: map[int]int{}, client: &http.Client{Timeout: 10 * time.Second,
+	f.callers = &Callers{f: f, StatusCodes: map[int]int{}, client: &http.Client{Timeout: 10 * time.Second,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}}
 	return f.callers
 }
@@ -51,14 +51,14 @@
 		if load.Keys > 0 {
 			c.runOrdered(ctx, load, lanes)
 		} else {
-			c.runFree(ctx, load, lanes)
+			c.runUnordered(ctx, load, lanes)
 		}
 	}
 	<-ctx.Done()
 	c.wg.Wait()
 }
 
-func (c *Callers) runFree(ctx context.Context, load PlanLoad, lanes []string) {
+func (c *Callers) runUnordered(ctx context.Context, load PlanLoad, lanes []string) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
@@ -87,11 +87,11 @@
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
-			pause(ctx, time.Duration(rand.Int64N(int64(gap))))
+			sleep(ctx, time.Duration(rand.Int64N(int64(gap))))
 			for ctx.Err() == nil {
 				at := time.Now()
 				c.Send(lanes[k%len(lanes)], fmt.Sprintf("key-%d", k), load.Size, false)
-				pause(ctx, gap-time.Since(at))
+				sleep(ctx, gap-time.Since(at))
 			}
 		}()
 	}
@@ -101,24 +101,24 @@
 func (c *Callers) Send(lane, key string, size int, isPoison bool) check.Sent {
 	token := fmt.Sprintf("%s-%d", lane, c.serial.Add(1))
 	body, _ := json.Marshal(map[string]any{"token": token, "poison": isPoison, "fill": strings.Repeat("x", rand.IntN(size+1))})
-	s := check.Sent{Token: token, Lane: lane, Key: key, Sum: Sum(body), At: c.f.Now(), Told: check.Undecided}
+	s := check.Sent{Token: token, Lane: lane, Key: key, BodySum: Checksum(body), SentAt: c.f.Now(), Outcome: check.Undecided}
 	began := time.Now()
-	code := c.ask(&s, body)
-	s.ToldAt = c.f.Now()
+	code := c.post(&s, body)
+	s.AnsweredAt = c.f.Now()
 	c.f.History.AddSent(s)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Codes[code]++
-	if s.Told == check.Taken {
-		c.Times = append(c.Times, time.Since(began))
-		c.taken = append(c.taken, s.Id)
+	c.StatusCodes[code]++
+	if s.Outcome == check.Taken {
+		c.IntakeLatencies = append(c.IntakeLatencies, time.Since(began))
+		c.takenIds = append(c.takenIds, s.Id)
 	}
 	return s
 }
 
 // ask sends the request and reads the answer. One in ten waits for the end, so
 // that whole proofs come back over connections that others use too.
-func (c *Callers) ask(s *check.Sent, body []byte) (code int) {
+func (c *Callers) post(s *check.Sent, body []byte) (code int) {
 	url := "http://" + c.f.Adapters[rand.IntN(len(c.f.Adapters))].Http + "/v1/lanes/" + s.Lane + "/messages"
 	if rand.IntN(10) == 0 {
 		url += "?wait=2s"
@@ -140,40 +140,40 @@
 	if err != nil {
 		return 0 // it broke, and looks so
 	}
-	var told struct {
+	var reply struct {
 		Id    string        `json:"id"`
 		Taken any           `json:"taken"`
 		Sum   string        `json:"sha256"`
 		Proof *intake.Proof `json:"proof"`
 	}
-	if json.Unmarshal(raw, &told) != nil {
-		s.IsShort = true
+	if json.Unmarshal(raw, &reply) != nil {
+		s.IsTruncated = true
 		return resp.StatusCode
 	}
-	s.Id, s.GotSum = told.Id, told.Sum
+	s.Id, s.AnsweredBodySum = reply.Id, reply.Sum
 	s.Revision, _ = strconv.ParseInt(resp.Header.Get("X-Charter-Stamp"), 10, 64)
-	if told.Proof != nil {
+	if reply.Proof != nil {
 		var answer payload
-		_ = json.Unmarshal(told.Proof.Answer, &answer)
-		s.GotToken = answer.Token
+		_ = json.Unmarshal(reply.Proof.Answer, &answer)
+		s.ProofToken = answer.Token
 	}
-	switch told.Taken {
+	switch reply.Taken {
 	case true:
-		s.Told = check.Taken
+		s.Outcome = check.Taken
 	case false:
-		s.Told = check.NotTaken
+		s.Outcome = check.NotTaken
 	}
 	return resp.StatusCode
 }
 
-// AnyTaken gives the id of some message that was told taken, or none.
-func (c *Callers) AnyTaken() string {
+// RandomTakenId gives the id of some message that was told taken, or none.
+func (c *Callers) RandomTakenId() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.taken) == 0 {
+	if len(c.takenIds) == 0 {
 		return ""
 	}
-	return c.taken[rand.IntN(len(c.taken))]
+	return c.takenIds[rand.IntN(len(c.takenIds))]
 }
 
 // Percentile of a list of times.
--- a/internal/fleet/counts.go
+++ b/internal/fleet/counts.go
@@ -8,10 +8,10 @@
 
 // Counts sums the counters of links and disks over all daemons that answer. A
 // daemon counts from its start, so the sums say little of runs with kills.
-func (f *Fleet) Counts(ctx context.Context) map[string]float64 {
+func (f *Fleet) SumCounters(ctx context.Context) map[string]float64 {
 	out := map[string]float64{}
 	for _, p := range f.All() {
-		code, _, raw, err := Do(ctx, "GET", "http://"+p.Http+"/metrics", "", nil)
+		code, _, raw, err := SendRequest(ctx, "GET", "http://"+p.Http+"/metrics", "", nil)
 		if err != nil || code != 200 {
 			continue
 		}
--- a/internal/fleet/deploy.go
+++ b/internal/fleet/deploy.go
@@ -45,37 +45,37 @@
 
 // Fleet is a deployment that runs.
 type Fleet struct {
-	Plan     Plan
-	Dir      string
-	Config   []byte
-	Rules    *config.Rules
-	History  *check.History
-	Managers []*Process
-	Stores   []*Process
-	Agents   []*Process
-	Adapters []*Process
-	Backends Backends
-	started  time.Time
-	api      *Api
-	callers  *Callers
-	edits    edits
-	relays   *relays
-	Bin      string // programs of this build
-	OldBin   string // programs of an older build, which the daemons start from if it is given
-	steps    sync.Mutex
-	IsDrawn  bool     // the schedule was drawn by seed
-	Failures []string // steps of the schedule that were not carried out
+	Plan             Plan
+	Dir              string
+	Config           []byte
+	Rules            *config.Rules
+	History          *check.History
+	Managers         []*Process
+	Stores           []*Process
+	Agents           []*Process
+	Adapters         []*Process
+	Backends         Backends
+	startedAt        time.Time
+	api              *Api
+	callers          *Callers
+	configEdits      configEdits
+	relays           *relays
+	BinDir           string // programs of this build
+	OldBinDir        string // programs of an older build, which the daemons start from if it is given
+	failuresMu       sync.Mutex
+	IsRandomSchedule bool     // the schedule was drawn by seed
+	FailedSteps      []string // steps of the schedule that were not carried out
 }
 
-// failed notes that a run proves less than its schedule says.
-func (f *Fleet) failed(form string, args ...any) {
-	f.steps.Lock()
-	defer f.steps.Unlock()
-	f.Failures = append(f.Failures, fmt.Sprintf(form, args...))
+// recordFailure notes that a run proves less than its schedule says.
+func (f *Fleet) recordFailure(form string, args ...any) {
+	f.failuresMu.Lock()
+	defer f.failuresMu.Unlock()
+	f.FailedSteps = append(f.FailedSteps, fmt.Sprintf(form, args...))
 }
 
 // Now is the fleet's clock, which every record uses.
-func (f *Fleet) Now() time.Duration { return time.Since(f.started) }
+func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
 // ReadPlan reads a configuration and the plan beside it.
 func ReadPlan(configFile string) (Plan, []byte, error) {
@@ -94,17 +94,17 @@
 // New lays a deployment out: processes and back ends, nothing started yet but
 // the back ends.
 func New(plan Plan, doc []byte, bin, oldBin, dir string) (*Fleet, error) {
-	f := &Fleet{Plan: plan, Dir: dir, History: check.NewHistory(), Backends: Backends{}, started: time.Now(), relays: newRelays(), Bin: bin, OldBin: oldBin}
+	f := &Fleet{Plan: plan, Dir: dir, History: check.NewHistory(), Backends: Backends{}, startedAt: time.Now(), relays: newRelays(), BinDir: bin, OldBinDir: oldBin}
 	if oldBin != "" {
 		bin = oldBin
 	}
-	if err := f.layBackends(doc); err != nil {
+	if err := f.createBackends(doc); err != nil {
 		return nil, err
 	}
-	return f, f.layDaemons(bin)
+	return f, f.createDaemons(bin)
 }
 
-func (f *Fleet) layBackends(doc []byte) error {
+func (f *Fleet) createBackends(doc []byte) error {
 	rules, faults := config.Compile(doc)
 	if len(faults) > 0 {
 		return errs.New(errs.Invalid, "charter: %v", faults)
@@ -113,7 +113,7 @@
 		spec := f.Plan.Workers[pool]
 		if p.IsEndpoint {
 			spec.Count = 1
-			f.History.Caps[pool] = p.Rate
+			f.History.RateCaps[pool] = p.Rate
 			if spec.WorkMs == 0 {
 				spec.WorkMs = 20
 			}
@@ -137,26 +137,26 @@
 	f.Config = doc
 	f.Rules, _ = config.Compile(doc)
 	for name, lane := range f.Rules.Lanes {
-		f.History.Pools[name] = lane.Pools
-		f.History.Order[name] = lane.IsOrdered
+		f.History.LanePools[name] = lane.Pools
+		f.History.OrderedLanes[name] = lane.IsOrdered
 		if lane.CallbackLane != "" {
-			f.History.Backs[name] = lane.CallbackLane
+			f.History.CallbackLanes[name] = lane.CallbackLane
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) layDaemons(bin string) error {
+func (f *Fleet) createDaemons(bin string) error {
 	if err := os.MkdirAll(filepath.Join(f.Dir, "log"), 0o755); err != nil {
 		return errs.Wrap(err, errs.Internal, "log folder")
 	}
-	lay := func(kind, name, zone string) (*Process, error) {
+	newProcess := func(kind, name, zone string) (*Process, error) {
 		addr, err := FreePort()
 		if err != nil {
 			return nil, err
 		}
 		http, err := FreePort()
-		return &Process{Kind: kind, Name: name, Zone: zone, Addr: addr, Http: http, bin: bin,
+		return &Process{Kind: kind, Name: name, Zone: zone, Addr: addr, Http: http, binDir: bin,
 			log: filepath.Join(f.Dir, "log", name+".log")}, err
 	}
 	all := []struct {
@@ -167,7 +167,7 @@
 		{"agent", f.Plan.Fronts, &f.Agents}, {"adapter", f.Plan.Fronts, &f.Adapters}}
 	for _, a := range all {
 		for i := range a.count {
-			p, err := lay(a.kind, fmt.Sprintf("%s-%d", a.kind, i+1), f.Plan.Zones[i%len(f.Plan.Zones)])
+			p, err := newProcess(a.kind, fmt.Sprintf("%s-%d", a.kind, i+1), f.Plan.Zones[i%len(f.Plan.Zones)])
 			if err != nil {
 				return err
 			}
@@ -179,7 +179,7 @@
 	for _, p := range f.All() {
 		addr, err := p.Addr, error(nil)
 		if !f.Plan.IsDirect {
-			addr, err = f.relays.lay(p.Addr, p.Zone)
+			addr, err = f.relays.open(p.Addr, p.Zone)
 		}
 		if err != nil {
 			return err
@@ -202,8 +202,8 @@
 		case "store":
 			set.Data, set.Founders, set.DiskReserve = filepath.Join(f.Dir, p.Name), min(3, f.Plan.Stores), 1000000
 		}
-		p.file = filepath.Join(f.Dir, p.Name+".json")
-		if err := os.WriteFile(p.file, set.NonDefaultJson(), 0o644); err != nil {
+		p.settingsFile = filepath.Join(f.Dir, p.Name+".json")
+		if err := os.WriteFile(p.settingsFile, set.NonDefaultJson(), 0o644); err != nil {
 			return errs.Wrap(err, errs.Internal, "settings of %s", p.Name)
 		}
 	}
--- a/internal/fleet/edits.go
+++ b/internal/fleet/edits.go
@@ -15,22 +15,22 @@
 	"caperwheel/internal/errs"
 )
 
-// edits remembers the newest configuration that was acknowledged.
-type edits struct {
+// configEdits remembers the newest configuration that was acknowledged.
+type configEdits struct {
 	mu       sync.Mutex
 	revision int64
 	note     string
-	Broken   []string
+	Breaches []string
 }
 
 func (a *Api) patchWorkers(ctx context.Context, pool string, patch config.Workers) error {
 	path := "/v1/pools/" + pool + "/workers"
-	return a.try(ctx, func(manager string) error {
-		code, head, _, err := Do(ctx, "GET", manager+path, "", nil)
+	return a.retryManagers(ctx, func(manager string) error {
+		code, head, _, err := SendRequest(ctx, "GET", manager+path, "", nil)
 		if err != nil || code != 200 {
 			return errs.New(errs.Unhealthy, "GET %s: %d %v", path, code, err)
 		}
-		code, _, raw, err := Do(ctx, "PATCH", manager+path, head.Get("ETag"), patch.Encode())
+		code, _, raw, err := SendRequest(ctx, "PATCH", manager+path, head.Get("ETag"), patch.Encode())
 		if err == nil && code != 200 {
 			err = errs.New(errs.Unhealthy, "PATCH %s: %d %s", path, code, raw)
 		}
@@ -38,10 +38,10 @@
 	})
 }
 
-func (e *edits) breach(form string, args ...any) {
+func (e *configEdits) addBreach(form string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Broken = append(e.Broken, fmt.Sprintf(form, args...))
+	e.Breaches = append(e.Breaches, fmt.Sprintf(form, args...))
 }
 
 // revisionOf reads the revision out of an ETag; 0 for none.
@@ -58,8 +58,8 @@
 func (f *Fleet) readConfig(ctx context.Context) (etag string, doc []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 12*time.Second)
 	defer cancel()
-	err = f.api.try(ctx, func(manager string) error {
-		code, head, raw, err := Do(ctx, "GET", manager+"/v1/charter", "", nil)
+	err = f.api.retryManagers(ctx, func(manager string) error {
+		code, head, raw, err := SendRequest(ctx, "GET", manager+"/v1/charter", "", nil)
 		if err == nil && code != 200 {
 			err = errs.New(errs.Unhealthy, "GET configuration: %d", code)
 		}
@@ -69,15 +69,15 @@
 	return etag, doc, err
 }
 
-// allows records what a configuration lets lanes and pools do, from when it was sent.
-func allows(doc []byte, at time.Duration) check.Edit {
-	out := check.Edit{At: at, Pools: map[string][]string{}, Caps: map[string]float64{}}
+// newConfigEdit records what a configuration lets lanes and pools do, from when it was sent.
+func newConfigEdit(doc []byte, at time.Duration) check.Edit {
+	out := check.Edit{SentAt: at, Pools: map[string][]string{}, RateCaps: map[string]float64{}}
 	rules, _ := config.Compile(doc)
 	for name, lane := range rules.Lanes {
 		out.Pools[name] = lane.Pools
 	}
 	for name, pool := range rules.Pools {
-		out.Caps[name] = pool.Rate
+		out.RateCaps[name] = pool.Rate
 	}
 	return out
 }
@@ -87,26 +87,26 @@
 	body, _ := json.Marshal(patch)
 	merged, err := config.Merge(base, body)
 	if err != nil {
-		f.failed("edit %s: %v", body, err)
+		f.recordFailure("edit %s: %v", body, err)
 		return 0
 	}
-	edit := allows(merged, f.Now())
-	code, head, _, err := Do(ctx, "PATCH", f.configUrl(manager), etag, body)
+	edit := newConfigEdit(merged, f.Now())
+	code, head, _, err := SendRequest(ctx, "PATCH", f.configUrl(manager), etag, body)
 	if err == nil && code == 200 {
-		edit.AckAt = f.Now()
+		edit.AcknowledgedAt = f.Now()
 		edit.Revision = revisionOf(head.Get("ETag"))
-		f.edits.mu.Lock()
-		if note, _ := patch["note"].(string); edit.Revision > f.edits.revision {
-			f.edits.revision, f.edits.note = edit.Revision, note
+		f.configEdits.mu.Lock()
+		if note, _ := patch["note"].(string); edit.Revision > f.configEdits.revision {
+			f.configEdits.revision, f.configEdits.note = edit.Revision, note
 		}
-		f.edits.mu.Unlock()
+		f.configEdits.mu.Unlock()
 	}
 	f.History.AddEdit(edit)
 	return code
 }
 
-// inTree gives the patch that changes one lane or pool of a tree.
-func inTree(tree, name string, change map[string]any) map[string]any {
+// treePatch gives the patch that changes one lane or pool of a tree.
+func treePatch(tree, name string, change map[string]any) map[string]any {
 	parts := strings.Split(name, ".")
 	for i := len(parts) - 1; i >= 0; i-- {
 		change = map[string]any{parts[i]: change}
@@ -122,7 +122,7 @@
 func (f *Fleet) editConfig(ctx context.Context, what string) {
 	etag, base, err := f.readConfig(ctx)
 	if err != nil {
-		f.failed("edit %s: %v", what, err)
+		f.recordFailure("edit %s: %v", what, err)
 		return
 	}
 	note := func(i int) map[string]any {
@@ -133,18 +133,18 @@
 	case "good":
 		f.patchConfig(ctx, 0, etag, base, note(0))
 	case "move":
-		f.patchSure(ctx, inTree("lanes", words[1], map[string]any{"pools": []string{words[2]}}))
+		f.patchUntilAcknowledged(ctx, treePatch("lanes", words[1], map[string]any{"pools": []string{words[2]}}))
 	case "cap":
 		rate, _ := strconv.ParseFloat(words[2], 64)
-		f.patchSure(ctx, inTree("pools", words[1], map[string]any{"rate": rate}))
+		f.patchUntilAcknowledged(ctx, treePatch("pools", words[1], map[string]any{"rate": rate}))
 	case "invalid":
-		if code, _, _, err := Do(ctx, "PATCH", f.configUrl(1), etag, []byte(`{"lanes":{"bad lane":{}}}`)); err == nil && code == 200 {
-			f.edits.breach("an invalid configuration was accepted")
+		if code, _, _, err := SendRequest(ctx, "PATCH", f.configUrl(1), etag, []byte(`{"lanes":{"bad lane":{}}}`)); err == nil && code == 200 {
+			f.configEdits.addBreach("an invalid configuration was accepted")
 		}
 	case "stale":
 		if revision := revisionOf(etag); revision > 1 {
 			if f.patchConfig(ctx, 2, `"1"`, base, note(0)) == 200 {
-				f.edits.breach("an edit on a stale base was accepted")
+				f.configEdits.addBreach("an edit on a stale base was accepted")
 			}
 		}
 	case "race":
@@ -162,15 +162,15 @@
 			}
 		}
 		if won > 1 {
-			f.edits.breach("%d edits on one base were accepted: %v", won, codes)
+			f.configEdits.addBreach("%d edits on one base were accepted: %v", won, codes)
 		}
 	default:
-		f.failed("no edit is called %q", what)
+		f.recordFailure("no edit is called %q", what)
 	}
 }
 
-// patchSure repeats an edit until one is acknowledged.
-func (f *Fleet) patchSure(ctx context.Context, patch map[string]any) {
+// patchUntilAcknowledged repeats an edit until one is acknowledged.
+func (f *Fleet) patchUntilAcknowledged(ctx context.Context, patch map[string]any) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	for turn := 0; ctx.Err() == nil; turn++ {
@@ -178,30 +178,30 @@
 		if err == nil && f.patchConfig(ctx, turn, etag, base, patch) == 200 {
 			return
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
-	f.failed("edit %v was never acknowledged", patch)
+	f.recordFailure("edit %v was never acknowledged", patch)
 }
 
 // CheckConfig reads the configuration back from every manager: it must be the
 // newest that was acknowledged, or one that came after it without an answer.
 func (f *Fleet) CheckConfig(ctx context.Context) []string {
-	e := &f.edits
+	e := &f.configEdits
 	for _, p := range f.Managers {
 		var got struct {
 			Note string `json:"note"`
 		}
 		for ctx.Err() == nil {
-			code, head, raw, err := Do(ctx, "GET", "http://"+p.Http+"/v1/charter", "", nil)
+			code, head, raw, err := SendRequest(ctx, "GET", "http://"+p.Http+"/v1/charter", "", nil)
 			if err != nil || code != 200 {
-				pause(ctx, 200*time.Millisecond)
+				sleep(ctx, 200*time.Millisecond)
 				continue
 			}
 			_ = json.Unmarshal(raw, &got)
 			revision := revisionOf(head.Get("ETag"))
 			e.mu.Lock()
 			if revision < e.revision || revision == e.revision && e.note != "" && got.Note != e.note {
-				e.Broken = append(e.Broken, fmt.Sprintf("%s gives configuration %d %q, acknowledged was %d %q", p.Name, revision, got.Note, e.revision, e.note))
+				e.Breaches = append(e.Breaches, fmt.Sprintf("%s gives configuration %d %q, acknowledged was %d %q", p.Name, revision, got.Note, e.revision, e.note))
 			}
 			e.mu.Unlock()
 			break
@@ -209,7 +209,7 @@
 	}
 	if ctx.Err() != nil {
 		fmt.Fprintln(os.Stderr, "fleet: The configuration could not be read back from every manager.")
-		e.Broken = append(e.Broken, "the configuration cannot be read back")
+		e.Breaches = append(e.Breaches, "the configuration cannot be read back")
 	}
-	return e.Broken
+	return e.Breaches
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -15,17 +15,17 @@
 
 // Step is one fault of a schedule, or its end.
 type Step struct {
-	At  string `json:"at"`  // since the load began
-	Do  string `json:"do"`  // see actions
-	Who string `json:"who"` // a daemon, a zone, or pool/worker; a trailing * takes all that start so
-	For string `json:"for"` // how long until it is undone; empty for not at all
+	At       string `json:"at"`  // since the load began
+	Action   string `json:"do"`  // see actions
+	Target   string `json:"who"` // a daemon, a zone, or pool/worker; a trailing * takes all that start so
+	Duration string `json:"for"` // how long until it is undone; empty for not at all
 }
 
 // Schedule is a named list of faults, kept in the repo.
 type Schedule struct {
-	Note  string `json:"note"`
-	For   string `json:"for"` // how long callers send
-	Steps []Step `json:"steps"`
+	Note     string `json:"note"`
+	Duration string `json:"for"` // how long callers send
+	Steps    []Step `json:"steps"`
 }
 
 // ReadSchedule reads and checks a schedule.
@@ -44,13 +44,13 @@
 		return out, errs.Wrap(err, errs.Invalid, "schedule")
 	}
 	for i, s := range out.Steps {
-		for _, text := range []string{s.At, s.For} {
+		for _, text := range []string{s.At, s.Duration} {
 			if _, err := time.ParseDuration(text); text != "" && err != nil {
 				return out, errs.Wrap(err, errs.Invalid, "step %d", i)
 			}
 		}
-		if !isKnown(s.Do) {
-			return out, errs.New(errs.Invalid, "step %d: no fault is called %q", i, s.Do)
+		if !isKnown(s.Action) {
+			return out, errs.New(errs.Invalid, "step %d: no fault is called %q", i, s.Action)
 		}
 	}
 	return out, nil
@@ -59,12 +59,12 @@
 // actions cause a fault and give back what undoes it.
 var actions = map[string]func(ctx context.Context, f *Fleet, who string) (undo func()){
 	"kill": killAll,
-	"stop": func(_ context.Context, f *Fleet, who string) func() { return f.each(who, (*Process).Stop, restart) },
+	"stop": func(_ context.Context, f *Fleet, who string) func() { return f.forEach(who, (*Process).Stop, restart) },
 	"freeze": func(_ context.Context, f *Fleet, who string) func() {
-		return f.each(who, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
+		return f.forEach(who, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
 	},
 	"wipe": func(_ context.Context, f *Fleet, who string) func() {
-		return f.each(who, func(p *Process) {
+		return f.forEach(who, func(p *Process) {
 			p.Kill()
 			_ = os.RemoveAll(filepath.Join(f.Dir, p.Name))
 		}, restart)
@@ -74,7 +74,7 @@
 		for _, b := range f.Backends {
 			if b.Zone == who {
 				b.Stop()
-				undo = append(undo, func() { f.back(b) })
+				undo = append(undo, func() { f.restartBackend(b) })
 			}
 		}
 		return func() {
@@ -84,49 +84,49 @@
 		}
 	},
 	"cut cell": func(_ context.Context, f *Fleet, who string) func() {
-		f.relays.set(who, true)
-		return func() { f.relays.set(who, false) }
+		f.relays.setIsolated(who, true)
+		return func() { f.relays.setIsolated(who, false) }
 	},
-	"fail":   behave(Fail),
-	"crawl":  behave(Crawl),
-	"cut":    behave(Cut),
-	"lose":   behave(Lose),
-	"stall":  behave(Stall),
-	"vanish": vanish,
-	"leave":  leave,
-	"empty":  empty,
+	"fail":   setMode(ModeFail),
+	"crawl":  setMode(ModeSlow),
+	"cut":    setMode(ModeTruncate),
+	"lose":   setMode(ModeDropAnswer),
+	"stall":  setMode(ModeStall),
+	"vanish": stopBackends,
+	"leave":  drainWorkers,
+	"empty":  evacuateZone,
 	"retire": func(ctx context.Context, f *Fleet, who string) func() {
-		f.post(ctx, "/v1/stores/"+who+"/retire")
-		return func() { f.post(ctx, "/v1/stores/"+who+"/restore") }
+		f.postOrFail(ctx, "/v1/stores/"+who+"/retire")
+		return func() { f.postOrFail(ctx, "/v1/stores/"+who+"/restore") }
 	},
-	"upgrade":   func(_ context.Context, f *Fleet, who string) func() { return f.change(who, f.Bin) },
-	"downgrade": func(_ context.Context, f *Fleet, who string) func() { return f.change(who, f.OldBin) },
-	"scribble":  scribble,
+	"upgrade":   func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.BinDir) },
+	"downgrade": func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.OldBinDir) },
+	"scribble":  corruptSettings,
 	"edit":      func(ctx context.Context, f *Fleet, who string) func() { f.editConfig(ctx, who); return func() {} },
-	"flood":     flood,
+	"flood":     floodLane,
 }
 
-// change restarts daemons, one after another, as programs of another build.
-func (f *Fleet) change(who, bin string) func() {
+// changeBuild restarts daemons, one after another, as programs of another build.
+func (f *Fleet) changeBuild(who, bin string) func() {
 	if bin == "" {
-		f.failed("there is no older build to run %s from", who)
+		f.recordFailure("there is no older build to run %s from", who)
 		return func() {}
 	}
-	for _, p := range f.match(who) {
+	for _, p := range f.matchProcesses(who) {
 		p.Stop()
-		p.bin = bin
+		p.binDir = bin
 		if err := p.Start(); err != nil {
-			f.failed("%s: %v", p.Name, err)
+			f.recordFailure("%s: %v", p.Name, err)
 		}
-		pause(context.Background(), time.Second)
+		sleep(context.Background(), time.Second)
 	}
 	return func() {}
 }
 
 func restart(p *Process) { _ = p.Start() }
 
-// match lists the daemons that who names: one, all of a prefix, all of a zone.
-func (f *Fleet) match(who string) []*Process {
+// matchProcesses lists the daemons that who names: one, all of a prefix, all of a zone.
+func (f *Fleet) matchProcesses(who string) []*Process {
 	out := []*Process{}
 	for _, p := range f.All() {
 		zone, isZone := strings.CutPrefix(who, "cell ")
@@ -138,8 +138,8 @@
 	return out
 }
 
-func (f *Fleet) each(who string, do, undo func(*Process)) func() {
-	all := f.match(who)
+func (f *Fleet) forEach(who string, do, undo func(*Process)) func() {
+	all := f.matchProcesses(who)
 	done := make(chan struct{})
 	for _, p := range all {
 		go func() { do(p); done <- struct{}{} }()
@@ -156,51 +156,51 @@
 
 func killAll(_ context.Context, f *Fleet, who string) func() {
 	from := f.Now()
-	undo := f.each(who, (*Process).Kill, restart)
-	for _, p := range f.match(who) {
+	undo := f.forEach(who, (*Process).Kill, restart)
+	for _, p := range f.matchProcesses(who) {
 		if p.Kind == "adapter" {
-			f.History.AddLost(check.Window{Adapter: p.Name, From: from - lostWindow, Until: f.Now() + lostWindow})
+			f.History.AddKill(check.KillWindow{Adapter: p.Name, From: from - killWindow, Until: f.Now() + killWindow})
 		}
 	}
 	return undo
 }
 
-// lostWindow: a run that ended so shortly before or after its adapter was
+// killWindow: a run that ended so shortly before or after its adapter was
 // killed may be known to nobody; see docs/delivery.md.
-const lostWindow = 50 * time.Millisecond
+const killWindow = 50 * time.Millisecond
 
-// post has an operator's call count as failed if no manager carries it out.
-func (f *Fleet) post(ctx context.Context, path string) {
+// postOrFail has an operator's call count as failed if no manager carries it out.
+func (f *Fleet) postOrFail(ctx context.Context, path string) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	if err := f.api.Post(ctx, path); err != nil {
-		f.failed("%s: %v", path, err)
+		f.recordFailure("%s: %v", path, err)
 	}
 }
 
-func vanish(_ context.Context, f *Fleet, who string) func() {
-	all := f.backends(who)
+func stopBackends(_ context.Context, f *Fleet, who string) func() {
+	all := f.matchBackends(who)
 	for _, b := range all {
 		b.Stop()
 	}
 	return func() {
 		for _, b := range all {
-			f.back(b)
+			f.restartBackend(b)
 		}
 	}
 }
 
-// back has a stand-in come back where it was, cold.
-func (f *Fleet) back(b *Backend) {
+// restartBackend has a stand-in come back where it was, cold.
+func (f *Fleet) restartBackend(b *Backend) {
 	from := f.Now()
 	if err := b.Start(b.Addr); err != nil {
-		f.failed("%s does not come back: %v", b.Key(), err)
+		f.recordFailure("%s does not come back: %v", b.Key(), err)
 		return
 	}
-	f.comesCold(b, from)
+	f.recordColdStart(b, from)
 }
 
-func (f *Fleet) backends(who string) []*Backend {
+func (f *Fleet) matchBackends(who string) []*Backend {
 	out := []*Backend{}
 	prefix, isPrefix := strings.CutSuffix(who, "*")
 	for key, b := range f.Backends {
@@ -211,21 +211,21 @@
 	return out
 }
 
-func behave(m Mode) func(context.Context, *Fleet, string) func() {
+func setMode(m FaultMode) func(context.Context, *Fleet, string) func() {
 	return func(_ context.Context, f *Fleet, who string) func() {
-		all := f.backends(who)
+		all := f.matchBackends(who)
 		met := int64(0)
 		for _, b := range all {
-			met -= b.met.Load()
-			b.Behave(m)
+			met -= b.faultyRuns.Load()
+			b.SetMode(m)
 		}
 		return func() {
 			for _, b := range all {
-				b.Behave(Well)
-				met += b.met.Load()
+				b.SetMode(ModeHealthy)
+				met += b.faultyRuns.Load()
 			}
-			if met == 0 && !f.IsDrawn { // a drawn schedule may hurt a worker that another fault keeps idle
-				f.failed("no run met %s while it behaved oddly", who)
+			if met == 0 && !f.IsRandomSchedule { // a drawn schedule may hurt a worker that another fault keeps idle
+				f.recordFailure("no run met %s while it behaved oddly", who)
 			}
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -38,15 +38,15 @@
 		So(Build(ctx, "../..", filepath.Join(dir, "bin"), true), ShouldBeNil)
 		f, err := New(smallPlan, []byte(smallConfig), filepath.Join(dir, "bin"), "", dir)
 		So(err, ShouldBeNil)
-		defer f.Down()
-		So(f.Up(ctx), ShouldBeNil)
+		defer f.Stop()
+		So(f.Start(ctx), ShouldBeNil)
 		callers := NewCallers(f)
 		Convey("messages are taken, run and proved, also while a store and an adapter are lost", func() {
 			sendAll(ctx, callers, 40)
 			f.Stores[0].Kill()
 			sendAll(ctx, callers, 40)
 			So(f.Stores[0].Start(), ShouldBeNil)
-			f.History.AddLost(check.Window{From: 0, Until: time.Hour})
+			f.History.AddKill(check.KillWindow{From: 0, Until: time.Hour})
 			f.Adapters[0].Kill()
 			sendAll(ctx, callers, 20)
 			So(f.Adapters[0].Start(), ShouldBeNil)
@@ -55,11 +55,11 @@
 			report := f.Report(callers, nil)
 			So(report.Breaches, ShouldBeEmpty)
 			So(report.Taken, ShouldEqual, 4*120)
-			_, _, ends := f.History.Copies()
+			_, _, ends := f.History.Snapshot()
 			So(report.Ends["ended"]+report.Ends["rejected"], ShouldEqual, len(ends))
 			So(f.CheckConfig(ctx), ShouldBeEmpty)
 			So(f.Crashes(), ShouldBeEmpty)
-			So(f.api.Ready(ctx), ShouldBeNil) // a busy machine may have left a daemon stale
+			So(f.api.WaitReady(ctx), ShouldBeNil) // a busy machine may have left a daemon stale
 			checkRejects(ctx, f)
 			checkCli(f)
 		})
@@ -79,8 +79,8 @@
 				if lane == "seq" {
 					key = fmt.Sprint("k", i%3)
 				}
-				for c.Send(lane, key, 50, false).Told != check.Taken && ctx.Err() == nil {
-					pause(ctx, 20*time.Millisecond)
+				for c.Send(lane, key, 50, false).Outcome != check.Taken && ctx.Err() == nil {
+					sleep(ctx, 20*time.Millisecond)
 				}
 			}
 		}()
@@ -121,10 +121,10 @@
 		{"DELETE", manager + "/v1/charter", "", nil, 405, "bad_method"},
 	}
 	for _, c := range cases {
-		code, text := ask(ctx, c.method, c.url, c.body, c.head)
+		code, text := sendTestRequest(ctx, c.method, c.url, c.body, c.head)
 		for code == http.StatusGatewayTimeout && ctx.Err() == nil { // undecided, as on a busy machine: whoever hears that asks again
-			pause(ctx, 20*time.Millisecond)
-			code, text = ask(ctx, c.method, c.url, c.body, c.head)
+			sleep(ctx, 20*time.Millisecond)
+			code, text = sendTestRequest(ctx, c.method, c.url, c.body, c.head)
 		}
 		So(fmt.Sprint(c.method, c.url, code), ShouldEqual, fmt.Sprint(c.method, c.url, c.code))
 		if c.kind != "" {
@@ -134,7 +134,7 @@
 }
 
 // ask sends one request and returns its whole answer.
-func ask(ctx context.Context, method, url, body string, fields map[string]string) (code int, text string) {
+func sendTestRequest(ctx context.Context, method, url, body string, fields map[string]string) (code int, text string) {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	So(err, ShouldBeNil)
 	for name, value := range fields {
@@ -164,17 +164,17 @@
 		code int
 		says string
 	}{
-		{"", []string{"status"}, cli.ExitWell, "store-1"},
-		{"", []string{"charter", "get"}, cli.ExitWell, `"lanes"`},
-		{`{"note":"n"}`, []string{"charter", "patch", file, "--dry-run"}, cli.ExitWell, `"checked": true`},
-		{`{"note":"n"}`, []string{"charter", "patch", file}, cli.ExitWell, `"stamp"`},
+		{"", []string{"status"}, cli.ExitOk, "store-1"},
+		{"", []string{"charter", "get"}, cli.ExitOk, `"lanes"`},
+		{`{"note":"n"}`, []string{"charter", "patch", file, "--dry-run"}, cli.ExitOk, `"checked": true`},
+		{`{"note":"n"}`, []string{"charter", "patch", file}, cli.ExitOk, `"stamp"`},
 		{`{"note":"m"}`, []string{"charter", "patch", file, "--stamp", "1"}, cli.ExitConflict, "stamp is"},
 		{`{"nope":1}`, []string{"charter", "patch", file}, cli.ExitUsage, "is not known"},
 		{`{"nope":1}`, []string{"charter", "check", file}, cli.ExitUsage, "nope: is not known"},
-		{"", []string{"charter", "history"}, cli.ExitWell, "operator from"},
-		{"", []string{"workers", "get", "work"}, cli.ExitWell, "work-01"},
-		{"", []string{"message", f.History.Sent[0].Id}, cli.ExitWell, `"state": "ended"`},
-		{"", []string{"message", f.History.Sent[0].Id, "--body"}, cli.ExitWell, "token"},
+		{"", []string{"charter", "history"}, cli.ExitOk, "operator from"},
+		{"", []string{"workers", "get", "work"}, cli.ExitOk, "work-01"},
+		{"", []string{"message", f.History.Sent[0].Id}, cli.ExitOk, `"state": "ended"`},
+		{"", []string{"message", f.History.Sent[0].Id, "--body"}, cli.ExitOk, "token"},
 		{"", []string{"message", "1-none"}, cli.ExitFailed, "unknown"},
 		{"", []string{"nonsense"}, cli.ExitUsage, "nonsense"},
 	}
@@ -193,13 +193,13 @@
 	}{
 		{func() {}, []string{"apply", folder}, cli.ExitUsage, "neither charter.json"},
 		{declare("charter.json", `{"lanes":{"l":{}}}`), []string{"apply", folder}, cli.ExitUsage, "nothing was applied"},
-		{declare("charter.json", strings.Replace(string(f.Config), "{", `{"note":"declared",`, 1)), []string{"apply", folder, "--dry-run"}, cli.ExitWell, "1 of 1 documents differ"},
+		{declare("charter.json", strings.Replace(string(f.Config), "{", `{"note":"declared",`, 1)), []string{"apply", folder, "--dry-run"}, cli.ExitOk, "1 of 1 documents differ"},
 		{declare("workers/nope.json", `{"workers":[]}`), []string{"apply", folder}, cli.ExitUsage, "no such pool"},
-		{func() { So(os.Remove(filepath.Join(folder, "workers/nope.json")), ShouldBeNil) }, []string{"apply", folder}, cli.ExitWell, "applied, stamp"},
-		{declare("workers/work.json", listed), []string{"apply", folder}, cli.ExitWell, "0 of 2 documents differ"},
+		{func() { So(os.Remove(filepath.Join(folder, "workers/nope.json")), ShouldBeNil) }, []string{"apply", folder}, cli.ExitOk, "applied, stamp"},
+		{declare("workers/work.json", listed), []string{"apply", folder}, cli.ExitOk, "0 of 2 documents differ"},
 		{declare("workers/work.json", `{"workers":[{"name":"x"}]}`), []string{"apply", folder}, cli.ExitUsage, "workers.0.address"},
-		{declare("workers/work.json", strings.Replace(listed, `"live"`, `"leaving"`, 1)), []string{"apply", folder}, cli.ExitWell, "workers/work.json: applied"},
-		{func() {}, []string{"apply", folder}, cli.ExitWell, "0 of 2 documents differ"},
+		{declare("workers/work.json", strings.Replace(listed, `"live"`, `"leaving"`, 1)), []string{"apply", folder}, cli.ExitOk, "workers/work.json: applied"},
+		{func() {}, []string{"apply", folder}, cli.ExitOk, "0 of 2 documents differ"},
 	}
 	for _, c := range applies {
 		c.before()
--- a/internal/fleet/up.go
+++ b/internal/fleet/lifecycle.go
@@ -8,9 +8,9 @@
 	"caperwheel/internal/config"
 )
 
-// Up starts everything and waits until the configuration is accepted, the workers
+// Start starts everything and waits until the configuration is accepted, the workers
 // are listed and all adapters are ready.
-func (f *Fleet) Up(ctx context.Context) error {
+func (f *Fleet) Start(ctx context.Context) error {
 	for _, p := range f.All() {
 		if err := p.Start(); err != nil {
 			return err
@@ -32,24 +32,24 @@
 		}
 	}
 	for _, b := range f.Backends {
-		f.comesCold(b, from)
+		f.recordColdStart(b, from)
 	}
-	return f.api.Ready(ctx)
+	return f.api.WaitReady(ctx)
 }
 
-// comesCold has a worker's starts held against the ramp from now on.
-func (f *Fleet) comesCold(b *Backend, from time.Duration) {
+// recordColdStart has a worker's starts held against the ramp from now on.
+func (f *Fleet) recordColdStart(b *Backend, from time.Duration) {
 	if ease := f.Rules.Pools[b.Pool].SlowStart; ease > 0 && b.Name != config.EndpointWorker {
-		f.History.AddCold(check.Cold{Pool: b.Pool, Worker: b.Name, From: from, Ease: ease})
+		f.History.AddCold(check.ColdStart{Pool: b.Pool, Worker: b.Name, From: from, SlowStart: ease})
 	}
 }
 
-// Down stops everything, asking first.
-func (f *Fleet) Down() {
+// Stop stops everything, asking first.
+func (f *Fleet) Stop() {
 	done := make(chan struct{})
 	all := f.All()
 	for _, p := range all {
-		go func() { p.Signal(18); p.end(9); done <- struct{}{} }()
+		go func() { p.Signal(18); p.signalAndWait(9); done <- struct{}{} }()
 	}
 	for range all {
 		<-done
--- /dev/null
+++ b/internal/fleet/operatorfaults.go
@@ -0,0 +1,94 @@
+package fleet
+
+import (
+	"context"
+	"os"
+	"strings"
+	"time"
+
+	"caperwheel/internal/check"
+	"caperwheel/internal/config"
+)
+
+// drainWorkers marks a worker as leaving in the live list; undone, it is live again.
+func drainWorkers(ctx context.Context, f *Fleet, who string) func() {
+	set := func(state string) {
+		for _, b := range f.matchBackends(who) {
+			patch := config.Workers{Workers: []config.Worker{{Name: b.Name, Address: b.Addr, Zone: b.Zone, State: state}}}
+			if err := f.api.patchWorkers(ctx, b.Pool, patch); err != nil {
+				f.recordFailure("%s is not set to %s: %v", b.Key(), state, err)
+			}
+		}
+	}
+	set("leaving")
+	at := f.Now()
+	all := f.matchBackends(who)
+	undone := false
+	for _, b := range all {
+		f.History.AddDrain(check.Drain{Pool: b.Pool, Worker: b.Name, From: at, Grace: 3 * time.Second})
+	}
+	return func() {
+		if undone {
+			return
+		}
+		undone = true
+		f.History.EndDrains(func(m check.Drain) bool { return m.From == at }, f.Now())
+		set("live")
+	}
+}
+
+func evacuateZone(ctx context.Context, f *Fleet, who string) func() {
+	f.postOrFail(ctx, "/v1/cells/"+who+"/empty")
+	at := f.Now()
+	f.History.AddDrain(check.Drain{Zone: who, From: at, Grace: 5 * time.Second})
+	return func() {
+		f.History.EndDrains(func(m check.Drain) bool { return m.From == at }, f.Now())
+		f.postOrFail(ctx, "/v1/cells/"+who+"/restore")
+	}
+}
+
+// floodLane sends messages that can never succeed to a lane, until undone.
+func floodLane(ctx context.Context, f *Fleet, who string) func() {
+	ctx, cancel := context.WithCancel(ctx)
+	callers := f.callers
+	go func() {
+		ticker := time.NewTicker(5 * time.Millisecond)
+		defer ticker.Stop()
+		for ctx.Err() == nil {
+			<-ticker.C
+			go callers.Send(who, "", 100, true)
+		}
+	}()
+	return cancel
+}
+
+// corruptSettings breaks daemons' settings files under them, each in another way;
+// undone, they are as they were.
+func corruptSettings(_ context.Context, f *Fleet, who string) func() {
+	undo := []func(){}
+	note := func(p *Process, err error) {
+		if err != nil {
+			f.recordFailure("settings of %s: %v", p.Name, err)
+		}
+	}
+	for i, p := range f.matchProcesses(who) {
+		raw, err := os.ReadFile(p.settingsFile)
+		note(p, err)
+		switch i % 3 {
+		case 0: // half written
+			note(p, os.WriteFile(p.settingsFile, raw[:len(raw)/2], 0o644))
+		case 1: // swapped for another daemon's
+			other := strings.Replace(string(raw), `"name":"`+p.Name+`"`, `"name":"other"`, 1)
+			note(p, os.WriteFile(p.settingsFile+".new", []byte(other), 0o644))
+			note(p, os.Rename(p.settingsFile+".new", p.settingsFile))
+		case 2:
+			note(p, os.Remove(p.settingsFile))
+		}
+		undo = append(undo, func() { note(p, os.WriteFile(p.settingsFile, raw, 0o644)) })
+	}
+	return func() {
+		for _, u := range undo {
+			u()
+		}
+	}
+}
--- a/internal/fleet/prober.go
+++ b/internal/fleet/prober.go
@@ -20,20 +20,20 @@
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		<-ticker.C
-		if id := c.AnyTaken(); id != "" {
-			go f.sight(ctx, id)
+		if id := c.RandomTakenId(); id != "" {
+			go f.readStatus(ctx, id)
 		}
 	}
 }
 
-func (f *Fleet) sight(ctx context.Context, id string) {
+func (f *Fleet) readStatus(ctx context.Context, id string) {
 	url := "http://" + f.Adapters[rand.IntN(len(f.Adapters))].Http + "/v1/messages/" + id
 	at := f.Now()
-	code, _, raw, err := Do(ctx, "GET", url, "", nil)
+	code, _, raw, err := SendRequest(ctx, "GET", url, "", nil)
 	if err != nil || code != 200 && code != 404 {
 		return // cannot be reached now
 	}
-	s := check.Sight{Id: id, At: at, State: "unknown"}
+	s := check.StatusRead{Id: id, RequestedAt: at, State: "unknown"}
 	if code == 200 {
 		var m intake.Message
 		if json.Unmarshal(raw, &m) != nil {
@@ -42,10 +42,10 @@
 		s.State, s.Attempts = m.State, m.Attempts
 	}
 	if rand.IntN(3) == 0 && code == 200 {
-		if code, _, raw, err := Do(ctx, "GET", url+"/body", "", nil); err == nil && code == 200 {
-			s.BodySum = Sum(raw)
+		if code, _, raw, err := SendRequest(ctx, "GET", url+"/body", "", nil); err == nil && code == 200 {
+			s.BodySum = Checksum(raw)
 		}
 	}
-	s.ToldAt = f.Now()
-	f.History.AddSight(s)
+	s.AnsweredAt = f.Now()
+	f.History.AddRead(s)
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -19,10 +19,10 @@
 type Process struct {
 	Kind, Name, Zone string
 	Addr, Http       string
-	file             string   // its settings
+	settingsFile     string   // its settings
 	env              []string // what it is told besides
 	args             []string // if it takes others than a settings file
-	bin, log         string
+	binDir, log      string
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -32,7 +32,7 @@
 // NewProcess lays out a daemon that takes its settings from file, or, without
 // one, from what env names.
 func NewProcess(kind, name, zone, bin, log, file string, env ...string) *Process {
-	return &Process{Kind: kind, Name: name, Zone: zone, bin: bin, log: log, file: file, env: env}
+	return &Process{Kind: kind, Name: name, Zone: zone, binDir: bin, log: log, settingsFile: file, env: env}
 }
 
 var ports struct {
@@ -92,10 +92,10 @@
 	}
 	defer log.Close()
 	args := p.args
-	if args == nil && p.file != "" {
-		args = []string{"--settings", p.file}
+	if args == nil && p.settingsFile != "" {
+		args = []string{"--settings", p.settingsFile}
 	}
-	cmd := exec.Command(filepath.Join(p.bin, p.Kind), args...)
+	cmd := exec.Command(filepath.Join(p.binDir, p.Kind), args...)
 	if len(p.env) > 0 {
 		cmd.Env = append(os.Environ(), p.env...)
 	}
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Ended tells how the process that ran last has ended; empty while it runs.
-func (p *Process) Ended() string {
+// ExitStatus tells how the process that ran last has ended; empty while it runs.
+func (p *Process) ExitStatus() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.isUp() {
@@ -130,9 +130,9 @@
 	return p.cmd.Process.Pid
 }
 
-// Extra lays a process of the fleet tool's own beside the daemons.
-func (f *Fleet) Extra(bin, program, name string, args ...string) *Process {
-	return &Process{Kind: program, Name: name, bin: bin, args: args, log: filepath.Join(f.Dir, "log", name+".log")}
+// NewToolProcess lays a process of the fleet tool's own beside the daemons.
+func (f *Fleet) NewToolProcess(bin, program, name string, args ...string) *Process {
+	return &Process{Kind: program, Name: name, binDir: bin, args: args, log: filepath.Join(f.Dir, "log", name+".log")}
 }
 
 // Signal sends a signal to this process alone.
@@ -145,16 +145,16 @@
 }
 
 // Kill ends the process at once and waits for its end.
-func (p *Process) Kill() { p.end(syscall.SIGKILL) }
+func (p *Process) Kill() { p.signalAndWait(syscall.SIGKILL) }
 
 // Stop asks the process to leave and waits, up to a bound.
-func (p *Process) Stop() { p.end(syscall.SIGTERM) }
+func (p *Process) Stop() { p.signalAndWait(syscall.SIGTERM) }
 
 // StopWithin asks the process to leave and ends it after a time of grace; true
 // if it went by itself.
 func (p *Process) StopWithin(grace time.Duration) bool { return p.endWithin(syscall.SIGTERM, grace) }
 
-func (p *Process) end(sig syscall.Signal) { p.endWithin(sig, 20*time.Second) }
+func (p *Process) signalAndWait(sig syscall.Signal) { p.endWithin(sig, 20*time.Second) }
 
 func (p *Process) endWithin(sig syscall.Signal, grace time.Duration) bool {
 	p.mu.Lock()
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -18,26 +18,26 @@
 // Invariant: a connection moves only while neither of its two zones is cut off
 // from the other.
 type relays struct {
-	mu     sync.Mutex
-	cut    map[string]bool
-	healed chan struct{}
+	mu       sync.Mutex
+	isolated map[string]bool
+	healed   chan struct{}
 }
 
-func newRelays() *relays { return &relays{cut: map[string]bool{}, healed: make(chan struct{})} }
+func newRelays() *relays { return &relays{isolated: map[string]bool{}, healed: make(chan struct{})} }
 
-func (r *relays) set(zone string, isCut bool) {
+func (r *relays) setIsolated(zone string, isCut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut[zone] = isCut
+	r.isolated[zone] = isCut
 	close(r.healed)
 	r.healed = make(chan struct{})
 }
 
-// wait returns once the two zones can hear each other.
-func (r *relays) wait(from, to string) {
+// waitConnected returns once the two zones can hear each other.
+func (r *relays) waitConnected(from, to string) {
 	for {
 		r.mu.Lock()
-		isCut, healed := from != to && (r.cut[from] || r.cut[to]), r.healed
+		isCut, healed := from != to && (r.isolated[from] || r.isolated[to]), r.healed
 		r.mu.Unlock()
 		if !isCut {
 			return
@@ -49,7 +49,7 @@
 var helloCodec = wire.NewRecordCodec(&wire.Hello{})
 
 // lay opens a relay before a daemon and gives the address to advertise.
-func (r *relays) lay(target, zone string) (string, error) {
+func (r *relays) open(target, zone string) (string, error) {
 	addr, err := FreePort()
 	if err != nil {
 		return "", err
@@ -64,14 +64,14 @@
 			if err != nil {
 				return
 			}
-			go r.carry(conn, target, zone)
+			go r.relayConnection(conn, target, zone)
 		}
 	}()
 	return addr, nil
 }
 
-// carry reads who is calling out of the handshake and passes all on.
-func (r *relays) carry(from net.Conn, target, zone string) {
+// relayConnection reads who is calling out of the handshake and passes all on.
+func (r *relays) relayConnection(from net.Conn, target, zone string) {
 	defer from.Close()
 	var head [8]byte
 	if _, err := io.ReadFull(from, head[:]); err != nil {
@@ -85,7 +85,7 @@
 	if err := helloCodec.Decode(body, &hello); err != nil {
 		return
 	}
-	r.wait(hello.Who.Zone, zone)
+	r.waitConnected(hello.Who.Zone, zone)
 	to, err := net.DialTimeout("tcp", target, time.Second)
 	if err != nil {
 		return
@@ -95,17 +95,17 @@
 		return
 	}
 	done := make(chan struct{}, 2)
-	go func() { r.pass(to, from, hello.Who.Zone, zone); done <- struct{}{} }()
-	go func() { r.pass(from, to, hello.Who.Zone, zone); done <- struct{}{} }()
+	go func() { r.copyBytes(to, from, hello.Who.Zone, zone); done <- struct{}{} }()
+	go func() { r.copyBytes(from, to, hello.Who.Zone, zone); done <- struct{}{} }()
 	<-done // one side is gone: close both
 }
 
-func (r *relays) pass(to, from net.Conn, a, b string) {
+func (r *relays) copyBytes(to, from net.Conn, a, b string) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			r.wait(a, b)
+			r.waitConnected(a, b)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
--- /dev/null
+++ b/internal/fleet/schedule.go
@@ -0,0 +1,106 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"caperwheel/internal/check"
+)
+
+// interval is the time for which a step of a schedule lasts, since the load began.
+type interval struct{ from, until time.Duration }
+
+func (s Step) interval() interval {
+	from, _ := time.ParseDuration(s.At)
+	length, _ := time.ParseDuration(s.Duration)
+	return interval{from, from + length}
+}
+
+// requiresRecovery tells steps after whose end traffic must come back, and isSurvivable
+// those through which it must go on.
+func (s Step) requiresRecovery() bool {
+	switch s.Action {
+	case "edit", "leave", "flood", "retire", "empty":
+		return false
+	}
+	return s.Duration != ""
+}
+
+func (s Step) isSurvivable() bool {
+	switch s.Action {
+	case "kill cell", "cut cell":
+		return true
+	case "kill", "stop", "wipe", "freeze":
+		return !strings.HasSuffix(s.Target, "*")
+	}
+	return false
+}
+
+// Outages lists the moments from which recovery is judged: those after which
+// no other step stands in the way, and callers still send.
+func (s Schedule) Outages() []check.Outage {
+	end, _ := time.ParseDuration(s.Duration)
+	out := []check.Outage{}
+	for i, step := range s.Steps {
+		moments := map[string]time.Duration{}
+		if step.requiresRecovery() {
+			moments["end of "] = step.interval().until
+		}
+		if step.isSurvivable() {
+			moments[""] = step.interval().from
+		}
+		for prefix, at := range moments {
+			isClear := at+check.RecoveryTimeout <= end
+			for j, other := range s.Steps {
+				o := other.interval()
+				isEdit := other.Action == "edit" && !strings.Contains(other.Target, " ")
+				isClear = isClear && (i == j || isEdit || o.until < at || o.from > at+check.RecoveryTimeout)
+			}
+			if isClear {
+				out = append(out, check.Outage{Description: prefix + step.Action + " " + step.Target, At: at})
+			}
+		}
+	}
+	return out
+}
+
+// RunSchedule carries a schedule out, from now on, until ctx ends. What is not undone
+// by then is undone at the end.
+func (f *Fleet) RunSchedule(ctx context.Context, s Schedule) {
+	beganAt := f.Now()
+	for _, o := range s.Outages() {
+		o.At += beganAt
+		f.History.AddOutage(o)
+	}
+	s.Run(ctx, func(ctx context.Context, step Step) func() { return actions[step.Action](ctx, f, step.Target) }, f.recordFailure)
+}
+
+// Run has do cause each step at its time, and undoes it.
+func (s Schedule) Run(ctx context.Context, apply func(context.Context, Step) (undo func()), recordFailure func(string, ...any)) {
+	began := time.Now()
+	done := make(chan struct{})
+	for _, step := range s.Steps {
+		go func() {
+			defer func() { done <- struct{}{} }()
+			sleep(ctx, step.interval().from-time.Since(began))
+			if ctx.Err() != nil {
+				recordFailure("%s %s was not begun", step.Action, step.Target)
+				return
+			}
+			fmt.Fprintf(os.Stderr, "fleet: %6.1fs %s %s.\n", time.Since(began).Seconds(), step.Action, step.Target)
+			undo := apply(context.WithoutCancel(ctx), step)
+			if step.Duration == "" {
+				return
+			}
+			sleep(ctx, step.interval().until-step.interval().from)
+			undo()
+			fmt.Fprintf(os.Stderr, "fleet: %6.1fs end of %s %s.\n", time.Since(began).Seconds(), step.Action, step.Target)
+		}()
+	}
+	for range s.Steps {
+		<-done
+	}
+}
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func laid(t *testing.T, name string) *Fleet {
+func newTestFleet(t *testing.T, name string) *Fleet {
 	plan, doc, err := ReadPlan("../../examples/" + name + ".json")
 	So(err, ShouldBeNil)
 	dir := t.TempDir()
@@ -24,22 +24,22 @@
 	files, _ := filepath.Glob("../../examples/faults/*.json")
 	Convey("Given the schedules of the repo", t, func() {
 		So(len(files), ShouldBeGreaterThan, 8)
-		f, other := laid(t, "nakhla"), laid(t, "esquadrias")
+		f, other := newTestFleet(t, "nakhla"), newTestFleet(t, "esquadrias")
 		plan := f.Plan
-		defer f.Down()
-		defer other.Down()
+		defer f.Stop()
+		defer other.Stop()
 		check := func(f *Fleet, s Schedule) {
-			length, _ := time.ParseDuration(s.For)
+			length, _ := time.ParseDuration(s.Duration)
 			for _, step := range s.Steps {
-				span := step.span()
+				span := step.interval()
 				So(span.until, ShouldBeLessThan, length)
-				switch step.Do {
+				switch step.Action {
 				case "kill", "freeze", "stop", "wipe", "upgrade", "downgrade":
-					So(len(f.match(step.Who)), ShouldBeGreaterThan, 0)
+					So(len(f.matchProcesses(step.Target)), ShouldBeGreaterThan, 0)
 				case "fail", "crawl", "cut", "lose", "stall", "vanish", "leave":
-					So(len(f.backends(step.Who)), ShouldBeGreaterThan, 0)
+					So(len(f.matchBackends(step.Target)), ShouldBeGreaterThan, 0)
 				case "kill cell", "cut cell", "empty":
-					So(plan.Zones, ShouldContain, step.Who)
+					So(plan.Zones, ShouldContain, step.Target)
 				}
 			}
 		}
--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -17,9 +17,9 @@
 // until all are over or ctx ends, and records the ends.
 func (f *Fleet) Settle(ctx context.Context, isWithBody bool) error {
 	open := []check.Sent{}
-	all, _, _ := f.History.Copies()
+	all, _, _ := f.History.Snapshot()
 	for _, s := range all {
-		if s.Id != "" && s.Told != check.NotTaken {
+		if s.Id != "" && s.Outcome != check.NotTaken {
 			open = append(open, s)
 		}
 	}
@@ -30,7 +30,7 @@
 		group := pool.NewGroup()
 		for i, s := range open {
 			group.Submit(func() {
-				if !f.readEnd(ctx, s, i, isWithBody) {
+				if !f.readFinalStatus(ctx, s, i, isWithBody) {
 					left <- s
 				}
 			})
@@ -42,7 +42,7 @@
 			open = append(open, s)
 		}
 		if len(open) > 0 {
-			pause(ctx, 200*time.Millisecond)
+			sleep(ctx, 200*time.Millisecond)
 		}
 	}
 	if len(open) > 0 {
@@ -51,14 +51,14 @@
 	return nil
 }
 
-// readEnd asks any adapter for a message; true when it is over or unknown.
-func (f *Fleet) readEnd(ctx context.Context, s check.Sent, turn int, isWithBody bool) bool {
+// readFinalStatus asks any adapter for a message; true when it is over or unknown.
+func (f *Fleet) readFinalStatus(ctx context.Context, s check.Sent, turn int, isWithBody bool) bool {
 	base := "http://" + f.Adapters[turn%len(f.Adapters)].Http + "/v1/messages/" + s.Id
 	query := ""
-	if s.Told == check.Undecided {
+	if s.Outcome == check.Undecided {
 		query = "?settle=true" // its fate must come out definite
 	}
-	code, _, raw, err := Do(ctx, "GET", base+query, "", nil)
+	code, _, raw, err := SendRequest(ctx, "GET", base+query, "", nil)
 	if err != nil || code != 200 && code != 404 {
 		return false
 	}
@@ -66,64 +66,64 @@
 	if json.Unmarshal(raw, &m) != nil {
 		return false
 	}
-	end := check.End{State: m.State}
+	end := check.FinalState{State: m.State}
 	if code == 404 {
 		end.State = "unknown"
 	}
 	if m.Proof != nil {
-		end.Attempt, end.Worker, end.Sum = m.Proof.Attempt, m.Proof.Worker, Sum(m.Proof.Answer)
+		end.Attempt, end.Worker, end.AnswerSum = m.Proof.Attempt, m.Proof.Worker, Checksum(m.Proof.Answer)
 	}
 	if isWithBody && code == 200 {
-		if code, _, raw, err := Do(ctx, "GET", base+"/body", "", nil); err == nil && code == 200 {
-			end.BodySum = Sum(raw)
+		if code, _, raw, err := SendRequest(ctx, "GET", base+"/body", "", nil); err == nil && code == 200 {
+			end.BodySum = Checksum(raw)
 		}
 	}
-	end.Child = m.Callback
-	f.History.AddEnd(s.Id, end)
+	end.CallbackId = m.Callback
+	f.History.AddFinal(s.Id, end)
 	if end.State == "held" || end.State == "started" {
 		return false
 	}
-	return m.Callback == "" || f.readEnd(ctx, check.Sent{Id: m.Callback, Told: check.Taken}, turn, false)
+	return m.Callback == "" || f.readFinalStatus(ctx, check.Sent{Id: m.Callback, Outcome: check.Taken}, turn, false)
 }
 
 // Report is what a run of a fleet came to.
 type Report struct {
-	Sent      int                `json:"sent"`
-	Taken     int                `json:"taken"`
-	NotTaken  int                `json:"not_taken"`
-	Undecided int                `json:"undecided"`
-	Runs      int                `json:"runs"`
-	Codes     map[string]int     `json:"codes"`
-	Ends      map[string]int     `json:"ends"`
-	IntakeP50 string             `json:"intake_p50"`
-	IntakeP99 string             `json:"intake_p99"`
-	EndP50    string             `json:"end_p50"`
-	EndP99    string             `json:"end_p99"`
-	Breaches  []check.Breach     `json:"breaches"`
-	Unsettled string             `json:"unsettled,omitempty"`
-	Config    []string           `json:"charter,omitempty"`
-	Failures  []string           `json:"not_carried_out,omitempty"`
-	Crashes   []string           `json:"crashes,omitempty"`
-	Spared    int                `json:"doubled_by_killed_adapters"`
-	Sights    int                `json:"asked_for_meanwhile"`
-	Judged    int                `json:"recoveries_judged"`
-	Counts    map[string]float64 `json:"counts,omitempty"`
-	PerSecond []int              `json:"runs_ended_per_second"`
+	Sent              int                `json:"sent"`
+	Taken             int                `json:"taken"`
+	NotTaken          int                `json:"not_taken"`
+	Undecided         int                `json:"undecided"`
+	Runs              int                `json:"runs"`
+	Codes             map[string]int     `json:"codes"`
+	Ends              map[string]int     `json:"ends"`
+	IntakeP50         string             `json:"intake_p50"`
+	IntakeP99         string             `json:"intake_p99"`
+	CompletionP50     string             `json:"end_p50"`
+	CompletionP99     string             `json:"end_p99"`
+	Breaches          []check.Breach     `json:"breaches"`
+	Unsettled         string             `json:"unsettled,omitempty"`
+	Config            []string           `json:"charter,omitempty"`
+	FailedSteps       []string           `json:"not_carried_out,omitempty"`
+	Crashes           []string           `json:"crashes,omitempty"`
+	ExcusedRepeats    int                `json:"doubled_by_killed_adapters"`
+	StatusReads       int                `json:"asked_for_meanwhile"`
+	CheckedRecoveries int                `json:"recoveries_judged"`
+	Counters          map[string]float64 `json:"counts,omitempty"`
+	PerSecond         []int              `json:"runs_ended_per_second"`
 }
 
 // Report sums the run up and checks it.
 func (f *Fleet) Report(c *Callers, unsettled error) Report {
-	sent, runs, ends := f.History.Copies()
+	sent, runs, ends := f.History.Snapshot()
 	out := Report{Sent: len(sent), Runs: len(runs), Codes: map[string]int{}, Ends: map[string]int{},
-		Breaches: check.Check(f.History), Failures: f.Failures, Crashes: f.Crashes()}
-	out.Spared, out.Judged, out.Sights = f.History.Spared, f.History.Judged, len(f.History.Sights)
-	for code, n := range c.Codes {
+		Breaches: check.Check(f.History), FailedSteps: f.FailedSteps, Crashes: f.Crashes()}
+	out.ExcusedRepeats, out.CheckedRecoveries, out.StatusReads = f.History.ExcusedRepeats, f.History.CheckedRecoveries, len(f.History.Reads)
+	for code, n := range c.StatusCodes {
 		out.Codes[fmt.Sprint(code)] = n
 	}
 	sentAt := map[string]time.Duration{}
 	for _, s := range sent {
-		sentAt[s.Token] = s.At
-		switch s.Told {
+		sentAt[s.Token] = s.SentAt
+		switch s.Outcome {
 		case check.Taken:
 			out.Taken++
 		case check.NotTaken:
@@ -141,8 +141,8 @@
 			whole = append(whole, r.End-at)
 		}
 	}
-	out.IntakeP50, out.IntakeP99 = Percentile(c.Times, 0.5).String(), Percentile(c.Times, 0.99).String()
-	out.EndP50, out.EndP99 = Percentile(whole, 0.5).String(), Percentile(whole, 0.99).String()
+	out.IntakeP50, out.IntakeP99 = Percentile(c.IntakeLatencies, 0.5).String(), Percentile(c.IntakeLatencies, 0.99).String()
+	out.CompletionP50, out.CompletionP99 = Percentile(whole, 0.5).String(), Percentile(whole, 0.99).String()
 	for _, r := range runs {
 		if r.Status != 200 {
 			continue
--- a/internal/intake/codecs_test.go
+++ b/internal/intake/codecs_test.go
@@ -20,7 +20,7 @@
 var codecs = []struct {
 	name  string
 	codec intake.Codec
-}{{"our own codec", intake.DefaultCodec}, {"the platform's codec", platform.Callers}}
+}{{"our own codec", intake.DefaultCodec}, {"the platform's codec", platform.IntakeCodec}}
 
 // chunks is a body without a known length.
 type chunks struct{ io.Reader }
--- a/internal/intake/keychange_test.go
+++ b/internal/intake/keychange_test.go
@@ -30,10 +30,10 @@
 
 // sendMeanwhile sends a message with key-3 and changes the configuration while the body is read.
 func sendMeanwhile(from, to string) (code int, tenant string, count int) {
-	before, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
+	before, err := platform.TranslateConfig([]byte(tenantConfig), time.Minute)
 	So(err, ShouldBeNil)
 	So(strings.Contains(tenantConfig, from), ShouldBeTrue)
-	next, err := platform.ConfigOf([]byte(strings.Replace(tenantConfig, from, to, 1)), time.Minute)
+	next, err := platform.TranslateConfig([]byte(strings.Replace(tenantConfig, from, to, 1)), time.Minute)
 	So(err, ShouldBeNil)
 	in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: string(before)})
 	body := &slowBody{Reader: strings.NewReader("body"), meanwhile: func() { intake.UpdateConfig(in, string(next)) }}
@@ -41,7 +41,7 @@
 	r.Host = "x.example"
 	r.Header.Set("Authorization", "Bearer key-3")
 	w := httptest.NewRecorder()
-	in.PassthroughHandler(platform.Callers)(w, r)
+	in.PassthroughHandler(platform.IntakeCodec)(w, r)
 	for _, take := range takes() {
 		kept, err := requesthead.Decode(take.RequestHead)
 		So(err, ShouldBeNil)
--- a/internal/intake/places_test.go
+++ b/internal/intake/places_test.go
@@ -63,17 +63,17 @@
 	}
 	for _, order := range []string{"", "vent 4"} {
 		Convey(fmt.Sprintf("A message that is sent again, with the ordering key %q, has the place and id of its first send when", order), t, func() {
-			rules, err := platform.ConfigOf([]byte(tenantConfig), time.Minute)
+			rules, err := platform.TranslateConfig([]byte(tenantConfig), time.Minute)
 			So(err, ShouldBeNil)
 			in, takes := intake.NewTestIntake(intake.TestSetup{Take: held, MaxInFlight: 9, Rules: string(rules)})
-			serve := in.PassthroughHandler(platform.Callers)
+			serve := in.PassthroughHandler(platform.IntakeCodec)
 			for op := range 12 {
 				fields := map[string]string{"Authorization": "Bearer key-1", "X-Operation-Key": fmt.Sprint("op", op), "X-Order-Key": order}
 				So(send(serve, "/a/x/1", fields).Code, ShouldEqual, 202)
 			}
 			for _, c := range changes {
 				Convey(c.name, func() {
-					rules, err := platform.ConfigOf([]byte(c.doc), time.Minute)
+					rules, err := platform.TranslateConfig([]byte(c.doc), time.Minute)
 					So(err, ShouldBeNil)
 					intake.UpdateConfig(in, string(rules))
 					for op := range 12 {
--- a/internal/intake/tenants_test.go
+++ b/internal/intake/tenants_test.go
@@ -29,11 +29,11 @@
 // newFronts returns the handlers of adapters with the platform's codec and the same configuration; takes returns the
 // messages that each has sent to owners.
 func newFronts(count int, doc string, taken *wire.Taken) (serve []http.HandlerFunc, takes []func() []*wire.Take) {
-	rules, err := platform.ConfigOf([]byte(doc), time.Minute)
+	rules, err := platform.TranslateConfig([]byte(doc), time.Minute)
 	So(err, ShouldBeNil)
 	for range count {
 		in, took := intake.NewTestIntake(intake.TestSetup{Take: taken, MaxInFlight: 9, Rules: string(rules)})
-		serve, takes = append(serve, in.PassthroughHandler(platform.Callers)), append(takes, took)
+		serve, takes = append(serve, in.PassthroughHandler(platform.IntakeCodec)), append(takes, took)
 	}
 	return serve, takes
 }
@@ -152,7 +152,7 @@
 			Convey(c.name, func() {
 				So(strings.Contains(tenantConfig, c.from), ShouldBeTrue)
 				doc := strings.Replace(tenantConfig, c.from, c.to, 1)
-				raw, err := platform.ConfigOf([]byte(doc), time.Minute)
+				raw, err := platform.TranslateConfig([]byte(doc), time.Minute)
 				if err == nil {
 					err = intake.Refused(raw)
 				}
--- a/internal/linearize/explain.go
+++ b/internal/linearize/explain.go
@@ -12,10 +12,10 @@
 func explain(part []Operation, info porcupine.LinearizationInfo) string {
 	for i, a := range part {
 		for _, b := range part[i+1:] {
-			if text := clash(a, b); text != "" {
+			if text := contradiction(a, b); text != "" {
 				return text
 			}
-			if text := clash(b, a); text != "" {
+			if text := contradiction(b, a); text != "" {
 				return text
 			}
 		}
@@ -41,15 +41,15 @@
 		}
 	}
 	for i, o := range part {
-		if !placed[i] && o.Outcome != Unclear {
+		if !placed[i] && o.Outcome != Indeterminate {
 			return fmt.Sprintf("%d of %d calls have an order, and then there is no place for %v", longest, len(part), o)
 		}
 	}
 	return fmt.Sprintf("no order of %d calls explains their answers", len(part))
 }
 
-// clash reports how a contradicts b, where two calls are enough for it.
-func clash(a, b Operation) string {
+// contradiction reports how a contradicts b, where two calls are enough for it.
+func contradiction(a, b Operation) string {
 	isOther := a.Digest != b.Digest
 	switch {
 	case !a.isChange() || a.Outcome != Confirmed:
@@ -58,9 +58,9 @@
 		return fmt.Sprintf("two confirmed under one number: %v and %v", a, b)
 	case b.isChange() && b.Outcome == Confirmed && isOther && a.Base == b.Base:
 		return fmt.Sprintf("two confirmed on one base: %v and %v", a, b)
-	case b.isChange() && b.Outcome == Refused && !isOther && a.Call <= b.Return:
+	case b.isChange() && b.Outcome == Refused && !isOther && a.CalledAt <= b.ReturnedAt:
 		return fmt.Sprintf("an order that was taken was refused: %v and %v", a, b)
-	case b.Kind == Read && b.Call > a.Return && b.ReadVersion < a.Version:
+	case b.Kind == Read && b.CalledAt > a.ReturnedAt && b.ReadVersion < a.Version:
 		return fmt.Sprintf("a stale read: %v after %v", b, a)
 	case b.Kind == Read && b.ReadVersion == a.Version && b.ReadDigest != "" && b.ReadDigest != a.Digest:
 		return fmt.Sprintf("a read of another order under a confirmed number: %v and %v", b, a)
@@ -79,5 +79,5 @@
 	case o.Zone != "":
 		what = fmt.Sprintf("%s of %s", o.Kind, o.Zone)
 	}
-	return fmt.Sprintf("client %d: %s, %s, %v to %v", o.Client, what, o.Outcome, o.Call, o.Return)
+	return fmt.Sprintf("client %d: %s, %s, %v to %v", o.Client, what, o.Outcome, o.CalledAt, o.ReturnedAt)
 }
--- a/internal/linearize/linearize.go
+++ b/internal/linearize/linearize.go
@@ -33,19 +33,19 @@
 
 // The outcomes of a call.
 const (
-	Confirmed Outcome = "confirmed"
-	Refused   Outcome = "refused" // a clear no: 400, 409, 412 …
-	Unclear   Outcome = "unclear" // it may hold or not, from its call on at any time
+	Confirmed     Outcome = "confirmed"
+	Refused       Outcome = "refused" // a clear no: 400, 409, 412 …
+	Indeterminate Outcome = "unclear" // it may hold or not, from its call on at any time
 )
 
 // Operation is one call with all its tries: from the first one's start to the
 // answer that ended it. An order that is sent again after that is another
 // Operation with the same Digest.
 type Operation struct {
-	Client       int
-	Call, Return time.Duration // on one clock; Return counts for nothing if the outcome is unclear
-	Kind         Kind
-	Outcome      Outcome
+	Client               int
+	CalledAt, ReturnedAt time.Duration // on one clock; Return counts for nothing if the outcome is unclear
+	Kind                 Kind
+	Outcome              Outcome
 
 	Version, Base int64  // of replace and update: the version it makes, and what it builds on
 	Digest        string // of replace and update: names this very order
@@ -58,13 +58,13 @@
 	IsEvacuated bool   // of a confirmed readzone
 }
 
-// mostSteps bounds the search of Check, in steps of the model.
-const mostSteps = 2_000_000
+// maxSearchSteps bounds the search of Check, in steps of the model.
+const maxSearchSteps = 2_000_000
 
 // Check reports whether a history is linearizable and, if not, what speaks against
 // it, in one line. A search that does not end within its steps is not ok.
 func Check(history []Operation) (ok bool, explanation string) {
-	return CheckWithin(history, mostSteps)
+	return CheckWithin(history, maxSearchSteps)
 }
 
 // CheckWithin is Check with a bound on the steps of the search for each part of
@@ -84,7 +84,7 @@
 	}
 	for _, zone := range slices.Sorted(maps.Keys(parts)) {
 		part := parts[zone]
-		slices.SortStableFunc(part, func(a, b Operation) int { return cmp.Compare(a.Call, b.Call) })
+		slices.SortStableFunc(part, func(a, b Operation) int { return cmp.Compare(a.CalledAt, b.CalledAt) })
 		if text := search(part, steps); text != "" {
 			return false, text
 		}
@@ -94,19 +94,19 @@
 
 // search looks for an order of one part's calls. An empty text: there is one.
 func search(part []Operation, steps int) string {
-	m, taken := newModel(part), 0
+	m, stepCount := newModel(part), 0
 	events := []porcupine.Operation{}
 	for i, o := range part {
-		end := int64(o.Return)
-		if o.Outcome == Unclear {
+		end := int64(o.ReturnedAt)
+		if o.Outcome == Indeterminate {
 			end = math.MaxInt64
 		}
-		events = append(events, porcupine.Operation{ClientId: i, Input: i, Call: int64(o.Call), Return: end})
+		events = append(events, porcupine.Operation{ClientId: i, Input: i, Call: int64(o.CalledAt), Return: end})
 	}
 	verdict, info := porcupine.CheckOperationsVerbose(porcupine.Model{
-		Init: func() any { return m.first() },
+		Init: func() any { return m.initialState() },
 		Step: func(s, input, _ any) (bool, any) {
-			if taken++; taken > steps {
+			if stepCount++; stepCount > steps {
 				return false, s
 			}
 			return m.step(s.(state), input.(int))
@@ -116,7 +116,7 @@
 	switch {
 	case verdict == porcupine.Ok:
 		return ""
-	case taken > steps:
+	case stepCount > steps:
 		return fmt.Sprintf("undecided: no order of %d calls was found in %d steps", len(part), steps)
 	}
 	return explain(part, info)
--- a/internal/linearize/linearize_test.go
+++ b/internal/linearize/linearize_test.go
@@ -12,7 +12,7 @@
 
 // at builds a call that lasts from one moment to another.
 func at(from, to int, o Operation) Operation {
-	o.Call, o.Return = time.Duration(from), time.Duration(to)
+	o.CalledAt, o.ReturnedAt = time.Duration(from), time.Duration(to)
 	return o
 }
 
@@ -24,7 +24,7 @@
 	return Operation{Kind: Read, Outcome: Confirmed, ReadVersion: version, ReadDigest: digest}
 }
 
-func about(kind Kind, outcome Outcome) Operation {
+func zoneCall(kind Kind, outcome Outcome) Operation {
 	return Operation{Kind: kind, Outcome: outcome, Zone: "z"}
 }
 
@@ -44,11 +44,11 @@
 		{"a loser is refused", "", []Operation{at(0, 9, replace(Confirmed, 0, 3, "a")), at(0, 9, replace(Refused, 0, 3, "b"))}},
 		{"a taken order is acknowledged again under a newer one", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 3, 5, "b")), at(4, 5, replace(Confirmed, 0, 3, "a")), at(6, 7, read(5, "b"))}},
-		{"one without a clear answer holds later", "", []Operation{at(0, 1, replace(Unclear, 0, 3, "a")), at(2, 3, read(0, "")),
+		{"one without a clear answer holds later", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")), at(2, 3, read(0, "")),
 			at(4, 5, read(3, "a"))}},
-		{"one without a clear answer never holds", "", []Operation{at(0, 1, replace(Unclear, 0, 3, "a")),
+		{"one without a clear answer never holds", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 0, 4, "b")), at(4, 5, read(4, "b"))}},
-		{"one without a clear answer is in the way", "", []Operation{at(0, 1, replace(Unclear, 0, 3, "a")),
+		{"one without a clear answer is in the way", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Refused, 0, 4, "b"))}},
 		{"one that was refused is sent anew on what it builds on", "", []Operation{at(0, 1, replace(Refused, 3, 5, "b")),
 			at(2, 3, replace(Confirmed, 0, 3, "a")), at(4, 5, replace(Confirmed, 3, 5, "b"))}},
@@ -59,12 +59,12 @@
 		{"a re-send is refused", "an order that was taken was refused",
 			[]Operation{at(0, 1, replace(Confirmed, 0, 3, "a")), at(2, 3, replace(Refused, 0, 3, "a"))}},
 		{"a re-send is refused under many newer ones", "an order that was taken was refused",
-			append(chain(20), at(900, 901, replace(Refused, 2, 3, "3")))},
+			append(changeChain(20), at(900, 901, replace(Refused, 2, 3, "3")))},
 		{"one without a clear answer was taken and then refused", "no place for",
-			[]Operation{at(0, 1, replace(Unclear, 0, 3, "a")), at(2, 3, read(3, "a")), at(4, 5, replace(Refused, 0, 3, "a"))}},
+			[]Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")), at(2, 3, read(3, "a")), at(4, 5, replace(Refused, 0, 3, "a"))}},
 		{"what was refused comes in force", "no place for",
 			[]Operation{at(0, 1, replace(Refused, 0, 3, "a")), at(2, 3, read(3, "a"))}},
-		{"a first try holds after its re-send was refused", "no place for", []Operation{at(0, 1, replace(Unclear, 0, 3, "a")),
+		{"a first try holds after its re-send was refused", "no place for", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Refused, 0, 3, "a")), at(4, 5, read(3, "a"))}},
 		{"a stale read after a newer acknowledgement", "a stale read", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 3, 5, "b")), at(4, 5, read(3, "a"))}},
@@ -73,16 +73,16 @@
 		{"reads go back", "no place for", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 9, replace(Confirmed, 3, 5, "b")), at(4, 5, read(5, "b")), at(6, 7, read(3, "a"))}},
 		{"a read under a number of what lost", "a read of another order", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
-			at(0, 1, replace(Unclear, 0, 3, "b")), at(4, 5, read(3, "b"))}},
+			at(0, 1, replace(Indeterminate, 0, 3, "b")), at(4, 5, read(3, "b"))}},
 		{"an invalid one is confirmed", "an invalid order", []Operation{at(0, 1,
 			Operation{Kind: Replace, Outcome: Confirmed, Version: 3, Digest: "a", IsInvalid: true})}},
 		{"a proper one is refused", "no place for", []Operation{at(0, 1, replace(Refused, 0, 3, "a"))}},
-		{"an evacuation stands", "", []Operation{at(0, 1, about(Evacuate, Confirmed)), at(2, 3, readZone(true)),
-			at(4, 5, about(Finish, Confirmed)), at(6, 7, readZone(false))}},
-		{"an evacuation is forgotten", "no place for", []Operation{at(0, 1, about(Evacuate, Confirmed)), at(2, 3, readZone(false))}},
-		{"one evacuation of two is taken back", "", []Operation{at(0, 1, about(Evacuate, Confirmed)), at(2, 3, about(Evacuate, Confirmed)),
-			at(4, 5, about(Finish, Confirmed)), at(6, 7, readZone(true))}},
-		{"an evacuation is refused", "an order about a zone", []Operation{at(0, 1, about(Evacuate, Refused))}},
+		{"an evacuation stands", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(true)),
+			at(4, 5, zoneCall(Finish, Confirmed)), at(6, 7, readZone(false))}},
+		{"an evacuation is forgotten", "no place for", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(false))}},
+		{"one evacuation of two is taken back", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, zoneCall(Evacuate, Confirmed)),
+			at(4, 5, zoneCall(Finish, Confirmed)), at(6, 7, readZone(true))}},
+		{"an evacuation is refused", "an order about a zone", []Operation{at(0, 1, zoneCall(Evacuate, Refused))}},
 	}
 	Convey("Of histories of operators' calls,", t, func() {
 		for _, c := range cases {
@@ -94,15 +94,15 @@
 			})
 		}
 		Convey("a search that comes to no end says so", func() {
-			ok, text := CheckWithin(chain(20), 10)
+			ok, text := CheckWithin(changeChain(20), 10)
 			So(ok, ShouldBeFalse)
 			So(text, ShouldContainSubstring, "undecided")
 		})
 	})
 }
 
-// chain is one confirmed change after another, each on the one before.
-func chain(count int) (out []Operation) {
+// changeChain is one confirmed change after another, each on the one before.
+func changeChain(count int) (out []Operation) {
 	for i := range count {
 		out = append(out, at(10*i, 10*i+1, replace(Confirmed, int64(i), int64(i)+1, fmt.Sprint(i+1))))
 	}
@@ -114,7 +114,7 @@
 func TestLongHistories(t *testing.T) {
 	Convey("Of 500 changes with eight under way and answers lost,", t, func() {
 		for seed := range uint64(8) {
-			history := random(rand.New(rand.NewPCG(seed, 1)), 500)
+			history := randomHistory(rand.New(rand.NewPCG(seed, 1)), 500)
 			ok, text := Check(history)
 			So(text, ShouldBeBlank)
 			So(ok, ShouldBeTrue)
@@ -125,10 +125,10 @@
 	})
 }
 
-// random plays operators against one machine: each call takes effect somewhere
+// randomHistory plays operators against one machine: each call takes effect somewhere
 // within its time, if it does. Some build on what is no longer the newest, some
 // are sent again, and a third of the answers is lost.
-func random(draw *rand.Rand, count int) (out []Operation) {
+func randomHistory(draw *rand.Rand, count int) (out []Operation) {
 	version, taken, refused := int64(0), map[string]bool{}, map[string]bool{}
 	for i := range count {
 		o := replace("", version, version+1+draw.Int64N(3), fmt.Sprint(i))
@@ -148,7 +148,7 @@
 			o.Outcome = Refused
 		}
 		if draw.IntN(3) == 0 {
-			o.Outcome = Unclear
+			o.Outcome = Indeterminate
 		}
 		refused[o.Digest] = refused[o.Digest] || o.Outcome == Refused
 		o.Client = i % 8
--- a/internal/manager/histories_test.go
+++ b/internal/manager/histories_test.go
@@ -89,15 +89,15 @@
 	version, sent := int64(0), []linearize.Operation{}
 	for i := range 40 {
 		m := managers[random.IntN(len(managers))]
-		o := linearize.Operation{Client: client, Kind: linearize.Replace, Base: version, Version: version + 1 + random.Int64N(2), Outcome: linearize.Unclear,
+		o := linearize.Operation{Client: client, Kind: linearize.Replace, Base: version, Version: version + 1 + random.Int64N(2), Outcome: linearize.Indeterminate,
 			Digest: fmt.Sprint(client, ".", i)}
 		if len(sent) > 0 && random.IntN(3) == 0 {
 			o = sent[random.IntN(len(sent))]
 		}
-		o.Call = now()
+		o.CalledAt = now()
 		_, err := m.operators.Propose(context.Background(), Proposal{By: "x", Digest: o.Digest, BaseVersion: o.Base, IsVersionBased: true,
 			Build: versioned(int(o.Version), o.Digest)})
-		o.Return, o.Outcome = now(), linearize.Unclear
+		o.ReturnedAt, o.Outcome = now(), linearize.Indeterminate
 		switch {
 		case err == nil:
 			o.Outcome = linearize.Confirmed
@@ -108,9 +108,9 @@
 		if o.Outcome != linearize.Refused { // a refused proposal is not retried
 			sent = append(sent, o)
 		}
-		read := linearize.Operation{Client: client, Kind: linearize.Read, Call: now(), Outcome: linearize.Confirmed}
+		read := linearize.Operation{Client: client, Kind: linearize.Read, CalledAt: now(), Outcome: linearize.Confirmed}
 		doc, _, err := m.operators.Config(context.Background())
-		if read.Return = now(); err == nil {
+		if read.ReturnedAt = now(); err == nil {
 			read.ReadVersion, read.ReadDigest = config.VersionOf(doc), gjson.GetBytes(doc, "note").Str
 			version = read.ReadVersion
 			out = append(out, read)
--- a/internal/manager/interleavings_simulation_test.go
+++ b/internal/manager/interleavings_simulation_test.go
@@ -128,7 +128,7 @@
 		s.isTimedOut = false
 		clock := &fakeClock{context.Background(), s}
 		ctx := timing.WithClock(clock, clock)
-		o := linearize.Operation{Client: client, Kind: linearize.Replace, Version: 1, Digest: digest, Outcome: linearize.Unclear, Call: p.now()}
+		o := linearize.Operation{Client: client, Kind: linearize.Replace, Version: 1, Digest: digest, Outcome: linearize.Indeterminate, CalledAt: p.now()}
 		_, err := m.operators.Propose(ctx, Proposal{By: "x", Digest: digest, IsVersionBased: true, Build: versioned(1, digest)})
 		switch {
 		case err == nil:
@@ -136,18 +136,18 @@
 		case errs.Is(err, errs.Conflict), errs.Is(err, errs.Invalid):
 			o.Outcome = linearize.Refused
 		}
-		o.Return = p.now()
+		o.ReturnedAt = p.now()
 		p.history = append(p.history, o)
 		s.transcript += fmt.Sprint("|", o.Outcome)
-		if o.Outcome != linearize.Unclear {
+		if o.Outcome != linearize.Indeterminate {
 			break
 		}
 	}
 	s.isTimedOut = false
 	clock := &fakeClock{context.Background(), s}
-	read := linearize.Operation{Client: client, Kind: linearize.Read, Call: p.now(), Outcome: linearize.Confirmed}
+	read := linearize.Operation{Client: client, Kind: linearize.Read, CalledAt: p.now(), Outcome: linearize.Confirmed}
 	doc, _, err := managerOf(fmt.Sprint(client, "r"), call).operators.Config(timing.WithClock(clock, clock))
-	if read.Return = p.now(); err == nil {
+	if read.ReturnedAt = p.now(); err == nil {
 		read.ReadVersion, read.ReadDigest = config.VersionOf(doc), gjson.GetBytes(doc, "note").Str
 		p.history = append(p.history, read)
 		s.transcript += "|read " + read.ReadDigest
--- a/internal/manager/interleavings_test.go
+++ b/internal/manager/interleavings_test.go
@@ -18,7 +18,7 @@
 		out += "#" + s.transcript
 	}
 	for _, o := range p.history { // the order of answers relative to calls is part of the state
-		out += fmt.Sprint("@", o.Call, o.Return)
+		out += fmt.Sprint("@", o.CalledAt, o.ReturnedAt)
 	}
 	return out
 }
--- a/internal/sim/ceiling_test.go
+++ b/internal/sim/ceiling_test.go
@@ -14,7 +14,7 @@
 func TestCeilingOfListedServices(t *testing.T) {
 	Convey("No window has more runs than the ceiling, and in calm nearly the whole rate is used", t, func() {
 		for seed := uint64(1); seed <= ceilingSeeds; seed++ {
-			_, breaches := RunCeiling(seed, mixed(DeliveryFaults)...)
+			_, breaches := RunCeiling(seed, selectFaults(DeliveryFaults)...)
 			So(breaches, ShouldBeEmpty)
 		}
 	})
