--- /dev/null
+++ b/internal/sim/clusterfaults.go
@@ -0,0 +1,172 @@
+package sim
+
+import (
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"caperwheel/internal/errs"
+	"caperwheel/internal/manager"
+)
+
+// ClusterFaults are troubles of many daemons, of the links or of the operators' answers.
+// Each tells for how long it lasts.
+var ClusterFaults = map[string]func(d *Deployment) time.Duration{
+	"lost answers": func(d *Deployment) time.Duration {
+		d.LostReplies = 700
+		d.After(10*time.Second, func() { d.LostReplies = 0 })
+		return 0 // of no concern to the daemons
+	},
+	"resets": func(d *Deployment) time.Duration {
+		here := d.presentMachines()
+		d.net.resetConnections(here[d.Rand.IntN(len(here))].addr)
+		return 0
+	},
+	"power loss of all": func(d *Deployment) time.Duration {
+		d.Tracef("all lose power")
+		for _, m := range d.presentMachines() {
+			if m.store.isUp { // else it is away as it is
+				m.stop(true)
+				d.After(time.Duration(d.Rand.IntN(1000))*time.Millisecond, m.start)
+			}
+		}
+		return time.Second
+	},
+	"kill of all": func(d *Deployment) time.Duration {
+		d.Tracef("all are killed")
+		for _, m := range d.presentMachines() {
+			if m.store.isUp {
+				m.stop(false)
+				d.After(time.Duration(d.Rand.IntN(1000))*time.Millisecond, m.start)
+			}
+		}
+		return time.Second
+	},
+	"slow links": func(d *Deployment) time.Duration {
+		d.MaxDelay = 200 * time.Millisecond
+		d.After(3*time.Second, func() { d.MaxDelay = 5 * time.Millisecond })
+		return 3 * time.Second
+	},
+	"stuck messages": func(d *Deployment) time.Duration {
+		d.StuckMessages = 30
+		d.After(3*time.Second, func() { d.StuckMessages = 0 })
+		return 13 * time.Second
+	},
+	"lost messages": func(d *Deployment) time.Duration {
+		d.LostMessages = 100
+		d.After(3*time.Second, func() { d.LostMessages = 0 })
+		return 3 * time.Second
+	},
+}
+
+// injectClusterFaults brings troubles beside the losses until the given time.
+func (d *Deployment) injectClusterFaults(names []string, end time.Duration) {
+	d.Go(nil, func(_ context.Context, t *task) {
+		t.sleep(5 * time.Second)
+		for len(names) > 0 && d.now < end {
+			name := names[d.Rand.IntN(len(names))]
+			d.Tracef("trouble: %s", name)
+			d.faults.clusterFaultsUntil = max(d.faults.clusterFaultsUntil, d.now+ClusterFaults[name](d))
+			t.sleep(time.Duration(2000+d.Rand.IntN(10000)) * time.Millisecond)
+		}
+	})
+}
+
+// retireMachines retires one machine after another, whatever else goes on: a new one
+// comes first, and the old one goes with its disk as soon as it is told done.
+func (d *Deployment) retireMachines(end time.Duration) {
+	d.Go(nil, func(ctx context.Context, t *task) {
+		for {
+			t.sleep(time.Duration(7000+d.Rand.IntN(8000)) * time.Millisecond)
+			if d.now >= end {
+				return
+			}
+			here := d.presentMachines()
+			m := here[d.Rand.IntN(len(here))]
+			if m == d.faults.lost || !d.mayRemove(m) {
+				continue
+			}
+			d.faults.retiring = m
+			name := nextMachineName(d)
+			d.add(name, name, m.zone).start()
+			t.sleep(time.Duration(d.Rand.Int64N(int64(CatchUpTime))))
+			isDone := d.retireMachine(ctx, t, m)
+			d.faults.retiring = nil
+			if isDone {
+				d.Retired++
+				d.remove(m)
+			}
+		}
+	})
+}
+
+func nextMachineName(d *Deployment) string {
+	d.serial++
+	return "n" + string(rune('a'+d.serial%26)) + string(rune('a'+d.serial/26%26)) + string(rune('a'+d.serial/676%26))
+}
+
+// retireMachine asks for a retirement until it is taken, and then until it is done.
+func (d *Deployment) retireMachine(ctx context.Context, t *task, m *machine) bool {
+	for range 400 {
+		if m.isRemoved || d.hasEndedFaults {
+			return false
+		}
+		err, isAnswered := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
+			_, err := o.RetireStore(ctx, "operator", m.name, time.Minute)
+			return &operationReply{err}
+		}).(*operationReply)
+		if isAnswered && errs.Is(err.err, errs.Rejected) || isAnswered && errs.Is(err.err, errs.Unknown) {
+			d.recordBreach("the retirement of %s is refused: %v", m.name, err.err)
+			return false
+		}
+		if isAnswered && err.err == nil {
+			break
+		}
+		t.sleep(100 * time.Millisecond)
+	}
+	d.Tracef("%s is to retire", m.name)
+	for range 400 {
+		if d.hasEndedFaults {
+			return false
+		}
+		got, isAnswered := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
+			state, err := o.RetirementProgress(ctx, m.name)
+			return &progressReply{state, err}
+		}).(*progressReply)
+		if d.mutant == EarlyRemoval || isAnswered && got.err == nil && got.state.IsDone && got.state.IsRetired {
+			d.Tracef("%s is told retired", m.name)
+			d.checkRetired(m)
+			return true
+		}
+		t.sleep(200 * time.Millisecond)
+	}
+	return false
+}
+
+type operationReply struct{ err error }
+
+type progressReply struct {
+	state manager.RetirementProgress
+	err   error
+}
+
+// checkRetired judges that a retired machine may go: no group needs it.
+func (d *Deployment) checkRetired(m *machine) {
+	for _, id := range groupIds() {
+		_, members := d.ownerAndRoster(id)
+		if slices.Contains(members, m.store.memberId()) {
+			d.recordBreach("%s is told retired and still stands in group %d: %v", m.name, id, members)
+		}
+	}
+}
+
+func selectNames[F any](all map[string]F, selected []string) []string {
+	out := []string{}
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		if len(selected) == 0 || slices.Contains(selected, name) {
+			out = append(out, name)
+		}
+	}
+	return out
+}
--- a/internal/sim/control.go
+++ b/internal/sim/control.go
@@ -21,16 +21,16 @@
 // registries, the plan of duties and the workers' state are the real ones.
 type Control struct {
 	*World
-	stores   []*partStore
-	managers []*node
-	agents   []*node
-	adapters []*node
-	acked    []ackedEdit
-	emptied  map[string]time.Duration // zone -> since when it is acknowledged to be emptied
-	Acts     []time.Duration          // starts at the endpoint
-	Broken   []string
-	rate     float64
-	edits    int
+	stores    []*partStore
+	managers  []*node
+	agents    []*node
+	adapters  []*node
+	acked     []ackedEdit
+	drained   map[string]time.Duration // zone -> since when it is acknowledged to be emptied
+	Starts    []time.Duration          // starts at the endpoint
+	Breaches  []string
+	rate      float64
+	editCount int
 }
 
 type ackedEdit struct {
@@ -39,23 +39,23 @@
 	base     int64
 }
 
-// node is a manager, an agent or an adapter.
+// pickNode is a manager, an agent or an adapter.
 type node struct {
 	lifecycle
-	c          *Control
-	kind       string
-	name       string
-	view       *feed.View
-	membership *session.Membership
-	registry   *session.Registry
-	targets    []*node
-	at         int
-	heard      time.Duration
-	worker     *deliver.WorkerState
-	term       int64
-	steady     duty.HoldDown
-	proposed   *duty.Proposals
-	since      time.Duration // its view has been fresh since then
+	c           *Control
+	kind        string
+	name        string
+	view        *feed.View
+	membership  *session.Membership
+	registry    *session.Registry
+	targets     []*node
+	targetIndex int
+	heardAt     time.Duration
+	worker      *deliver.WorkerState
+	term        int64
+	holdDown    duty.HoldDown
+	proposals   *duty.Proposals
+	freshSince  time.Duration // its view has been fresh since then
 }
 
 // partStore is a store with one part.
@@ -67,10 +67,10 @@
 
 // NewControl lays everything out and starts it.
 func NewControl(w *World) *Control {
-	c := &Control{World: w, rate: 10, emptied: map[string]time.Duration{}}
+	c := &Control{World: w, rate: 10, drained: map[string]time.Duration{}}
 	for i := range 3 {
 		s := &partStore{c: c}
-		s.w, s.name, s.disk = &Places{World: w}, fmt.Sprintf("s%d", i+1), &Disk{w: w}
+		s.w, s.name, s.disk = &PlaceCluster{World: w}, fmt.Sprintf("s%d", i+1), &Disk{w: w}
 		c.stores = append(c.stores, s)
 	}
 	for _, s := range c.stores {
@@ -99,33 +99,33 @@
 	if s.isUp {
 		return
 	}
-	s.isUp, s.life = true, s.life+1
+	s.isUp, s.generation = true, s.generation+1
 	s.part = store.NewPartHost(s, feed.ConfigPart)
 	h, err := host.New(host.Options{Id: 0, Self: s.name + "/0", Roster: []string{"s1/0", "s2/0", "s3/0"}, Bounds: timing.Default,
-		Seed: s.c.Seed + uint64(s.life), Disk: &pumped{s.disk, &s.simStore}, Held: s.disk.Held(), Machine: s.part,
-		Now: s.c.Now, Send: s.post, OnFailure: s.Fail, CompactEntries: 60, MaxMessageBytes: 500, Schedule: s.later})
+		Seed: s.c.Seed + uint64(s.generation), Disk: &wakingDisk{s.disk, &s.simStore}, Held: s.disk.Held(), Machine: s.part,
+		Now: s.c.Now, Send: s.sendGroupMessage, OnFailure: s.Fail, CompactEntries: 60, MaxMessageBytes: 500, Schedule: s.schedule})
 	if err != nil {
 		panic(err)
 	}
 	s.host = h
 	s.part.Attach(h)
-	s.c.Note("start %s", s.name)
-	s.tick(func() {})
+	s.c.Tracef("start %s", s.name)
+	s.startTicking(func() {})
 }
 
 // act is what a manager or adapter does on its own.
-func (n *node) act() {
+func (n *node) step() {
 	if !n.view.IsFresh(n.c.now, timing.Default.Of(timing.ViewAgeLimit)) {
-		n.since = n.c.now
+		n.freshSince = n.c.now
 		return
 	}
 	configs := config.Cache{View: n.view}
 	compiled := configs.Current()
 	if n.kind == "manager" {
-		n.plan(compiled)
+		n.planDuties(compiled)
 		return
 	}
-	n.c.checkAct(n)
+	n.c.checkViewAge(n)
 	held, _ := compiled.Duties["p"].Get(config.EndpointWorker)
 	if held.Holder != n.name || held.Boot != n.boot() || !compiled.MayStartWork(n.zone()) {
 		n.worker = nil
@@ -139,13 +139,13 @@
 		n.worker, n.term = deliver.NewWorkerState(compiled.Rules.Pools["p"], fence, n.c.now), held.Term
 	}
 	if isGranted, _ := n.worker.Grant(n.c.now); isGranted {
-		n.c.checkEmptied(n)
-		n.c.Acts = append(n.c.Acts, n.c.now+n.worker.PacingDelay(n.c.now))
+		n.c.checkDrained(n)
+		n.c.Starts = append(n.c.Starts, n.c.now+n.worker.PacingDelay(n.c.now))
 		n.worker.RunEnded(true, 0, n.c.now)
 	}
 }
 
-func (n *node) plan(compiled *config.Compiled) {
+func (n *node) planDuties(compiled *config.Compiled) {
 	_, members := n.registry.Members(n.c.now)
 	adapters, managers := []wire.Who{}, []string{}
 	for _, m := range members {
@@ -156,20 +156,20 @@
 			managers = append(managers, m.Who.Name)
 		}
 	}
-	n.steady.ObserveMembers(adapters, n.c.now)
-	if duty.HighestRanked("pool/p", managers) != n.name || n.c.now-n.since < timing.Default.Of(timing.SessionTimeout) {
+	n.holdDown.ObserveMembers(adapters, n.c.now)
+	if duty.HighestRanked("pool/p", managers) != n.name || n.c.now-n.freshSince < timing.Default.Of(timing.SessionTimeout) {
 		return
 	}
 	revision := func(key string) (int64, bool) {
-		c, isStanding := n.view.Get(feed.ConfigPart, key)
-		return map[bool]int64{true: c.Revision}[isStanding], c.Revision > 0
+		c, exists := n.view.Get(feed.ConfigPart, key)
+		return map[bool]int64{true: c.Revision}[exists], c.Revision > 0
 	}
-	n.proposed.Expire(n.c.now)
-	for _, change := range n.steady.Filter(duty.Plan("p", compiled, duty.Adapters{Members: adapters, Proposals: n.proposed}, revision), n.c.now) {
-		n.steady.RecordMove(change, n.c.now)
-		n.proposed.Add(change, n.c.now)
+	n.proposals.Expire(n.c.now)
+	for _, change := range n.holdDown.Filter(duty.Plan("p", compiled, duty.Adapters{Members: adapters, Proposals: n.proposals}, revision), n.c.now) {
+		n.holdDown.RecordMove(change, n.c.now)
+		n.proposals.Add(change, n.c.now)
 		e := wire.Edit{Key: config.DutyKey + change.Pool + "/" + change.Worker, Value: change.Next.Encode(), IfRevision: change.IfRevision}
-		n.c.Note("%s gives the endpoint to %s", n.name, change.Next.Boot)
-		n.edit(e, func(int64) {})
+		n.c.Tracef("%s gives the endpoint to %s", n.name, change.Next.Boot)
+		n.sendEdit(e, func(int64) {})
 	}
 }
--- a/internal/sim/control_test.go
+++ b/internal/sim/control_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestControlUnderFaults(t *testing.T) {
-	runs := atOnce(ControlFaults, func(hurt func(*Control)) *Control { return RunControl(1, hurt) })
+	runs := runParallel(ControlFaults, func(hurt func(*Control)) *Control { return RunControl(1, hurt) })
 	Convey("A control plane", t, func() {
 		for name, c := range runs {
 			Convey("keeps its promises under "+name, func() {
-				show(name, c.Broken, c.Trace)
-				So(c.Broken, ShouldBeEmpty)
+				printTrace(name, c.Breaches, c.Trace)
+				So(c.Breaches, ShouldBeEmpty)
 				So(len(c.acked), ShouldBeGreaterThan, 10)
 			})
 		}
--- a/internal/sim/controlfaults.go
+++ b/internal/sim/controlfaults.go
@@ -12,25 +12,25 @@
 
 const controlConfig = `{"note":"%d","pools":{"p":{"kind":"endpoint","address":"127.0.0.1:9","rate":10,"concurrency":9,"ease":"0s"}},"lanes":{"l":{"pools":["p"]}}}`
 
-// checkAct holds the act of a fresh adapter against the configurations that were
+// checkViewAge holds the act of a fresh adapter against the configurations that were
 // acknowledged: one older than the bound must be known to it.
-func (c *Control) checkAct(n *node) {
+func (c *Control) checkViewAge(n *node) {
 	revision := n.view.Revision(feed.ConfigPart)
 	for _, e := range c.acked {
 		if c.now-e.at > timing.Default.ConfigApply && revision < e.revision {
 			text := fmt.Sprintf("%s acts on stamp %d, though %d was acknowledged %v ago", n.boot(), revision, e.revision, c.now-e.at)
-			c.Note("BROKEN %s", text)
-			c.Broken = append(c.Broken, text)
+			c.Tracef("BROKEN %s", text)
+			c.Breaches = append(c.Breaches, text)
 			return
 		}
 	}
 }
 
-// change edits the configuration through each manager at once, on the base that the
+// changeConfig edits the configuration through each manager at once, on the base that the
 // manager knows.
-func (c *Control) change() {
+func (c *Control) changeConfig() {
 	for _, m := range c.managers {
-		if !m.isUp || c.now < m.frozen {
+		if !m.isUp || c.now < m.frozenUntil {
 			continue
 		}
 		was, isKnown := m.view.Get(feed.ConfigPart, config.DocumentKey)
@@ -38,110 +38,110 @@
 		if isKnown {
 			base = was.Revision
 		}
-		c.edits++
-		e := wire.Edit{Key: config.DocumentKey, IfRevision: base, Value: fmt.Appendf(nil, controlConfig, c.edits)}
-		m.edit(e, func(revision int64) {
+		c.editCount++
+		e := wire.Edit{Key: config.DocumentKey, IfRevision: base, Value: fmt.Appendf(nil, controlConfig, c.editCount)}
+		m.sendEdit(e, func(revision int64) {
 			for _, other := range c.acked {
 				if other.base == base && other.revision != revision {
-					c.Broken = append(c.Broken, fmt.Sprintf("edits %d and %d on one base %d were both acknowledged", other.revision, revision, base))
+					c.Breaches = append(c.Breaches, fmt.Sprintf("edits %d and %d on one base %d were both acknowledged", other.revision, revision, base))
 				}
 			}
 			c.acked = append(c.acked, ackedEdit{revision, c.now, base})
-			c.Note("edit %d on %d is acknowledged", revision, base)
+			c.Tracef("edit %d on %d is acknowledged", revision, base)
 		})
 	}
 }
 
-// empty gives a zone no new work, for a while, as an operator would.
-func (c *Control) empty(zone string) {
-	if len(c.emptied) > 0 || !c.managers[0].isUp {
+// drainZone gives a zone no new work, for a while, as an operator would.
+func (c *Control) drainZone(zone string) {
+	if len(c.drained) > 0 || !c.managers[0].isUp {
 		return // one room at a time
 	}
 	mark := wire.Edit{Key: config.ZoneKey + zone, Value: []byte("{}"), IfRevision: -1}
-	c.managers[0].edit(mark, func(int64) {
-		c.Note("cell %s is emptied", zone)
-		c.emptied[zone] = c.now
+	c.managers[0].sendEdit(mark, func(int64) {
+		c.Tracef("cell %s is emptied", zone)
+		c.drained[zone] = c.now
 		c.After(12*time.Second, func() {
-			delete(c.emptied, zone)
+			delete(c.drained, zone)
 			mark.Gone = true
-			c.Note("cell %s is restored", zone)
-			c.restore(mark)
+			c.Tracef("cell %s is restored", zone)
+			c.restoreZone(mark)
 		})
 	})
 }
 
-// emptyHolder empties the zone of whoever serves the endpoint, while that one
+// drainHolderZone empties the zone of whoever serves the endpoint, while that one
 // hears nothing: it goes on until its view is too old, and only the fence keeps
 // the next holder from serving besides.
-func (c *Control) emptyHolder() {
+func (c *Control) drainHolderZone() {
 	for i, a := range c.adapters {
 		if a.isUp && a.worker != nil {
 			agent := c.agents[i].name
-			c.Cut(agent, a.name)
-			c.Note("%s holds the endpoint and hears nothing", a.name)
-			c.After(6*time.Second, c.Heal)
-			c.empty(a.zone())
+			c.CutLink(agent, a.name)
+			c.Tracef("%s holds the endpoint and hears nothing", a.name)
+			c.After(6*time.Second, c.HealLinks)
+			c.drainZone(a.zone())
 			return
 		}
 	}
 }
 
-// restore tries until the restoring holds, so that no run ends emptied.
-func (c *Control) restore(mark wire.Edit) {
+// restoreZone tries until the restoring holds, so that no run ends emptied.
+func (c *Control) restoreZone(mark wire.Edit) {
 	isDone := false
-	c.managers[0].edit(mark, func(int64) { isDone = true })
+	c.managers[0].sendEdit(mark, func(int64) { isDone = true })
 	c.After(2*time.Second, func() {
 		if !isDone {
-			c.restore(mark)
+			c.restoreZone(mark)
 		}
 	})
 }
 
-// checkEmptied: an emptied zone's adapter starts nothing after 5 s.
-func (c *Control) checkEmptied(n *node) {
-	if at, isEmptied := c.emptied[n.zone()]; isEmptied && c.now-at > 5*time.Second {
-		c.Broken = append(c.Broken, fmt.Sprintf("%s starts a run %v after its cell was emptied", n.name, c.now-at))
+// checkDrained: an emptied zone's adapter starts nothing after 5 s.
+func (c *Control) checkDrained(n *node) {
+	if at, isEmptied := c.drained[n.zone()]; isEmptied && c.now-at > 5*time.Second {
+		c.Breaches = append(c.Breaches, fmt.Sprintf("%s starts a run %v after its cell was emptied", n.name, c.now-at))
 	}
 }
 
-func (c *Control) node() *node {
+func (c *Control) pickNode() *node {
 	all := append(append(append([]*node{}, c.managers...), c.agents...), c.adapters...)
 	return all[c.Rand.IntN(len(all))]
 }
 
-func (c *Control) cutOff(name string) {
+func (c *Control) isolate(name string) {
 	for _, other := range []string{"s1", "s2", "s3", "m1", "m2", "g1", "g2", "g3", "a1", "a2", "a3"} {
 		if other != name && c.Rand.IntN(2) == 0 {
-			c.Cut(name, other)
+			c.CutLink(name, other)
 			if c.Rand.IntN(2) == 0 {
-				c.Cut(other, name)
+				c.CutLink(other, name)
 			}
 		}
 	}
-	c.Note("%s is cut off from some", name)
-	c.After(time.Duration(500+c.Rand.IntN(8000))*time.Millisecond, c.Heal)
+	c.Tracef("%s is cut off from some", name)
+	c.After(time.Duration(500+c.Rand.IntN(8000))*time.Millisecond, c.HealLinks)
 }
 
 // ControlFaults are the ways the control plane is hurt.
 var ControlFaults = map[string]func(c *Control){
 	"nothing":      func(*Control) {},
-	"killed nodes": func(c *Control) { c.node().kill() },
+	"killed nodes": func(c *Control) { c.pickNode().kill() },
 	"frozen nodes": func(c *Control) {
-		n := c.node()
-		n.frozen = c.now + time.Duration(c.Rand.IntN(7000))*time.Millisecond
-		c.Note("freeze %s until %v", n.name, n.frozen)
+		n := c.pickNode()
+		n.frozenUntil = c.now + time.Duration(c.Rand.IntN(7000))*time.Millisecond
+		c.Tracef("freeze %s until %v", n.name, n.frozenUntil)
 	},
-	"cut nodes":            func(c *Control) { c.cutOff(c.node().name) },
+	"cut nodes":            func(c *Control) { c.isolate(c.pickNode().name) },
 	"killed stores":        func(c *Control) { c.stores[c.Rand.IntN(3)].kill() },
 	"frozen stores":        func(c *Control) { c.stores[c.Rand.IntN(3)].freeze() },
-	"cut stores":           func(c *Control) { c.cutOff(c.stores[c.Rand.IntN(3)].name) },
-	"emptied cells":        func(c *Control) { c.empty(fmt.Sprint(1 + c.Rand.IntN(3))) },
-	"emptied behind a cut": func(c *Control) { c.emptyHolder() },
-	"stuck messages":       func(c *Control) { c.Stuck = 60; c.After(4*time.Second, func() { c.Stuck = 0 }) },
-	"lost messages":        func(c *Control) { c.Loss = 200; c.After(4*time.Second, func() { c.Loss = 0 }) },
+	"cut stores":           func(c *Control) { c.isolate(c.stores[c.Rand.IntN(3)].name) },
+	"emptied cells":        func(c *Control) { c.drainZone(fmt.Sprint(1 + c.Rand.IntN(3))) },
+	"emptied behind a cut": func(c *Control) { c.drainHolderZone() },
+	"stuck messages":       func(c *Control) { c.StuckMessages = 60; c.After(4*time.Second, func() { c.StuckMessages = 0 }) },
+	"lost messages":        func(c *Control) { c.LostMessages = 200; c.After(4*time.Second, func() { c.LostMessages = 0 }) },
 	"slow links": func(c *Control) {
-		c.Slow = 600 * time.Millisecond
-		c.After(4*time.Second, func() { c.Slow = 5 * time.Millisecond })
+		c.MaxDelay = 600 * time.Millisecond
+		c.After(4*time.Second, func() { c.MaxDelay = 5 * time.Millisecond })
 	},
 }
 
@@ -151,14 +151,14 @@
 	for c.now < 60*time.Second {
 		c.Run(c.now + 100*time.Millisecond)
 		if c.Rand.IntN(15) == 0 || c.now < 2*time.Second {
-			c.change()
+			c.changeConfig()
 		}
 		if c.Rand.IntN(25) == 0 {
-			c.soon(func() { faults[c.Rand.IntN(len(faults))](c) })
+			c.scheduleFault(func() { faults[c.Rand.IntN(len(faults))](c) })
 		}
 		if c.Rand.IntN(15) == 0 {
 			c.stores[c.Rand.IntN(3)].start()
-			c.node().start()
+			c.pickNode().start()
 		}
 	}
 	c.finish()
@@ -168,36 +168,36 @@
 // finish heals everything: the endpoint must be served again, at its rate, and
 // the newest acknowledged configuration must stand everywhere.
 func (c *Control) finish() {
-	c.Calm()
+	c.EndFaults()
 	for _, s := range c.stores {
-		s.frozen = 0
+		s.frozenUntil = 0
 		s.start()
 	}
 	for _, n := range append(append(append([]*node{}, c.managers...), c.agents...), c.adapters...) {
-		n.frozen = 0
+		n.frozenUntil = 0
 		n.start()
 	}
 	c.Run(c.now + 15*time.Second)
 	from := c.now
 	c.Run(c.now + 5*time.Second)
 	served := 0
-	for i, at := range c.Acts {
+	for i, at := range c.Starts {
 		if at >= from {
 			served++
 		}
 		within := 0
-		for _, other := range c.Acts[:i+1] {
+		for _, other := range c.Starts[:i+1] {
 			if other > at-5*time.Second {
 				within++
 			}
 		}
 		if within > int(5*c.rate*1.1)+2 {
-			c.Broken = append(c.Broken, fmt.Sprintf("the endpoint got %d runs in the 5 s before %v", within, at))
+			c.Breaches = append(c.Breaches, fmt.Sprintf("the endpoint got %d runs in the 5 s before %v", within, at))
 			break
 		}
 	}
 	if served < int(5*c.rate*0.7) {
-		c.Broken = append(c.Broken, fmt.Sprintf("the endpoint got only %d runs in 5 s after all was healed", served))
+		c.Breaches = append(c.Breaches, fmt.Sprintf("the endpoint got only %d runs in 5 s after all was healed", served))
 	}
 	newest := int64(0)
 	for _, e := range c.acked {
@@ -205,7 +205,7 @@
 	}
 	for _, n := range c.adapters {
 		if was, _ := n.view.Get(feed.ConfigPart, config.DocumentKey); was.Revision < newest {
-			c.Broken = append(c.Broken, fmt.Sprintf("%s ends with configuration %d, acknowledged was %d", n.name, was.Revision, newest))
+			c.Breaches = append(c.Breaches, fmt.Sprintf("%s ends with configuration %d, acknowledged was %d", n.name, was.Revision, newest))
 		}
 	}
 }
--- a/internal/sim/delivery.go
+++ b/internal/sim/delivery.go
@@ -19,18 +19,18 @@
 // follows the parts over links; kind "control" plays how parts and managers are replicated.
 type Deliveries struct {
 	*World
-	H        *check.History
-	control  *deliveryControl
-	parts    *deliveryParts
-	stores   []*deliveryStore
-	adapters []*deliveryAdapter
-	workers  []*deliveryWorker
-	receiver *deliveryReceiver
-	serial   int
-	runs     []*check.Run
-	links    map[string]*link // open calls by who waits for them and whom
-	Lying    []string         // what was left lying
-	away     time.Duration    // until then no store that is down comes back
+	H               *check.History
+	control         *deliveryControl
+	parts           *deliveryParts
+	stores          []*deliveryStore
+	adapters        []*deliveryAdapter
+	workers         []*deliveryWorker
+	receiver        *deliveryReceiver
+	serial          int
+	runs            []*check.Run
+	links           map[string]*link // open calls by who waits for them and whom
+	Stranded        []string         // what was left lying
+	storesDownUntil time.Duration    // until then no store that is down comes back
 }
 
 // Layout of the simulated deliveries.
@@ -39,23 +39,23 @@
 	deliveryStores   = 3
 	deliveryAdapters = 4
 	deliveryWorkers  = 5
-	ctlName          = "ctl"
+	controlName      = "ctl"
 	partsName        = "parts"
 	callerName       = "caller"
 )
 
 // link is what is under way between two daemons in one direction.
-type link struct{ open []*deliveryCall }
+type link struct{ pending []*pendingCall }
 
-// deliveryCall is an ask under way. Invariant: done is called at most once.
-type deliveryCall struct {
+// pendingCall is an ask under way. Invariant: done is called at most once.
+type pendingCall struct {
 	link *link
 	done func(reply any, err error)
 }
 
-func (c *deliveryCall) finish(reply any, err error) {
-	if at := slices.Index(c.link.open, c); at >= 0 {
-		c.link.open = slices.Delete(c.link.open, at, at+1)
+func (c *pendingCall) finish(reply any, err error) {
+	if at := slices.Index(c.link.pending, c); at >= 0 {
+		c.link.pending = slices.Delete(c.link.pending, at, at+1)
 		c.done(reply, err)
 	}
 }
@@ -63,14 +63,14 @@
 // peer is a daemon that can be asked.
 type peer interface {
 	address() string
-	cycle() *lifecycle
-	onAsk(ask any, answer func(any))
+	lifecycleState() *lifecycle
+	handle(ask any, answer func(any))
 }
 
 // NewDeliveries lays everything out and starts it.
 func NewDeliveries(w *World) *Deliveries {
 	d := &Deliveries{World: w, H: check.NewHistory(), links: map[string]*link{}}
-	d.receiver = &deliveryReceiver{d: d, heard: map[string]int{}}
+	d.receiver = &deliveryReceiver{d: d, notified: map[string]int{}}
 	d.parts = newDeliveryParts(d)
 	d.control = newDeliveryControl(d)
 	for i := range deliveryStores {
@@ -96,7 +96,7 @@
 func zoneOf(i int) string { return []string{"z1", "z2", "z3"}[i%3] }
 
 // at finds who listens at an address.
-func (d *Deliveries) at(addr string) (peer, bool) {
+func (d *Deliveries) peerAt(addr string) (peer, bool) {
 	if addr == d.control.address() {
 		return d.control, true
 	}
@@ -122,28 +122,28 @@
 // post brings an ask to an address, and its answer back to whoever asked, unless that life has
 // ended by then. An ask that is lost, or whose answer is, is told as Lost late, as a session that hears
 // nothing is; one to which nobody listens as unsent.
-func (d *Deliveries) post(from string, of *lifecycle, addr string, ask any, done func(reply any, err error)) {
-	to, isKnown := d.at(addr)
+func (d *Deliveries) sendRequest(from string, caller *lifecycle, addr string, request any, done func(reply any, err error)) {
+	to, isKnown := d.peerAt(addr)
 	l := d.links[from+">"+addr]
 	if l == nil {
 		l = &link{}
 		d.links[from+">"+addr] = l
 	}
-	life := 0
-	if of != nil {
-		life = of.life
+	generation := 0
+	if caller != nil {
+		generation = caller.generation
 	}
-	call := &deliveryCall{link: l}
+	call := &pendingCall{link: l}
 	call.done = func(reply any, err error) {
 		switch {
 		case done == nil:
-		case of == nil:
+		case caller == nil:
 			done(reply, err)
 		default:
-			d.resume(of, life, func() { done(reply, err) })
+			d.runIfAlive(caller, generation, func() { done(reply, err) })
 		}
 	}
-	l.open = append(l.open, call)
+	l.pending = append(l.pending, call)
 	refuse := func() { call.finish(nil, transport.NewUnsentError(errs.New(errs.Lost, "nobody listens at %s", addr))) }
 	if !isKnown {
 		d.After(time.Millisecond, refuse)
@@ -151,42 +151,42 @@
 	}
 	d.After(d.bound(timing.ConnectionTimeout), func() { call.finish(nil, errs.New(errs.Lost, "no answer from %s", addr)) })
 	d.Send(from, addr, func() {
-		if !to.cycle().isUp {
+		if !to.lifecycleState().isUp {
 			d.Send(addr, from, refuse)
 			return
 		}
-		d.whenThawed(to.cycle(), func() {
-			to.onAsk(ask, func(reply any) { d.Send(addr, from, func() { call.finish(reply, nil) }) })
+		d.runWhenThawed(to.lifecycleState(), func() {
+			to.handle(request, func(reply any) { d.Send(addr, from, func() { call.finish(reply, nil) }) })
 		})
 	})
 }
 
-// resume goes on in a life, once it is thawed.
-func (d *Deliveries) resume(of *lifecycle, life int, work func()) {
+// runIfAlive goes on in a life, once it is thawed.
+func (d *Deliveries) runIfAlive(caller *lifecycle, generation int, work func()) {
 	switch {
-	case !of.isUp || of.life != life:
-	case d.now < of.frozen:
-		d.After(of.frozen-d.now, func() { d.resume(of, life, work) })
+	case !caller.isUp || caller.generation != generation:
+	case d.now < caller.frozenUntil:
+		d.After(caller.frozenUntil-d.now, func() { d.runIfAlive(caller, generation, work) })
 	default:
 		work()
 	}
 }
 
-// reset breaks what is under way to and from an address, as the end of its process does.
-func (d *Deliveries) reset(addr string) {
-	for _, name := range namesIn(d.links) {
-		if from, to := ends(name); from == addr || to == addr {
-			for _, c := range slices.Clone(d.links[name].open) {
+// resetConnections breaks what is under way to and from an address, as the end of its process does.
+func (d *Deliveries) resetConnections(addr string) {
+	for _, name := range sortedKeys(d.links) {
+		if from, to := splitLinkName(name); from == addr || to == addr {
+			for _, c := range slices.Clone(d.links[name].pending) {
 				c.finish(nil, errs.New(errs.Lost, "reset"))
 			}
 		}
 	}
 }
 
-// callIn asks from within a task and waits for the answer or the deadline.
-func (d *Deliveries) callIn(ctx context.Context, from string, of *lifecycle, addr string, ask any) (reply any, err error) {
-	c := simulated(ctx)
-	c.t.wait(func(resume func()) {
+// callAndWait asks from within a task and waits for the answer or the deadline.
+func (d *Deliveries) callAndWait(ctx context.Context, from string, caller *lifecycle, addr string, request any) (reply any, err error) {
+	c := simulatedContext(ctx)
+	c.t.suspend(func(resume func()) {
 		isOver := false
 		end := func(got any, cause error) {
 			if !isOver {
@@ -194,8 +194,8 @@
 				resume()
 			}
 		}
-		d.post(from, of, addr, ask, end)
-		d.After(max(0, c.until-d.now), func() { end(nil, errs.New(errs.DeadlineExceeded, "no answer")) })
+		d.sendRequest(from, caller, addr, request, end)
+		d.After(max(0, c.deadline-d.now), func() { end(nil, errs.New(errs.DeadlineExceeded, "no answer")) })
 	})
 	return reply, err
 }
@@ -203,12 +203,12 @@
 func (d *Deliveries) bound(r timing.Ratio) time.Duration { return timing.Default.Of(r) }
 
 // every does work after each period for as long as a life lasts and is not frozen.
-func (d *Deliveries) every(of *lifecycle, period time.Duration, work func()) {
-	life := of.life
+func (d *Deliveries) every(owner *lifecycle, period time.Duration, work func()) {
+	generation := owner.generation
 	var tick func()
 	tick = func() {
-		if of.isUp && of.life == life {
-			if d.now >= of.frozen {
+		if owner.isUp && owner.generation == generation {
+			if d.now >= owner.frozenUntil {
 				work()
 			}
 			d.After(period, tick)
@@ -217,7 +217,7 @@
 	d.After(time.Duration(d.Rand.Int64N(int64(period))), tick)
 }
 
-// whoIs is what a daemon says that it is.
-func whoIs(kind, name, zone, boot, addr string) wire.Who {
+// newWho is what a daemon says that it is.
+func newWho(kind, name, zone, boot, addr string) wire.Who {
 	return wire.Who{Name: name, Kind: kind, Boot: boot, Zone: zone, Addr: addr}
 }
--- a/internal/sim/delivery_test.go
+++ b/internal/sim/delivery_test.go
@@ -14,14 +14,14 @@
 		d        *Deliveries
 		breaches []check.Breach
 	}
-	runs := atOnce(DeliveryFaults, func(hurt func(*Deliveries)) result {
+	runs := runParallel(DeliveryFaults, func(hurt func(*Deliveries)) result {
 		d, breaches := RunDeliveries(1, hurt)
 		return result{d, breaches}
 	})
 	Convey("The way of a message", t, func() {
 		for name, r := range runs {
 			Convey("keeps the rules, and nothing is left lying, under "+name, func() {
-				show(name, r.breaches, r.d.Trace)
+				printTrace(name, r.breaches, r.d.Trace)
 				So(r.breaches, ShouldBeEmpty)
 				So(len(r.d.H.Runs), ShouldBeGreaterThan, 50)
 			})
--- a/internal/sim/deliverycallers.go
+++ b/internal/sim/deliverycallers.go
@@ -14,7 +14,7 @@
 )
 
 // call sends one message to the owner of its place, as an intake does, and settles what is undecided.
-func (d *Deliveries) call(lane, key string) {
+func (d *Deliveries) sendMessage(lane, key string) {
 	d.serial++
 	token := fmt.Sprintf("%s-%d", lane, d.serial)
 	if d.Rand.IntN(40) == 0 {
@@ -24,27 +24,27 @@
 	if key != "" {
 		number = int64(key[len(key)-1]) % deliveryPlaces
 	}
-	s := check.Sent{Token: token, Lane: lane, Key: key, Sum: wire.Checksum([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token)}
-	take := &wire.Take{Place: number, Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Checksum: s.Sum, Deadline: 90_000}
+	s := check.Sent{Token: token, Lane: lane, Key: key, BodySum: wire.Checksum([]byte(token)), SentAt: d.now, Outcome: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token)}
+	take := &wire.Take{Place: number, Id: s.Id, Lane: lane, Key: key, Body: []byte(token), Checksum: s.BodySum, Deadline: 90_000}
 	if d.Rand.IntN(6) == 0 {
 		s.Delay = time.Duration(d.Rand.IntN(5000)) * time.Millisecond
 		take.Delay = s.Delay.Milliseconds()
 	}
-	d.send(s, take)
+	d.submit(s, take)
 }
 
-// callLater is call with a given delay; the message is never one that fails.
-func (d *Deliveries) callLater(lane string, delay time.Duration) (id string) {
+// sendDelayed is call with a given delay; the message is never one that fails.
+func (d *Deliveries) sendDelayed(lane string, delay time.Duration) (id string) {
 	d.serial++
 	token := fmt.Sprintf("%s-%d", lane, d.serial)
 	number := int64(d.serial % deliveryPlaces)
-	s := check.Sent{Token: token, Lane: lane, Sum: wire.Checksum([]byte(token)), At: d.now, Told: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token), Delay: delay}
-	d.send(s, &wire.Take{Place: number, Id: s.Id, Lane: lane, Body: []byte(token), Checksum: s.Sum, Deadline: 900_000, Delay: delay.Milliseconds()})
+	s := check.Sent{Token: token, Lane: lane, BodySum: wire.Checksum([]byte(token)), SentAt: d.now, Outcome: check.Undecided, Id: fmt.Sprintf("%d-%s", number, token), Delay: delay}
+	d.submit(s, &wire.Take{Place: number, Id: s.Id, Lane: lane, Body: []byte(token), Checksum: s.BodySum, Deadline: 900_000, Delay: delay.Milliseconds()})
 	return s.Id
 }
 
 // send has a caller send a message, as it is or as a request that came, and notes what it is told.
-func (d *Deliveries) send(s check.Sent, take *wire.Take) {
+func (d *Deliveries) submit(s check.Sent, take *wire.Take) {
 	if d.Rand.IntN(2) == 0 { // a request as it came
 		take.RequestHead = requesthead.Head{Method: "POST", Target: "/" + s.Lane, Host: "sim.example"}.Encode()
 	}
@@ -52,22 +52,22 @@
 		take.NotifyUrl = "http://" + receiverAddr + "/ended"
 	}
 	d.Go(nil, func(ctx context.Context, _ *task) {
-		s.Told = d.decide(ctx, take, s.Lane)
-		s.ToldAt = d.now
+		s.Outcome = d.submitAndSettle(ctx, take, s.Lane)
+		s.AnsweredAt = d.now
 		d.H.AddSent(s)
 	})
 }
 
-// decide returns what is known of a message in the end.
-func (d *Deliveries) decide(ctx context.Context, take *wire.Take, lane string) check.Told {
-	got, isOpen := d.ask(ctx, take.Place, take)
+// submitAndSettle returns what is known of a message in the end.
+func (d *Deliveries) submitAndSettle(ctx context.Context, take *wire.Take, lane string) check.Outcome {
+	got, hasPending := d.callOwner(ctx, take.Place, take)
 	switch {
 	case got != nil && got.Kind == "":
 		return check.Taken
-	case !isOpen || got != nil && got.Kind == string(errs.Rejected):
+	case !hasPending || got != nil && got.Kind == string(errs.Rejected):
 		return check.NotTaken
 	}
-	got, _ = d.ask(ctx, take.Place, &wire.Settle{Place: take.Place, Id: take.Id, Lane: lane})
+	got, _ = d.callOwner(ctx, take.Place, &wire.Settle{Place: take.Place, Id: take.Id, Lane: lane})
 	switch {
 	case got != nil && got.Kind == "":
 		return check.Taken
@@ -78,13 +78,13 @@
 }
 
 // ask brings an ask to a place's owner.
-func (d *Deliveries) ask(ctx context.Context, number int64, ask any) (got *wire.Taken, isOpen bool) {
+func (d *Deliveries) callOwner(ctx context.Context, number int64, request any) (got *wire.Taken, hasPending bool) {
 	bounded, cancel := timing.Within(ctx, d.bound(timing.SettleTimeout))
 	defer cancel()
-	r := &ownerclient.Client{Membership: d.control.membership, Bounds: timing.Default, SendFunc: func(ctx context.Context, addr string, ask any) (any, error) {
-		return d.callIn(ctx, callerName, nil, addr, ask)
+	r := &ownerclient.Client{Membership: d.control.membership, Bounds: timing.Default, SendFunc: func(ctx context.Context, addr string, request any) (any, error) {
+		return d.callAndWait(ctx, callerName, nil, addr, request)
 	}}
-	reply, isOpen, err := r.CallOwnerTracked(bounded, wire.FirstPlaceGroup+number, ask, func(reply any) (bool, string) {
+	reply, hasPending, err := r.CallOwnerTracked(bounded, wire.FirstPlaceGroup+number, request, func(reply any) (bool, string) {
 		taken, isTaken := reply.(*wire.Taken)
 		if !isTaken {
 			return false, ""
@@ -92,7 +92,7 @@
 		return taken.Kind != string(errs.NotOwner) && taken.Kind != string(errs.Undecided), taken.Owner
 	})
 	if err != nil {
-		return nil, isOpen
+		return nil, hasPending
 	}
-	return reply.(*wire.Taken), isOpen
+	return reply.(*wire.Taken), hasPending
 }
--- a/internal/sim/deliverycontrol.go
+++ b/internal/sim/deliverycontrol.go
@@ -23,11 +23,11 @@
 	configs    *config.Cache
 	registry   *session.Registry
 	membership *session.Membership
-	steady     *duty.HoldDown
-	proposed   *duty.Proposals
+	holdDown   *duty.HoldDown
+	proposals  *duty.Proposals
 	freshSince time.Duration
-	asking     bool // for news of the parts
-	doc        deliveryDoc
+	isPolling  bool // for news of the parts
+	settings   deliveryDoc
 }
 
 const controlParts = 1 // beside the configuration's
@@ -35,47 +35,47 @@
 func newDeliveryControl(d *Deliveries) *deliveryControl {
 	c := &deliveryControl{d: d, view: feed.NewView(controlParts),
 		registry: session.NewRegistry(d.bound(timing.SessionTimeout)), membership: session.NewMembership(),
-		steady:   &duty.HoldDown{Period: 2 * timing.Default.ConfigApply},
-		proposed: &duty.Proposals{Timeout: d.bound(timing.ViewAgeLimit)}, doc: usualDoc()}
+		holdDown:  &duty.HoldDown{Period: 2 * timing.Default.ConfigApply},
+		proposals: &duty.Proposals{Timeout: d.bound(timing.ViewAgeLimit)}, settings: defaultDeliveryConfig()}
 	c.configs = &config.Cache{View: c.view}
 	return c
 }
 
-func (c *deliveryControl) address() string   { return ctlName }
-func (c *deliveryControl) cycle() *lifecycle { return &c.lifecycle }
+func (c *deliveryControl) address() string            { return controlName }
+func (c *deliveryControl) lifecycleState() *lifecycle { return &c.lifecycle }
 
 func (c *deliveryControl) start() {
 	c.isUp = true
-	c.configure()
-	c.list()
+	c.writeConfig()
+	c.writeWorkerList()
 	c.view.Update(c.d.parts.news(c.view.Revisions()), c.d.now)
-	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.follow)
-	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.plan)
-	c.d.every(&c.lifecycle, c.d.bound(timing.ListInterval), c.list)
+	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.pollParts)
+	c.d.every(&c.lifecycle, c.d.bound(timing.Poll), c.planDuties)
+	c.d.every(&c.lifecycle, c.d.bound(timing.ListInterval), c.writeWorkerList)
 }
 
 // follow asks for news of the parts.
-func (c *deliveryControl) follow() {
-	if c.asking {
+func (c *deliveryControl) pollParts() {
+	if c.isPolling {
 		return
 	}
-	c.asking = true
+	c.isPolling = true
 	asked := c.d.now
-	c.d.post(ctlName, &c.lifecycle, partsName, &wire.Follow{Revisions: c.view.Revisions()}, func(reply any, err error) {
-		c.asking = false
+	c.d.sendRequest(controlName, &c.lifecycle, partsName, &wire.Follow{Revisions: c.view.Revisions()}, func(reply any, err error) {
+		c.isPolling = false
 		if got, isNews := reply.(*wire.Followed); err == nil && isNews {
 			c.view.Update(got.Parts, asked)
 		}
 	})
 }
 
-// configure writes the configuration as it is to be now.
-func (c *deliveryControl) configure() {
-	c.d.parts.write(feed.ConfigPart, wire.Edit{Key: config.DocumentKey, Value: c.doc.encode(), IfRevision: -1})
+// writeConfig writes the configuration as it is to be now.
+func (c *deliveryControl) writeConfig() {
+	c.d.parts.write(feed.ConfigPart, wire.Edit{Key: config.DocumentKey, Value: c.settings.encode(), IfRevision: -1})
 }
 
-// list writes the lists of workers as the platform has them now.
-func (c *deliveryControl) list() {
+// writeWorkerList writes the lists of workers as the platform has them now.
+func (c *deliveryControl) writeWorkerList() {
 	list := config.Workers{Workers: []config.Worker{}}
 	for _, w := range c.d.workers {
 		if w.isListed && w.pool == "work" {
@@ -88,33 +88,33 @@
 	}
 }
 
-// plan gives out duties, as a manager does.
-func (c *deliveryControl) plan() {
+// planDuties gives out duties, as a manager does.
+func (c *deliveryControl) planDuties() {
 	c.membership.Update(c.registry.Members(c.d.now))
 	if !c.view.IsFresh(c.d.now, c.d.bound(timing.ViewAgeLimit)) {
 		c.freshSince = c.d.now
 		return
 	}
 	isNew := c.freshSince > 0 && c.d.now-c.freshSince < c.d.bound(timing.SessionTimeout)
-	c.proposed.Expire(c.d.now)
-	adapters := duty.Adapters{Members: c.membership.OfKind("adapter"), Leaving: map[string]bool{}, Unresponsive: map[string]bool{}, Proposals: c.proposed}
+	c.proposals.Expire(c.d.now)
+	adapters := duty.Adapters{Members: c.membership.OfKind("adapter"), Leaving: map[string]bool{}, Unresponsive: map[string]bool{}, Proposals: c.proposals}
 	_, members := c.registry.Members(c.d.now)
 	for _, m := range members {
 		adapters.Leaving[m.Who.Name] = m.Fact.Counts[deliver.DrainingCount] > 0
 		adapters.Unresponsive[m.Who.Name] = time.Duration(m.Age)*time.Millisecond > c.d.bound(timing.SessionTimeout)/2
 	}
-	c.steady.ObserveMembers(adapters.Members, c.d.now)
+	c.holdDown.ObserveMembers(adapters.Members, c.d.now)
 	compiled := c.configs.Current()
 	revision := func(key string) (int64, bool) {
-		standing, isStanding := c.view.Get(1, key)
-		if !isStanding {
-			return 0, standing.Revision > 0
+		current, exists := c.view.Get(1, key)
+		if !exists {
+			return 0, current.Revision > 0
 		}
-		return standing.Revision, true
+		return current.Revision, true
 	}
-	for _, pool := range namesIn(compiled.Rules.Pools) {
+	for _, pool := range sortedKeys(compiled.Rules.Pools) {
 		changes := duty.Plan(pool, compiled, adapters, revision)
-		for _, change := range c.steady.Filter(changes, c.d.now) {
+		for _, change := range c.holdDown.Filter(changes, c.d.now) {
 			if isNew && !change.IsHolderRestarted {
 				continue
 			}
@@ -129,18 +129,18 @@
 
 // propose has the parts take a change of a duty.
 func (c *deliveryControl) propose(change duty.Change, e wire.Edit) {
-	c.steady.RecordMove(change, c.d.now)
-	c.proposed.Add(change, c.d.now)
-	c.d.post(ctlName, &c.lifecycle, partsName, &e, func(reply any, err error) {
+	c.holdDown.RecordMove(change, c.d.now)
+	c.proposals.Add(change, c.d.now)
+	c.d.sendRequest(controlName, &c.lifecycle, partsName, &e, func(reply any, err error) {
 		if got, isEdited := reply.(*wire.Edited); err == nil && isEdited && got.Kind != "" {
-			c.proposed.Fail(change)
+			c.proposals.Fail(change)
 		}
 	})
 }
 
-// onAsk renews a session and tells the news.
-func (c *deliveryControl) onAsk(ask any, answer func(any)) {
-	poll, isPoll := ask.(*wire.Poll)
+// handle renews a session and tells the news.
+func (c *deliveryControl) handle(request any, answer func(any)) {
+	poll, isPoll := request.(*wire.Poll)
 	if !isPoll {
 		return
 	}
@@ -151,41 +151,41 @@
 
 // deliveryDoc is what changes in the configuration.
 type deliveryDoc struct {
-	bound       time.Duration // of the pools
-	concurrency int
-	rate        float64 // of the endpoint
-	shared      float64 // rate that the workers share; 0 for none
-	isRepeating bool    // the pools know a run again
-	attempts    int
-	lanes       map[string]bool // further lanes that there are
+	runTimeout      time.Duration // of the pools
+	concurrency     int
+	rate            float64 // of the endpoint
+	sharedRate      float64 // rate that the workers share; 0 for none
+	isDeduplicating bool    // the pools know a run again
+	maxAttempts     int
+	extraLanes      map[string]bool // further lanes that there are
 }
 
-func usualDoc() deliveryDoc {
-	return deliveryDoc{bound: time.Second, concurrency: 2, rate: 40, isRepeating: true, attempts: 5, lanes: map[string]bool{}}
+func defaultDeliveryConfig() deliveryDoc {
+	return deliveryDoc{runTimeout: time.Second, concurrency: 2, rate: 40, isDeduplicating: true, maxAttempts: 5, extraLanes: map[string]bool{}}
 }
 
 // Lanes of the simulated deliveries, but for those that come and go.
 const (
-	laneFree    = "free"
-	laneOrdered = "seq"
-	laneOut     = "out"
+	laneUnordered = "free"
+	laneOrdered   = "seq"
+	laneEndpoint  = "out"
 )
 
-// further are the lanes that come and go.
-var further = []string{"extra1", "extra2", "extra3"}
+// extraLaneNames are the lanes that come and go.
+var extraLaneNames = []string{"extra1", "extra2", "extra3"}
 
 func (c deliveryDoc) encode() []byte {
 	lane := func(name, pool, more string) string {
 		return fmt.Sprintf(`%q:{"pools":[%q],"patience":"90s","retention":"1h","attempts":%d,"spends":"failures","witness":false,
-			"rerun":true,"backoff":"100ms","backoff_most":"1s","prompt":"1s","notify":true%s}`, name, pool, c.attempts, more)
+			"rerun":true,"backoff":"100ms","backoff_most":"1s","prompt":"1s","notify":true%s}`, name, pool, c.maxAttempts, more)
 	}
-	lanes := []string{lane(laneFree, "work", ""), lane(laneOrdered, "work", `,"ordering":"key"`), lane(laneOut, "far", "")}
-	for _, name := range further {
-		if c.lanes[name] {
+	lanes := []string{lane(laneUnordered, "work", ""), lane(laneOrdered, "work", `,"ordering":"key"`), lane(laneEndpoint, "far", "")}
+	for _, name := range extraLaneNames {
+		if c.extraLanes[name] {
 			lanes = append(lanes, lane(name, "work", ""))
 		}
 	}
 	return fmt.Appendf(nil, `{"pools":{"work":{"bound":"%v","concurrency":%d,"rate":%g,"ease":"0s","rest":"1s","repeats":%t},
 		"far":{"kind":"endpoint","address":"10.9.9.9:80","bound":"%v","concurrency":4,"rate":%g,"ease":"0s","rest":"1s","repeats":%t}},
-		"lanes":{%s}}`, c.bound, c.concurrency, c.shared, c.isRepeating, c.bound, c.rate, c.isRepeating, strings.Join(lanes, ","))
+		"lanes":{%s}}`, c.runTimeout, c.concurrency, c.sharedRate, c.isDeduplicating, c.runTimeout, c.rate, c.isDeduplicating, strings.Join(lanes, ","))
 }
--- a/internal/sim/deliverydaemon.go
+++ b/internal/sim/deliverydaemon.go
@@ -19,62 +19,62 @@
 // deliveryDaemon is what stores and adapters have in common: a view, a membership, a session.
 type deliveryDaemon struct {
 	lifecycle
-	d       *Deliveries
-	kind    string
-	name    string
-	zone    string
-	addr    string
-	born    time.Duration
-	daemon  *daemon.Daemon
-	configs *config.Cache
-	asking  bool
-	askedAt time.Duration
+	d         *Deliveries
+	kind      string
+	name      string
+	zone      string
+	addr      string
+	startedAt time.Duration
+	daemon    *daemon.Daemon
+	configs   *config.Cache
+	isPolling bool
+	polledAt  time.Duration
 }
 
-func (p *deliveryDaemon) address() string   { return p.addr }
-func (p *deliveryDaemon) cycle() *lifecycle { return &p.lifecycle }
+func (p *deliveryDaemon) address() string            { return p.addr }
+func (p *deliveryDaemon) lifecycleState() *lifecycle { return &p.lifecycle }
 
 // now is the daemon's own clock, which begins with its life.
-func (p *deliveryDaemon) now() time.Duration { return p.d.now - p.born }
+func (p *deliveryDaemon) now() time.Duration { return p.d.now - p.startedAt }
 
-// begin starts a new life, whose news come through.
-func (p *deliveryDaemon) begin(through func() string, say func(*wire.Poll)) {
-	p.isUp, p.life, p.frozen, p.born, p.asking = true, p.life+1, 0, p.d.now, false
+// startOperations starts a new life, whose news come through.
+func (p *deliveryDaemon) begin(pollAddr func() string, fillPoll func(*wire.Poll)) {
+	p.isUp, p.generation, p.frozenUntil, p.startedAt, p.isPolling = true, p.generation+1, 0, p.d.now, false
 	p.daemon = &daemon.Daemon{Kind: p.kind, Bounds: timing.Default, Clock: p.now, View: feed.NewView(controlParts),
-		Membership: session.NewMembership(), Who: whoIs(p.kind, p.name, p.zone, fmt.Sprintf("%s.%d", p.name, p.life), p.addr),
-		Settings: settings.Settings{MaxInFlight: 500, Seeds: []string{through()}}}
+		Membership: session.NewMembership(), Who: newWho(p.kind, p.name, p.zone, fmt.Sprintf("%s.%d", p.name, p.generation), p.addr),
+		Settings: settings.Settings{MaxInFlight: 500, Seeds: []string{pollAddr()}}}
 	p.configs = &config.Cache{View: p.daemon.View}
-	p.d.Note("start %s", p.daemon.Who.Boot)
-	p.poll(through, say)
+	p.d.Tracef("start %s", p.daemon.Who.Boot)
+	p.poll(pollAddr, fillPoll)
 }
 
 // poll renews the session and takes news in, again and again.
-func (p *deliveryDaemon) poll(through func() string, say func(*wire.Poll)) {
-	life := p.life
-	var turn func()
-	turn = func() {
-		if !p.isUp || p.life != life {
+func (p *deliveryDaemon) poll(pollAddr func() string, fillPoll func(*wire.Poll)) {
+	generation := p.generation
+	var tick func()
+	tick = func() {
+		if !p.isUp || p.generation != generation {
 			return
 		}
-		if p.d.now >= p.frozen {
-			p.pollOnce(through(), say)
+		if p.d.now >= p.frozenUntil {
+			p.pollOnce(pollAddr(), fillPoll)
 		}
-		p.d.After(session.PollInterval(p.daemon.View, p.now(), timing.Default), turn)
+		p.d.After(session.PollInterval(p.daemon.View, p.now(), timing.Default), tick)
 	}
-	turn()
+	tick()
 }
 
-func (p *deliveryDaemon) pollOnce(addr string, say func(*wire.Poll)) {
-	if p.asking && p.now()-p.askedAt < p.d.bound(timing.AnswerTimeout) {
+func (p *deliveryDaemon) pollOnce(addr string, fillPoll func(*wire.Poll)) {
+	if p.isPolling && p.now()-p.polledAt < p.d.bound(timing.AnswerTimeout) {
 		return
 	}
-	p.asking, p.askedAt = true, p.now()
+	p.isPolling, p.polledAt = true, p.now()
 	poll := p.daemon.NewPoll()
 	poll.Revisions, poll.MembershipHash = p.daemon.View.Revisions(), p.daemon.Membership.Hash()
-	say(&poll)
-	asked := p.askedAt
-	p.d.post(p.addr, &p.lifecycle, addr, &poll, func(reply any, err error) {
-		p.asking = false
+	fillPoll(&poll)
+	asked := p.polledAt
+	p.d.sendRequest(p.addr, &p.lifecycle, addr, &poll, func(reply any, err error) {
+		p.isPolling = false
 		if news, isNews := reply.(*wire.News); err == nil && isNews {
 			if news.MembershipHash != poll.MembershipHash {
 				p.daemon.Membership.Update(news.MembershipHash, news.Members)
@@ -87,23 +87,23 @@
 // end ends the life; whoever is spoken to notices.
 func (p *deliveryDaemon) end() {
 	if p.isUp {
-		p.isUp, p.life = false, p.life+1
-		p.d.Note("end %s", p.name)
-		p.d.reset(p.addr)
+		p.isUp, p.generation = false, p.generation+1
+		p.d.Tracef("end %s", p.name)
+		p.d.resetConnections(p.addr)
 	}
 }
 
 // freeze has the daemon stand still for up to some seconds.
 func (p *deliveryDaemon) freeze() {
-	p.frozen = p.d.now + time.Duration(p.d.Rand.IntN(5000))*time.Millisecond
-	p.d.Note("freeze %s until %v", p.name, p.frozen)
+	p.frozenUntil = p.d.now + time.Duration(p.d.Rand.IntN(5000))*time.Millisecond
+	p.d.Tracef("freeze %s until %v", p.name, p.frozenUntil)
 }
 
-// namesIn returns the keys of a map in order: a seed must replay exactly.
-func namesIn[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of a map in order: a seed must replay exactly.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// ends splits the name of a link.
-func ends(name string) (from, to string) {
+// splitLinkName splits the name of a link.
+func splitLinkName(name string) (from, to string) {
 	from, to, _ = strings.Cut(name, ">")
 	return from, to
 }
--- a/internal/sim/deliverydelays_test.go
+++ b/internal/sim/deliverydelays_test.go
@@ -15,9 +15,9 @@
 // loseAllStores has all stores be without power for a while, from a moment on.
 func (d *Deliveries) loseAllStores(at, span time.Duration) {
 	d.Run(at)
-	each(d.stores, func(s *deliveryStore) { s.kill(true) })
+	forEach(d.stores, func(s *deliveryStore) { s.kill(true) })
 	d.Run(at + span)
-	each(d.stores, (*deliveryStore).start)
+	forEach(d.stores, (*deliveryStore).start)
 }
 
 // TestDelaysThroughLossesOfAllStores: a message with a delay once lay, with all well and room for it, for as long as
@@ -28,39 +28,39 @@
 		d.Run(3 * time.Second)
 		const delay = 60 * time.Second
 		sent := d.now
-		ids := []string{d.callLater(laneFree, delay), d.callLater(laneFree, delay), d.callLater(laneOut, delay)}
+		ids := []string{d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneEndpoint, delay)}
 		d.loseAllStores(13*time.Second, 8*time.Second)
 		d.loseAllStores(30*time.Second, 8*time.Second)
 		d.loseAllStores(47*time.Second, 6*time.Second)
 		d.Run(sent + delay + 40*time.Second)
 		for _, id := range ids {
-			at, isBegun := d.begun(id)
+			at, isBegun := d.firstStart(id)
 			Printf("%s: %v ", id, at-sent)
 			So(isBegun, ShouldBeTrue)
-			So(at-sent, ShouldBeBetween, delay, delay+mostLate)
+			So(at-sent, ShouldBeBetween, delay, delay+maxLateness)
 		}
 	})
 }
 
-// delaysAround takes messages with delays of a minute, has all stores be without power three times meanwhile, for the
+// checkDelaysAcrossLosses takes messages with delays of a minute, has all stores be without power three times meanwhile, for the
 // first time from at to back, and checks that each begins in time. During a loss it does what hurt says.
-func delaysAround(seed uint64, hurt func(d *Deliveries, back time.Duration)) {
+func checkDelaysAcrossLosses(seed uint64, injectFault func(d *Deliveries, back time.Duration)) {
 	d := NewDeliveries(NewWorld(seed))
 	d.Run(3 * time.Second)
 	const delay = 60 * time.Second
 	sent := d.now
-	ids := []string{d.callLater(laneFree, delay), d.callLater(laneFree, delay), d.callLater(laneOut, delay), d.callLater(laneOut, delay)}
+	ids := []string{d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneEndpoint, delay), d.sendDelayed(laneEndpoint, delay)}
 	for _, at := range []time.Duration{13 * time.Second, 29 * time.Second, 45 * time.Second} {
 		const outage = 6 * time.Second
-		d.After(at-d.now, func() { hurt(d, at+outage) })
+		d.After(at-d.now, func() { injectFault(d, at+outage) })
 		d.loseAllStores(at, outage)
 	}
 	d.Run(sent + delay + 40*time.Second)
 	for _, id := range ids {
-		at, isBegun := d.begun(id)
+		at, isBegun := d.firstStart(id)
 		Printf("%s: %v ", id, at-sent)
 		So(isBegun, ShouldBeTrue)
-		So(at-sent, ShouldBeBetween, delay, delay+mostLate)
+		So(at-sent, ShouldBeBetween, delay, delay+maxLateness)
 	}
 }
 
@@ -68,7 +68,7 @@
 // managers came back seconds after the stores: an owner gave up asking for its place's time before it knew of an adapter.
 func TestDelaysThroughStaleViews(t *testing.T) {
 	Convey("A message begins in time though its place's owners have no fresh view for seconds after each loss", t, func() {
-		delaysAround(43, func(d *Deliveries, back time.Duration) { d.control.frozen = back + 4500*time.Millisecond })
+		checkDelaysAcrossLosses(43, func(d *Deliveries, back time.Duration) { d.control.frozenUntil = back + 4500*time.Millisecond })
 	})
 }
 
@@ -77,26 +77,26 @@
 func TestDelaysThroughFrozenAdapters(t *testing.T) {
 	for _, after := range []time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 4 * time.Second} {
 		Convey(fmt.Sprintf("A message begins in time though all adapters stand still until %v after each loss", after), t, func() {
-			delaysAround(44, func(d *Deliveries, back time.Duration) {
+			checkDelaysAcrossLosses(44, func(d *Deliveries, back time.Duration) {
 				d.After(back-200*time.Millisecond-d.now, func() {
-					each(d.adapters, func(a *deliveryAdapter) { a.frozen = back + after })
+					forEach(d.adapters, func(a *deliveryAdapter) { a.frozenUntil = back + after })
 				})
 			})
 		})
 	}
 }
 
-// parted has the stores be cut off from each other for a while, so that none is elected.
-func (d *Deliveries) parted(span time.Duration) {
+// partitionStores has the stores be cut off from each other for a while, so that none is elected.
+func (d *Deliveries) partitionStores(span time.Duration) {
 	for _, s := range d.stores {
 		for _, other := range d.stores {
 			if s != other {
-				d.Cut(s.addr, other.addr)
+				d.CutLink(s.addr, other.addr)
 			}
 		}
 	}
 	d.Run(d.now + span)
-	d.Heal()
+	d.HealLinks()
 }
 
 // TestDelaysThroughLossesOfEverything: where the adapters were lost with the stores, so that nobody knew a place's time, a delay
@@ -107,20 +107,20 @@
 		d.Run(3 * time.Second)
 		const delay, outage = 60 * time.Second, 400 * time.Millisecond
 		sent := d.now
-		ids := []string{d.callLater(laneFree, delay), d.callLater(laneFree, delay), d.callLater(laneOut, delay), d.callLater(laneOut, delay)}
+		ids := []string{d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneUnordered, delay), d.sendDelayed(laneEndpoint, delay), d.sendDelayed(laneEndpoint, delay)}
 		losses := []time.Duration{13 * time.Second, 23 * time.Second, 33 * time.Second, 43 * time.Second, 53 * time.Second}
 		for _, at := range losses {
 			d.Run(at)
-			each(d.adapters, (*deliveryAdapter).kill)
+			forEach(d.adapters, (*deliveryAdapter).kill)
 			d.loseAllStores(at, outage)
-			each(d.adapters, (*deliveryAdapter).start)
-			d.parted(2 * time.Second)
+			forEach(d.adapters, (*deliveryAdapter).start)
+			d.partitionStores(2 * time.Second)
 		}
 		d.Run(sent + delay + 40*time.Second)
 		const marking = 100 * time.Millisecond // for a mark to be synced by a majority
-		most := time.Duration(len(losses))*(outage+timing.Default.Of(timing.TimeCommitInterval)+marking) + mostLate
+		most := time.Duration(len(losses))*(outage+timing.Default.Of(timing.TimeCommitInterval)+marking) + maxLateness
 		for _, id := range ids {
-			at, isBegun := d.begun(id)
+			at, isBegun := d.firstStart(id)
 			Printf("%s: %v of %v ", id, at-sent-delay, most)
 			So(isBegun, ShouldBeTrue)
 			So(at-sent-delay, ShouldBeBetween, 0, most)
@@ -134,14 +134,14 @@
 		d        *Deliveries
 		breaches []check.Breach
 	}
-	runs := atOnce(DelayFaults, func(hurt func(*Deliveries)) result {
+	runs := runParallel(DelayFaults, func(hurt func(*Deliveries)) result {
 		d, breaches := RunDelays(1, hurt)
 		return result{d, breaches}
 	})
 	Convey("A message begins when its delay is over", t, func() {
 		for name, r := range runs {
 			Convey("under "+name, func() {
-				show(name, r.breaches, r.d.Trace)
+				printTrace(name, r.breaches, r.d.Trace)
 				So(r.breaches, ShouldBeEmpty)
 				So(len(r.d.runs), ShouldBeGreaterThan, 20)
 			})
@@ -153,8 +153,8 @@
 // lost, is behind; the next owner goes on from its word where no other answers that was told in time.
 func TestDelaysAfterLateWord(t *testing.T) {
 	Convey("A message begins in time though one adapter was told late, and others stand still as the next owner asks", t, func() {
-		d, breaches := RunDelays(1818, mixed(DelayFaults)...)
-		show("seed 1818", breaches, d.Trace)
+		d, breaches := RunDelays(1818, selectFaults(DelayFaults)...)
+		printTrace("seed 1818", breaches, d.Trace)
 		So(breaches, ShouldBeEmpty)
 	})
 }
--- a/internal/sim/deliveryfaults.go
+++ b/internal/sim/deliveryfaults.go
@@ -11,66 +11,66 @@
 // DeliveryFaults are the ways that a message's way is hurt.
 var DeliveryFaults = map[string]func(d *Deliveries){
 	"nothing":              func(*Deliveries) {},
-	"killed stores":        func(d *Deliveries) { d.store().kill(false) },
-	"frozen stores":        func(d *Deliveries) { d.store().freeze() },
-	"power loss of stores": func(d *Deliveries) { each(d.stores, func(s *deliveryStore) { s.kill(true) }) },
-	"full disks":           func(d *Deliveries) { d.store().full = d.now + d.seconds(3) },
+	"killed stores":        func(d *Deliveries) { d.pickStore().kill(false) },
+	"frozen stores":        func(d *Deliveries) { d.pickStore().freeze() },
+	"power loss of stores": func(d *Deliveries) { forEach(d.stores, func(s *deliveryStore) { s.kill(true) }) },
+	"full disks":           func(d *Deliveries) { d.pickStore().diskFullUntil = d.now + d.randomSeconds(3) },
 	"handed over": func(d *Deliveries) {
-		if s := d.store(); s.isUp && d.now >= s.frozen {
+		if s := d.pickStore(); s.isUp && d.now >= s.frozenUntil {
 			for _, h := range s.hosts {
 				h.TransferOwnership(func(string) bool { return false })
 			}
 			s.pump()
 		}
 	},
-	"killed adapters":  func(d *Deliveries) { d.adapter().kill() },
-	"stopped adapters": func(d *Deliveries) { d.adapter().stop() },
-	"moved adapters":   func(d *Deliveries) { d.adapter().move() },
-	"frozen adapters":  func(d *Deliveries) { d.adapter().freeze() },
+	"killed adapters":  func(d *Deliveries) { d.pickAdapter().kill() },
+	"stopped adapters": func(d *Deliveries) { d.pickAdapter().stop() },
+	"moved adapters":   func(d *Deliveries) { d.pickAdapter().move() },
+	"frozen adapters":  func(d *Deliveries) { d.pickAdapter().freeze() },
 	"quick restarts": func(d *Deliveries) {
-		a := d.adapter()
+		a := d.pickAdapter()
 		a.kill()
 		d.After(40*time.Millisecond, a.start)
 	},
 	"lost for good": func(d *Deliveries) {
-		if a := d.adapters[0]; !a.isGone {
-			a.isGone = true
+		if a := d.adapters[0]; !a.isRemoved {
+			a.isRemoved = true
 			a.kill()
 		}
 	},
 	"holders lost for good": func(d *Deliveries) { // whoever serves the endpoint, while two are left
-		if a := d.holderOf(); a != nil && d.count(func(a *deliveryAdapter) bool { return !a.isGone }) > 2 {
-			a.isGone = true
+		if a := d.endpointHolder(); a != nil && d.countAdapters(func(a *deliveryAdapter) bool { return !a.isRemoved }) > 2 {
+			a.isRemoved = true
 			a.kill()
 		}
 	},
-	"agents gone":    func(d *Deliveries) { d.adapter().agent.end() },
-	"frozen agents":  func(d *Deliveries) { d.adapter().agent.freeze() },
-	"frozen control": func(d *Deliveries) { d.control.frozen = d.now + d.seconds(4) },
-	"frozen parts":   func(d *Deliveries) { d.parts.frozen = d.now + d.seconds(4) },
+	"agents gone":    func(d *Deliveries) { d.pickAdapter().agent.end() },
+	"frozen agents":  func(d *Deliveries) { d.pickAdapter().agent.freeze() },
+	"frozen control": func(d *Deliveries) { d.control.frozenUntil = d.now + d.randomSeconds(4) },
+	"frozen parts":   func(d *Deliveries) { d.parts.frozenUntil = d.now + d.randomSeconds(4) },
 	"manager cut from the parts": func(d *Deliveries) { // for longer than a view stays fresh, now and then
-		d.Cut(ctlName, partsName)
+		d.CutLink(controlName, partsName)
 		if d.Rand.IntN(2) == 0 {
-			d.Cut(partsName, ctlName)
+			d.CutLink(partsName, controlName)
 		}
-		d.After(d.seconds(5), d.Heal)
+		d.After(d.randomSeconds(5), d.HealLinks)
 	},
 	"crashed workers": func(d *Deliveries) {
-		if w := d.worker(); w.isUp {
+		if w := d.pickWorker(); w.isUp {
 			w.crash()
-			d.After(d.seconds(3), func() { w.isListed = false })
-			d.After(d.seconds(4), func() { d.addWorker(w.zone) })
+			d.After(d.randomSeconds(3), func() { w.isListed = false })
+			d.After(d.randomSeconds(4), func() { d.addWorker(w.zone) })
 		}
 	},
 	"address taken": func(d *Deliveries) { // another life at the place of one that has gone
-		if w := d.worker(); w.isUp {
+		if w := d.pickWorker(); w.isUp {
 			w.crash()
 			w.isListed = false
 			d.addWorker(w.zone).address = w.address
 		}
 	},
 	"leaving workers": func(d *Deliveries) {
-		w := d.worker()
+		w := d.pickWorker()
 		w.isLeaving = true
 		d.addWorker(w.zone)
 		d.After(4*time.Second, func() {
@@ -80,68 +80,70 @@
 			w.isListed = false
 		})
 	},
-	"silent workers": func(d *Deliveries) { d.hurt(d.worker(), (*deliveryWorker).silence) },
+	"silent workers": func(d *Deliveries) { d.setFault(d.pickWorker(), (*deliveryWorker).setSilent) },
 	"vanished workers": func(d *Deliveries) {
-		d.hurt(d.worker(), func(w *deliveryWorker, is bool) { w.isAway = is })
+		d.setFault(d.pickWorker(), func(w *deliveryWorker, is bool) { w.isUnreachable = is })
+	},
+	"slow workers":    func(d *Deliveries) { d.setFault(d.pickWorker(), func(w *deliveryWorker, is bool) { w.isSlow = is }) },
+	"full workers":    func(d *Deliveries) { d.setFault(d.pickWorker(), func(w *deliveryWorker, is bool) { w.isFull = is }) },
+	"failing workers": func(d *Deliveries) { d.setFault(d.pickWorker(), func(w *deliveryWorker, is bool) { w.isFailing = is }) },
+	"lost answers": func(d *Deliveries) {
+		d.setFault(d.pickWorker(), func(w *deliveryWorker, is bool) { w.isLosingReplies = is })
 	},
-	"slow workers":    func(d *Deliveries) { d.hurt(d.worker(), func(w *deliveryWorker, is bool) { w.isSlow = is }) },
-	"full workers":    func(d *Deliveries) { d.hurt(d.worker(), func(w *deliveryWorker, is bool) { w.isFull = is }) },
-	"failing workers": func(d *Deliveries) { d.hurt(d.worker(), func(w *deliveryWorker, is bool) { w.isFailed = is }) },
-	"lost answers":    func(d *Deliveries) { d.hurt(d.worker(), func(w *deliveryWorker, is bool) { w.isMute = is }) },
 	"all workers away": func(d *Deliveries) {
 		for _, w := range d.workers {
-			d.hurt(w, func(w *deliveryWorker, is bool) { w.isAway = is })
+			d.setFault(w, func(w *deliveryWorker, is bool) { w.isUnreachable = is })
 		}
 	},
 	"changed bounds": func(d *Deliveries) {
 		d.configure(func(c *deliveryDoc) {
-			c.bound = []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second}[d.Rand.IntN(3)]
+			c.runTimeout = []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second}[d.Rand.IntN(3)]
 		})
 	},
 	"changed pools": func(d *Deliveries) {
 		d.configure(func(c *deliveryDoc) { c.concurrency, c.rate = 1+d.Rand.IntN(4), []float64{2, 20, 40}[d.Rand.IntN(3)] })
 	},
-	"changed attempts": func(d *Deliveries) { d.configure(func(c *deliveryDoc) { c.attempts = 1 + d.Rand.IntN(5) }) },
+	"changed attempts": func(d *Deliveries) { d.configure(func(c *deliveryDoc) { c.maxAttempts = 1 + d.Rand.IntN(5) }) },
 	"lanes come and go": func(d *Deliveries) {
 		d.configure(func(c *deliveryDoc) {
-			name := further[d.Rand.IntN(len(further))]
-			c.lanes[name] = !c.lanes[name]
+			name := extraLaneNames[d.Rand.IntN(len(extraLaneNames))]
+			c.extraLanes[name] = !c.extraLanes[name]
 		})
 	},
 	"emptied zones": func(d *Deliveries) {
 		key := config.ZoneKey + zoneOf(d.Rand.IntN(3))
 		d.parts.write(feed.ConfigPart, wire.Edit{Key: key, Value: config.DrainOrder{Only: config.OnlyWorkers}.Encode(), IfRevision: -1})
-		d.After(d.seconds(6), func() { d.restore(key) })
+		d.After(d.randomSeconds(6), func() { d.restoreZone(key) })
 	},
-	"stuck messages": func(d *Deliveries) { d.Stuck = 40; d.After(2*time.Second, func() { d.Stuck = 0 }) },
-	"lost messages":  func(d *Deliveries) { d.Loss = 100; d.After(2*time.Second, func() { d.Loss = 0 }) },
+	"stuck messages": func(d *Deliveries) { d.StuckMessages = 40; d.After(2*time.Second, func() { d.StuckMessages = 0 }) },
+	"lost messages":  func(d *Deliveries) { d.LostMessages = 100; d.After(2*time.Second, func() { d.LostMessages = 0 }) },
 	"slow links": func(d *Deliveries) {
-		d.Slow = 200 * time.Millisecond
-		d.After(2*time.Second, func() { d.Slow = 5 * time.Millisecond })
+		d.MaxDelay = 200 * time.Millisecond
+		d.After(2*time.Second, func() { d.MaxDelay = 5 * time.Millisecond })
 	},
-	"adapters cut off": func(d *Deliveries) { d.cutOff(d.adapter().addr, true) },
-	"one-way cuts":     func(d *Deliveries) { d.cutOff(d.adapter().addr, false) },
-	"stores cut off":   func(d *Deliveries) { d.cutOff(d.store().addr, true) },
+	"adapters cut off": func(d *Deliveries) { d.isolate(d.pickAdapter().addr, true) },
+	"one-way cuts":     func(d *Deliveries) { d.isolate(d.pickAdapter().addr, false) },
+	"stores cut off":   func(d *Deliveries) { d.isolate(d.pickStore().addr, true) },
 	"adapters cut from stores": func(d *Deliveries) { // its session stands all the same
-		a, s := d.adapter(), d.store()
-		d.Cut(a.addr, s.addr)
-		d.Cut(s.addr, a.addr)
-		d.After(d.seconds(6), d.Heal)
+		a, s := d.pickAdapter(), d.pickStore()
+		d.CutLink(a.addr, s.addr)
+		d.CutLink(s.addr, a.addr)
+		d.After(d.randomSeconds(6), d.HealLinks)
 	},
 	"deaf receiver": func(d *Deliveries) {
-		d.receiver.isDeaf = true
-		d.After(d.seconds(3), func() { d.receiver.isDeaf = false })
+		d.receiver.isUnresponsive = true
+		d.After(d.randomSeconds(3), func() { d.receiver.isUnresponsive = false })
 	},
 }
 
-func each[T any](list []T, work func(T)) {
+func forEach[T any](list []T, work func(T)) {
 	for _, one := range list {
 		work(one)
 	}
 }
 
-// holderOf returns the adapter that holds the endpoint's duty and is up, as the manager sees it; nil for none.
-func (d *Deliveries) holderOf() *deliveryAdapter {
+// endpointHolder returns the adapter that holds the endpoint's duty and is up, as the manager sees it; nil for none.
+func (d *Deliveries) endpointHolder() *deliveryAdapter {
 	held, _ := d.control.configs.Current().Duties["far"].Get(config.EndpointWorker)
 	for _, a := range d.adapters {
 		if a.isUp && a.name == held.Holder && a.daemon.Who.Boot == held.Boot {
@@ -152,7 +154,7 @@
 }
 
 // count returns how many adapters are so.
-func (d *Deliveries) count(is func(*deliveryAdapter) bool) (n int) {
+func (d *Deliveries) countAdapters(is func(*deliveryAdapter) bool) (n int) {
 	for _, a := range d.adapters {
 		if is(a) {
 			n++
@@ -161,80 +163,80 @@
 	return n
 }
 
-func (d *Deliveries) store() *deliveryStore     { return d.stores[d.Rand.IntN(len(d.stores))] }
-func (d *Deliveries) adapter() *deliveryAdapter { return d.adapters[d.Rand.IntN(len(d.adapters))] }
-func (d *Deliveries) seconds(most int) time.Duration {
-	return time.Duration(300+d.Rand.IntN(1000*most)) * time.Millisecond
+func (d *Deliveries) pickStore() *deliveryStore     { return d.stores[d.Rand.IntN(len(d.stores))] }
+func (d *Deliveries) pickAdapter() *deliveryAdapter { return d.adapters[d.Rand.IntN(len(d.adapters))] }
+func (d *Deliveries) randomSeconds(limit int) time.Duration {
+	return time.Duration(300+d.Rand.IntN(1000*limit)) * time.Millisecond
 }
 
-// worker draws one that is listed and up, or the endpoint.
-func (d *Deliveries) worker() *deliveryWorker {
-	here := []*deliveryWorker{}
+// pickWorker draws one that is listed and up, or the endpoint.
+func (d *Deliveries) pickWorker() *deliveryWorker {
+	available := []*deliveryWorker{}
 	for _, w := range d.workers {
 		if w.isListed && w.isUp && !w.isLeaving && w.pool == "work" {
-			here = append(here, w)
+			available = append(available, w)
 		}
 	}
-	if len(here) == 0 {
+	if len(available) == 0 {
 		return d.addWorker(zoneOf(d.Rand.IntN(3)))
 	}
-	return here[d.Rand.IntN(len(here))]
+	return available[d.Rand.IntN(len(available))]
 }
 
 // hurt has something be so for a while, of a worker or now and then of the endpoint.
-func (d *Deliveries) hurt(w *deliveryWorker, set func(w *deliveryWorker, is bool)) {
+func (d *Deliveries) setFault(w *deliveryWorker, set func(w *deliveryWorker, is bool)) {
 	if d.Rand.IntN(4) == 0 {
 		w = d.workers[deliveryWorkers]
 	}
 	set(w, true)
-	d.After(d.seconds(4), func() { set(w, false) })
+	d.After(d.randomSeconds(4), func() { set(w, false) })
 }
 
 func (d *Deliveries) configure(change func(*deliveryDoc)) {
-	change(&d.control.doc)
-	d.control.configure()
+	change(&d.control.settings)
+	d.control.writeConfig()
 }
 
-// restore takes an order about a zone back.
-func (d *Deliveries) restore(key string) {
+// restoreZone takes an order about a zone back.
+func (d *Deliveries) restoreZone(key string) {
 	if _, isStanding := d.parts.parts[feed.ConfigPart].Get(key); isStanding {
 		d.parts.write(feed.ConfigPart, wire.Edit{Key: key, Gone: true, IfRevision: -1})
 	}
 }
 
-func (d *Deliveries) cutOff(name string, isBothWays bool) {
-	others := []string{ctlName, callerName}
-	each(d.stores, func(s *deliveryStore) { others = append(others, s.addr) })
-	each(d.adapters, func(a *deliveryAdapter) { others = append(others, a.addr, a.agent.addr) })
+func (d *Deliveries) isolate(name string, isBothWays bool) {
+	others := []string{controlName, callerName}
+	forEach(d.stores, func(s *deliveryStore) { others = append(others, s.addr) })
+	forEach(d.adapters, func(a *deliveryAdapter) { others = append(others, a.addr, a.agent.addr) })
 	for _, other := range others {
 		if other != name {
-			d.Cut(name, other)
+			d.CutLink(name, other)
 			if isBothWays {
-				d.Cut(other, name)
+				d.CutLink(other, name)
 			}
 		}
 	}
-	d.After(d.seconds(6), d.Heal)
+	d.After(d.randomSeconds(6), d.HealLinks)
 }
 
 // heal ends all faults, and has everything be up and well.
 func (d *Deliveries) heal() {
-	d.Calm()
-	d.control.frozen, d.parts.frozen, d.receiver.isDeaf = 0, 0, false
+	d.EndFaults()
+	d.control.frozenUntil, d.parts.frozenUntil, d.receiver.isUnresponsive = 0, 0, false
 	for i := range 3 {
-		d.restore(config.ZoneKey + zoneOf(i))
+		d.restoreZone(config.ZoneKey + zoneOf(i))
 	}
 	for _, s := range d.stores {
-		s.frozen, s.full = 0, 0
+		s.frozenUntil, s.diskFullUntil = 0, 0
 		s.start()
 	}
 	for _, a := range d.adapters {
-		a.frozen, a.agent.frozen = 0, 0
+		a.frozenUntil, a.agent.frozenUntil = 0, 0
 		a.start()
 	}
 	for _, w := range d.workers {
-		w.speak()
-		w.isAway, w.isSlow, w.isFull, w.isFailed, w.isMute = false, false, false, false, false
+		w.endSilence()
+		w.isUnreachable, w.isSlow, w.isFull, w.isFailing, w.isLosingReplies = false, false, false, false, false
 	}
-	d.configure(func(c *deliveryDoc) { c.rate, c.bound, c.concurrency = 40, time.Second, 2 })
+	d.configure(func(c *deliveryDoc) { c.rate, c.runTimeout, c.concurrency = 40, time.Second, 2 })
 }
--- a/internal/sim/deliveryparts.go
+++ b/internal/sim/deliveryparts.go
@@ -21,10 +21,10 @@
 	return &deliveryParts{lifecycle: lifecycle{isUp: true}, d: d, parts: []*feed.Part{feed.NewPart(), feed.NewPart()}}
 }
 
-func (p *deliveryParts) address() string   { return partsName }
-func (p *deliveryParts) cycle() *lifecycle { return &p.lifecycle }
+func (p *deliveryParts) address() string            { return partsName }
+func (p *deliveryParts) lifecycleState() *lifecycle { return &p.lifecycle }
 
-// write applies an edit of an operator, which does not get lost here.
+// writeToPlaces applies an edit of an operator, which does not get lost here.
 func (p *deliveryParts) write(part int64, e wire.Edit) {
 	e.Part = part
 	p.apply(e)
@@ -37,9 +37,9 @@
 	return p.parts[e.Part].Apply(e)
 }
 
-// onAsk tells the manager what it misses, and takes its edits.
-func (p *deliveryParts) onAsk(ask any, answer func(any)) {
-	switch a := ask.(type) {
+// handle tells the manager what it misses, and takes its edits.
+func (p *deliveryParts) handle(request any, answer func(any)) {
+	switch a := request.(type) {
 	case *wire.Follow:
 		answer(&wire.Followed{Parts: p.news(a.Revisions)})
 	case *wire.Edit:
--- a/internal/sim/deliverystops_test.go
+++ b/internal/sim/deliverystops_test.go
@@ -20,7 +20,7 @@
 		breaches, trace []string
 		runs            int
 	}
-	runs := atOnce(seeds, func(seed uint64) result {
+	runs := runParallel(seeds, func(seed uint64) result {
 		d, breaches := RunStops(seed)
 		out := result{trace: d.Trace, runs: len(d.runs)}
 		for _, b := range breaches {
--- a/internal/sim/deliverystore.go
+++ b/internal/sim/deliverystore.go
@@ -17,12 +17,12 @@
 // deliveryStore is a store with its places and its dispatcher.
 type deliveryStore struct {
 	deliveryDaemon
-	disks    []*Disk
-	hosts    []*host.Host
-	places   []*store.PlaceHost
-	dispatch *store.Dispatcher
-	isNudged bool
-	full     time.Duration // its disk is full until then
+	disks         []*Disk
+	hosts         []*host.Host
+	places        []*store.PlaceHost
+	dispatcher    *store.Dispatcher
+	isWakePending bool
+	diskFullUntil time.Duration // its disk is full until then
 }
 
 func newDeliveryStore(d *Deliveries, name, zone string) *deliveryStore {
@@ -37,12 +37,12 @@
 	if s.isUp {
 		return
 	}
-	s.begin(func() string { return ctlName }, s.say)
-	s.hosts, s.places, s.isNudged = nil, nil, false
+	s.begin(func() string { return controlName }, s.fillPoll)
+	s.hosts, s.places, s.isWakePending = nil, nil, false
 	for number, disk := range s.disks {
 		s.open(number, disk)
 	}
-	s.dispatch = store.NewDispatcher(store.DispatcherOptions{Daemon: s.daemon, Configs: s.configs, Rand: s.d.Rand,
+	s.dispatcher = store.NewDispatcher(store.DispatcherOptions{Daemon: s.daemon, Configs: s.configs, Rand: s.d.Rand,
 		Places: func() []*store.PlaceHost { return s.places },
 		Post:   s.postTo,
 		Start: func(p *store.PlaceHost, lane string, g store.SlotGrant) error {
@@ -51,20 +51,20 @@
 			return err
 		}})
 	s.d.every(&s.lifecycle, s.d.bound(timing.Tick), s.tick)
-	s.d.every(&s.lifecycle, s.d.bound(timing.DispatchInterval), func() { s.dispatch.Dispatch() })
+	s.d.every(&s.lifecycle, s.d.bound(timing.DispatchInterval), func() { s.dispatcher.Dispatch() })
 }
 
 // open starts the replica of a place.
 func (s *deliveryStore) open(number int, disk *Disk) {
-	p := store.NewPlaceHost(&deliveryAround{s, number}, int64(number))
+	p := store.NewPlaceHost(&deliveryEnv{s, number}, int64(number))
 	roster := []string{}
 	for i := range deliveryStores {
 		roster = append(roster, []string{"s1/0", "s2/0", "s3/0"}[i])
 	}
 	h, err := host.New(host.Options{Id: wire.FirstPlaceGroup + int64(number), Self: s.name + "/0", Roster: roster, Bounds: timing.Default,
-		Seed: s.d.Seed + uint64(s.life)*31 + uint64(number), Disk: &deliveryDisk{disk, s}, Held: disk.Held(), Now: s.now,
-		Machine: p, Send: s.sendGroup, OnFailure: func(err error) { panic(err) }, CompactEntries: 300, MaxMessageBytes: 1 << 20, Schedule: s.later,
-		Level: place.NewestLevel, PreferredOwner: func(roster []string) string { return s.prefer(number, roster) }})
+		Seed: s.d.Seed + uint64(s.generation)*31 + uint64(number), Disk: &deliveryDisk{disk, s}, Held: disk.Held(), Now: s.now,
+		Machine: p, Send: s.sendGroupMessage, OnFailure: func(err error) { panic(err) }, CompactEntries: 300, MaxMessageBytes: 1 << 20, Schedule: s.schedule,
+		Level: place.NewestLevel, PreferredOwner: func(roster []string) string { return s.preferredOwner(number, roster) }})
 	if err != nil {
 		panic(err)
 	}
@@ -72,7 +72,7 @@
 	s.hosts, s.places = append(s.hosts, h), append(s.places, p)
 }
 
-func (s *deliveryStore) say(poll *wire.Poll) {
+func (s *deliveryStore) fillPoll(poll *wire.Poll) {
 	if s.daemon.IsDraining() {
 		poll.Fact.Counts[session.DrainingCount] = 1
 	}
@@ -90,21 +90,21 @@
 	s.pump()
 }
 
-// pump does all that waits at the store's groups, unless it is frozen.
+// runPending does all that waits at the store's groups, unless it is frozen.
 func (s *deliveryStore) pump() {
-	if s.isUp && s.d.now >= s.frozen {
+	if s.isUp && s.d.now >= s.frozenUntil {
 		for _, h := range s.hosts {
 			h.RunPending()
 		}
 	}
 }
 
-func (s *deliveryStore) later(span time.Duration, work func()) {
-	life := s.life
-	s.d.After(span, func() { s.d.resume(&s.lifecycle, life, func() { work(); s.pump() }) })
+func (s *deliveryStore) schedule(span time.Duration, work func()) {
+	generation := s.generation
+	s.d.After(span, func() { s.d.runIfAlive(&s.lifecycle, generation, func() { work(); s.pump() }) })
 }
 
-func (s *deliveryStore) sendGroup(m wire.GroupMsg) {
+func (s *deliveryStore) sendGroupMessage(m wire.GroupMsg) {
 	for _, to := range s.d.stores {
 		if to.name == group.Name(m.To) {
 			s.d.Send(s.addr, to.addr, func() {
@@ -118,7 +118,7 @@
 }
 
 func (s *deliveryStore) postTo(who wire.Who, ask any, answer func(any, error)) error {
-	s.d.post(s.addr, &s.lifecycle, who.Addr, ask, func(reply any, err error) {
+	s.d.sendRequest(s.addr, &s.lifecycle, who.Addr, ask, func(reply any, err error) {
 		if answer != nil {
 			answer(reply, err)
 			s.pump()
@@ -135,17 +135,17 @@
 	s.end()
 	for _, disk := range s.disks {
 		if isPowerCut {
-			disk.Cut()
+			disk.CutPower()
 		} else {
 			disk.Flush()
 		}
 	}
 }
 
-// onAsk serves callers and adapters.
-func (s *deliveryStore) onAsk(ask any, answer func(any)) {
+// handle serves callers and adapters.
+func (s *deliveryStore) handle(request any, answer func(any)) {
 	number, serve := int64(0), func(*store.PlaceHost) {}
-	switch m := ask.(type) {
+	switch m := request.(type) {
 	case *wire.Take:
 		number, serve = m.Place, func(p *store.PlaceHost) { p.Take(m, answer) }
 	case *wire.Settle:
@@ -177,48 +177,48 @@
 	d.Disk.SaveSlot(id, hard, image, e, d.wrap(then))
 }
 
-// deliveryAround is a place's environment.
-type deliveryAround struct {
+// deliveryEnv is a place's environment.
+type deliveryEnv struct {
 	s      *deliveryStore
 	number int
 }
 
-func (a *deliveryAround) Now() time.Duration                    { return a.s.now() }
-func (a *deliveryAround) After(span time.Duration, work func()) { a.s.later(span, work) }
-func (a *deliveryAround) Bounds() timing.Bounds                 { return timing.Default }
-func (a *deliveryAround) IsFresh() bool                         { return a.s.daemon.IsFresh() }
-func (a *deliveryAround) IsDiskFull() bool                      { return a.s.d.now < a.s.full }
-func (a *deliveryAround) IsDiskBusy() bool                      { return false }
-func (a *deliveryAround) IsMemoryLow() bool                     { return false }
-func (a *deliveryAround) Compiled() *config.Compiled            { return a.s.configs.Current() }
-func (a *deliveryAround) Find(name string) (wire.Who, bool)     { return a.s.daemon.Membership.Find(name) }
-func (a *deliveryAround) Adapters() []wire.Who                  { return a.s.daemon.Membership.OfKind("adapter") }
-func (a *deliveryAround) Post(who wire.Who, ask any, answer func(any, error)) error {
+func (a *deliveryEnv) Now() time.Duration                    { return a.s.now() }
+func (a *deliveryEnv) After(span time.Duration, work func()) { a.s.schedule(span, work) }
+func (a *deliveryEnv) Bounds() timing.Bounds                 { return timing.Default }
+func (a *deliveryEnv) IsFresh() bool                         { return a.s.daemon.IsFresh() }
+func (a *deliveryEnv) IsDiskFull() bool                      { return a.s.d.now < a.s.diskFullUntil }
+func (a *deliveryEnv) IsDiskBusy() bool                      { return false }
+func (a *deliveryEnv) IsMemoryLow() bool                     { return false }
+func (a *deliveryEnv) Compiled() *config.Compiled            { return a.s.configs.Current() }
+func (a *deliveryEnv) Find(name string) (wire.Who, bool)     { return a.s.daemon.Membership.Find(name) }
+func (a *deliveryEnv) Adapters() []wire.Who                  { return a.s.daemon.Membership.OfKind("adapter") }
+func (a *deliveryEnv) Post(who wire.Who, ask any, answer func(any, error)) error {
 	return a.s.postTo(who, ask, answer)
 }
-func (a *deliveryAround) SubmitToPlace(_ *wire.Take, tell func(bool)) { tell(false) }
-func (a *deliveryAround) Release(g store.SlotGrant) {
+func (a *deliveryEnv) SubmitToPlace(_ *wire.Take, tell func(bool)) { tell(false) }
+func (a *deliveryEnv) Release(g store.SlotGrant) {
 	_ = a.s.postTo(g.Holder, &wire.Release{Permit: g.Permit}, nil)
 }
-func (a *deliveryAround) Notifier(address string) (wire.Who, bool) {
+func (a *deliveryEnv) Notifier(address string) (wire.Who, bool) {
 	return store.NotifierFor(a.s.daemon.Membership, a.s.configs.Current(), address)
 }
-func (a *deliveryAround) PlaceOf(string) int64         { return int64(a.number) }
-func (a *deliveryAround) ChildId(parent string) string { return parent + "c" }
-func (a *deliveryAround) Fail(err error)               { panic(errs.Wrap(err, errs.Internal, "place")) }
+func (a *deliveryEnv) PlaceOf(string) int64         { return int64(a.number) }
+func (a *deliveryEnv) ChildId(parent string) string { return parent + "c" }
+func (a *deliveryEnv) Fail(err error)               { panic(errs.Wrap(err, errs.Internal, "place")) }
 
 // Nudge has the dispatcher turn soon.
-func (a *deliveryAround) Wake() {
+func (a *deliveryEnv) Wake() {
 	s := a.s
-	if s.isNudged || s.dispatch == nil {
+	if s.isWakePending || s.dispatcher == nil {
 		return
 	}
-	s.isNudged = true
-	life := s.life
+	s.isWakePending = true
+	generation := s.generation
 	s.d.After(0, func() {
-		s.d.resume(&s.lifecycle, life, func() {
-			s.isNudged = false
-			s.dispatch.Dispatch()
+		s.d.runIfAlive(&s.lifecycle, generation, func() {
+			s.isWakePending = false
+			s.dispatcher.Dispatch()
 		})
 	})
 }
--- a/internal/sim/deliverylying_test.go
+++ b/internal/sim/deliverystranded_test.go
@@ -21,9 +21,9 @@
 }
 
 // await lets time pass until something is so, and returns how long that took.
-func (d *Deliveries) awaitThat(most time.Duration, is func() bool) time.Duration {
+func (d *Deliveries) awaitCondition(timeout time.Duration, condition func() bool) time.Duration {
 	began := d.now
-	for !is() && d.now < began+most {
+	for !condition() && d.now < began+timeout {
 		d.Run(d.now + 10*time.Millisecond)
 	}
 	return d.now - began
@@ -39,15 +39,15 @@
 		d := NewDeliveries(NewWorld(5))
 		d.Run(2 * time.Second)
 		for i := range 3 {
-			d.call(laneOut, "")
-			So(d.awaitThat(3*time.Second, func() bool { return d.runsAtEndpoint() > 0 && d.holderOf() != nil }), ShouldBeLessThan, 3*time.Second)
-			holder, runs := d.holderOf(), d.runsAtEndpoint()
-			holder.isGone = true
+			d.sendMessage(laneEndpoint, "")
+			So(d.awaitCondition(3*time.Second, func() bool { return d.runsAtEndpoint() > 0 && d.endpointHolder() != nil }), ShouldBeLessThan, 3*time.Second)
+			holder, runs := d.endpointHolder(), d.runsAtEndpoint()
+			holder.isRemoved = true
 			holder.kill()
-			d.call(laneOut, "")
-			took := d.awaitThat(time.Minute, func() bool { return d.runsAtEndpoint() > runs })
+			d.sendMessage(laneEndpoint, "")
+			took := d.awaitCondition(time.Minute, func() bool { return d.runsAtEndpoint() > runs })
 			Printf("loss %d: %v ", i+1, took)
-			So(took, ShouldBeLessThan, deliverySettle)
+			So(took, ShouldBeLessThan, deliverySettleTime)
 			So(took, ShouldBeGreaterThan, d.bound(timing.Fence)) // the lost one may act for so long
 		}
 	})
@@ -61,14 +61,14 @@
 		seeds[fmt.Sprint(seed)] = seed
 	}
 	type result struct{ breaches, trace []string }
-	runs := atOnce(seeds, func(seed uint64) result {
-		breaches, trace := Sweep{Kind: "delivery"}.Seed(seed)
+	runs := runParallel(seeds, func(seed uint64) result {
+		breaches, trace := Sweep{Kind: "delivery"}.RunSeed(seed)
 		return result{breaches, trace}
 	})
 	Convey("Nothing is left lying any more in seed", t, func() {
 		for name, r := range runs {
 			Convey(name, func() {
-				show(name, r.breaches, r.trace)
+				printTrace(name, r.breaches, r.trace)
 				So(r.breaches, ShouldBeEmpty)
 			})
 		}
--- a/internal/sim/deliveryworker.go
+++ b/internal/sim/deliveryworker.go
@@ -23,38 +23,38 @@
 	isListed  bool
 	isLeaving bool
 
-	isSilent bool // takes requests and says nothing, until it breaks their connections
-	isAway   bool // its machine does not answer at all
-	isSlow   bool
-	isFull   bool
-	isFailed bool
-	isMute   bool // runs and loses the answers
-
-	running   []*deliveryRun
-	waiting   []*deliveryRun
-	swallowed []*deliveryRun
+	isSilent        bool // takes requests and says nothing, until it breaks their connections
+	isUnreachable   bool // its machine does not answer at all
+	isSlow          bool
+	isFull          bool
+	isFailing       bool
+	isLosingReplies bool // runs and loses the answers
+
+	running    []*deliveryRun
+	waiting    []*deliveryRun
+	unanswered []*deliveryRun
 }
 
 // What workers bear.
 const (
-	workerSlots = 2
-	workerQueue = 6
+	workerSlots    = 2
+	maxWorkerQueue = 6
 )
 
 // deliveryRun is a request at a worker.
 //
 // Invariant: told is called at most once, and not after the connection broke.
 type deliveryRun struct {
-	w        *deliveryWorker
-	by       *deliveryAdapter
-	life     int
-	id       string
-	attempt  int64
-	run      *check.Run
-	until    time.Duration // the worker stops then; 0: it does not know
-	isOver   bool
-	isBroken bool
-	told     func(status int, header http.Header, body []byte)
+	w              *deliveryWorker
+	adapter        *deliveryAdapter
+	adapterLife    int
+	id             string
+	attempt        int64
+	run            *check.Run
+	deadline       time.Duration // the worker stops then; 0: it does not know
+	hasEnded       bool
+	isDisconnected bool
+	onReply        func(status int, header http.Header, body []byte)
 }
 
 // addWorker begins a worker in a zone, at an address of its own.
@@ -87,54 +87,54 @@
 	return "live"
 }
 
-// take takes a request in.
-func (w *deliveryWorker) take(r *deliveryRun, body []byte) {
+// accept takes a request in.
+func (w *deliveryWorker) accept(r *deliveryRun, body []byte) {
 	r.w = w
 	if w.isSilent {
-		w.swallowed = append(w.swallowed, r)
+		w.unanswered = append(w.unanswered, r)
 		return
 	}
-	answer, isRunning := w.d.known(w.pool, r.id)
+	answer, isRunning := w.d.findEarlierRun(w.pool, r.id)
 	switch {
 	case answer != nil:
-		r.tell(http.StatusOK, nil, answer)
+		r.reply(http.StatusOK, nil, answer)
 	case isRunning:
-		r.tell(http.StatusConflict, nil, nil)
-	case w.isFull || len(w.waiting) >= workerQueue:
+		r.reply(http.StatusConflict, nil, nil)
+	case w.isFull || len(w.waiting) >= maxWorkerQueue:
 		header := http.Header{}
 		if w.d.Rand.IntN(2) == 0 {
 			header.Set("Retry-After", "1")
 		}
-		r.tell(http.StatusServiceUnavailable, header, nil)
+		r.reply(http.StatusServiceUnavailable, header, nil)
 	default:
-		r.run = &check.Run{Token: string(body), Id: r.id, Attempt: r.attempt, Pool: w.pool, Worker: w.name, Sum: wire.Checksum(body), Adapter: r.by.name}
+		r.run = &check.Run{Token: string(body), Id: r.id, Attempt: r.attempt, Pool: w.pool, Worker: w.name, BodySum: wire.Checksum(body), Adapter: r.adapter.name}
 		w.waiting = append(w.waiting, r)
-		w.next()
+		w.startQueued()
 	}
 }
 
-// silence begins or ends a silence.
-func (w *deliveryWorker) silence(is bool) {
+// setSilent begins or ends a silence.
+func (w *deliveryWorker) setSilent(is bool) {
 	if w.isSilent = is; !is {
-		w.speak()
+		w.endSilence()
 	}
 }
 
-// speak ends a silence: the connections of what came meanwhile break.
-func (w *deliveryWorker) speak() {
-	swallowed := w.swallowed
-	w.isSilent, w.swallowed = false, nil
+// endSilence ends a silence: the connections of what came meanwhile break.
+func (w *deliveryWorker) endSilence() {
+	swallowed := w.unanswered
+	w.isSilent, w.unanswered = false, nil
 	for _, r := range swallowed {
-		r.lose()
+		r.breakConnection()
 	}
 }
 
-// next begins runs that wait while there is room.
-func (w *deliveryWorker) next() {
+// startQueued begins runs that wait while there is room.
+func (w *deliveryWorker) startQueued() {
 	for len(w.running) < workerSlots && len(w.waiting) > 0 {
 		r := w.waiting[0]
 		w.waiting = w.waiting[1:]
-		if r.isBroken || r.until > 0 && w.d.now >= r.until {
+		if r.isDisconnected || r.deadline > 0 && w.d.now >= r.deadline {
 			continue
 		}
 		w.running = append(w.running, r)
@@ -144,64 +144,64 @@
 		if w.isSlow {
 			took = time.Duration(w.d.Rand.IntN(2500)) * time.Millisecond
 		}
-		if r.until > 0 && w.d.now+took >= r.until {
-			took = r.until - w.d.now
-			w.d.After(took, r.stop)
+		if r.deadline > 0 && w.d.now+took >= r.deadline {
+			took = r.deadline - w.d.now
+			w.d.After(took, r.timeOut)
 		}
-		w.d.Note("run %s/%d at %s of %s, takes %v", r.id, r.attempt, w.name, r.by.name, took)
-		w.d.After(took, r.end)
+		w.d.Tracef("run %s/%d at %s of %s, takes %v", r.id, r.attempt, w.name, r.adapter.name, took)
+		w.d.After(took, r.complete)
 	}
 }
 
 // end is the run's own end.
-func (r *deliveryRun) end() {
-	if r.isOver {
+func (r *deliveryRun) complete() {
+	if r.hasEnded {
 		return
 	}
 	status, body := http.StatusOK, fmt.Appendf(nil, "%s/%d", r.run.Token, r.attempt)
 	switch {
-	case r.w.isFailed:
+	case r.w.isFailing:
 		status = http.StatusInternalServerError
 	case bytes.Contains([]byte(r.run.Token), []byte("poison")):
 		status = http.StatusUnprocessableEntity
 	}
-	r.run.Status, r.run.Answer = status, wire.Checksum(body)
-	r.over()
-	if r.w.isMute {
-		r.lose()
+	r.run.Status, r.run.AnswerSum = status, wire.Checksum(body)
+	r.recordEnd()
+	if r.w.isLosingReplies {
+		r.breakConnection()
 		return
 	}
-	r.tell(status, nil, body)
+	r.reply(status, nil, body)
 }
 
-// stop is the end of a run whose time is over at the worker.
-func (r *deliveryRun) stop() {
-	if !r.isOver {
+// timeOut is the end of a run whose time is over at the worker.
+func (r *deliveryRun) timeOut() {
+	if !r.hasEnded {
 		r.run.Status = http.StatusGatewayTimeout
-		r.over()
-		r.tell(http.StatusGatewayTimeout, nil, nil)
+		r.recordEnd()
+		r.reply(http.StatusGatewayTimeout, nil, nil)
 	}
 }
 
-// over notes that the worker has left the run.
-func (r *deliveryRun) over() {
-	if r.isOver || r.run == nil || r.run.Start == 0 {
+// recordEnd notes that the worker has left the run.
+func (r *deliveryRun) recordEnd() {
+	if r.hasEnded || r.run == nil || r.run.Start == 0 {
 		return
 	}
-	r.isOver, r.run.End = true, r.w.d.now
+	r.hasEnded, r.run.End = true, r.w.d.now
 	for i, other := range r.w.running {
 		if other == r {
 			r.w.running = append(r.w.running[:i:i], r.w.running[i+1:]...)
 			break
 		}
 	}
-	r.w.next()
+	r.w.startQueued()
 }
 
 // tell answers, once, and over a connection that stands.
-func (r *deliveryRun) tell(status int, header http.Header, body []byte) {
-	told := r.told
-	if r.told = nil; told == nil || r.isBroken {
+func (r *deliveryRun) reply(status int, header http.Header, body []byte) {
+	told := r.onReply
+	if r.onReply = nil; told == nil || r.isDisconnected {
 		return
 	}
 	if header == nil {
@@ -211,19 +211,19 @@
 }
 
 // lose breaks the connection under whoever asked.
-func (r *deliveryRun) lose() { r.tell(0, nil, nil) }
+func (r *deliveryRun) breakConnection() { r.reply(0, nil, nil) }
 
 // crash ends the worker's life: what ran did not end.
 func (w *deliveryWorker) crash() {
 	w.isUp = false
-	w.speak()
+	w.endSilence()
 	running, waiting := w.running, w.waiting
 	w.running, w.waiting = nil, nil
 	for _, r := range append(running, waiting...) {
 		if r.run.Start > 0 {
-			r.isOver, r.run.End = true, w.d.now
+			r.hasEnded, r.run.End = true, w.d.now
 		}
-		r.isOver = true
-		r.lose()
+		r.hasEnded = true
+		r.breakConnection()
 	}
 }
--- a/internal/sim/deployment.go
+++ b/internal/sim/deployment.go
@@ -14,40 +14,40 @@
 // code, reach and the stores' plans of repair are the real ones.
 type Deployment struct {
 	*World
-	machines  []*machine
-	followers []*follower
-	book      *book
-	mutant    Mutant
-	stamps    *stamps
-	net       network
-	troubles  troubles
-	evacuated evacuations
-	serial    int
-	LostTells int // share of the answers to operators that are lost, in thousandths
-	Refused   int // clear refusals
-	Took      int // orders confirmed to their operator
-	Retired   int // retirements carried through
+	machines    []*machine
+	subscribers []*subscriber
+	oracle      *oracle
+	mutant      Mutant
+	proposals   *proposalLog
+	net         network
+	faults      faultState
+	evacuated   evacuations
+	serial      int
+	LostReplies int // share of the answers to operators that are lost, in thousandths
+	Refused     int // clear refusals
+	Confirmed   int // orders confirmed to their operator
+	Retired     int // retirements carried through
 }
 
 // Layout of a simulated deployment.
 const (
-	copies     = 3
-	parts      = 1    // beside the configuration's
-	placeGroup = 1000 // as in the store
-	places     = 4
+	replicaCount    = 3
+	extraParts      = 1    // beside the configuration's
+	firstPlaceGroup = 1000 // as in the store
+	placeCount      = 4
 )
 
-// CatchUp is how long after the end of one loss the next may come.
-const CatchUp = 4600 * time.Millisecond
+// CatchUpTime is how long after the end of one loss the next may come.
+const CatchUpTime = 4600 * time.Millisecond
 
 // groupIds lists the groups of a deployment.
 func groupIds() []int64 {
 	out := []int64{}
-	for id := range int64(parts) + 1 {
+	for id := range int64(extraParts) + 1 {
 		out = append(out, id)
 	}
-	for id := range int64(places) {
-		out = append(out, placeGroup+id)
+	for id := range int64(placeCount) {
+		out = append(out, firstPlaceGroup+id)
 	}
 	return out
 }
@@ -57,56 +57,56 @@
 	name, addr, zone string
 	store            *storeProcess
 	manager          *managerProcess
-	isGone           bool // it never comes back
+	isRemoved        bool // it never comes back
 }
 
 // NewDeployment founds a deployment of four machines in three zones.
 func NewDeployment(w *World, mutant Mutant) *Deployment {
-	d := &Deployment{World: w, book: newBook(w), mutant: mutant, stamps: newStamps(w), evacuated: evacuations{}}
+	d := &Deployment{World: w, oracle: newOracle(w), mutant: mutant, proposals: newProposalLog(w), evacuated: evacuations{}}
 	d.net.d = d
 	for i, zone := range []string{"c1", "c2", "c3", "c1"} {
 		d.add(fmt.Sprintf("m%d", i+1), fmt.Sprintf("m%d", i+1), zone)
 	}
-	for _, m := range d.machines[:copies] {
-		m.store.founders = []string{}
-		for _, other := range d.machines[:copies] {
-			m.store.founders = append(m.store.founders, other.store.member())
+	for _, m := range d.machines[:replicaCount] {
+		m.store.initialRoster = []string{}
+		for _, other := range d.machines[:replicaCount] {
+			m.store.initialRoster = append(m.store.initialRoster, other.store.memberId())
 		}
 	}
 	for _, m := range d.machines {
 		m.start()
 	}
-	agent := d.follow("agent", func(p *process) []string { return p.managers() })
-	d.follow("adapter", func(*process) []string { return []string{agent.addr} })
+	agent := d.addSubscriber("agent", func(p *process) []string { return p.managerAddrs() })
+	d.addSubscriber("adapter", func(*process) []string { return []string{agent.addr} })
 	return d
 }
 
 // add brings a machine with a blank disk; it is not started yet.
 func (d *Deployment) add(name, addr, zone string) *machine {
 	m := &machine{name: name, addr: addr, zone: zone}
-	m.store = newStore(d, m)
-	m.manager = newManager(d, m)
+	m.store = newStoreProcess(d, m)
+	m.manager = newManagerProcess(d, m)
 	d.machines = append(d.machines, m)
-	if d.troubles.cut != nil {
-		d.troubles.cut(addr)
+	if d.faults.cutNewMachine != nil {
+		d.faults.cutNewMachine(addr)
 	}
 	return m
 }
 
 func (m *machine) start() {
-	if !m.isGone {
+	if !m.isRemoved {
 		m.store.start()
 		m.manager.start()
 	}
 }
 
-// stop ends both processes; a power cut takes what is not synced as well.
+// timeOut ends both processes; a power cut takes what is not synced as well.
 func (m *machine) stop(isPowerCut bool) {
 	m.manager.end()
 	m.store.end()
-	for _, disk := range m.store.diskList() {
+	for _, disk := range m.store.openDisks() {
 		if isPowerCut {
-			disk.Cut()
+			disk.CutPower()
 		} else {
 			disk.Flush()
 		}
@@ -114,10 +114,10 @@
 }
 
 // here lists the machines that have not been removed.
-func (d *Deployment) here() []*machine {
+func (d *Deployment) presentMachines() []*machine {
 	out := []*machine{}
 	for _, m := range d.machines {
-		if !m.isGone {
+		if !m.isRemoved {
 			out = append(out, m)
 		}
 	}
@@ -130,16 +130,16 @@
 	for _, m := range d.machines {
 		out = append(out, &m.store.process, &m.manager.process)
 	}
-	for _, f := range d.followers {
+	for _, f := range d.subscribers {
 		out = append(out, &f.process)
 	}
 	return out
 }
 
 // at finds the daemon at an address.
-func (d *Deployment) at(addr string) (*process, bool) {
+func (d *Deployment) processAt(addr string) (*process, bool) {
 	for _, p := range d.processes() {
-		if p.addr == addr && (p.machine == nil || !p.machine.isGone) {
+		if p.addr == addr && (p.machine == nil || !p.machine.isRemoved) {
 			return p, true
 		}
 	}
@@ -149,14 +149,14 @@
 func (d *Deployment) bound(r timing.Ratio) time.Duration { return timing.Default.Of(r) }
 
 // breach notes a broken rule.
-func (d *Deployment) breach(form string, args ...any) { d.book.breach(form, args...) }
+func (d *Deployment) recordBreach(format string, args ...any) { d.oracle.recordBreach(format, args...) }
 
-// Broken tells the rules found broken.
-func (d *Deployment) Broken() []string { return d.book.broken }
+// Breaches tells the rules found broken.
+func (d *Deployment) Breaches() []string { return d.oracle.breaches }
 
-// seats tells an owner's members of a group, if it has an owner.
-func (d *Deployment) seats(id int64) (owner *storeProcess, members []string) {
-	for _, m := range d.here() {
+// ownerAndRoster tells an owner's members of a group, if it has an owner.
+func (d *Deployment) ownerAndRoster(id int64) (owner *storeProcess, members []string) {
+	for _, m := range d.presentMachines() {
 		h := m.store.hosts[id]
 		if m.store.isUp && h != nil && h.IsOwner() && (owner == nil || h.View().Term > owner.hosts[id].View().Term) {
 			owner = m.store
--- a/internal/sim/deployment_test.go
+++ b/internal/sim/deployment_test.go
@@ -19,19 +19,19 @@
 // troubles mixed and with those that were worst by themselves.
 func TestDeployment(t *testing.T) {
 	const span = 30 * time.Second // the sweep's runs are twice as long
-	runs := atOnce(map[string]DeploymentOptions{
-		"all troubles":              {Seed: 2, Span: span},
-		"machines that are cut off": {Seed: 2, Span: span, Only: []string{"cut off", "cut outward", "cut inward", "refusing", "lost answers", "resets"}},
-		"replaced machines":         {Seed: 17, Span: span, Only: []string{"replaced", "moved", "wiped"}},
+	runs := runParallel(map[string]DeploymentOptions{
+		"all troubles":              {Seed: 2, FaultTime: span},
+		"machines that are cut off": {Seed: 2, FaultTime: span, FaultNames: []string{"cut off", "cut outward", "cut inward", "refusing", "lost answers", "resets"}},
+		"replaced machines":         {Seed: 17, FaultTime: span, FaultNames: []string{"replaced", "moved", "wiped"}},
 	}, RunDeployment)
 	Convey("A deployment's control side", t, func() {
 		for name, d := range runs {
 			Convey("keeps its promises under "+name, func() {
-				show(name, d.Broken(), d.Trace)
-				So(d.Broken(), ShouldBeEmpty)
-				So(d.Took, ShouldBeGreaterThan, 50)
+				printTrace(name, d.Breaches(), d.Trace)
+				So(d.Breaches(), ShouldBeEmpty)
+				So(d.Confirmed, ShouldBeGreaterThan, 50)
 				So(d.Refused, ShouldBeGreaterThan, 50)
-				So(d.troubles.count, ShouldBeGreaterThan, 0)
+				So(d.faults.lossCount, ShouldBeGreaterThan, 0)
 			})
 		}
 	})
@@ -41,12 +41,12 @@
 // store that was gone for good still had its seat (224); a proper retirement was
 // rejected (592).
 func TestDeploymentRetiresBesideALoss(t *testing.T) {
-	runs := atOnce(map[string]DeploymentOptions{"224": {Seed: 224}, "592": {Seed: 592}}, RunDeployment)
+	runs := runParallel(map[string]DeploymentOptions{"224": {Seed: 224}, "592": {Seed: 592}}, RunDeployment)
 	Convey("A retirement beside a loss is harmless in seed", t, func() {
 		for name, d := range runs {
 			Convey(name, func() {
-				show(name, d.Broken(), d.Trace)
-				So(d.Broken(), ShouldBeEmpty)
+				printTrace(name, d.Breaches(), d.Trace)
+				So(d.Breaches(), ShouldBeEmpty)
 			})
 		}
 	})
@@ -55,8 +55,8 @@
 // TestDeploymentReplays: a seed that breaks must break again.
 func TestDeploymentReplays(t *testing.T) {
 	Convey("The same seed gives the same trace", t, func() {
-		o := DeploymentOptions{Seed: 7, Span: 5 * time.Second}
-		traces := atOnce(map[string]DeploymentOptions{"once": o, "again": o}, func(o DeploymentOptions) string {
+		o := DeploymentOptions{Seed: 7, FaultTime: 5 * time.Second}
+		traces := runParallel(map[string]DeploymentOptions{"once": o, "again": o}, func(o DeploymentOptions) string {
 			return strings.Join(RunDeployment(o).Trace, "\n")
 		})
 		So(len(traces["once"]), ShouldBeGreaterThan, 500)
@@ -66,25 +66,25 @@
 
 // mutantCase is a guard taken out, and the rule that must notice it.
 type mutantCase struct {
-	point  string // of the users' five
-	mutant Mutant
-	only   []string
-	wants  string
-	seed   uint64 // the first that is tried
+	point    string // of the users' five
+	mutant   Mutant
+	only     []string
+	expected string
+	seed     uint64 // the first that is tried
 }
 
 // find returns the rules that a mutant broke, of the first seed that broke the one
 // that is wanted.
 func (c mutantCase) find() (broken string) {
-	for seed := c.seed; seed < c.seed+mostSeeds && !strings.Contains(broken, c.wants); seed++ {
-		d := RunDeployment(DeploymentOptions{Seed: seed, Mutant: c.mutant, Only: c.only, Span: 20 * time.Second})
-		broken = strings.Join(d.Broken(), "\n")
+	for seed := c.seed; seed < c.seed+maxMutantSeeds && !strings.Contains(broken, c.expected); seed++ {
+		d := RunDeployment(DeploymentOptions{Seed: seed, Mutant: c.mutant, FaultNames: c.only, FaultTime: 20 * time.Second})
+		broken = strings.Join(d.Breaches(), "\n")
 	}
 	return broken
 }
 
-// mostSeeds is how many seeds a mutant may need to be found.
-const mostSeeds = 6
+// maxMutantSeeds is how many seeds a mutant may need to be found.
+const maxMutantSeeds = 6
 
 // TestDeploymentMutants: each guard, taken out, is noticed by the rule that it
 // is there for.
@@ -92,25 +92,25 @@
 	cuts, power := []string{"cut off", "cut outward"}, []string{"powerless", "power loss of all"}
 	cases := []mutantCase{
 		{"1: a machine that is cut off serves what is old", UnconfirmedReads, []string{"apart"}, "was acknowledged before", 2},
-		{"1: a daemon acts on a view of any age", AnyAge, cuts, "acts on stamp", 1},
-		{"2: two operators under one number", BlindEdits, []string{"lost answers"}, "confirmed under number", 1},
+		{"1: a daemon acts on a view of any age", UncheckedViewAge, cuts, "acts on stamp", 1},
+		{"2: two operators under one number", UnconditionalEdits, []string{"lost answers"}, "confirmed under number", 1},
 		{"2: a re-send refused", NewIdForRetry, []string{"lost answers"}, "refused on a re-send", 1},
 		{"3: a copy that was never whole", KeptIdentity, []string{"wiped"}, "whole copies", 1},
-		{"3: a leaving member with the only copy", EarlyLeave, []string{Retirements}, "still stands in group", 1},
-		{"3: an acknowledgement before the disk", HastyDisk, power, "two histories", 1},
-		{"4: a member caught up from an old snapshot", OldSnapshot, []string{"restarted"}, "two histories", 1},
-		{"an order's age across owners", OwnCount, []string{Evacuations, "restarted", "powerless", "power loss of all", "kill of all"}, "more than real time", 11},
-		{"5: an answer to another caller", AnswersByPosition, []string{"lost messages", "cut outward"}, "never taken", 1},
+		{"3: a leaving member with the only copy", EarlyRemoval, []string{Retirements}, "still stands in group", 1},
+		{"3: an acknowledgement before the disk", EarlyDiskAck, power, "two histories", 1},
+		{"4: a member caught up from an old snapshot", StaleSnapshot, []string{"restarted"}, "two histories", 1},
+		{"an order's age across owners", LocalGroupTime, []string{Evacuations, "restarted", "powerless", "power loss of all", "kill of all"}, "more than real time", 11},
+		{"5: an answer to another caller", RepliesByPosition, []string{"lost messages", "cut outward"}, "never taken", 1},
 	}
 	table := map[string]mutantCase{}
 	for _, c := range cases {
 		table[string(c.mutant)] = c
 	}
-	found := atOnce(table, mutantCase.find)
+	found := runParallel(table, mutantCase.find)
 	Convey("A guard taken out is noticed:", t, func() {
 		for _, c := range cases {
 			Convey(c.point, func() {
-				So(found[string(c.mutant)], ShouldContainSubstring, c.wants)
+				So(found[string(c.mutant)], ShouldContainSubstring, c.expected)
 			})
 		}
 	})
--- a/internal/sim/deploymentseeds_test.go
+++ b/internal/sim/deploymentseeds_test.go
@@ -15,7 +15,7 @@
 func TestDeploymentReplacesInTime(t *testing.T) {
 	Convey("A replaced store's seats are filled before the next loss", t, func() {
 		d := RunDeployment(DeploymentOptions{Seed: 560})
-		So(d.Broken(), ShouldBeEmpty)
+		So(d.Breaches(), ShouldBeEmpty)
 	})
 }
 
@@ -25,7 +25,7 @@
 func TestDeploymentWaitsForNewcomers(t *testing.T) {
 	Convey("A proper retirement is not rejected by managers that have begun lately", t, func() {
 		d := RunDeployment(DeploymentOptions{Seed: 435})
-		So(d.Broken(), ShouldBeEmpty)
+		So(d.Breaches(), ShouldBeEmpty)
 	})
 }
 
@@ -33,12 +33,12 @@
 // zone that had long been acknowledged elsewhere, and took a later evacuation back.
 func TestDeploymentEvacuations(t *testing.T) {
 	only := []string{Evacuations, "frozen", "cut inward"}
-	runs := atOnce(map[string]DeploymentOptions{"20": {Seed: 20, Only: only}, "49": {Seed: 49, Only: only}, "128": {Seed: 128, Only: only}}, RunDeployment)
+	runs := runParallel(map[string]DeploymentOptions{"20": {Seed: 20, FaultNames: only}, "49": {Seed: 49, FaultNames: only}, "128": {Seed: 128, FaultNames: only}}, RunDeployment)
 	Convey("What was evacuated stays so until it is taken back, in seed", t, func() {
 		for name, d := range runs {
 			Convey(name, func() {
-				show(name, d.Broken(), d.Trace)
-				So(d.Broken(), ShouldBeEmpty)
+				printTrace(name, d.Breaches(), d.Trace)
+				So(d.Breaches(), ShouldBeEmpty)
 				So(strings.Join(d.Trace, "\n"), ShouldContainSubstring, "is evacuated")
 			})
 		}
@@ -49,11 +49,11 @@
 // run of four simulated minutes in which more than 500 hold.
 func TestDeploymentHundredsOfChanges(t *testing.T) {
 	Convey("A deployment keeps its promises over more than 500 changes", t, func() {
-		d := RunDeployment(DeploymentOptions{Seed: 3, Span: 4 * time.Minute})
-		show("seed 3", d.Broken(), d.Trace)
-		So(d.Broken(), ShouldBeEmpty)
-		So(d.Took, ShouldBeGreaterThan, 500)
+		d := RunDeployment(DeploymentOptions{Seed: 3, FaultTime: 4 * time.Minute})
+		printTrace("seed 3", d.Breaches(), d.Trace)
+		So(d.Breaches(), ShouldBeEmpty)
+		So(d.Confirmed, ShouldBeGreaterThan, 500)
 		So(d.Retired, ShouldBeGreaterThan, 3)
-		So(d.troubles.count, ShouldBeGreaterThan, 10)
+		So(d.faults.lossCount, ShouldBeGreaterThan, 10)
 	})
 }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -12,16 +12,16 @@
 // what was not synced: the log from a random point on, and each slot, a file of
 // its own, by itself.
 type Disk struct {
-	w        *World
-	life     int
-	hard     group.HardState
-	image    *group.Snapshot
-	log      []wire.Entry
-	unsynced []pending
-	isHasty  bool // a mutant: tells of syncs that were never done
+	w             *World
+	generation    int
+	hardState     group.HardState
+	snapshot      *group.Snapshot
+	log           []wire.Entry
+	unsynced      []pendingWrite
+	isAckingEarly bool // a mutant: tells of syncs that were never done
 }
 
-type pending struct {
+type pendingWrite struct {
 	write  func()
 	then   func(error)
 	isSlot bool
@@ -29,46 +29,46 @@
 
 // Persist queues one step's writes.
 func (d *Disk) Persist(_ int64, p *group.DurableUpdate, then func(error)) {
-	d.put(pending{func() { d.apply(p) }, then, false})
+	d.enqueue(pendingWrite{func() { d.apply(p) }, then, false})
 }
 
 // After calls then behind all that is queued.
-func (d *Disk) AfterWrites(then func(error)) { d.put(pending{func() {}, then, false}) }
+func (d *Disk) AfterWrites(then func(error)) { d.enqueue(pendingWrite{func() {}, then, false}) }
 
 // SaveSlot writes the whole state.
 func (d *Disk) SaveSlot(_ int64, hard group.HardState, image *group.Snapshot, entries *group.DurableUpdate, then func(error)) {
-	d.put(pending{func() { d.hard, d.image, d.log = hard, image, slices.Clone(entries.Entries) }, then, true})
+	d.enqueue(pendingWrite{func() { d.hardState, d.snapshot, d.log = hard, image, slices.Clone(entries.Entries) }, then, true})
 }
 
 func (d *Disk) apply(p *group.DurableUpdate) {
 	if p.Snapshot != nil {
-		d.image, d.log = p.Snapshot, nil
+		d.snapshot, d.log = p.Snapshot, nil
 	}
 	if p.Hard != nil {
-		d.hard = *p.Hard
+		d.hardState = *p.Hard
 	}
 	if len(p.Entries) > 0 {
 		base := int64(0)
-		if d.image != nil {
-			base = d.image.Index
+		if d.snapshot != nil {
+			base = d.snapshot.Index
 		}
 		d.log = append(slices.Clone(d.log[:p.Entries[0].Index-base-1]), p.Entries...)
 	}
 }
 
-func (d *Disk) put(p pending) {
-	life := d.life
+func (d *Disk) enqueue(p pendingWrite) {
+	generation := d.generation
 	d.unsynced = append(d.unsynced, p)
-	if d.isHasty {
+	if d.isAckingEarly {
 		d.w.After(0, func() {
-			if d.life == life {
+			if d.generation == generation {
 				p.then(nil)
 			}
 		})
 		return
 	}
 	d.w.After(d.w.syncTime(), func() {
-		if d.life == life && len(d.unsynced) > 0 {
+		if d.generation == generation && len(d.unsynced) > 0 {
 			p := d.unsynced[0]
 			d.unsynced = d.unsynced[1:]
 			p.write()
@@ -78,11 +78,11 @@
 }
 
 // Cut is a power cut.
-func (d *Disk) Cut() {
-	d.life++
-	whole := d.w.Rand.IntN(len(d.unsynced) + 1)
+func (d *Disk) CutPower() {
+	d.generation++
+	written := d.w.Rand.IntN(len(d.unsynced) + 1)
 	for i, p := range d.unsynced {
-		if !p.isSlot && i < whole || p.isSlot && d.w.Rand.IntN(2) == 0 {
+		if !p.isSlot && i < written || p.isSlot && d.w.Rand.IntN(2) == 0 {
 			p.write()
 		}
 	}
@@ -91,7 +91,7 @@
 
 // Flush is the end of a process alone: the system still writes what it had.
 func (d *Disk) Flush() {
-	d.life++
+	d.generation++
 	for _, p := range d.unsynced {
 		p.write()
 	}
@@ -100,5 +100,5 @@
 
 // Held is what a restart finds.
 func (d *Disk) Held() *storage.StoredGroup {
-	return &storage.StoredGroup{Hard: d.hard, Snapshot: d.image, Log: slices.Clone(d.log)}
+	return &storage.StoredGroup{Hard: d.hardState, Snapshot: d.snapshot, Log: slices.Clone(d.log)}
 }
--- a/internal/sim/environment.go
+++ b/internal/sim/environment.go
@@ -17,11 +17,11 @@
 
 // After does work later, unless the store has ended by then.
 func (s *simStore) After(span time.Duration, work func()) {
-	life := s.life
+	generation := s.generation
 	s.w.After(span, func() {
-		if s.isUp && s.life == life {
+		if s.isUp && s.generation == generation {
 			work()
-			s.pump()
+			s.runPending()
 		}
 	})
 }
@@ -30,10 +30,10 @@
 func (s *simStore) Bounds() timing.Bounds { return timing.Default }
 
 // IsFresh follows the simulated control plane.
-func (s *simStore) IsFresh() bool { return s.w.now-s.fresh < timing.Default.Of(timing.ViewAgeLimit) }
+func (s *simStore) IsFresh() bool { return s.w.now-s.freshAt < timing.Default.Of(timing.ViewAgeLimit) }
 
 // IsFull tells of a simulated full disk.
-func (s *simStore) IsDiskFull() bool { return s.w.now < s.full }
+func (s *simStore) IsDiskFull() bool { return s.w.now < s.diskFullUntil }
 
 // IsBusy tells of a disk with too much to write, which the simulation has none of.
 func (s *simStore) IsDiskBusy() bool { return false }
@@ -50,7 +50,7 @@
 // Adapters are those whose sessions stand, in order.
 func (s *simStore) Adapters() []wire.Who {
 	out := []wire.Who{}
-	for _, name := range namesIn(s.membership) {
+	for _, name := range sortedKeys(s.membership) {
 		if who, isMember := s.Find(name); isMember {
 			out = append(out, who)
 		}
@@ -62,11 +62,11 @@
 func (s *simStore) Post(who wire.Who, ask any, answer func(any, error)) error {
 	for _, a := range s.w.adapters {
 		if a.name == who.Name {
-			life := s.life
-			s.w.ask(s.name, a, func() any { return a.serve(ask) }, func(reply any, err error) {
-				if s.isUp && s.life == life {
+			generation := s.generation
+			s.w.sendRequest(s.name, a, func() any { return a.serve(ask) }, func(reply any, err error) {
+				if s.isUp && s.generation == generation {
 					answer(reply, err)
-					s.pump()
+					s.runPending()
 				}
 			})
 			return nil
--- a/internal/sim/evacuations.go
+++ b/internal/sim/evacuations.go
@@ -25,51 +25,51 @@
 func (d *Deployment) evacuate(zone string, end time.Duration) {
 	d.Go(nil, func(ctx context.Context, t *task) {
 		for d.now < end {
-			t.pause(time.Duration(1000+d.Rand.IntN(9000)) * time.Millisecond)
-			if !d.orderZone(ctx, t, zone, (*manager.Operators).DrainZone) {
-				t.pause(2 * resendTime) // it may be taken yet
+			t.sleep(time.Duration(1000+d.Rand.IntN(9000)) * time.Millisecond)
+			if !d.sendZoneOrder(ctx, t, zone, (*manager.Operators).DrainZone) {
+				t.sleep(2 * resendTimeout) // it may be taken yet
 				continue
 			}
 			d.evacuated[zone] = d.now
-			d.Note("zone %s is evacuated", zone)
-			t.pause(time.Duration(500+d.Rand.IntN(12000)) * time.Millisecond)
+			d.Tracef("zone %s is evacuated", zone)
+			t.sleep(time.Duration(500+d.Rand.IntN(12000)) * time.Millisecond)
 			if d.now >= end {
 				return // it stands to the end
 			}
 			delete(d.evacuated, zone)
-			isDone := d.orderZone(ctx, t, zone, func(o *manager.Operators, ctx context.Context, by, zone string, _ bool) (int64, error) {
+			isDone := d.sendZoneOrder(ctx, t, zone, func(o *manager.Operators, ctx context.Context, by, zone string, _ bool) (int64, error) {
 				return o.RestoreZone(ctx, by, zone)
 			})
-			d.Note("zone %s is taken back: %t", zone, isDone)
+			d.Tracef("zone %s is taken back: %t", zone, isDone)
 			if !isDone {
-				t.pause(2 * resendTime)
+				t.sleep(2 * resendTimeout)
 			}
 		}
 	})
 }
 
-// resendTime is for how long an order without a number is sent again.
-const resendTime = 5 * time.Second
+// resendTimeout is for how long an order without a number is sent again.
+const resendTimeout = 5 * time.Second
 
 type zoneOrder func(o *manager.Operators, ctx context.Context, by, zone string, isOnlyWorkers bool) (int64, error)
 
-// orderZone sends an order about a zone until it is acknowledged; false: it may hold
+// sendZoneOrder sends an order about a zone until it is acknowledged; false: it may hold
 // or not. There is always a way to take it, so none may be refused.
-func (d *Deployment) orderZone(ctx context.Context, t *task, zone string, do zoneOrder) bool {
-	for until := d.now + resendTime; d.now < until && !d.isCalm; {
-		got, isTold := d.ask(ctx, func(ctx context.Context, o *manager.Operators) any {
+func (d *Deployment) sendZoneOrder(ctx context.Context, t *task, zone string, do zoneOrder) bool {
+	for until := d.now + resendTimeout; d.now < until && !d.hasEndedFaults; {
+		got, isTold := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
 			_, err := do(o, ctx, "operator", zone, true)
-			return &told{err}
-		}).(*told)
+			return &operationReply{err}
+		}).(*operationReply)
 		switch {
 		case !isTold:
 		case got.err == nil:
 			return true
 		case errs.Is(got.err, errs.Rejected), errs.Is(got.err, errs.Invalid), errs.Is(got.err, errs.Unknown):
-			d.breach("an order about zone %s is refused: %v", zone, got.err)
+			d.recordBreach("an order about zone %s is refused: %v", zone, got.err)
 			return false
 		}
-		t.pause(time.Duration(d.Rand.IntN(300)) * time.Millisecond)
+		t.sleep(time.Duration(d.Rand.IntN(300)) * time.Millisecond)
 	}
 	return false
 }
@@ -79,33 +79,33 @@
 func (d *Deployment) checkEvacuated(p *process) {
 	for zone, at := range d.evacuated {
 		if c, isThere := p.view.Get(feed.ConfigPart, config.ZoneKey+zone); d.now-at > timing.Default.ConfigApply && !(isThere && isEvacuated(c.Value)) {
-			d.breach("%s acts without the evacuation of %s, which was acknowledged %v ago", p.name, zone, d.now-at)
+			d.recordBreach("%s acts without the evacuation of %s, which was acknowledged %v ago", p.name, zone, d.now-at)
 			delete(d.evacuated, zone) // said once
 		}
 	}
 }
 
-// checkStanding judges a healed deployment: all that was evacuated still is.
-func (d *Deployment) checkStanding() {
-	owner, _ := d.seats(feed.ConfigPart)
+// checkEvacuationsKept judges a healed deployment: all that was evacuated still is.
+func (d *Deployment) checkEvacuationsKept() {
+	owner, _ := d.ownerAndRoster(feed.ConfigPart)
 	if owner == nil {
 		return // said already
 	}
 	for zone := range d.evacuated {
 		isThere := false
-		owner.do(feed.ConfigPart, func() {
+		owner.runOnHost(feed.ConfigPart, func() {
 			news, _ := owner.parts[feed.ConfigPart].News(0)
 			for _, c := range news.Changes {
 				isThere = isThere || c.Key == config.ZoneKey+zone && !c.Gone && isEvacuated(c.Value)
 			}
 		})
 		if !isThere {
-			d.breach("the evacuation of %s was acknowledged and is lost", zone)
+			d.recordBreach("the evacuation of %s was acknowledged and is lost", zone)
 		}
 	}
 }
 
 func isEvacuated(raw []byte) bool { return config.ParseDrainOrder(raw).Only == config.OnlyWorkers }
 
-// evacuatedZones are the zones that are evacuated: one with machines and one without.
-func evacuatedZones() []string { return []string{"c2", fmt.Sprint("c", copies+1)} }
+// zonesToEvacuate are the zones that are evacuated: one with machines and one without.
+func zonesToEvacuate() []string { return []string{"c2", fmt.Sprint("c", replicaCount+1)} }
--- a/internal/sim/level_test.go
+++ b/internal/sim/featurelevel_test.go
@@ -11,10 +11,10 @@
 	"caperwheel/internal/place"
 )
 
-// runMixed runs a place one of whose stores is of an older build until a moment, under faults,
+// runMixedBuilds runs a place one of whose stores is of an older build until a moment, under faults,
 // and returns the levels of the replicas at the end.
-func runMixed(mutant Mutant, seed uint64, until time.Duration, hurt ...string) (levels []int64, breaches []check.Breach) {
-	p := newPlacesOf(NewWorld(seed), 3, mutant, func(name string) int64 {
+func runMixedBuilds(mutant Mutant, seed uint64, until time.Duration, faultNames ...string) (levels []int64, breaches []check.Breach) {
+	p := newMixedPlaceCluster(NewWorld(seed), 3, mutant, func(name string) int64 {
 		if name == "s3" {
 			return 0
 		}
@@ -25,7 +25,7 @@
 		p.stores[2].level = place.NewestLevel
 		p.stores[2].start()
 	})
-	p.play(mixed(PlaceFaults, hurt...))
+	p.runTraffic(selectFaults(PlaceFaults, faultNames...))
 	breaches = p.Finish()
 	for _, s := range p.stores {
 		levels = append(levels, s.place.Level())
@@ -36,21 +36,21 @@
 // TestFeatureLevel: a change of what commands mean is switched on in the log of a group, once
 // each replica of its roster has told that it can apply it.
 func TestFeatureLevel(t *testing.T) {
-	hurt := []string{"killed stores", "handed over", "power loss of all", "stores cut off", "frozen stores", "killed adapters"}
+	faultNames := []string{"killed stores", "handed over", "power loss of all", "stores cut off", "frozen stores", "killed adapters"}
 	type result struct {
 		levels   []int64
 		breaches []check.Breach
 	}
 	seeds := map[string]uint64{"1": 1, "2": 2, "3": 3, "4": 4, "5": 5}
-	upgraded := atOnce(seeds, func(seed uint64) result {
-		levels, breaches := runMixed(NoMutant, seed, 20*time.Second, hurt...)
+	upgraded := runParallel(seeds, func(seed uint64) result {
+		levels, breaches := runMixedBuilds(NoMutant, seed, 20*time.Second, faultNames...)
 		return result{levels, breaches}
 	})
-	mixedOn := atOnce(seeds, func(seed uint64) result {
-		levels, breaches := runMixed(NoMutant, seed, time.Hour, hurt...)
+	stillMixed := runParallel(seeds, func(seed uint64) result {
+		levels, breaches := runMixedBuilds(NoMutant, seed, time.Hour, faultNames...)
 		return result{levels, breaches}
 	})
-	_, blind := runMixed(BlindToLevels, 1, time.Hour, "nothing")
+	_, blind := runMixedBuilds(UncheckedLevels, 1, time.Hour, "nothing")
 	Convey("In a fleet of two builds, in seed", t, func() {
 		for name, r := range upgraded {
 			Convey(name+" the level is raised once the older store has come to the newer build", func() {
@@ -58,7 +58,7 @@
 				So(r.levels, ShouldResemble, []int64{place.NewestLevel, place.NewestLevel, place.NewestLevel})
 			})
 		}
-		for name, r := range mixedOn {
+		for name, r := range stillMixed {
 			Convey(name+" it is not while that one stays", func() {
 				So(r.breaches, ShouldBeEmpty)
 				So(r.levels, ShouldResemble, []int64{0, 0, 0})
--- a/internal/sim/groupcheck.go
+++ b/internal/sim/groupcheck.go
@@ -8,35 +8,35 @@
 	"caperwheel/internal/wire"
 )
 
-func (g *Groups) apply(r *Replica, entries []wire.Entry) {
+func (g *ReplicaGroup) apply(r *Replica, entries []wire.Entry) {
 	for _, e := range entries {
 		if e.Kind == group.EntryData {
 			command := string(e.Data)
 			r.Applied = append(r.Applied, command)
-			if wait, isOurs := g.waiting[command]; isOurs && wait.by == r.Id && wait.index == e.Index && wait.term == e.Term {
+			if wait, isOurs := g.pending[command]; isOurs && wait.by == r.Id && wait.index == e.Index && wait.term == e.Term {
 				g.Acked[command], g.ackedAt[command] = true, g.now
-				delete(g.waiting, command)
+				delete(g.pending, command)
 			}
 		}
 	}
 	if len(entries) > 0 {
-		g.matches(r)
+		g.checkPrefix(r)
 	}
 }
 
-// matches checks that all replicas apply the same commands in the same order.
-func (g *Groups) matches(r *Replica) {
-	shared := min(len(r.Applied), len(g.newest))
-	if !slices.Equal(r.Applied[:shared], g.newest[:shared]) {
-		g.breach("%s applied another order", r.Id)
+// checkPrefix checks that all replicas apply the same commands in the same order.
+func (g *ReplicaGroup) checkPrefix(r *Replica) {
+	shared := min(len(r.Applied), len(g.longestApplied))
+	if !slices.Equal(r.Applied[:shared], g.longestApplied[:shared]) {
+		g.recordBreach("%s applied another order", r.Id)
 	}
-	if len(r.Applied) > len(g.newest) {
-		g.newest = slices.Clone(r.Applied)
+	if len(r.Applied) > len(g.longestApplied) {
+		g.longestApplied = slices.Clone(r.Applied)
 	}
 }
 
 // Propose gives a command to whoever thinks it is the owner.
-func (g *Groups) Propose(command string) bool {
+func (g *ReplicaGroup) Propose(command string) bool {
 	for _, id := range g.Names {
 		r := g.Replicas[id]
 		if !r.isUp || r.machine.View().Role != group.Owner {
@@ -44,8 +44,8 @@
 		}
 		index, term, out, isOwner := r.machine.Propose([]byte(command), g.now)
 		if isOwner {
-			g.waiting[command] = waiter{index, term, id}
-			g.do(r, out)
+			g.pending[command] = pendingCommand{index, term, id}
+			g.execute(r, out)
 			return true
 		}
 	}
@@ -54,7 +54,7 @@
 
 // CheckReads looks at every owner that says its view is sure as of some
 // moment: all that was acknowledged before must be in its state.
-func (g *Groups) CheckReads() {
+func (g *ReplicaGroup) CheckReads() {
 	for _, id := range g.Names {
 		r := g.Replicas[id]
 		if !r.isUp {
@@ -66,14 +66,14 @@
 		}
 		for command, at := range g.ackedAt {
 			if at < v.ConfirmedAt && !slices.Contains(r.Applied, command) {
-				g.breach("%s is sure as of %v but misses %s, acknowledged at %v", id, v.ConfirmedAt, command, at)
+				g.recordBreach("%s is sure as of %v but misses %s, acknowledged at %v", id, v.ConfirmedAt, command, at)
 			}
 		}
 	}
 }
 
 // Repair does what the store's repair tick does.
-func (g *Groups) Repair(wanted ...string) {
+func (g *ReplicaGroup) Repair(wanted ...string) {
 	known := map[string]string{}
 	for _, id := range g.Names {
 		if g.Replicas[id].isUp {
@@ -87,8 +87,8 @@
 		}
 		if change, isDue := r.machine.Repair(known, wanted); isDue {
 			if out, err := r.machine.ChangeRoster(change, g.now); err == nil {
-				g.Note("%s mends %+v", id, change)
-				g.do(r, out)
+				g.Tracef("%s mends %+v", id, change)
+				g.execute(r, out)
 			}
 		}
 	}
@@ -96,8 +96,8 @@
 
 // Finish heals everything and checks that nothing acknowledged is lost and
 // that all replicas agree.
-func (g *Groups) Finish() {
-	g.Calm()
+func (g *ReplicaGroup) Finish() {
+	g.EndFaults()
 	for _, id := range g.Names {
 		g.Start(id)
 	}
@@ -118,17 +118,17 @@
 	}
 	g.Run(g.now + 3*time.Second)
 	if !isTaken {
-		g.breach("no owner after everything was healed")
+		g.recordBreach("no owner after everything was healed")
 	}
 	g.CheckReads()
 	for _, id := range g.Names {
 		r := g.Replicas[id]
-		if len(r.Applied) != len(g.newest) {
-			g.breach("%s applied %d of %d commands", id, len(r.Applied), len(g.newest))
+		if len(r.Applied) != len(g.longestApplied) {
+			g.recordBreach("%s applied %d of %d commands", id, len(r.Applied), len(g.longestApplied))
 		}
 		for command := range g.Acked {
 			if !slices.Contains(r.Applied, command) {
-				g.breach("%s lost %s, which was acknowledged", id, command)
+				g.recordBreach("%s lost %s, which was acknowledged", id, command)
 			}
 		}
 	}
--- a/internal/sim/groups.go
+++ b/internal/sim/groups.go
@@ -10,51 +10,51 @@
 	"caperwheel/internal/wire"
 )
 
-// disk is a replica's durable record; what waits in unsynced is lost in a
+// replicaDisk is a replica's durable record; what waits in unsynced is lost in a
 // power cut, from a random point on.
-type disk struct {
-	hard     group.HardState
-	image    *group.Snapshot
-	log      []wire.Entry
-	unsynced []pending
+type replicaDisk struct {
+	hardState group.HardState
+	snapshot  *group.Snapshot
+	log       []wire.Entry
+	unsynced  []pendingWrite
 }
 
 // Replica is one member of a simulated group, with its state machine: a list
 // of the commands applied.
 type Replica struct {
-	Id      string
-	machine *group.Group
-	disk    disk
-	isUp    bool
-	life    int
-	Applied []string
-	image   *group.Snapshot
+	Id         string
+	machine    *group.Group
+	disk       replicaDisk
+	isUp       bool
+	generation int
+	Applied    []string
+	snapshot   *group.Snapshot
 }
 
-// Groups is one replicated group under simulation.
-type Groups struct {
+// ReplicaGroup is one replicated group under simulation.
+type ReplicaGroup struct {
 	*World
-	Replicas map[string]*Replica
-	Names    []string
-	founders []string
-	owners   map[int64]string // term -> owner, to find two in one term
-	Acked    map[string]bool  // commands whose commit was seen by their proposer
-	Broken   []string         // rules found broken
-	newest   []string         // the longest applied list seen
-	ackedAt  map[string]time.Duration
-	waiting  map[string]waiter
-	incs     int
+	Replicas       map[string]*Replica
+	Names          []string
+	founders       []string
+	owners         map[int64]string // term -> owner, to find two in one term
+	Acked          map[string]bool  // commands whose commit was seen by their proposer
+	Breaches       []string         // rules found broken
+	longestApplied []string         // the longest applied list seen
+	ackedAt        map[string]time.Duration
+	pending        map[string]pendingCommand
+	incarnations   int
 }
 
-type waiter struct {
+type pendingCommand struct {
 	index, term int64
 	by          string
 }
 
-// NewGroups founds a group over the names.
-func NewGroups(w *World, names ...string) *Groups {
-	g := &Groups{World: w, Replicas: map[string]*Replica{}, owners: map[int64]string{}, Acked: map[string]bool{},
-		ackedAt: map[string]time.Duration{}, waiting: map[string]waiter{}}
+// NewReplicaGroup founds a group over the names.
+func NewReplicaGroup(w *World, names ...string) *ReplicaGroup {
+	g := &ReplicaGroup{World: w, Replicas: map[string]*Replica{}, owners: map[int64]string{}, Acked: map[string]bool{},
+		ackedAt: map[string]time.Duration{}, pending: map[string]pendingCommand{}}
 	for _, name := range names {
 		g.founders = append(g.founders, name+"/0")
 	}
@@ -66,72 +66,72 @@
 	return g
 }
 
-func (g *Groups) breach(form string, args ...any) {
-	text := fmt.Sprintf(form, args...)
-	g.Note("BROKEN %s", text)
-	g.Broken = append(g.Broken, text)
+func (g *ReplicaGroup) recordBreach(format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
+	g.Tracef("BROKEN %s", text)
+	g.Breaches = append(g.Breaches, text)
 }
 
 // Start brings a replica up from its disk.
-func (g *Groups) Start(id string) {
+func (g *ReplicaGroup) Start(id string) {
 	r := g.Replicas[id]
 	if r.isUp {
 		return
 	}
-	r.isUp, r.life = true, r.life+1
+	r.isUp, r.generation = true, r.generation+1
 	roster := []string(nil)
 	if slices.Contains(g.founders, id) {
 		roster = g.founders
 	}
 	r.machine = group.New(group.Options{Id: 1, Self: id, Roster: roster, Bounds: timing.Default,
-		Seed: g.Seed + uint64(r.life)}, r.disk.hard, r.disk.image, slices.Clone(r.disk.log), g.now)
-	r.Applied, r.image = nil, r.disk.image
-	if r.image != nil {
-		r.Applied = unpack(r.image.State)
+		Seed: g.Seed + uint64(r.generation)}, r.disk.hardState, r.disk.snapshot, slices.Clone(r.disk.log), g.now)
+	r.Applied, r.snapshot = nil, r.disk.snapshot
+	if r.snapshot != nil {
+		r.Applied = decodeCommands(r.snapshot.State)
 	}
 	g.apply(r, r.machine.Committed())
-	life := r.life
+	generation := r.generation
 	var tick func()
 	tick = func() {
-		if r.isUp && r.life == life {
-			g.do(r, r.machine.Tick(g.now))
+		if r.isUp && r.generation == generation {
+			g.execute(r, r.machine.Tick(g.now))
 			g.After(20*time.Millisecond, tick)
 		}
 	}
 	g.After(0, tick)
-	g.Note("start %s", id)
+	g.Tracef("start %s", id)
 }
 
 // Kill stops a replica as a power cut would: unsynced writes go, from a random
 // point on.
-func (g *Groups) Kill(id string) {
+func (g *ReplicaGroup) Kill(id string) {
 	r := g.Replicas[id]
 	if !r.isUp {
 		return
 	}
-	r.isUp, r.life = false, r.life+1
+	r.isUp, r.generation = false, r.generation+1
 	kept := g.Rand.IntN(len(r.disk.unsynced) + 1)
 	for _, p := range r.disk.unsynced[:kept] {
 		p.write()
 	}
 	r.disk.unsynced = nil
-	g.Note("kill %s, kept %d unsynced", id, kept)
+	g.Tracef("kill %s, kept %d unsynced", id, kept)
 }
 
-// Blank replaces a replica's disk: it returns as a new incarnation.
-func (g *Groups) Blank(id string) string {
+// ReplaceDisk replaces a replica's disk: it returns as a new incarnation.
+func (g *ReplicaGroup) ReplaceDisk(id string) string {
 	g.Kill(id)
-	g.incs++
-	fresh := fmt.Sprintf("%s/%d", group.Name(id), g.incs)
+	g.incarnations++
+	fresh := fmt.Sprintf("%s/%d", group.Name(id), g.incarnations)
 	delete(g.Replicas, id)
 	g.Names[slices.Index(g.Names, id)] = fresh
 	g.Replicas[fresh] = &Replica{Id: fresh}
-	g.Note("blank %s is now %s", id, fresh)
+	g.Tracef("blank %s is now %s", id, fresh)
 	g.Start(fresh)
 	return fresh
 }
 
-func pack(list []string) []byte {
+func encodeCommands(list []string) []byte {
 	out := []byte{}
 	for _, s := range list {
 		out = append(append(out, s...), '\n')
@@ -139,7 +139,7 @@
 	return out
 }
 
-func unpack(raw []byte) []string {
+func decodeCommands(raw []byte) []string {
 	out, from := []string{}, 0
 	for i, b := range raw {
 		if b == '\n' {
@@ -150,7 +150,7 @@
 }
 
 // do carries out what one step wants.
-func (g *Groups) do(r *Replica, out group.Output) {
+func (g *ReplicaGroup) execute(r *Replica, out group.Output) {
 	for _, m := range out.SendNow {
 		g.post(r, m)
 	}
@@ -162,37 +162,37 @@
 		}
 	}
 	if out.Install != nil {
-		r.image, r.Applied = out.Install, unpack(out.Install.State)
-		g.matches(r)
+		r.snapshot, r.Applied = out.Install, decodeCommands(out.Install.State)
+		g.checkPrefix(r)
 	}
 	g.apply(r, out.Apply)
 	if v := r.machine.View(); v.Role == group.Owner {
 		if was := g.owners[v.Term]; was != "" && was != r.Id {
-			g.breach("two owners in term %d: %s and %s", v.Term, was, r.Id)
+			g.recordBreach("two owners in term %d: %s and %s", v.Term, was, r.Id)
 		}
 		g.owners[v.Term] = r.Id
 	}
 	if len(r.Applied) > 0 && len(r.Applied)%40 == 0 {
-		if image := r.machine.Compact(r.machine.View().Commit, pack(r.Applied)); image != nil {
-			r.image = image
+		if image := r.machine.Compact(r.machine.View().Commit, encodeCommands(r.Applied)); image != nil {
+			r.snapshot = image
 			hard, log := r.machine.DurableState()
-			g.write(r, func() { r.disk.hard, r.disk.image, r.disk.log = hard, image, log }, nil)
+			g.write(r, func() { r.disk.hardState, r.disk.snapshot, r.disk.log = hard, image, log }, nil)
 		}
 	}
 }
 
-func (g *Groups) persist(r *Replica, p *group.DurableUpdate, after []wire.GroupMsg) {
+func (g *ReplicaGroup) persist(r *Replica, p *group.DurableUpdate, after []wire.GroupMsg) {
 	g.write(r, func() {
 		if p.Snapshot != nil {
-			r.disk.image, r.disk.log = p.Snapshot, nil
+			r.disk.snapshot, r.disk.log = p.Snapshot, nil
 		}
 		if p.Hard != nil {
-			r.disk.hard = *p.Hard
+			r.disk.hardState = *p.Hard
 		}
 		if len(p.Entries) > 0 {
 			base := int64(0)
-			if r.disk.image != nil {
-				base = r.disk.image.Index
+			if r.disk.snapshot != nil {
+				base = r.disk.snapshot.Index
 			}
 			r.disk.log = append(slices.Clone(r.disk.log[:p.Entries[0].Index-base-1]), p.Entries...)
 		}
@@ -202,21 +202,21 @@
 		}
 		if n := len(p.Entries); n > 0 {
 			e := p.Entries[n-1]
-			g.do(r, r.machine.Synced(e.Index, e.Term, g.now))
+			g.execute(r, r.machine.Synced(e.Index, e.Term, g.now))
 		}
 	})
 }
 
-// write queues one write; it is synced a little later, in order.
-func (g *Groups) write(r *Replica, write, then func()) {
-	life := r.life
-	r.disk.unsynced = append(r.disk.unsynced, pending{write: write, then: func(error) {
+// writeToPlaces queues one write; it is synced a little later, in order.
+func (g *ReplicaGroup) write(r *Replica, write, then func()) {
+	generation := r.generation
+	r.disk.unsynced = append(r.disk.unsynced, pendingWrite{write: write, then: func(error) {
 		if then != nil {
 			then()
 		}
 	}})
 	g.After(g.syncTime(), func() { // whichever sync comes first, it is of the first write
-		if r.isUp && r.life == life {
+		if r.isUp && r.generation == generation {
 			p := r.disk.unsynced[0]
 			r.disk.unsynced = r.disk.unsynced[1:]
 			p.write()
@@ -225,14 +225,14 @@
 	})
 }
 
-func (g *Groups) post(r *Replica, m wire.GroupMsg) {
+func (g *ReplicaGroup) post(r *Replica, m wire.GroupMsg) {
 	if m.Kind == group.MsgSnapshot {
-		m.State = r.image.State
+		m.State = r.snapshot.State
 	}
 	g.Send(group.Name(m.From), group.Name(m.To), func() {
 		for _, to := range g.Names { // whoever lives at that name gets it
 			if t := g.Replicas[to]; group.Name(to) == group.Name(m.To) && t.isUp {
-				g.do(t, t.machine.Receive(m, g.now))
+				g.execute(t, t.machine.Receive(m, g.now))
 			}
 		}
 	})
--- a/internal/sim/grouptime.go
+++ b/internal/sim/grouptime.go
@@ -15,15 +15,15 @@
 // stamps notes when each command of the groups was stamped with its group's time, so
 // that replicas can hold what package groupclock promises: between any two committed
 // commands group time advances by no more than real time has.
-type stamps struct {
+type proposalLog struct {
 	w  *World
 	at map[string]time.Duration // by the command's bytes; negative for one that was proposed twice
 }
 
-func newStamps(w *World) *stamps { return &stamps{w: w, at: map[string]time.Duration{}} }
+func newProposalLog(w *World) *proposalLog { return &proposalLog{w: w, at: map[string]time.Duration{}} }
 
-// note records that a command is proposed now.
-func (s *stamps) note(data []byte) {
+// record records that a command is proposed now.
+func (s *proposalLog) record(data []byte) {
 	if _, isKnown := s.at[string(data)]; isKnown {
 		s.at[string(data)] = -1 // which of the two was committed is not told by its bytes
 		return
@@ -31,54 +31,54 @@
 	s.at[string(data)] = s.w.now
 }
 
-// stamped is a group that notes what is proposed to it.
-type stamped struct {
+// recordingGroup is a group that notes what is proposed to it.
+type recordingGroup struct {
 	store.Group
-	stamps          *stamps
-	isBlindToLevels bool
+	proposals        *proposalLog
+	isIgnoringLevels bool
 }
 
 // View is the group's. The mutant has an owner believe that every replica can apply all.
-func (p *stamped) View() group.View {
+func (p *recordingGroup) View() group.View {
 	v := p.Group.View()
-	if p.isBlindToLevels {
+	if p.isIgnoringLevels {
 		v.CommonLevel = place.NewestLevel
 	}
 	return v
 }
 
 // Propose notes the command and passes it on.
-func (p *stamped) Propose(data []byte, tell func(verdict any, err error)) {
-	p.stamps.note(data)
+func (p *recordingGroup) Propose(data []byte, tell func(verdict any, err error)) {
+	p.proposals.record(data)
 	p.Group.Propose(data, tell)
 }
 
-// lead is how far group time is ahead of real time at one replica.
+// timeLead is how far group time is ahead of real time at one replica.
 //
 // Invariant: it is that of the newest command which told the time, and never grows.
-type lead struct {
-	stamps *stamps
-	least  int64 // milliseconds; math.MaxInt64 before the first command
+type timeLead struct {
+	proposals *proposalLog
+	minMillis int64 // milliseconds; math.MaxInt64 before the first command
 }
 
-func (s *stamps) newLead() *lead { return &lead{s, math.MaxInt64} }
+func (s *proposalLog) newTimeLead() *timeLead { return &timeLead{s, math.MaxInt64} }
 
-// leadSlack is by how many milliseconds a lead may grow through rounding.
-const leadSlack = 2
+// maxLeadGrowthMillis is by how many milliseconds a lead may grow through rounding.
+const maxLeadGrowthMillis = 2
 
-// grows takes in a committed command that tells the given group time, and returns by
+// growth takes in a committed command that tells the given group time, and returns by
 // how many milliseconds more than real time group time has advanced since an earlier
 // command; 0 if by none.
-func (l *lead) grows(data []byte, told int64) int64 {
-	at, isKnown := l.stamps.at[string(data)]
+func (l *timeLead) growth(data []byte, groupTime int64) int64 {
+	at, isKnown := l.proposals.at[string(data)]
 	if !isKnown || at < 0 {
 		return 0
 	}
-	is := told - at.Milliseconds()
-	if l.least != math.MaxInt64 && is > l.least+leadSlack {
-		return is - l.least
+	current := groupTime - at.Milliseconds()
+	if l.minMillis != math.MaxInt64 && current > l.minMillis+maxLeadGrowthMillis {
+		return current - l.minMillis
 	}
-	l.least = min(l.least, is)
+	l.minMillis = min(l.minMillis, current)
 	return 0
 }
 
@@ -102,35 +102,35 @@
 // timedPlace is a place's machine whose commands' times are held against real time.
 type timedPlace struct {
 	*store.PlaceHost
-	s    *simStore
-	lead *lead
+	s        *simStore
+	timeLead *timeLead
 }
 
 // Apply looks at the command's time and level and passes it on. The mutant has a replica take
 // every command for its own, so that it keeps its own count where that is ahead.
 func (x *timedPlace) Apply(data []byte, isOwn bool) any {
 	if c, err := place.Decode(data); err == nil && c.Level > x.s.level {
-		x.s.w.broke(RuleLevel, "%s gets a command of level %d and can apply %d", x.s.name, c.Level, x.s.level)
+		x.s.w.breach(RuleLevel, "%s gets a command of level %d and can apply %d", x.s.name, c.Level, x.s.level)
 	}
 	if told := timeOfCommand(data); told > 0 {
-		if more := x.lead.grows(data, told); more > 0 {
+		if more := x.timeLead.growth(data, told); more > 0 {
 			x.s.w.early("place time has advanced by %d ms more than real time", more)
 		}
 	}
-	return x.PlaceHost.Apply(data, isOwn || x.s.w.mutant == OwnCount)
+	return x.PlaceHost.Apply(data, isOwn || x.s.w.mutant == LocalGroupTime)
 }
 
 // early notes that group time was ahead of real time.
-func (p *Places) early(form string, args ...any) { p.broke(check.RuleEarly, form, args...) }
+func (p *PlaceCluster) early(form string, args ...any) { p.breach(check.RuleEarly, form, args...) }
 
 // RuleLevel: no replica gets a command that its build cannot apply.
 const RuleLevel = "LEVEL"
 
-// broke notes a broken rule while the simulation runs.
-func (p *Places) broke(rule, form string, args ...any) {
-	text := fmt.Sprintf(form, args...)
-	p.Note("BROKEN %s", text)
-	if len(p.broken) < mostBroken {
-		p.broken = append(p.broken, check.Breach{Rule: rule, Text: text})
+// breach notes a broken rule while the simulation runs.
+func (p *PlaceCluster) breach(rule, format string, args ...any) {
+	text := fmt.Sprintf(format, args...)
+	p.Tracef("BROKEN %s", text)
+	if len(p.breaches) < maxBreaches {
+		p.breaches = append(p.breaches, check.Breach{Rule: rule, Text: text})
 	}
 }
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -15,7 +15,7 @@
 func TestOperationKeysRunOnce(t *testing.T) {
 	play := func(mutant Mutant) (found string, worlds int) {
 		for seed := uint64(1); seed <= keySeeds && found == ""; seed++ {
-			found = strings.Join(RunKeysMutant(mutant, seed, mixed(PlaceFaults)...).Broken, "\n")
+			found = strings.Join(RunOperationKeysMutant(mutant, seed, selectFaults(PlaceFaults)...).Breaches, "\n")
 			worlds++
 		}
 		return found, worlds
@@ -26,7 +26,7 @@
 		So(worlds, ShouldEqual, keySeeds)
 	})
 	Convey("It does not where an end is kept for the window alone, or fronts name each send anew", t, func() {
-		for _, mutant := range []Mutant{ForgottenEnds, NewIdForRetry} {
+		for _, mutant := range []Mutant{ShortRetention, NewIdForRetry} {
 			found, _ := play(mutant)
 			So(found, ShouldContainSubstring, "TWICE")
 		}
--- a/internal/sim/manager.go
+++ b/internal/sim/managerprocess.go
@@ -18,15 +18,15 @@
 // managerProcess is a manager: sessions, feed, and the operators' own code.
 type managerProcess struct {
 	process
-	registry  *session.Registry
-	operators *manager.Operators
-	reach     *ownerclient.Client
+	registry    *session.Registry
+	operators   *manager.Operators
+	ownerClient *ownerclient.Client
 }
 
-func newManager(d *Deployment, m *machine) *managerProcess {
+func newManagerProcess(d *Deployment, m *machine) *managerProcess {
 	p := &managerProcess{}
 	p.process = process{d: d, kind: "manager", name: m.name + "-manager", addr: m.addr + ":manager", zone: m.zone, machine: m}
-	p.serve = p.onCall
+	p.handler = p.handleRequest
 	return p
 }
 
@@ -34,36 +34,36 @@
 	if p.isUp {
 		return
 	}
-	p.seeds = p.d.seeds()
-	p.begin(fmt.Sprint(p.name, ".", p.life+1))
+	p.seedAddrs = p.d.seedAddrs()
+	p.begin(fmt.Sprint(p.name, ".", p.generation+1))
 	p.registry = session.NewRegistry(p.d.bound(timing.SessionTimeout))
 	about := &daemon.Daemon{Kind: "manager", Bounds: timing.Default, Who: p.who(), View: p.view, Membership: p.membership,
-		Settings: settings.Settings{Parts: parts, Places: places, Founders: copies, Copies: copies, IsFirstStart: p.d.now == 0},
+		Settings: settings.Settings{Parts: extraParts, Places: placeCount, Founders: replicaCount, Copies: replicaCount, IsFirstStart: p.d.now == 0},
 		Clock:    p.now}
-	p.reach = &ownerclient.Client{Membership: p.membership, Bounds: timing.Default, SendFunc: p.callIn}
-	p.operators = manager.NewOperators(about, p.reach, p.registry, &manager.Source{})
-	p.every(p.pause, func() { p.followParts(); p.share() })
+	p.ownerClient = &ownerclient.Client{Membership: p.membership, Bounds: timing.Default, SendFunc: p.callAndWait}
+	p.operators = manager.NewOperators(about, p.ownerClient, p.registry, &manager.Source{})
+	p.every(p.pause, func() { p.pollParts(); p.exchangeSessions() })
 	p.every(func() time.Duration { return p.d.bound(timing.Poll) }, p.operators.ObserveStores)
 }
 
-// onCall serves sessions and peers.
-func (p *managerProcess) onCall(ask any, answer func(any)) {
+// handleRequest serves sessions and peers.
+func (p *managerProcess) handleRequest(request any, answer func(any)) {
 	now := p.now()
-	switch m := ask.(type) {
+	switch m := request.(type) {
 	case *wire.Poll:
 		p.registry.Renew(wire.Member{Who: m.Who, Owns: m.Owns}, now, true)
 		answer(session.NewsFor(m, p.view, now, p.membership))
 	case *wire.Share:
-		p.takeShare(m)
-		answer(p.ownShare())
+		p.mergeSessions(m)
+		answer(p.localSessions())
 	}
 }
 
-func (p *managerProcess) ownShare() *wire.Share {
+func (p *managerProcess) localSessions() *wire.Share {
 	return &wire.Share{Who: p.who(), Members: p.registry.SessionsForPeers(p.now())}
 }
 
-func (p *managerProcess) takeShare(share *wire.Share) {
+func (p *managerProcess) mergeSessions(share *wire.Share) {
 	for _, member := range share.Members {
 		if member.Who.Kind == "manager" && member.Who.Name != share.Who.Name {
 			p.registry.AddIfUnknown(member, p.now())
@@ -74,42 +74,42 @@
 }
 
 // share exchanges sessions with the other managers, and renews our own membership.
-func (p *managerProcess) share() {
+func (p *managerProcess) exchangeSessions() {
 	p.registry.Renew(wire.Member{Who: p.who()}, p.now(), true)
-	for _, addr := range p.managers() {
-		to, isKnown := p.d.at(addr)
+	for _, addr := range p.managerAddrs() {
+		to, isKnown := p.d.processAt(addr)
 		if !isKnown || addr == p.addr {
 			continue
 		}
-		own, life := p.ownShare(), p.life
-		p.d.net.call(p.machineOf(), to, func(answer func(any)) { to.serve(own, answer) }, func(reply any, err error) {
-			if share, isShare := reply.(*wire.Share); err == nil && isShare && p.life == life {
-				p.d.whenThawed(&p.lifecycle, func() { p.takeShare(share) })
+		own, generation := p.localSessions(), p.generation
+		p.d.net.call(p.machineAddr(), to, func(answer func(any)) { to.handler(own, answer) }, func(reply any, err error) {
+			if share, isShare := reply.(*wire.Share); err == nil && isShare && p.generation == generation {
+				p.d.runWhenThawed(&p.lifecycle, func() { p.mergeSessions(share) })
 			}
 		})
 	}
 	p.membership.Update(p.registry.Members(p.now()))
 }
 
-// followParts asks every store for news of the parts that it owns.
-func (p *managerProcess) followParts() {
-	asked, life := p.now(), p.life
+// pollParts asks every store for news of the parts that it owns.
+func (p *managerProcess) pollParts() {
+	polledAt, generation := p.now(), p.generation
 	for _, who := range p.membership.OfKind("store") {
-		to, isKnown := p.d.at(who.Addr)
+		to, isKnown := p.d.processAt(who.Addr)
 		if !isKnown {
 			continue
 		}
-		ask := &wire.Follow{Revisions: p.view.Revisions()}
-		p.d.net.call(p.machineOf(), to, func(answer func(any)) { to.serve(ask, answer) }, func(reply any, err error) {
-			if got, isNews := reply.(*wire.Followed); err == nil && isNews && p.life == life {
-				p.d.whenThawed(&p.lifecycle, func() { p.view.Update(got.Parts, asked); p.d.book.seen(&p.process) })
+		request := &wire.Follow{Revisions: p.view.Revisions()}
+		p.d.net.call(p.machineAddr(), to, func(answer func(any)) { to.handler(request, answer) }, func(reply any, err error) {
+			if got, isNews := reply.(*wire.Followed); err == nil && isNews && p.generation == generation {
+				p.d.runWhenThawed(&p.lifecycle, func() { p.view.Update(got.Parts, polledAt); p.d.oracle.checkView(&p.process) })
 			}
 		})
 	}
 }
 
-// handle does an operator's work at this manager, in a task of its own.
-func (p *managerProcess) handle(work func(ctx context.Context, o *manager.Operators)) {
+// startTask does an operator's work at this manager, in a task of its own.
+func (p *managerProcess) startTask(work func(ctx context.Context, o *manager.Operators)) {
 	p.d.Go(&p.lifecycle, func(ctx context.Context, _ *task) { work(ctx, p.operators) })
 }
 
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,44 +11,44 @@
 	"caperwheel/internal/wire"
 )
 
-func (n *node) boot() string { return fmt.Sprint(n.name, ".", n.life) }
+func (n *node) boot() string { return fmt.Sprint(n.name, ".", n.generation) }
 
 func (n *node) start() {
 	if n.isUp {
 		return
 	}
-	n.isUp, n.life, n.worker, n.term, n.steady = true, n.life+1, nil, 0, duty.HoldDown{Period: 2 * timing.Default.ConfigApply}
-	n.proposed = &duty.Proposals{Timeout: timing.Default.Of(timing.ViewAgeLimit)}
+	n.isUp, n.generation, n.worker, n.term, n.holdDown = true, n.generation+1, nil, 0, duty.HoldDown{Period: 2 * timing.Default.ConfigApply}
+	n.proposals = &duty.Proposals{Timeout: timing.Default.Of(timing.ViewAgeLimit)}
 	n.view, n.membership, n.registry = feed.NewView(0), session.NewMembership(), session.NewRegistry(timing.Default.Of(timing.SessionTimeout))
-	n.c.Note("start %s", n.boot())
-	life := n.life
-	var tick, act func()
-	tick = func() {
-		if n.isUp && n.life == life {
-			if n.c.now >= n.frozen {
+	n.c.Tracef("start %s", n.boot())
+	generation := n.generation
+	var pollTick, stepTick func()
+	pollTick = func() {
+		if n.isUp && n.generation == generation {
+			if n.c.now >= n.frozenUntil {
 				n.poll()
 			}
-			n.c.After(timing.Default.Of(timing.Poll), tick)
+			n.c.After(timing.Default.Of(timing.Poll), pollTick)
 		}
 	}
-	act = func() {
-		if n.isUp && n.life == life {
-			if n.c.now >= n.frozen {
-				n.act()
+	stepTick = func() {
+		if n.isUp && n.generation == generation {
+			if n.c.now >= n.frozenUntil {
+				n.step()
 			}
-			n.c.After(20*time.Millisecond, act)
+			n.c.After(20*time.Millisecond, stepTick)
 		}
 	}
-	n.c.After(time.Duration(n.c.Rand.IntN(100))*time.Millisecond, tick)
+	n.c.After(time.Duration(n.c.Rand.IntN(100))*time.Millisecond, pollTick)
 	if n.kind != "agent" {
-		n.c.After(0, act)
+		n.c.After(0, stepTick)
 	}
 }
 
 func (n *node) kill() {
 	if n.isUp {
-		n.isUp, n.life = false, n.life+1
-		n.c.Note("kill %s", n.name)
+		n.isUp, n.generation = false, n.generation+1
+		n.c.Tracef("kill %s", n.name)
 	}
 }
 
@@ -61,33 +61,33 @@
 
 // poll asks for news, as session.Client and the manager's follow do.
 func (n *node) poll() {
-	asked := n.c.now
+	polledAt := n.c.now
 	if n.kind == "manager" {
 		for _, s := range n.c.stores {
-			n.follow(s, asked)
+			n.pollPart(s, polledAt)
 		}
-		n.share()
+		n.exchangeSessions()
 		return
 	}
-	if asked-n.heard > timing.Default.Of(timing.AnswerTimeout) {
-		n.at, n.heard = n.at+1, asked
+	if polledAt-n.heardAt > timing.Default.Of(timing.AnswerTimeout) {
+		n.targetIndex, n.heardAt = n.targetIndex+1, polledAt
 	}
-	to := n.targets[n.at%len(n.targets)]
-	ask := &wire.Poll{Who: n.who(), Revisions: n.view.Revisions()}
+	to := n.targets[n.targetIndex%len(n.targets)]
+	request := &wire.Poll{Who: n.who(), Revisions: n.view.Revisions()}
 	if n.kind == "agent" {
-		_, ask.Colocated = n.registry.Members(asked)
+		_, request.Colocated = n.registry.Members(polledAt)
 	}
-	life := n.life
+	generation := n.generation
 	n.c.Send(n.name, to.name, func() {
-		to.c.whenThawed(&to.lifecycle, func() {
-			to.registry.Renew(wire.Member{Who: ask.Who}, n.c.now, true)
-			for _, m := range ask.Colocated {
+		to.c.runWhenThawed(&to.lifecycle, func() {
+			to.registry.Renew(wire.Member{Who: request.Who}, n.c.now, true)
+			for _, m := range request.Colocated {
 				to.registry.Renew(m, n.c.now, true)
 			}
-			news := session.NewsFor(ask, to.view, n.c.now, to.membership)
+			news := session.NewsFor(request, to.view, n.c.now, to.membership)
 			n.c.Send(to.name, n.name, func() {
-				if n.life == life {
-					n.c.whenThawed(&n.lifecycle, func() { n.heard = n.c.now; n.view.Update(news.Parts, asked) })
+				if n.generation == generation {
+					n.c.runWhenThawed(&n.lifecycle, func() { n.heardAt = n.c.now; n.view.Update(news.Parts, polledAt) })
 				}
 			})
 		})
@@ -95,14 +95,14 @@
 }
 
 // share tells the other managers of our sessions, as managers do.
-func (n *node) share() {
+func (n *node) exchangeSessions() {
 	n.registry.Renew(wire.Member{Who: n.who()}, n.c.now, true)
-	own := n.registry.SessionsForPeers(n.c.now)
+	sessions := n.registry.SessionsForPeers(n.c.now)
 	for _, to := range n.c.managers {
 		if to != n {
 			n.c.Send(n.name, to.name, func() {
-				to.c.whenThawed(&to.lifecycle, func() {
-					for _, m := range own {
+				to.c.runWhenThawed(&to.lifecycle, func() {
+					for _, m := range sessions {
 						to.registry.Renew(m, n.c.now, false)
 					}
 				})
@@ -111,8 +111,8 @@
 	}
 }
 
-func (n *node) follow(s *partStore, asked time.Duration) {
-	revision, life := n.view.Revision(feed.ConfigPart), n.life
+func (n *node) pollPart(s *partStore, polledAt time.Duration) {
+	revision, generation := n.view.Revision(feed.ConfigPart), n.generation
 	n.c.Send(n.name, s.name, func() {
 		if !s.isUp {
 			return
@@ -121,33 +121,33 @@
 			news, isOurs := s.part.News(revision)
 			if isOurs {
 				n.c.Send(s.name, n.name, func() {
-					if n.life == life {
-						n.c.whenThawed(&n.lifecycle, func() { n.view.Update([]wire.PartNews{news}, asked) })
+					if n.generation == generation {
+						n.c.runWhenThawed(&n.lifecycle, func() { n.view.Update([]wire.PartNews{news}, polledAt) })
 					}
 				})
 			}
 		})
-		s.pump()
+		s.runPending()
 	})
 }
 
-// edit brings an edit to whichever store owns the part, and tells if it held.
-func (n *node) edit(e wire.Edit, tell func(revision int64)) {
+// sendEdit brings an edit to whichever store owns the part, and tells if it held.
+func (n *node) sendEdit(e wire.Edit, onCommitted func(revision int64)) {
 	for _, s := range n.c.stores {
 		n.c.Send(n.name, s.name, func() {
 			if !s.isUp {
 				return
 			}
-			life := s.life
+			generation := s.generation
 			_ = s.host.Do(func() {
 				s.part.Edit(e, func(reply any) {
 					got, isEdited := reply.(*wire.Edited)
-					if isEdited && got.Kind == "" && s.isUp && s.life == life {
-						tell(got.Revision)
+					if isEdited && got.Kind == "" && s.isUp && s.generation == generation {
+						onCommitted(got.Revision)
 					}
 				})
 			})
-			s.pump()
+			s.runPending()
 		})
 	}
 }
--- a/internal/sim/places_test.go
+++ b/internal/sim/places_test.go
@@ -11,17 +11,17 @@
 	"caperwheel/internal/check"
 )
 
-// atOnce runs a simulation for each fault, as many at once as there are: each has
+// runParallel runs a simulation for each fault, as many at once as there are: each has
 // a world of its own. The assertions come one after another.
-func atOnce[F, T any](faults map[string]F, run func(hurt F) T) map[string]T {
+func runParallel[F, T any](faults map[string]F, run func(fault F) T) map[string]T {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	out := map[string]T{}
-	for name, hurt := range faults {
+	for name, fault := range faults {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			got := run(hurt)
+			got := run(fault)
 			mu.Lock()
 			defer mu.Unlock()
 			out[name] = got
@@ -31,7 +31,7 @@
 	return out
 }
 
-func show[B any](name string, broken []B, trace []string) {
+func printTrace[B any](name string, broken []B, trace []string) {
 	if len(broken) > 0 {
 		fmt.Println(name, strings.Join(trace, "\n"))
 	}
@@ -39,40 +39,40 @@
 
 func TestPlaceUnderFaults(t *testing.T) {
 	type result struct {
-		p        *Places
+		p        *PlaceCluster
 		breaches []check.Breach
 	}
-	runs := atOnce(PlaceFaults, func(hurt func(*Places)) result {
-		p, breaches := RunPlaces(1, hurt)
+	runs := runParallel(PlaceFaults, func(hurt func(*PlaceCluster)) result {
+		p, breaches := RunPlaceCluster(1, hurt)
 		return result{p, breaches}
 	})
 	Convey("A place with its stores and adapters", t, func() {
 		for name, r := range runs {
 			Convey("keeps the rules under "+name, func() {
-				show(name, r.breaches, r.p.Trace)
+				printTrace(name, r.breaches, r.p.Trace)
 				So(r.breaches, ShouldBeEmpty)
-				So(len(r.p.H.Runs), ShouldBeGreaterThan, 100)
+				So(len(r.p.History.Runs), ShouldBeGreaterThan, 100)
 			})
 		}
 	})
 }
 
-// mostMutantSeeds is how many seeds a place's mutant may need to be found.
-const mostMutantSeeds = 60
+// maxPlaceMutantSeeds is how many seeds a place's mutant may need to be found.
+const maxPlaceMutantSeeds = 60
 
 // TestPlaceTimeAcrossOwners: a replica once kept its own count of the place's time where
 // that was ahead of the owner's. Delays, and the patience of messages, ended early once it
 // became the owner, by up to seconds.
 func TestPlaceTimeAcrossOwners(t *testing.T) {
-	hurt := []string{"no majority", "handed over", "power loss of all"}
+	faultNames := []string{"no majority", "handed over", "power loss of all"}
 	seeds := map[string]uint64{"13": 13, "31": 31, "36": 36}
-	runs := atOnce(seeds, func(seed uint64) []check.Breach {
-		_, breaches := RunPlaces(seed, mixed(PlaceFaults, hurt...)...)
+	runs := runParallel(seeds, func(seed uint64) []check.Breach {
+		_, breaches := RunPlaceCluster(seed, selectFaults(PlaceFaults, faultNames...)...)
 		return breaches
 	})
 	mutant := ""
-	for seed := uint64(1); seed <= mostMutantSeeds && !strings.Contains(mutant, "before its delay of"); seed++ {
-		_, breaches := RunPlacesMutant(OwnCount, seed, mixed(PlaceFaults, hurt[:2]...)...)
+	for seed := uint64(1); seed <= maxPlaceMutantSeeds && !strings.Contains(mutant, "before its delay of"); seed++ {
+		_, breaches := RunPlaceClusterMutant(LocalGroupTime, seed, selectFaults(PlaceFaults, faultNames[:2]...)...)
 		mutant = fmt.Sprint(breaches)
 	}
 	Convey("No span in place time ends early in seed", t, func() {
@@ -89,9 +89,9 @@
 // TestRunsOutliveTheConfiguration: an owner once waited for a lost run by the newest
 // configuration's bound, and the next of its key began beside it.
 func TestRunsOutliveTheConfiguration(t *testing.T) {
-	hurt := mixed(PlaceFaults, "changed bounds", "stalled workers", "quick restarts")
-	runs := atOnce(map[string]uint64{"2": 2, "44": 44, "80": 80, "298": 298}, func(seed uint64) []check.Breach {
-		_, breaches := RunPlaces(seed, hurt...)
+	faults := selectFaults(PlaceFaults, "changed bounds", "stalled workers", "quick restarts")
+	runs := runParallel(map[string]uint64{"2": 2, "44": 44, "80": 80, "298": 298}, func(seed uint64) []check.Breach {
+		_, breaches := RunPlaceCluster(seed, faults...)
 		return breaches
 	})
 	Convey("No two messages of a key are at workers at once while bounds change, in seed", t, func() {
@@ -110,10 +110,10 @@
 		list []uint64
 	}
 	unheard, gone := "handed over unheard", "taken for gone"
-	runs := atOnce(map[string]seeds{unheard: {unheard, []uint64{1, 2, 3}}, gone: {gone, []uint64{1, 3, 9}}}, func(s seeds) []check.Breach {
+	runs := runParallel(map[string]seeds{unheard: {unheard, []uint64{1, 2, 3}}, gone: {gone, []uint64{1, 3, 9}}}, func(s seeds) []check.Breach {
 		out := []check.Breach{}
 		for _, seed := range s.list {
-			_, breaches := RunPlaces(seed, mixed(PlaceFaults, s.hurt)...)
+			_, breaches := RunPlaceCluster(seed, selectFaults(PlaceFaults, s.hurt)...)
 			out = append(out, breaches...)
 		}
 		return out
@@ -127,8 +127,8 @@
 
 func TestSeedsReplayExactly(t *testing.T) {
 	Convey("The same seed gives the same trace", t, func() {
-		traces := atOnce(map[string]bool{"once": true, "again": true}, func(bool) []string {
-			p, _ := RunPlaces(7, mixed(PlaceFaults)...)
+		traces := runParallel(map[string]bool{"once": true, "again": true}, func(bool) []string {
+			p, _ := RunPlaceCluster(7, selectFaults(PlaceFaults)...)
 			return p.Trace
 		})
 		So(len(traces["once"]), ShouldBeGreaterThan, 500)
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -15,52 +15,52 @@
 // session with whoever tells it the news.
 type process struct {
 	lifecycle
-	d          *Deployment
-	kind       string
-	name       string
-	addr       string
-	zone       string
-	boot       string
-	machine    *machine // nil for a follower
-	view       *feed.View
-	membership *session.Membership
-	configs    *config.Cache
-	serve      func(ask any, answer func(any))
-	seeds      []string
-	at         int
-	heard      time.Duration
-	isAsking   bool
-	born       time.Duration
-	newest     int64 // the highest revision its view has had in this life
+	d              *Deployment
+	kind           string
+	name           string
+	addr           string
+	zone           string
+	boot           string
+	machine        *machine // nil for a follower
+	view           *feed.View
+	membership     *session.Membership
+	configs        *config.Cache
+	handler        func(ask any, answer func(any))
+	seedAddrs      []string
+	targetIndex    int
+	heardAt        time.Duration
+	isPolling      bool
+	startedAt      time.Duration
+	newestRevision int64 // the highest revision its view has had in this life
 }
 
-// begin starts a new life.
+// startOperations starts a new life.
 func (p *process) begin(boot string) {
-	p.isUp, p.life, p.frozen = true, p.life+1, 0
-	p.boot, p.born = boot, p.d.now
-	p.view, p.membership, p.newest = feed.NewView(parts), session.NewMembership(), 0
+	p.isUp, p.generation, p.frozenUntil = true, p.generation+1, 0
+	p.boot, p.startedAt = boot, p.d.now
+	p.view, p.membership, p.newestRevision = feed.NewView(extraParts), session.NewMembership(), 0
 	p.configs = &config.Cache{View: p.view}
-	p.at, p.heard, p.isAsking = p.d.Rand.IntN(10), p.d.now, false
-	p.d.Note("start %s as %s", p.name, boot)
+	p.targetIndex, p.heardAt, p.isPolling = p.d.Rand.IntN(10), p.d.now, false
+	p.d.Tracef("start %s as %s", p.name, boot)
 }
 
 // now is the daemon's own clock, which begins with its life.
-func (p *process) now() time.Duration { return p.d.now - p.born }
+func (p *process) now() time.Duration { return p.d.now - p.startedAt }
 
 func (p *process) end() {
 	if p.isUp {
-		p.isUp, p.life = false, p.life+1
-		p.d.Note("end %s", p.name)
+		p.isUp, p.generation = false, p.generation+1
+		p.d.Tracef("end %s", p.name)
 	}
 }
 
 // every does work after each pause for as long as this life lasts.
 func (p *process) every(pause func() time.Duration, work func()) {
-	life := p.life
+	generation := p.generation
 	var tick func()
 	tick = func() {
-		if p.isUp && p.life == life {
-			if p.d.now >= p.frozen {
+		if p.isUp && p.generation == generation {
+			if p.d.now >= p.frozenUntil {
 				work()
 			}
 			p.d.After(pause(), tick)
@@ -79,9 +79,9 @@
 	return p.view.IsFresh(p.now(), timing.Default.Of(timing.ViewAgeLimit))
 }
 
-// managers are the seeds, and those that the membership names besides.
-func (p *process) managers() []string {
-	out := append([]string{}, p.seeds...)
+// managerAddrs are the seeds, and those that the membership names besides.
+func (p *process) managerAddrs() []string {
+	out := append([]string{}, p.seedAddrs...)
 	for _, who := range p.membership.OfKind("manager") {
 		isKnown := false
 		for _, addr := range out {
@@ -96,70 +96,70 @@
 
 // poll renews the session and takes news in, as session.Client does.
 func (p *process) poll(targets []string, owns []wire.Owned) {
-	if p.d.now-p.heard > p.d.bound(timing.AnswerTimeout) { // silent: turn to the next
-		p.at, p.heard, p.isAsking = p.at+1, p.d.now, false
+	if p.d.now-p.heardAt > p.d.bound(timing.AnswerTimeout) { // silent: turn to the next
+		p.targetIndex, p.heardAt, p.isPolling = p.targetIndex+1, p.d.now, false
 	}
-	if p.isAsking {
+	if p.isPolling {
 		return
 	}
-	to, isKnown := p.d.at(targets[p.at%len(targets)])
+	to, isKnown := p.d.processAt(targets[p.targetIndex%len(targets)])
 	if !isKnown {
 		return
 	}
-	p.isAsking = true
-	ask := &wire.Poll{Who: p.who(), Revisions: p.view.Revisions(), MembershipHash: p.membership.Hash(), Owns: owns}
-	life, asked := p.life, p.now()
-	p.d.net.call(p.machineOf(), to, func(answer func(any)) { to.serve(ask, answer) }, func(reply any, err error) {
+	p.isPolling = true
+	request := &wire.Poll{Who: p.who(), Revisions: p.view.Revisions(), MembershipHash: p.membership.Hash(), Owns: owns}
+	generation, polledAt := p.generation, p.now()
+	p.d.net.call(p.machineAddr(), to, func(answer func(any)) { to.handler(request, answer) }, func(reply any, err error) {
 		news, isNews := reply.(*wire.News)
-		if !p.isUp || p.life != life {
+		if !p.isUp || p.generation != generation {
 			return
 		}
-		p.isAsking = false
+		p.isPolling = false
 		if err == nil && isNews {
-			p.d.whenThawed(&p.lifecycle, func() {
-				p.heard = p.d.now
-				if news.MembershipHash != ask.MembershipHash {
+			p.d.runWhenThawed(&p.lifecycle, func() {
+				p.heardAt = p.d.now
+				if news.MembershipHash != request.MembershipHash {
 					p.membership.Update(news.MembershipHash, news.Members)
 				}
-				p.view.Update(news.Parts, asked)
-				p.d.book.seen(p)
+				p.view.Update(news.Parts, polledAt)
+				p.d.oracle.checkView(p)
 			})
 		}
 	})
 }
 
-// follower is an agent or an adapter: it acts on what it is told.
-type follower struct {
+// subscriber is an agent or an adapter: it acts on what it is told.
+type subscriber struct {
 	process
 	targets func(*process) []string // whom it may ask
 }
 
-func (d *Deployment) follow(kind string, targets func(*process) []string) *follower {
-	f := &follower{process{d: d, kind: kind, name: kind, addr: kind, zone: "c1"}, targets}
-	f.seeds = d.seeds()
-	f.serve = func(ask any, answer func(any)) {
+func (d *Deployment) addSubscriber(kind string, targets func(*process) []string) *subscriber {
+	f := &subscriber{process{d: d, kind: kind, name: kind, addr: kind, zone: "c1"}, targets}
+	f.seedAddrs = d.seedAddrs()
+	f.handler = func(ask any, answer func(any)) {
 		if poll, isPoll := ask.(*wire.Poll); isPoll {
 			answer(session.NewsFor(poll, f.view, f.now(), f.membership))
 		}
 	}
 	f.start()
-	d.followers = append(d.followers, f)
+	d.subscribers = append(d.subscribers, f)
 	return f
 }
 
-func (f *follower) start() {
+func (f *subscriber) start() {
 	if f.isUp {
 		return
 	}
-	f.begin(fmt.Sprintf("%s.%d", f.kind, f.life+1))
+	f.begin(fmt.Sprintf("%s.%d", f.kind, f.generation+1))
 	f.every(f.pause, func() { f.poll(f.targets(&f.process), nil) })
 }
 
-// seeds are the addresses that all daemons are told of at their start: those
+// seedAddrs are the addresses that all daemons are told of at their start: those
 // of the first managers, wherever those have gone since.
-func (d *Deployment) seeds() []string {
+func (d *Deployment) seedAddrs() []string {
 	out := []string{}
-	for _, m := range d.machines[:copies] {
+	for _, m := range d.machines[:replicaCount] {
 		out = append(out, m.manager.addr)
 	}
 	return out
--- a/internal/sim/stores.go
+++ b/internal/sim/storeprocess.go
@@ -18,43 +18,43 @@
 // nothing taken is lost.
 type storeProcess struct {
 	process
-	incarnation int
-	founders    []string // nil for a store that joined
-	disks       map[int64]*Disk
-	hosts       map[int64]*host.Host
-	parts       map[int64]*store.PartHost
-	rosters     *store.RosterPlanner
-	isOpen      bool // it belongs to the deployment, as it knows
+	incarnation   int
+	initialRoster []string // nil for a store that joined
+	disks         map[int64]*Disk
+	hosts         map[int64]*host.Host
+	parts         map[int64]*store.PartHost
+	rosterPlanner *store.RosterPlanner
+	hasJoined     bool // it belongs to the deployment, as it knows
 }
 
-func newStore(d *Deployment, m *machine) *storeProcess {
+func newStoreProcess(d *Deployment, m *machine) *storeProcess {
 	s := &storeProcess{disks: map[int64]*Disk{}}
 	s.process = process{d: d, kind: "store", name: m.name, addr: m.addr + ":store", zone: m.zone, machine: m}
-	s.serve = s.onCall
+	s.handler = s.handleRequest
 	d.serial++
 	s.incarnation = d.serial
 	return s
 }
 
-// member is the id under which the store is a member of groups.
-func (s *storeProcess) member() string { return fmt.Sprintf("%s/%d", s.name, s.incarnation) }
+// memberId is the id under which the store is a member of groups.
+func (s *storeProcess) memberId() string { return fmt.Sprintf("%s/%d", s.name, s.incarnation) }
 
 func (s *storeProcess) start() {
 	if s.isUp {
 		return
 	}
-	s.seeds = s.d.seeds()
-	s.begin(fmt.Sprintf("%d.%d", s.incarnation, s.life+1))
-	s.rosters, s.isOpen = store.NewRosterPlanner(timing.Default, copies), s.founders != nil || len(s.disks) > 0
+	s.seedAddrs = s.d.seedAddrs()
+	s.begin(fmt.Sprintf("%d.%d", s.incarnation, s.generation+1))
+	s.rosterPlanner, s.hasJoined = store.NewRosterPlanner(timing.Default, replicaCount), s.initialRoster != nil || len(s.disks) > 0
 	s.hosts, s.parts = map[int64]*host.Host{}, map[int64]*store.PartHost{}
 	for _, id := range groupIds() {
-		if s.founders != nil || s.disks[id] != nil {
-			s.open(id)
+		if s.initialRoster != nil || s.disks[id] != nil {
+			s.openReplica(id)
 		}
 	}
 	s.every(func() time.Duration { return s.d.bound(timing.Tick) }, s.tick)
 	s.every(func() time.Duration { return s.d.bound(timing.JoinInterval) }, s.join)
-	s.every(s.pause, func() { s.noteMembers(); s.poll(s.managers(), s.owned()) })
+	s.every(s.pause, func() { s.noteMembers(); s.poll(s.managerAddrs(), s.owned()) })
 }
 
 // wipe puts a blank disk in: the store is another incarnation, as Store's
@@ -65,11 +65,11 @@
 		return
 	}
 	s.d.serial++
-	s.incarnation, s.founders = s.d.serial, nil
-	s.d.Note("the disk of %s is blank: it is %s now", s.name, s.member())
+	s.incarnation, s.initialRoster = s.d.serial, nil
+	s.d.Tracef("the disk of %s is blank: it is %s now", s.name, s.memberId())
 }
 
-func (s *storeProcess) diskList() []*Disk {
+func (s *storeProcess) openDisks() []*Disk {
 	out := []*Disk{}
 	for _, id := range groupIds() {
 		if s.disks[id] != nil {
@@ -80,25 +80,25 @@
 }
 
 // open starts the replica of a group, as Store does.
-func (s *storeProcess) open(id int64) *host.Host {
+func (s *storeProcess) openReplica(id int64) *host.Host {
 	disk := s.disks[id]
 	if disk == nil {
-		disk = &Disk{w: s.d.World, isHasty: s.d.mutant == HastyDisk}
+		disk = &Disk{w: s.d.World, isAckingEarly: s.d.mutant == EarlyDiskAck}
 		s.disks[id] = disk
 	}
-	part := store.NewPartHost(&storeAround{s: s}, id)
-	h, err := host.New(host.Options{Id: id, Self: s.member(), Roster: s.founders, Bounds: timing.Default,
-		Seed: s.d.Seed + uint64(s.life)*31 + uint64(s.incarnation)*1009, Disk: &waking{disk, s, id}, Held: disk.Held(),
-		Machine: &witness{PartHost: part, s: s, id: id, image: part.Snapshot(), lead: s.d.stamps.newLead()}, Now: s.now, Send: s.send, OnFailure: func(err error) { panic(err) },
-		PreferredOwner: func(roster []string) string { return s.prefer(id, roster) },
+	part := store.NewPartHost(&storeEnvironment{s: s}, id)
+	h, err := host.New(host.Options{Id: id, Self: s.memberId(), Roster: s.initialRoster, Bounds: timing.Default,
+		Seed: s.d.Seed + uint64(s.generation)*31 + uint64(s.incarnation)*1009, Disk: &groupDisk{disk, s, id}, Held: disk.Held(),
+		Machine: &recordingPart{PartHost: part, s: s, id: id, snapshot: part.Snapshot(), timeLead: s.d.proposals.newTimeLead()}, Now: s.now, Send: s.sendGroupMessage, OnFailure: func(err error) { panic(err) },
+		PreferredOwner: func(roster []string) string { return s.preferredOwner(id, roster) },
 		PlanRoster: func(silence repair.Silence) (map[string]string, []string) {
-			return s.rosterPlan(id, silence)
-		}, CompactEntries: 20, MaxMessageBytes: 2000, Schedule: func(span time.Duration, work func()) { s.later(id, span, work) }})
+			return s.planRoster(id, silence)
+		}, CompactEntries: 20, MaxMessageBytes: 2000, Schedule: func(span time.Duration, work func()) { s.schedule(id, span, work) }})
 	if err != nil {
 		panic(err)
 	}
 	s.hosts[id], s.parts[id] = h, part
-	part.Attach(&stamped{Group: hosting(s.d.mutant, h), stamps: s.d.stamps})
+	part.Attach(&recordingGroup{Group: wrapGroup(s.d.mutant, h), proposals: s.d.proposals})
 	return h
 }
 
@@ -111,18 +111,18 @@
 	}
 }
 
-// later does work of a group once a time has passed, in this life and when thawed.
-func (s *storeProcess) later(id int64, span time.Duration, work func()) {
-	life := s.life
+// schedule does work of a group once a time has passed, in this life and when thawed.
+func (s *storeProcess) schedule(id int64, span time.Duration, work func()) {
+	generation := s.generation
 	s.d.After(span, func() {
-		if s.isUp && s.life == life {
-			s.d.whenThawed(&s.lifecycle, func() { work(); s.hosts[id].RunPending() })
+		if s.isUp && s.generation == generation {
+			s.d.runWhenThawed(&s.lifecycle, func() { work(); s.hosts[id].RunPending() })
 		}
 	})
 }
 
 // do has work done on a group's host, unless the store is frozen.
-func (s *storeProcess) do(id int64, work func()) bool {
+func (s *storeProcess) runOnHost(id int64, work func()) bool {
 	h := s.hosts[id]
 	if h == nil {
 		return false
@@ -130,14 +130,14 @@
 	if h.Do(work) != nil {
 		return false
 	}
-	if s.d.now >= s.frozen {
+	if s.d.now >= s.frozenUntil {
 		h.RunPending()
 	}
 	return true
 }
 
-// prefer spreads ownership over the members that are here and stay.
-func (s *storeProcess) prefer(id int64, roster []string) string {
+// preferredOwner spreads ownership over the members that are here and stay.
+func (s *storeProcess) preferredOwner(id int64, roster []string) string {
 	compiled, names, members := s.configs.Current(), []string{}, map[string]string{}
 	for _, m := range group.Voters(roster) {
 		name := group.Name(m)
@@ -149,17 +149,17 @@
 }
 
 // send brings a group's message to whatever store lives under the name.
-func (s *storeProcess) send(m wire.GroupMsg) {
+func (s *storeProcess) sendGroupMessage(m wire.GroupMsg) {
 	who, isMember := s.membership.Find(group.Name(m.To))
-	to, isKnown := s.d.at(who.Addr)
+	to, isKnown := s.d.processAt(who.Addr)
 	if !isMember || !isKnown {
 		return
 	}
-	if s.d.net.refusing[to.machineOf()] || !to.isUp {
-		s.missing(group.Name(m.To))
+	if s.d.net.refusingAddrs[to.machineAddr()] || !to.isUp {
+		s.reportStoreDown(group.Name(m.To))
 		return
 	}
-	s.d.Send(s.machineOf(), to.machineOf(), func() {
+	s.d.Send(s.machineAddr(), to.machineAddr(), func() {
 		if to.isUp {
 			to.machine.store.receive(m)
 		}
@@ -167,10 +167,10 @@
 }
 
 // missing tells all groups, later, that nobody listens where a store was.
-func (s *storeProcess) missing(name string) {
-	life := s.life
+func (s *storeProcess) reportStoreDown(name string) {
+	generation := s.generation
 	s.d.After(time.Millisecond, func() {
-		if s.isUp && s.life == life && s.d.now >= s.frozen {
+		if s.isUp && s.generation == generation && s.d.now >= s.frozenUntil {
 			for _, id := range groupIds() {
 				if h := s.hosts[id]; h != nil {
 					h.ReportStoreDown(name)
@@ -183,29 +183,29 @@
 
 func (s *storeProcess) receive(m wire.GroupMsg) {
 	h := s.hosts[m.Group]
-	if !s.isOpen {
+	if !s.hasJoined {
 		return
 	}
 	if h == nil {
 		if m.Kind != group.MsgAppend && m.Kind != group.MsgSnapshot && m.Kind != group.MsgSnapshotChunk {
 			return
 		}
-		h = s.open(m.Group)
+		h = s.openReplica(m.Group)
 	}
 	h.Receive(m)
-	if s.d.now >= s.frozen {
+	if s.d.now >= s.frozenUntil {
 		h.RunPending()
 	}
 }
 
-// onCall serves managers, as Store.onPart does.
-func (s *storeProcess) onCall(ask any, answer func(any)) {
+// handleRequest serves managers, as Store.onPart does.
+func (s *storeProcess) handleRequest(request any, answer func(any)) {
 	now := s.now()
-	switch m := ask.(type) {
+	switch m := request.(type) {
 	case *wire.Follow:
 		out := &wire.Followed{Parts: []wire.PartNews{}}
 		for _, revision := range m.Revisions {
-			s.do(revision.Part, func() {
+			s.runOnHost(revision.Part, func() {
 				if news, isOurs := s.parts[revision.Part].News(revision.Revision); isOurs {
 					out.Parts = append(out.Parts, news)
 				}
@@ -214,17 +214,17 @@
 		answer(out)
 	case *wire.Edit:
 		edit := *m
-		if s.d.mutant == BlindEdits {
+		if s.d.mutant == UnconditionalEdits {
 			edit.IfRevision = -1
 		}
-		if !s.do(m.Part, func() { s.parts[m.Part].Edit(edit, answer) }) {
+		if !s.runOnHost(m.Part, func() { s.parts[m.Part].Edit(edit, answer) }) {
 			answer(&wire.Edited{Kind: "not_owner"})
 		}
 	case *wire.Pull:
-		if !s.do(m.Part, func() { s.parts[m.Part].Pull(m.Key, now, answer) }) {
+		if !s.runOnHost(m.Part, func() { s.parts[m.Part].Pull(m.Key, now, answer) }) {
 			answer(&wire.Pulled{Kind: "not_owner", Change: wire.Change{Value: []byte{}}})
 		}
 	case *wire.Retire:
-		s.tellStandings(m.Store, now, answer)
+		s.reportStandings(m.Store, now, answer)
 	}
 }
--- a/internal/sim/storerepair.go
+++ b/internal/sim/storerepair.go
@@ -14,45 +14,45 @@
 // join takes a blank store into the deployment once it sees another store.
 func (s *storeProcess) join() {
 	isOther := func(who wire.Who) bool { return who.Name != s.name }
-	if !s.isOpen && slices.ContainsFunc(s.membership.OfKind("store"), isOther) {
-		s.isOpen = true
+	if !s.hasJoined && slices.ContainsFunc(s.membership.OfKind("store"), isOther) {
+		s.hasJoined = true
 	}
 }
 
 // noteMembers tells the planner of rosters which stores are members, as Store does.
 func (s *storeProcess) noteMembers() {
 	if s.isFresh() {
-		s.rosters.NoteMembers(s.membership.OfKind("store"), s.configs.Current().RetiredStores, s.now())
+		s.rosterPlanner.NoteMembers(s.membership.OfKind("store"), s.configs.Current().RetiredStores, s.now())
 	}
 }
 
-// rosterPlan is Store's, over what this store knows.
-func (s *storeProcess) rosterPlan(id int64, silence repair.Silence) (map[string]string, []string) {
+// planRoster is Store's, over what this store knows.
+func (s *storeProcess) planRoster(id int64, silence repair.Silence) (map[string]string, []string) {
 	if !s.isFresh() {
 		return map[string]string{}, nil
 	}
 	s.noteMembers()
-	return s.rosters.Plan(id, s.hosts[id].View().Roster, s.changing(), silence, s.now())
+	return s.rosterPlanner.Plan(id, s.hosts[id].View().Roster, s.changingGroupCount(), silence, s.now())
 }
 
-// changing counts the groups owned here whose roster is being changed.
-func (s *storeProcess) changing() int {
+// changingGroupCount counts the groups owned here whose roster is being changed.
+func (s *storeProcess) changingGroupCount() int {
 	out := 0
 	for _, h := range s.hosts {
-		if v := h.View(); v.Role == group.Owner && store.IsChanging(v.Roster, copies) {
+		if v := h.View(); v.Role == group.Owner && store.IsChanging(v.Roster, replicaCount) {
 			out++
 		}
 	}
 	return out
 }
 
-// tellStandings is Store's answer to how groups stand without a store: it waits
+// reportStandings is Store's answer to how groups stand without a store: it waits
 // for a majority's word on each group that it owns.
-func (s *storeProcess) tellStandings(without string, askedAt time.Duration, answer func(any)) {
-	life, until := s.life, askedAt+s.d.bound(timing.AnswerTimeout)
-	var look func()
-	look = func() {
-		if !s.isUp || s.life != life {
+func (s *storeProcess) reportStandings(without string, requestedAt time.Duration, answer func(any)) {
+	generation, until := s.generation, requestedAt+s.d.bound(timing.AnswerTimeout)
+	var check func()
+	check = func() {
+		if !s.isUp || s.generation != generation {
 			return
 		}
 		out := &wire.Retired{Groups: []wire.Standing{}, IsKnown: s.isFresh() && s.configs.Current().RetiredStores[without]}
@@ -62,17 +62,17 @@
 			if h == nil || h.View().Role != group.Owner {
 				continue
 			}
-			if v := h.View(); !v.IsConfirmed || v.ConfirmedAt < askedAt {
+			if v := h.View(); !v.IsConfirmed || v.ConfirmedAt < requestedAt {
 				isWaiting = true
 			} else {
 				out.Groups = append(out.Groups, store.NewStanding(id, v, without))
 			}
 		}
 		if isWaiting && s.now() <= until {
-			s.d.After(s.d.bound(timing.Heartbeat)/4, look)
+			s.d.After(s.d.bound(timing.Heartbeat)/4, check)
 			return
 		}
 		answer(out)
 	}
-	look()
+	check()
 }
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -13,46 +13,46 @@
 
 // Sweep says how each seed of a sweep is run.
 type Sweep struct {
-	Kind string
-	Only []string      // faults to mix, by name; empty for all of the kind
-	Span time.Duration // for how long a whole deployment is troubled; 0 for the usual time
+	Kind       string
+	FaultNames []string      // faults to mix, by name; empty for all of the kind
+	FaultTime  time.Duration // for how long a whole deployment is troubled; 0 for the usual time
 }
 
-// Seed runs one seed and returns what was broken, with the trace.
-func (s Sweep) Seed(seed uint64) (broken, trace []string) {
-	only := s.Only
+// RunSeed runs one seed and returns what was broken, with the trace.
+func (s Sweep) RunSeed(seed uint64) (broken, trace []string) {
+	names := s.FaultNames
 	switch s.Kind {
 	case "group":
-		g := RunGroup(seed, mixed(GroupFaults, only...)...)
-		return g.Broken, g.Trace
+		g := RunGroup(seed, selectFaults(GroupFaults, names...)...)
+		return g.Breaches, g.Trace
 	case "moves":
-		g := RunMoves(seed, mixed(GroupFaults, only...)...)
-		return g.Broken, g.Trace
+		g := RunRosterChanges(seed, selectFaults(GroupFaults, names...)...)
+		return g.Breaches, g.Trace
 	case "place":
-		p, breaches := RunPlaces(seed, mixed(PlaceFaults, only...)...)
+		p, breaches := RunPlaceCluster(seed, selectFaults(PlaceFaults, names...)...)
 		for _, b := range breaches {
 			broken = append(broken, b.Rule+": "+b.Text)
 		}
 		return broken, p.Trace
 	case "keys":
-		k := RunKeys(seed, mixed(PlaceFaults, only...)...)
-		return k.Broken, k.Trace
+		k := RunOperationKeys(seed, selectFaults(PlaceFaults, names...)...)
+		return k.Breaches, k.Trace
 	case "control":
-		return s.control(seed)
+		return s.runControl(seed)
 	case "delivery":
-		d, breaches := RunDeliveries(seed, mixed(DeliveryFaults, only...)...)
+		d, breaches := RunDeliveries(seed, selectFaults(DeliveryFaults, names...)...)
 		for _, b := range breaches {
 			broken = append(broken, b.Rule+": "+b.Text)
 		}
 		return broken, d.Trace
 	case "delays":
-		d, breaches := RunDelays(seed, mixed(DelayFaults, only...)...)
+		d, breaches := RunDelays(seed, selectFaults(DelayFaults, names...)...)
 		for _, b := range breaches {
 			broken = append(broken, b.Rule+": "+b.Text)
 		}
 		return broken, d.Trace
 	case "ceiling":
-		d, breaches := RunCeiling(seed, mixed(DeliveryFaults, only...)...)
+		d, breaches := RunCeiling(seed, selectFaults(DeliveryFaults, names...)...)
 		for _, b := range breaches {
 			broken = append(broken, b.Rule+": "+b.Text)
 		}
@@ -67,25 +67,25 @@
 	return []string{"no such kind"}, nil
 }
 
-// control runs a seed of both worlds of the control side, where they have the
+// runControl runs a seed of both worlds of the control side, where they have the
 // troubles that are asked for.
-func (s Sweep) control(seed uint64) (broken, trace []string) {
-	only := s.Only
-	if faults := mixed(ControlFaults, only...); len(faults) > 0 {
+func (s Sweep) runControl(seed uint64) (broken, trace []string) {
+	names := s.FaultNames
+	if faults := selectFaults(ControlFaults, names...); len(faults) > 0 {
 		c := RunControl(seed, faults...)
-		broken, trace = c.Broken, c.Trace
+		broken, trace = c.Breaches, c.Trace
 	}
-	if troubles := len(namesOf(Losses, only)) + len(namesOf(Herds, only)); troubles > 0 || slices.Contains(only, Retirements) || slices.Contains(only, Evacuations) {
-		d := RunDeployment(DeploymentOptions{Seed: seed, Only: only, Span: s.Span})
-		broken, trace = append(broken, d.Broken()...), append(append(trace, "the deployment:"), d.Trace...)
+	if faultCount := len(selectNames(MachineFaults, names)) + len(selectNames(ClusterFaults, names)); faultCount > 0 || slices.Contains(names, Retirements) || slices.Contains(names, Evacuations) {
+		d := RunDeployment(DeploymentOptions{Seed: seed, FaultNames: names, FaultTime: s.FaultTime})
+		broken, trace = append(broken, d.Breaches()...), append(append(trace, "the deployment:"), d.Trace...)
 	}
 	return broken, trace
 }
 
-func mixed[F any](faults map[string]F, only ...string) []F {
+func selectFaults[F any](faults map[string]F, selected ...string) []F {
 	out := []F{}
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
-		if len(only) == 0 || slices.Contains(only, name) {
+		if len(selected) == 0 || slices.Contains(selected, name) {
 			out = append(out, faults[name])
 		}
 	}
--- a/internal/sim/task.go
+++ b/internal/sim/task.go
@@ -14,34 +14,34 @@
 //
 // Invariant: a step is taken only by the world's queue, never inside another.
 type task struct {
-	w    *World
-	of   *lifecycle // whose work it is: it never goes on in another life; nil for a client's
-	life int
-	next func() (wait, bool)
-	stop func()
-	turn func(wait) bool
+	w          *World
+	owner      *lifecycle // whose work it is: it never goes on in another life; nil for a client's
+	generation int
+	next       func() (registerResume, bool)
+	stop       func()
+	yield      func(registerResume) bool
 }
 
 // wait has resume called once what is waited for has come.
-type wait func(resume func())
+type registerResume func(resume func())
 
-// ended unwinds a task whose daemon is no more.
-type ended struct{}
+// taskEnded unwinds a task whose daemon is no more.
+type taskEnded struct{}
 
 // Go starts a task. A frozen daemon's task goes on when it thaws.
-func (w *World) Go(of *lifecycle, work func(ctx context.Context, t *task)) {
-	t := &task{w: w, of: of}
-	if of != nil {
-		t.life = of.life
+func (w *World) Go(owner *lifecycle, work func(ctx context.Context, t *task)) {
+	t := &task{w: w, owner: owner}
+	if owner != nil {
+		t.generation = owner.generation
 	}
-	t.next, t.stop = iter.Pull(func(yield func(wait) bool) {
+	t.next, t.stop = iter.Pull(func(yield func(registerResume) bool) {
 		defer func() {
-			if r := recover(); r != nil && r != any(ended{}) {
+			if r := recover(); r != nil && r != any(taskEnded{}) {
 				panic(r)
 			}
 		}()
-		t.turn = yield
-		work(timing.WithClock(&taskContext{Context: context.Background(), t: t, until: forever}, &taskClock{t}), t)
+		t.yield = yield
+		work(timing.WithClock(&taskContext{Context: context.Background(), t: t, deadline: maxTime}, &taskClock{t}), t)
 	})
 	w.tasks = append(w.tasks, t)
 	w.After(0, t.step)
@@ -49,12 +49,12 @@
 
 // step lets the task go on until it waits again.
 func (t *task) step() {
-	if t.of != nil && (!t.of.isUp || t.of.life != t.life) {
+	if t.owner != nil && (!t.owner.isUp || t.owner.generation != t.generation) {
 		t.stop()
 		return
 	}
-	if t.of != nil && t.w.now < t.of.frozen {
-		t.w.After(t.of.frozen-t.w.now, t.step)
+	if t.owner != nil && t.w.now < t.owner.frozenUntil {
+		t.w.After(t.owner.frozenUntil-t.w.now, t.step)
 		return
 	}
 	register, isMore := t.next()
@@ -71,15 +71,15 @@
 }
 
 // wait returns the world its turn.
-func (t *task) wait(register wait) {
-	if !t.turn(register) {
-		panic(ended{})
+func (t *task) suspend(register registerResume) {
+	if !t.yield(register) {
+		panic(taskEnded{})
 	}
 }
 
-// pause lets time pass.
-func (t *task) pause(span time.Duration) {
-	t.wait(func(resume func()) { t.w.After(span, resume) })
+// sleep lets time pass.
+func (t *task) sleep(span time.Duration) {
+	t.suspend(func(resume func()) { t.w.After(span, resume) })
 }
 
 // stopTasks ends all tasks at the end of a run.
@@ -90,13 +90,13 @@
 	w.tasks = nil
 }
 
-const forever = time.Duration(1 << 62)
+const maxTime = time.Duration(1 << 62)
 
 // taskContext ends by simulated time.
 type taskContext struct {
 	context.Context
 	t          *task
-	until      time.Duration
+	deadline   time.Duration
 	isCanceled bool
 }
 
@@ -105,26 +105,26 @@
 	switch {
 	case c.isCanceled:
 		return context.Canceled
-	case c.t.w.now >= c.until:
+	case c.t.w.now >= c.deadline:
 		return context.DeadlineExceeded
 	}
 	return c.Context.Err()
 }
 
-// simulated gives the innermost simulated context of a task's context.
-func simulated(ctx context.Context) *taskContext {
-	c, isOurs := ctx.Value(simulatedKey{}).(*taskContext)
+// simulatedContext gives the innermost simulated context of a task's context.
+func simulatedContext(ctx context.Context) *taskContext {
+	c, isOurs := ctx.Value(simulatedContextKey{}).(*taskContext)
 	if !isOurs {
 		panic("not a context of the simulation")
 	}
 	return c
 }
 
-type simulatedKey struct{}
+type simulatedContextKey struct{}
 
 // Value gives the context itself to simulated.
 func (c *taskContext) Value(key any) any {
-	if key == (simulatedKey{}) {
+	if key == (simulatedContextKey{}) {
 		return c
 	}
 	return c.Context.Value(key)
@@ -135,11 +135,11 @@
 
 // Within returns a context that ends by simulated time.
 func (c *taskClock) Within(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
-	out := &taskContext{Context: ctx, t: c.t, until: min(simulated(ctx).until, c.t.w.now+span)}
+	out := &taskContext{Context: ctx, t: c.t, deadline: min(simulatedContext(ctx).deadline, c.t.w.now+span)}
 	return out, func() { out.isCanceled = true }
 }
 
 // Wait lets simulated time pass, at most until the context ends.
 func (c *taskClock) Wait(ctx context.Context, span time.Duration) {
-	c.t.pause(max(0, min(span, simulated(ctx).until-c.t.w.now)))
+	c.t.sleep(max(0, min(span, simulatedContext(ctx).deadline-c.t.w.now)))
 }
--- /dev/null
+++ b/internal/sim/wakingdisk.go
@@ -0,0 +1,20 @@
+package sim
+
+import "caperwheel/internal/group"
+
+// wakingDisk lets the host go on whenever its disk has answered.
+type wakingDisk struct {
+	*Disk
+	s *simStore
+}
+
+func (d *wakingDisk) wrap(then func(error)) func(error) {
+	return func(err error) { then(err); d.s.runPending() }
+}
+func (d *wakingDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
+	d.Disk.Persist(id, p, d.wrap(then))
+}
+func (d *wakingDisk) AfterWrites(then func(error)) { d.Disk.AfterWrites(d.wrap(then)) }
+func (d *wakingDisk) SaveSlot(id int64, hard group.HardState, image *group.Snapshot, e *group.DurableUpdate, then func(error)) {
+	d.Disk.SaveSlot(id, hard, image, e, d.wrap(then))
+}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -10,20 +10,20 @@
 )
 
 type event struct {
-	at   time.Duration
-	rank int64
-	work func()
+	at       time.Duration
+	sequence int64
+	work     func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].rank < q[j].rank
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -32,22 +32,22 @@
 
 // World is the clock, the dice and the trace of one run.
 type World struct {
-	Seed  uint64
-	Rand  *rand.Rand
-	Trace []string
-	now   time.Duration
-	rank  int64
-	queue queue
-	tasks []*task
-	cuts  map[[2]string]bool
-	// isCalm: no more faults are caused.
-	isCalm bool
+	Seed     uint64
+	Rand     *rand.Rand
+	Trace    []string
+	now      time.Duration
+	sequence int64
+	queue    eventQueue
+	tasks    []*task
+	cuts     map[[2]string]bool
+	// hasEndedFaults: no more faults are caused.
+	hasEndedFaults bool
 	// Loss is the share of messages lost, in thousandths. Slow is the longest
 	// delay of a message. Stuck is the share that comes only after seconds.
-	Loss  int
-	Slow  time.Duration
-	Stuck int
-	stuck []*stuckMessage // under way
+	LostMessages  int
+	MaxDelay      time.Duration
+	StuckMessages int
+	stuckMessages []*stuckMessage // under way
 }
 
 // stuckMessage comes only after seconds, or once the faults have ended.
@@ -65,7 +65,7 @@
 
 // NewWorld starts a run.
 func NewWorld(seed uint64) *World {
-	return &World{Seed: seed, Rand: rand.New(rand.NewPCG(seed, 17)), cuts: map[[2]string]bool{}, Slow: 5 * time.Millisecond}
+	return &World{Seed: seed, Rand: rand.New(rand.NewPCG(seed, 17)), cuts: map[[2]string]bool{}, MaxDelay: 5 * time.Millisecond}
 }
 
 // Now is the simulated time.
@@ -73,8 +73,8 @@
 
 // After does work once delay has passed.
 func (w *World) After(delay time.Duration, work func()) {
-	w.rank++
-	heap.Push(&w.queue, event{w.now + delay, w.rank, work})
+	w.sequence++
+	heap.Push(&w.queue, event{w.now + delay, w.sequence, work})
 }
 
 // Run lets time pass until the given moment.
@@ -87,9 +87,9 @@
 	w.now = until
 }
 
-// Note adds a line to the trace that a failing seed prints.
-func (w *World) Note(form string, args ...any) {
-	line := fmt.Sprintf("%8.3fs ", w.now.Seconds()) + fmt.Sprintf(form, args...)
+// Tracef adds a line to the trace that a failing seed prints.
+func (w *World) Tracef(format string, args ...any) {
+	line := fmt.Sprintf("%8.3fs ", w.now.Seconds()) + fmt.Sprintf(format, args...)
 	if len(w.Trace) > 20000 {
 		w.Trace = w.Trace[5000:]
 	}
@@ -97,32 +97,32 @@
 }
 
 // Cut stops messages from one name to another; one way only.
-func (w *World) Cut(from, to string) { w.cuts[[2]string{from, to}] = true }
+func (w *World) CutLink(from, to string) { w.cuts[[2]string{from, to}] = true }
 
-// Calm ends all faults for good: what was stuck comes now, as on links that are well again.
-func (w *World) Calm() {
-	w.isCalm, w.Loss, w.Stuck, w.Slow = true, 0, 0, 5*time.Millisecond
-	w.Heal()
-	for _, m := range w.stuck {
+// EndFaults ends all faults for good: what was stuck comes now, as on links that are well again.
+func (w *World) EndFaults() {
+	w.hasEndedFaults, w.LostMessages, w.StuckMessages, w.MaxDelay = true, 0, 0, 5*time.Millisecond
+	w.HealLinks()
+	for _, m := range w.stuckMessages {
 		w.After(0, m.arrive)
 	}
-	w.stuck = nil
+	w.stuckMessages = nil
 }
 
-// Heal ends all cuts.
-func (w *World) Heal() { w.cuts = map[[2]string]bool{} }
+// HealLinks ends all cuts.
+func (w *World) HealLinks() { w.cuts = map[[2]string]bool{} }
 
 // Send delivers a message after a random delay, unless it is cut or lost.
 // Messages of one pair may overtake each other.
 func (w *World) Send(from, to string, deliver func()) {
-	if w.cuts[[2]string{from, to}] || w.Rand.IntN(1000) < w.Loss {
+	if w.cuts[[2]string{from, to}] || w.Rand.IntN(1000) < w.LostMessages {
 		return
 	}
-	delay := time.Duration(w.Rand.Int64N(int64(w.Slow))) + 100*time.Microsecond
-	if w.Stuck > 0 && w.Rand.IntN(1000) < w.Stuck {
+	delay := time.Duration(w.Rand.Int64N(int64(w.MaxDelay))) + 100*time.Microsecond
+	if w.StuckMessages > 0 && w.Rand.IntN(1000) < w.StuckMessages {
 		delay += time.Duration(w.Rand.IntN(10000)) * time.Millisecond
 		m := &stuckMessage{deliver: deliver}
-		w.stuck, deliver = append(w.stuck, m), m.arrive
+		w.stuckMessages, deliver = append(w.stuckMessages, m), m.arrive
 	}
 	w.After(delay, deliver)
 }
@@ -136,11 +136,11 @@
 	return time.Duration(500+w.Rand.IntN(2000)) * time.Microsecond
 }
 
-// soon does work at a random moment of the next tenth of a second, unless the
+// scheduleFault does work at a random moment of the next tenth of a second, unless the
 // run has come to its calm end by then.
-func (w *World) soon(work func()) {
+func (w *World) scheduleFault(work func()) {
 	w.After(time.Duration(w.Rand.Int64N(int64(100*time.Millisecond))), func() {
-		if !w.isCalm {
+		if !w.hasEndedFaults {
 			work()
 		}
 	})
