--- a/internal/standin/doors.go
+++ b/internal/standin/adminendpoints.go
@@ -11,7 +11,7 @@
 )
 
 // Of so many held callers one asks at doors that take no message in.
-const doorShare = 7
+const adminCallerEvery = 7
 
 // Ports of the product's own HTTP interface, counted from the first internal one.
 const (
@@ -19,15 +19,15 @@
 	portAgentHttp = portFirst + 3
 )
 
-// door is a listener of a class of machines, and a path that is served there.
-type door struct {
+// adminEndpoint is a listener of a class of machines, and a path that is served there.
+type adminEndpoint struct {
 	class string
 	port  int
 	path  string
 }
 
-// doors are all but the one for messages.
-var doors = []door{
+// adminEndpoints are all but the one for messages.
+var adminEndpoints = []adminEndpoint{
 	{classFront, portReady, "/v1/readiness"},
 	{classFront, portHttp, "/metrics"},
 	{classFront, portAgentHttp, "/healthz"},
@@ -36,8 +36,8 @@
 	{classStore, portHttp, "/metrics"},
 }
 
-// running lists the machines of a class that are meant to run.
-func (s *Site) running(class string) []*Machine {
+// runningMachines lists the machines of a class that are meant to run.
+func (s *Site) runningMachines(class string) []*Machine {
 	return slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.Class != class || !m.isRunning() })
 }
 
@@ -48,32 +48,32 @@
 		return true
 	}
 	defer m.mu.Unlock()
-	return m.isMeant
+	return m.shouldRun
 }
 
 // chooseFront draws a front for messages, ready or not, on any route that there is.
 func (s *Site) chooseFront(draws *rand.Rand) (target, bool) {
-	fronts := s.running(classFront)
+	fronts := s.runningMachines(classFront)
 	if len(fronts) == 0 {
 		return target{}, false
 	}
 	m, message := fronts[draws.IntN(len(fronts))], Message{}
 	return target{machine: m, addr: s.at(m.host, portFront),
-		request: func(draws *rand.Rand) (*http.Request, Sent, error) {
+		request: func(draws *rand.Rand) (*http.Request, Submission, error) {
 			message = s.nextMessage(s.drawLoad(draws), m.Zone, draws)
 			return s.request(context.Background(), message, s.plan.Deadline, draws)
 		},
-		record: func(sent Sent) {
-			s.History.Add(func() { s.History.Sent = append(s.History.Sent, sent) })
-			s.repeats.note(message, m.Zone, sent.Told, s.Now(), newDraws())
+		record: func(sent Submission) {
+			s.History.WithLock(func() { s.History.Sent = append(s.History.Sent, sent) })
+			s.repeats.note(message, m.Zone, sent.Outcome, s.Now(), newRand())
 		}}, true
 }
 
 // drawLoad draws one of the plan's loads by its rate, at times on a route that has
 // just been added.
 func (s *Site) drawLoad(draws *rand.Rand) Load {
-	if trial, isThere := s.operator.newestTrial(); isThere && draws.IntN(trialShare) == 0 {
-		return Load{Route: trial.Name, Host: trial.Host, Prefix: trial.Prefix, Size: 300, Delayed: 0.5, MostDelay: s.plan.Loads[0].MostDelay}
+	if trial, isThere := s.operator.newestTrial(); isThere && draws.IntN(trialRouteEvery) == 0 {
+		return Load{Route: trial.Name, Host: trial.Host, Prefix: trial.Prefix, Size: 300, DelayedShare: 0.5, MaxDelay: s.plan.Loads[0].MaxDelay}
 	}
 	sum := 0.0
 	for _, load := range s.plan.Loads {
@@ -89,21 +89,23 @@
 }
 
 // Of so many messages of held callers one is on a route that comes and goes.
-const trialShare = 12
+const trialRouteEvery = 12
 
-// chooseDoor draws another door of any machine.
-func (s *Site) chooseDoor(draws *rand.Rand) (target, bool) {
-	d := doors[draws.IntN(len(doors))]
-	machines := s.running(d.class)
+// chooseAdminEndpoint draws another door of any machine.
+func (s *Site) chooseAdminEndpoint(draws *rand.Rand) (target, bool) {
+	d := adminEndpoints[draws.IntN(len(adminEndpoints))]
+	machines := s.runningMachines(d.class)
 	if len(machines) == 0 {
 		return target{}, false
 	}
 	m := machines[draws.IntN(len(machines))]
 	addr := s.at(m.host, d.port)
 	return target{machine: m, addr: addr,
-		request: func(*rand.Rand) (*http.Request, Sent, error) {
+		request: func(*rand.Rand) (*http.Request, Submission, error) {
 			req, err := http.NewRequest(http.MethodGet, "http://"+addr+d.path, nil)
-			return req, Sent{Sent: check.Sent{Token: d.path, Lane: d.path, Told: check.Undecided}}, errs.Wrap(err, errs.Internal, "door")
+			return req, Submission{Sent: check.Sent{Token: d.path, Lane: d.path, Outcome: check.Undecided}}, errs.Wrap(err, errs.Internal, "door")
 		},
-		record: func(sent Sent) { s.History.Add(func() { s.History.Doors = append(s.History.Doors, sent) }) }}, true
+		record: func(sent Submission) {
+			s.History.WithLock(func() { s.History.AdminRequests = append(s.History.AdminRequests, sent) })
+		}}, true
 }
--- a/internal/standin/answer_test.go
+++ b/internal/standin/answer_test.go
@@ -11,14 +11,14 @@
 // TestAnswerForms guards against workers that answer all alike: a bound that a long answer passes was never met.
 func TestAnswerForms(t *testing.T) {
 	Convey("Of some hundred messages each form of answer comes, and a message's own is always the same", t, func() {
-		seen := map[answerForm]int{}
+		seen := map[responseShape]int{}
 		for i := range 1000 {
 			id := fmt.Sprintf("m-%d", i)
-			form := formOf(id)
-			So(formOf(id), ShouldResemble, form)
+			form := responseShapeOf(id)
+			So(responseShapeOf(id), ShouldResemble, form)
 			seen[form]++
 		}
-		So(len(seen), ShouldEqual, 2*len(answerSizes)+2)
+		So(len(seen), ShouldEqual, 2*len(oddBodySizes)+2)
 		for form, count := range seen {
 			var out bytes.Buffer
 			So(form.write(&out), ShouldBeNil)
--- a/internal/standin/calls_test.go
+++ b/internal/standin/calls_test.go
@@ -12,27 +12,27 @@
 // TestCallsAreJudged: the operators' calls of a run are judged as a whole.
 func TestCallsAreJudged(t *testing.T) {
 	type op = linearize.Operation
-	first := op{Call: 1 * s, Return: 2 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 3, Digest: "a"}
-	second := op{Call: 30 * s, Return: 31 * s, Kind: linearize.Update, Outcome: linearize.Confirmed, Version: 5, Base: 3, Digest: "b"}
+	first := op{CalledAt: 1 * s, ReturnedAt: 2 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 3, Digest: "a"}
+	second := op{CalledAt: 30 * s, ReturnedAt: 31 * s, Kind: linearize.Update, Outcome: linearize.Confirmed, Version: 5, Base: 3, Digest: "b"}
 	again := func(outcome linearize.Outcome) op {
 		o := first
-		o.Call, o.Return, o.Outcome = 40*s, 41*s, outcome
+		o.CalledAt, o.ReturnedAt, o.Outcome = 40*s, 41*s, outcome
 		return o
 	}
 	read := func(version int64, order string) op {
-		return op{Call: 50 * s, Return: 51 * s, Kind: linearize.Read, Outcome: linearize.Confirmed, ReadVersion: version, ReadDigest: order}
+		return op{CalledAt: 50 * s, ReturnedAt: 51 * s, Kind: linearize.Read, Outcome: linearize.Confirmed, ReadVersion: version, ReadDigest: order}
 	}
 	zone := func(outcome linearize.Outcome) op {
-		return op{Call: 5 * s, Return: 6 * s, Kind: linearize.Evacuate, Outcome: outcome, Zone: "north"}
+		return op{CalledAt: 5 * s, ReturnedAt: 6 * s, Kind: linearize.Evacuate, Outcome: outcome, Zone: "north"}
 	}
-	rival := op{Call: 30 * s, Return: 31 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 5, Base: 3, Digest: "c"}
+	rival := op{CalledAt: 30 * s, ReturnedAt: 31 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 5, Base: 3, Digest: "c"}
 	cases := []struct {
 		name, rule string // no rule: nothing is wrong
 		calls      []op
 	}{
 		{"a change and another, read back", "", []op{first, second, read(5, "b")}},
 		{"a taken change that is acknowledged again", "", []op{first, second, again(linearize.Confirmed), read(5, "b")}},
-		{"a taken change that gets no clear answer", "", []op{first, second, again(linearize.Unclear), read(5, "b")}},
+		{"a taken change that gets no clear answer", "", []op{first, second, again(linearize.Indeterminate), read(5, "b")}},
 		{"a taken change that is refused", RuleConfig, []op{first, second, again(linearize.Refused)}},
 		{"two confirmed under one number", RuleConfig, []op{first, second, rival}},
 		{"a stale read", RuleConfig, []op{first, second, read(3, "a")}},
@@ -43,7 +43,7 @@
 	Convey("Of a run with", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
-				h := clean()
+				h := cleanHistory()
 				h.Calls = c.calls
 				want, got := []string{}, []string{}
 				if c.rule != "" {
@@ -56,12 +56,12 @@
 			})
 		}
 		Convey("a configuration that was read, the order that made it is known", func() {
-			h := clean()
-			h.Edits[1].Order = "b"
-			So(h.orderOf([]byte(`{"x":1,"version":5}`)), ShouldEqual, "b")
-			So(h.orderOf([]byte(`{"x":2,"version":5}`)), ShouldEqual, "nobody's")
-			h.Edits = append(h.Edits, Edit{Edit: check.Edit{Revision: 9}, IsInvalid: true, Whole: []byte(`{"version":9}`)})
-			So(h.orderOf([]byte(`{"version":9}`)), ShouldEqual, "nobody's")
+			h := cleanHistory()
+			h.Edits[1].RequestDigest = "b"
+			So(h.requestDigestOf([]byte(`{"x":1,"version":5}`)), ShouldEqual, "b")
+			So(h.requestDigestOf([]byte(`{"x":2,"version":5}`)), ShouldEqual, "nobody's")
+			h.Edits = append(h.Edits, Edit{Edit: check.Edit{Revision: 9}, IsInvalid: true, Document: []byte(`{"version":9}`)})
+			So(h.requestDigestOf([]byte(`{"version":9}`)), ShouldEqual, "nobody's")
 		})
 	})
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -22,89 +22,89 @@
 
 // Load is what clients send on a route.
 type Load struct {
-	Route, Host, Prefix string
-	Rate                float64 // messages a second
-	Keys, Size          int
-	Delayed, Poisoned   float64       // shares
-	MostDelay           time.Duration // the longest delay; 2 s if not given
-	Failing             float64       // share that fails once
-	IsNotified          bool
-	IsPublic            bool   // no key is needed
-	Tenant              string // whose messages they are; drawn if not given
+	Route, Host, Prefix         string
+	Rate                        float64 // messages a second
+	Keys, Size                  int
+	DelayedShare, PoisonedShare float64       // shares
+	MaxDelay                    time.Duration // the longest delay; 2 s if not given
+	FailingShare                float64       // share that fails once
+	IsNotified                  bool
+	IsPublic                    bool   // no key is needed
+	Tenant                      string // whose messages they are; drawn if not given
 }
 
-const furtherTries = 2
+const maxRetries = 2
 
 // Client is one client, with a session that it keeps and new ones for tries.
 type Client struct {
-	site     *Site
-	zone     string
-	deadline time.Duration
-	first    *http.Transport
-	again    *http.Transport
-	try      atomic.Int32
+	site           *Site
+	zone           string
+	deadline       time.Duration
+	firstTransport *http.Transport
+	retryTransport *http.Transport
+	retryCount     atomic.Int32
 }
 
 func newClient(s *Site, zone, name string, deadline time.Duration) *Client {
 	c := &Client{site: s, zone: zone, deadline: deadline}
-	c.first = &http.Transport{DialContext: s.entry.dialer(zone, name, func() int { return 0 }), MaxIdleConnsPerHost: 8, IdleConnTimeout: 5 * time.Second}
-	c.again = &http.Transport{DialContext: s.entry.dialer(zone, name, func() int { return int(c.try.Add(1)) }), DisableKeepAlives: true}
+	c.firstTransport = &http.Transport{DialContext: s.entry.dialer(zone, name, func() int { return 0 }), MaxIdleConnsPerHost: 8, IdleConnTimeout: 5 * time.Second}
+	c.retryTransport = &http.Transport{DialContext: s.entry.dialer(zone, name, func() int { return int(c.retryCount.Add(1)) }), DisableKeepAlives: true}
 	return c
 }
 
 // Message is one message, as tries have it in common.
 type Message struct {
 	Load
-	Key, Tail, Words string // Tail ends the path; Words stand in the body
-	Delay            time.Duration
-	Operation        string // key that all tries carry; none if empty
+	Key, PathSuffix, BodyPrefix string // Tail ends the path; Words stand in the body
+	Delay                       time.Duration
+	Operation                   string // key that all tries carry; none if empty
 
-	isOwned bool          // its tenant and operation key are drawn
-	first   time.Duration // when it was first sent
-	body    []byte        // of all tries with one operation key
+	hasOwner    bool          // its tenant and operation key are drawn
+	firstSentAt time.Duration // when it was first sent
+	body        []byte        // of all tries with one operation key
 }
 
-var sends atomic.Int64
+var lastSubmission atomic.Int64
 
 // Send sends a message until it is accepted or given up, and gives the last try.
-func (c *Client) Send(ctx context.Context, m Message) Sent {
-	draws := newDraws()
-	c.site.own(&m, draws)
+func (c *Client) Send(ctx context.Context, m Message) Submission {
+	draws := newRand()
+	c.site.assignOwner(&m, draws)
 	ctx, cancel := context.WithTimeout(ctx, c.deadline)
 	defer cancel()
-	sent := c.tries(ctx, m, draws)
-	c.site.repeats.note(m, c.zone, sent.Told, c.site.Now(), draws)
+	sent := c.submitWithRetries(ctx, m, draws)
+	c.site.repeats.note(m, c.zone, sent.Outcome, c.site.Now(), draws)
 	return sent
 }
 
-// tries sends a message until it is accepted or given up.
-func (c *Client) tries(ctx context.Context, m Message, draws *rand.Rand) Sent {
-	by, via := time.Now().Add(c.deadline), c.first
+// submitWithRetries sends a message until it is accepted or given up.
+func (c *Client) submitWithRetries(ctx context.Context, m Message, draws *rand.Rand) Submission {
+	by, via := time.Now().Add(c.deadline), c.firstTransport
 	for try := 0; ; try++ {
-		sent, wait := c.once(ctx, via, m, time.Until(by), draws)
-		isPromised := sent.Told == check.NotTaken && sent.Code != 404
-		if !isPromised || try == furtherTries || !pause(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
+		sent, wait := c.submit(ctx, via, m, time.Until(by), draws)
+		isPromised := sent.Outcome == check.NotTaken && sent.Code != 404
+		if !isPromised || try == maxRetries || !sleep(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
 			return sent
 		}
-		via = c.again
+		via = c.retryTransport
 	}
 }
 
 // request builds a try of a message, and the record of it.
-func (s *Site) request(ctx context.Context, m Message, left time.Duration, draws *rand.Rand) (*http.Request, Sent, error) {
-	id := fmt.Sprintf("t%d-%x", sends.Add(1), draws.Uint64())
-	s.own(&m, draws)
+func (s *Site) request(ctx context.Context, m Message, left time.Duration, draws *rand.Rand) (*http.Request, Submission, error) {
+	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), draws.Uint64())
+	s.assignOwner(&m, draws)
 	body := m.body
 	if m.Operation == "" {
-		body = m.draw(id, draws)
+		body = m.drawBody(id, draws)
 	}
 	reader := io.Reader(bytes.NewReader(body))
 	if draws.IntN(3) == 0 {
 		reader = struct{ io.Reader }{reader} // of no length that is known
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Host+m.Prefix+m.Tail, reader)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Host+m.Prefix+m.PathSuffix, reader)
 	if err != nil {
-		return nil, Sent{}, err
+		return nil, Submission{}, err
 	}
 	req.Header.Set(attemptId, id)
 	req.Header.Set(remaining, millis(left))
@@ -127,19 +127,19 @@
 	if apiKey != "" {
 		req.Header.Set(authorization, bearer+apiKey)
 	}
-	return req, Sent{Sent: check.Sent{Token: id, Lane: m.Route, Key: m.Key, Sum: fleet.Sum(body), Told: check.Undecided, Delay: m.Delay}, Line: lineOf(req),
+	return req, Submission{Sent: check.Sent{Token: id, Lane: m.Route, Key: m.Key, BodySum: fleet.Checksum(body), Outcome: check.Undecided, Delay: m.Delay}, RequestLine: requestLine(req),
 		IsNotified: m.IsNotified, Tenant: m.Tenant, ApiKey: apiKey, Operation: m.Operation}, nil
 }
 
-// newDraws gives a source of chance of its own to a goroutine.
-func newDraws() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+// newRand gives a source of chance of its own to a goroutine.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// once makes one try and records it.
-func (c *Client) once(ctx context.Context, via http.RoundTripper, m Message, left time.Duration, draws *rand.Rand) (Sent, time.Duration) {
+// submit makes one try and records it.
+func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, left time.Duration, draws *rand.Rand) (Submission, time.Duration) {
 	site := c.site
 	req, sent, err := site.request(ctx, m, left, draws)
 	if err != nil {
-		return Sent{}, 0
+		return Submission{}, 0
 	}
 	isRead := false
 	var mu sync.Mutex
@@ -147,10 +147,10 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if at := site.machineAt(info.Conn.RemoteAddr()); at != nil {
-			sent.Daemon, sent.Life = at.Short, at.life.Load()
+			sent.Daemon, sent.Incarnation = at.ShortName, at.incarnation.Load()
 		}
 	}, WroteHeaders: func() { mu.Lock(); isRead = true; mu.Unlock() }}
-	sent.At = site.Now()
+	sent.SentAt = site.Now()
 	answer, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	wait := time.Duration(0)
 	if err == nil {
@@ -159,70 +159,70 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	sent.ToldAt = site.Now()
+	sent.AnsweredAt = site.Now()
 	switch {
 	case err != nil:
-		sent.IsBroken = isRead && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
+		sent.IsConnectionBroken = isRead && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
 		if !isRead {
-			sent.Told = check.NotTaken
+			sent.Outcome = check.NotTaken
 		}
 	default:
 		sent.Code = answer.StatusCode
-		sent.told(answer.Header)
+		sent.applyResponse(answer.Header)
 		seconds, _ := strconv.ParseFloat(answer.Header.Get(retryAfter), 64)
 		wait = time.Duration(seconds * float64(time.Second))
 	}
-	site.History.Add(func() { site.History.Sent = append(site.History.Sent, sent) })
+	site.History.WithLock(func() { site.History.Sent = append(site.History.Sent, sent) })
 	return sent, wait
 }
 
-func (s *Sent) told(h http.Header) {
+func (s *Submission) applyResponse(h http.Header) {
 	s.RetryAfter = h.Get(retryAfter)
 	switch s.Code {
 	case 202:
-		s.Told, s.Id = check.Taken, s.Token
-		if name := h.Get(givenName); name != "" {
+		s.Outcome, s.Id = check.Taken, s.Token
+		if name := h.Get(messageName); name != "" {
 			s.Id = name
 		}
 	case 429, 503, 408, 421, 404, 401:
-		s.Told = check.NotTaken
+		s.Outcome = check.NotTaken
 	}
 }
 
 // message draws one of a load's.
 func (l Load) message(draws *rand.Rand) Message {
-	m := Message{Load: l, Words: "work", Tail: fmt.Sprintf("n/%d?part=%d", draws.IntN(1000), draws.IntN(9))}
+	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", draws.IntN(1000), draws.IntN(9))}
 	if l.Keys > 0 {
 		m.Key = fmt.Sprintf("thing-%d", draws.IntN(l.Keys))
 	}
-	if draws.Float64() < l.Delayed {
-		m.Delay = delayOf(l.MostDelay, draws)
+	if draws.Float64() < l.DelayedShare {
+		m.Delay = drawDelay(l.MaxDelay, draws)
 	}
 	switch {
-	case draws.Float64() < l.Poisoned:
-		m.Words = poisonWord
-	case draws.Float64() < l.Failing:
-		m.Words = failWord
+	case draws.Float64() < l.PoisonedShare:
+		m.BodyPrefix = poisonText
+	case draws.Float64() < l.FailingShare:
+		m.BodyPrefix = failOnceText
 	}
 	return m
 }
 
-// leastDelay is the shortest delay of a message that has one.
-const leastDelay = 300 * time.Millisecond
+// minDelay is the shortest delay of a message that has one.
+const minDelay = 300 * time.Millisecond
 
-// delayOf draws a delay: each span is as likely as the next one of twice its length.
-func delayOf(most time.Duration, draws *rand.Rand) time.Duration {
-	return spread(leastDelay, cmp.Or(most, 2*time.Second), draws)
+// drawDelay draws a delay: each span is as likely as the next one of twice its length.
+func drawDelay(most time.Duration, draws *rand.Rand) time.Duration {
+	return drawLogUniform(minDelay, cmp.Or(most, 2*time.Second), draws)
 }
 
-// spread draws a span: each one is as likely as the next of twice its length.
-func spread(least, most time.Duration, draws *rand.Rand) time.Duration {
-	ratio := float64(most) / float64(least)
-	return time.Duration(float64(least) * math.Pow(max(1, ratio), draws.Float64()))
+// drawLogUniform draws a span: each one is as likely as the next of twice its length.
+func drawLogUniform(shortest, longest time.Duration, draws *rand.Rand) time.Duration {
+	ratio := float64(longest) / float64(shortest)
+	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), draws.Float64()))
 }
 
-// Traffic has clients send loads until ctx ends.
-func (s *Site) Traffic(ctx context.Context, loads []Load, deadline time.Duration) {
+// RunTraffic has clients send loads until ctx ends.
+func (s *Site) RunTraffic(ctx context.Context, loads []Load, deadline time.Duration) {
 	clients := []*Client{}
 	for i := range 4 * len(s.Zones) {
 		clients = append(clients, newClient(s, s.Zones[i%len(s.Zones)], fmt.Sprintf("client-%d", i), deadline))
@@ -232,13 +232,13 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for pause(ctx, time.Duration((0.5+rand.Float64())*float64(time.Second)/load.Rate)) {
+			for sleep(ctx, time.Duration((0.5+rand.Float64())*float64(time.Second)/load.Rate)) {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					draws := newDraws()
+					draws := newRand()
 					m := s.nextMessage(load, s.Zones[draws.IntN(len(s.Zones))], draws)
-					s.senderOf(m, clients, draws).Send(context.WithoutCancel(ctx), m)
+					s.chooseClient(m, clients, draws).Send(context.WithoutCancel(ctx), m)
 				}()
 			}
 		}()
--- /dev/null
+++ b/internal/standin/commands_test.go
@@ -0,0 +1,48 @@
+package standin
+
+import (
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// TestOrdersInCalm: an order was once judged only where nothing was hurt from its sending on, so one that stayed
+// without an answer for a minute after a trouble passed.
+func TestOrdersInCalm(t *testing.T) {
+	hurt := func(froms ...time.Duration) (out []Disruption) {
+		for _, from := range froms {
+			out = append(out, Disruption{Daemon: "core-1", From: from, Until: from + s})
+		}
+		return out
+	}
+	cases := []struct {
+		text     string
+		order    Command
+		troubles []Disruption
+		isLate   bool
+	}{
+		{"acknowledged in a calm stretch, in time", Command{At: 20 * s, AckAt: 25 * s}, nil, false},
+		{"… late", Command{At: 20 * s, AckAt: 26 * s}, nil, true},
+		{"acknowledged soon enough after a trouble and the contact", Command{At: 20 * s, AckAt: 30 * s}, hurt(21 * s), false},
+		{"… too late after it", Command{At: 20 * s, AckAt: 32 * s}, hurt(21 * s), true},
+		{"given up after a calm stretch that came later", Command{At: 20 * s, GivenUpAt: 32 * s}, hurt(21 * s), true},
+		{"given up while something was hurt again and again", Command{At: 20 * s, GivenUpAt: 40 * s}, hurt(20*s, 28*s, 36*s), false},
+		{"given up while something is hurt to the end", Command{At: 20 * s, GivenUpAt: 40 * s}, []Disruption{{Daemon: "core-1", From: 19 * s}}, false},
+	}
+	Convey("An order is judged that was", t, func() {
+		for _, c := range cases {
+			Convey(c.text, func() {
+				h := cleanHistory()
+				h.Commands, h.Disruptions = []Command{c.order}, c.troubles
+				rules := []string{}
+				for _, b := range Judge(h, true) {
+					if b.Rule == RuleAcks {
+						rules = append(rules, b.Rule)
+					}
+				}
+				So(len(rules) > 0, ShouldEqual, c.isLate)
+			})
+		}
+	})
+}
--- a/internal/standin/occasions.go
+++ b/internal/standin/concurrentfaults.go
@@ -11,25 +11,25 @@
 // reload has machines read changed settings again and again while the configuration changes.
 func reload(ctx context.Context, s *Site, who string) func() {
 	var storming sync.WaitGroup
-	storming.Go(func() { storm(ctx, s, who) })
-	churn(ctx, s, "timeout")
+	storming.Go(func() { reloadRepeatedly(ctx, s, who) })
+	changeRepeatedly(ctx, s, "timeout")
 	storming.Wait()
 	return func() {}
 }
 
-// lone stops the agents of fronts alone, and starts them again once they have ended. Their adapters
+// restartAgents stops the agents of fronts alone, and starts them again once they have ended. Their adapters
 // serve on, and stop only where their view grows too old.
-func lone(_ context.Context, s *Site, who string) func() {
-	s.each(who, func(m *Machine) { m.stopOne("agent") })
+func restartAgents(_ context.Context, s *Site, who string) func() {
+	s.disruptEach(who, func(m *Machine) { m.restartProcess("agent") })
 	return func() {}
 }
 
-// together has machines of several kinds stop at the same moment, named with a + between them. Undone, they start again.
-func together(_ context.Context, s *Site, who string) func() {
+// stopTogether has machines of several kinds stop at the same moment, named with a + between them. Undone, they start again.
+func stopTogether(_ context.Context, s *Site, who string) func() {
 	var stopping sync.WaitGroup
 	undo := []func(){}
 	for _, name := range strings.Split(who, "+") {
-		for _, m := range s.match(name) {
+		for _, m := range s.machinesMatching(name) {
 			stopping.Go(func() { m.stop(true) })
 			undo = append(undo, m.restart)
 		}
--- a/internal/standin/edits.go
+++ b/internal/standin/configfaults.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// edit changes the configuration in the way that who names.
-func edit(ctx context.Context, s *Site, who string) func() {
+// changeConfig changes the configuration in the way that who names.
+func changeConfig(ctx context.Context, s *Site, who string) func() {
 	o := s.operator
 	switch who {
 	case "timeout", "update":
@@ -19,7 +19,7 @@
 	case "add":
 		c, code := o.change(ctx, rand.IntN(2) == 0, func(c *siteConfig) { c.Routes = append(c.Routes, c.trial()) })
 		if code == 200 {
-			s.Direct(ctx, c.Routes[len(c.Routes)-1])
+			s.SubmitToEachFront(ctx, c.Routes[len(c.Routes)-1])
 		}
 	case "remove":
 		gone := route{}
@@ -30,16 +30,16 @@
 			}
 		})
 		if code == 200 && gone.Name != "" {
-			s.Direct(ctx, gone)
+			s.SubmitToEachFront(ctx, gone)
 		}
 	case "invalid":
-		o.invalid(ctx)
+		o.sendInvalid(ctx)
 	case "race":
-		o.race(ctx)
+		o.sendRace(ctx)
 	case "repeat":
-		o.repeat(ctx)
+		o.sendRepeat(ctx)
 	default:
-		s.failed("nobody knows the edit %s", who)
+		s.recordFailure("nobody knows the edit %s", who)
 	}
 	return func() {}
 }
@@ -59,7 +59,7 @@
 		return route{}, false
 	}
 	defer o.mu.Unlock()
-	for _, r := range o.now.Routes {
+	for _, r := range o.current.Routes {
 		if strings.HasPrefix(r.Name, "trial") {
 			newest, isThere = r, true
 		}
@@ -67,76 +67,76 @@
 	return newest, isThere
 }
 
-// Direct sends each front some messages on a route that was just added or
+// SubmitToEachFront sends each front some messages on a route that was just added or
 // removed: now, and once every front must know.
-func (s *Site) Direct(ctx context.Context, r route) {
+func (s *Site) SubmitToEachFront(ctx context.Context, r route) {
 	load := Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix, Size: 100}
-	draws := newDraws()
+	draws := newRand()
 	send := func() {
-		for _, m := range s.entry.in() {
+		for _, m := range s.entry.readyFronts() {
 			c := newClient(s, m.Zone, "direct", time.Second)
 			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			c.once(bounded, s.entry.via(m), load.message(draws), time.Second, draws)
+			c.submit(bounded, s.entry.transportTo(m), load.message(draws), time.Second, draws)
 			cancel()
 		}
 	}
 	for range 3 {
 		send()
-		pause(ctx, apply/2+apply/10)
+		sleep(ctx, configApplyBound/2+configApplyBound/10)
 	}
 }
 
-// invalid sends configurations that must not be taken.
-func (o *operator) invalid(ctx context.Context) {
+// sendInvalid sends configurations that must not be taken.
+func (o *operator) sendInvalid(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, spoil := range spoilt {
-		c, body := spoil(o.now.next(), o.now.Version)
-		if code := o.send(ctx, false, o.now.Version, c, body, true); code == 0 {
-			o.site.failed("invalid configuration %d got no clear answer", i)
+	for i, spoil := range invalidations {
+		c, body := spoil(o.current.next(), o.current.Version)
+		if code := o.send(ctx, false, o.current.Version, c, body, true); code == 0 {
+			o.site.recordFailure("invalid configuration %d got no clear answer", i)
 		}
 	}
 }
 
-// race has two operators build on one version.
-func (o *operator) race(ctx context.Context) {
+// sendRace has two operators build on one version.
+func (o *operator) sendRace(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var wg sync.WaitGroup
 	codes, rivals := [2]int{}, [2]siteConfig{}
 	for i := range rivals {
-		rivals[i] = o.now.next()
+		rivals[i] = o.current.next()
 		rivals[i].Version += int64(10 * i)
 		rivals[i].Routes = append(rivals[i].Routes, rivals[i].trial())
-		o.built = append(o.built, rivals[i])
+		o.sentConfigs = append(o.sentConfigs, rivals[i])
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			codes[i] = o.send(ctx, false, o.now.Version, rivals[i], rivals[i].whole(), false)
+			codes[i] = o.send(ctx, false, o.current.Version, rivals[i], rivals[i].document(), false)
 		}()
 	}
 	wg.Wait()
 	for i, code := range codes {
 		if code == 200 {
-			o.now = rivals[i]
+			o.current = rivals[i]
 			return
 		}
 	}
-	o.site.failed("nobody won a race: %v", codes)
+	o.site.recordFailure("nobody won a race: %v", codes)
 	o.sync(ctx)
 }
 
-// repeat sends a change and, once it was acknowledged, the same again.
-func (o *operator) repeat(ctx context.Context) {
+// sendRepeat sends a change and, once it was acknowledged, the same again.
+func (o *operator) sendRepeat(ctx context.Context) {
 	was, c, code := o.changeFrom(ctx, false, func(c *siteConfig) { c.Routes[0].Timeout++ })
 	if code != 200 {
 		return
 	}
-	order := Order{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
-	ctx, cancel := context.WithTimeout(ctx, configBound)
+	order := Command{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	if code := o.configuration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.whole(), false); code == 200 {
+	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.document(), false); code == 200 {
 		order.AckAt = o.site.Now()
 	}
-	o.site.History.Add(func() { o.site.History.Orders = append(o.site.History.Orders, order) })
+	o.site.History.WithLock(func() { o.site.History.Commands = append(o.site.History.Commands, order) })
 }
--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -13,23 +13,23 @@
 	"caperwheel/internal/errs"
 )
 
-const missesOut = 2 // so many in a row take a daemon out
+const maxFailedProbes = 2 // so many in a row take a daemon out
 
 // entry passes clients' sessions to fronts that say they are ready.
 type entry struct {
-	site   *Site
-	fronts []*Machine
-	client *http.Client
-	mu     sync.Mutex
-	missed map[*Machine]int
+	site         *Site
+	fronts       []*Machine
+	client       *http.Client
+	mu           sync.Mutex
+	failedProbes map[*Machine]int
 }
 
 func newEntry(s *Site) *entry {
-	e := &entry{site: s, missed: map[*Machine]int{}, client: &http.Client{Timeout: time.Second}}
+	e := &entry{site: s, failedProbes: map[*Machine]int{}, client: &http.Client{Timeout: time.Second}}
 	for _, m := range s.Machines {
 		if m.Class == classFront {
 			e.fronts = append(e.fronts, m)
-			e.missed[m] = missesOut
+			e.failedProbes[m] = maxFailedProbes
 		}
 	}
 	return e
@@ -49,37 +49,37 @@
 			}
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.missed[m]++; isReady {
-				e.missed[m] = 0
+			if e.failedProbes[m]++; isReady {
+				e.failedProbes[m] = 0
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-func (e *entry) in() []*Machine {
+func (e *entry) readyFronts() []*Machine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.DeleteFunc(slices.Clone(e.fronts), func(m *Machine) bool { return e.missed[m] >= missesOut })
+	return slices.DeleteFunc(slices.Clone(e.fronts), func(m *Machine) bool { return e.failedProbes[m] >= maxFailedProbes })
 }
 
-func (e *entry) isWhole() bool { return len(e.in()) == len(e.fronts) }
+func (e *entry) isEveryFrontReady() bool { return len(e.readyFronts()) == len(e.fronts) }
 
-func ofZone(list []*Machine, zone string) []*Machine {
+func machinesInZone(list []*Machine, zone string) []*Machine {
 	return slices.DeleteFunc(slices.Clone(list), func(m *Machine) bool { return m.Zone != zone })
 }
 
-// choose gives a client's session a front: of its zone, or else of the next
+// chooseFrontFor gives a client's session a front: of its zone, or else of the next
 // zone that has any; by a hash, and another one for each further try.
-func choose(zones []string, fronts, in []*Machine, zone, client string, try int) *Machine {
+func chooseFrontFor(zones []string, fronts, in []*Machine, zone, client string, try int) *Machine {
 	from := max(0, slices.Index(zones, zone))
 	list := []*Machine{}
 	for i := range zones {
-		if list = ofZone(in, zones[(from+i)%len(zones)]); len(list) > 0 {
+		if list = machinesInZone(in, zones[(from+i)%len(zones)]); len(list) > 0 {
 			break
 		}
 	}
-	if own := ofZone(fronts, zone); len(list) == 0 || list[0].Zone == zone && 2*len(list) < len(own) {
+	if own := machinesInZone(fronts, zone); len(list) == 0 || list[0].Zone == zone && 2*len(list) < len(own) {
 		list = own
 	}
 	if len(list) == 0 {
@@ -93,7 +93,7 @@
 // dialer opens sessions of one client, which are passed on.
 func (e *entry) dialer(zone, client string, try func() int) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
-		m := choose(e.site.Zones, e.fronts, e.in(), zone, client, try())
+		m := chooseFrontFor(e.site.Zones, e.fronts, e.readyFronts(), zone, client, try())
 		if m == nil {
 			return nil, errs.New(errs.Lost, "there is no front")
 		}
@@ -101,8 +101,8 @@
 	}
 }
 
-// via opens sessions with one front, past the choice.
-func (e *entry) via(m *Machine) http.RoundTripper {
+// transportTo opens sessions with one front, past the choice.
+func (e *entry) transportTo(m *Machine) http.RoundTripper {
 	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, e.site.at(m.host, portFront))
 	}}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,84 +10,84 @@
 	"caperwheel/internal/fleet"
 )
 
-// actions cause a fault and give back what undoes it. Who names machines
+// faultActions cause a fault and give back what undoes it. Who names machines
 // (store-1, core-*, "zone north-bank", *), or workers by their service's place
 // in the plan (pool-1/1, pool-1/*, pool-3/*).
-var actions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
+var faultActions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
 	"kill": func(_ context.Context, s *Site, who string) func() {
-		return s.each(who, func(m *Machine) { m.stop(false) })
+		return s.disruptEach(who, func(m *Machine) { m.stop(false) })
 	},
 	"stop": func(_ context.Context, s *Site, who string) func() {
-		return s.each(who, func(m *Machine) { m.stop(true) })
+		return s.disruptEach(who, func(m *Machine) { m.stop(true) })
 	},
-	"wipe": func(_ context.Context, s *Site, who string) func() { return s.each(who, (*Machine).wipe) },
+	"wipe": func(_ context.Context, s *Site, who string) func() { return s.disruptEach(who, (*Machine).wipe) },
 	"wipe and kill": func(_ context.Context, s *Site, who string) func() {
 		return s.wipeAndKill(who)
 	},
-	"turn":   turn,
-	"hup":    hup,
-	"freeze": freeze,
-	"vanish": vanish,
-	"leave":  leave,
-	"swap":   swap,
-	"empty":  empty,
-	"edit":   edit,
-	"flood":  flood,
-	"deafen": deafen,
-	"nag":    nag,
-	"storm":  storm,
-	"gone":   gone,
-	"reload": reload, "lone": lone, "together": together,
-	"churn":  churn,
-	"forget": forget,
-	"rotate": rotate, "revoke": revoke, "raise": raise, "lower": lower, "hot": hot,
-	"fail": behave, "crawl": behave, "lose": behave, "cut": behave, "silent": behave, "full": behave,
+	"turn":   rollingRestart,
+	"hup":    reloadSettings,
+	"freeze": freezeMachines,
+	"vanish": crashWorkers,
+	"leave":  drainWorkers,
+	"swap":   reuseAddress,
+	"empty":  evacuateZone,
+	"edit":   changeConfig,
+	"flood":  floodRoute,
+	"deafen": failReceivers,
+	"nag":    signalWhileStopping,
+	"storm":  reloadRepeatedly,
+	"gone":   losePower,
+	"reload": reload, "lone": restartAgents, "together": stopTogether,
+	"churn":  changeRepeatedly,
+	"forget": closeIdleConnections,
+	"rotate": rotateKey, "revoke": revokeKeys, "raise": raise, "lower": lower, "hot": overload,
+	"fail": setMode, "crawl": setMode, "lose": setMode, "cut": setMode, "silent": setMode, "full": setMode,
 }
 
 // IsFault reports whether there is a fault of that name.
-func IsFault(do string) bool { return actions[do] != nil }
+func IsFault(do string) bool { return faultActions[do] != nil }
 
-// Cause carries out a schedule. Recovery is judged from when a step was really
+// InjectFaults carries out a schedule. Recovery is judged from when a step was really
 // begun or undone: a busy machine takes its time.
-func (s *Site) Cause(ctx context.Context, schedule fleet.Schedule) {
+func (s *Site) InjectFaults(ctx context.Context, schedule fleet.Schedule) {
 	isJudged := map[string]bool{}
 	for _, o := range schedule.Outages() {
-		isJudged[o.Text] = true
+		isJudged[o.Description] = true
 	}
 	note := func(text string) {
 		if isJudged[text] {
-			s.History.Add(func() { s.History.Outages = append(s.History.Outages, check.Outage{Text: text, At: s.Now()}) })
+			s.History.WithLock(func() { s.History.Outages = append(s.History.Outages, check.Outage{Description: text, At: s.Now()}) })
 		}
 	}
-	schedule.Carry(ctx, func(ctx context.Context, step fleet.Step) func() {
-		note(step.Do + " " + step.Who)
-		who := step.Who
-		if modes[step.Do] != Well {
-			who = step.Do + " " + who
+	schedule.Run(ctx, func(ctx context.Context, step fleet.Step) func() {
+		note(step.Action + " " + step.Target)
+		who := step.Target
+		if faultModes[step.Action] != Healthy {
+			who = step.Action + " " + who
 		}
-		undo := actions[step.Do](ctx, s, who)
-		return func() { undo(); note("end of " + step.Do + " " + step.Who) }
-	}, s.failed)
+		undo := faultActions[step.Action](ctx, s, who)
+		return func() { undo(); note("end of " + step.Action + " " + step.Target) }
+	}, s.recordFailure)
 }
 
-func (s *Site) match(who string) []*Machine {
+func (s *Site) machinesMatching(who string) []*Machine {
 	out := []*Machine{}
 	for _, m := range s.Machines {
 		zone, isZone := strings.CutPrefix(who, "zone ")
 		prefix, isPrefix := strings.CutSuffix(who, "*")
-		if m.Short == who || isPrefix && strings.HasPrefix(m.Short, prefix) || isZone && m.Zone == zone {
+		if m.ShortName == who || isPrefix && strings.HasPrefix(m.ShortName, prefix) || isZone && m.Zone == zone {
 			out = append(out, m)
 		}
 	}
 	if len(out) == 0 {
-		s.failed("no machine is called %s", who)
+		s.recordFailure("no machine is called %s", who)
 	}
 	return out
 }
 
-// each hurts machines at once; undone, they start again.
-func (s *Site) each(who string, do func(*Machine)) func() {
-	all, done := s.match(who), make(chan struct{})
+// disruptEach hurts machines at once; undone, they start again.
+func (s *Site) disruptEach(who string, do func(*Machine)) func() {
+	all, done := s.machinesMatching(who), make(chan struct{})
 	for _, m := range all {
 		go func() { do(m); done <- struct{}{} }()
 	}
@@ -105,10 +105,10 @@
 // moment, those too whose loss does not count. Undone, all start again.
 func (s *Site) wipeAndKill(who string) func() {
 	isWiped := map[*Machine]bool{}
-	for _, m := range s.match(who) {
+	for _, m := range s.machinesMatching(who) {
 		isWiped[m] = true
 	}
-	return s.each("*", func(m *Machine) {
+	return s.disruptEach("*", func(m *Machine) {
 		if isWiped[m] {
 			m.wipe()
 		} else {
@@ -117,26 +117,26 @@
 	})
 }
 
-// turn stops machines and starts them again one after another.
-func turn(ctx context.Context, s *Site, who string) func() {
-	for _, m := range s.match(who) {
+// rollingRestart stops machines and starts them again one after another.
+func rollingRestart(ctx context.Context, s *Site, who string) func() {
+	for _, m := range s.machinesMatching(who) {
 		m.stop(true)
-		pause(ctx, restartPause)
+		sleep(ctx, restartPause)
 		m.restart()
-		pause(ctx, time.Second)
+		sleep(ctx, time.Second)
 	}
 	return func() {}
 }
 
-func hup(_ context.Context, s *Site, who string) func() {
-	for _, m := range s.match(who) {
-		m.hup()
+func reloadSettings(_ context.Context, s *Site, who string) func() {
+	for _, m := range s.machinesMatching(who) {
+		m.reloadSettings()
 	}
 	return func() {}
 }
 
-func freeze(_ context.Context, s *Site, who string) func() {
-	all, ends := s.match(who), []func(time.Duration){}
+func freezeMachines(_ context.Context, s *Site, who string) func() {
+	all, ends := s.machinesMatching(who), []func(time.Duration){}
 	signal := func(sig syscall.Signal) {
 		for _, m := range all {
 			for _, p := range m.Processes {
@@ -145,7 +145,7 @@
 		}
 	}
 	for _, m := range all {
-		ends = append(ends, s.History.begin(m.Short, s.Now(), false))
+		ends = append(ends, s.History.beginDisruption(m.ShortName, s.Now(), false))
 	}
 	signal(syscall.SIGSTOP)
 	return func() {
@@ -156,16 +156,16 @@
 	}
 }
 
-// empty evacuates a zone; undone, it is taken back.
-func empty(ctx context.Context, s *Site, zone string) func() {
+// evacuateZone evacuates a zone; undone, it is taken back.
+func evacuateZone(ctx context.Context, s *Site, zone string) func() {
 	if s.operator.evacuate(ctx, zone, "start") {
-		s.History.Add(func() {
-			s.History.Marks = append(s.History.Marks, check.Mark{Zone: zone, From: s.Now(), Bound: evacuation})
+		s.History.WithLock(func() {
+			s.History.Marks = append(s.History.Marks, check.Drain{Zone: zone, From: s.Now(), Grace: evacuationBound})
 		})
 	}
 	return func() {
 		at := s.Now()
-		s.History.Add(func() {
+		s.History.WithLock(func() {
 			for i, m := range s.History.Marks {
 				if m.Zone == zone && m.Until == 0 {
 					s.History.Marks[i].Until = at
@@ -176,13 +176,13 @@
 	}
 }
 
-// flood sends what no worker can do, until undone.
-func flood(ctx context.Context, s *Site, route string) func() {
+// floodRoute sends what no worker can do, until undone.
+func floodRoute(ctx context.Context, s *Site, route string) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	for _, load := range s.plan.Loads {
 		if strings.HasPrefix(load.Route, route) {
-			load.Rate, load.Poisoned, load.Delayed = 3*load.Rate, 1, 0
-			go s.Traffic(ctx, []Load{load}, time.Second)
+			load.Rate, load.PoisonedShare, load.DelayedShare = 3*load.Rate, 1, 0
+			go s.RunTraffic(ctx, []Load{load}, time.Second)
 		}
 	}
 	return cancel
--- /dev/null
+++ b/internal/standin/finalstate.go
@@ -0,0 +1,241 @@
+package standin
+
+import (
+	"context"
+	"io"
+	"math"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/alitto/pond/v2"
+	"github.com/tidwall/gjson"
+
+	"caperwheel/internal/check"
+	"caperwheel/internal/fleet"
+)
+
+const (
+	queryTimeout         = 2 * time.Second
+	queryInterval        = 100 * time.Millisecond
+	maxConcurrentQueries = 64
+	maxQueryTries        = 3                // fronts that are asked for one message in a round
+	finalRoundTimeout    = 30 * time.Second // for the last word of all that is left
+	endedCheckInterval   = time.Second      // between two looks at which messages have ended
+	progressInterval     = 15 * time.Second // of how far the asking is
+	endedSampleSize      = 1000             // messages known to have ended that are asked after as well
+)
+
+// finalStateCollector is the asking after all that was accepted.
+type finalStateCollector struct {
+	site        *Site
+	pending     []Submission // not asked to the end yet
+	resolved    int
+	round       int
+	idleTimeout time.Duration                  // after so long in which none has ended, the last word is asked for
+	report      func(form string, args ...any) // how far it is
+	// What workers have ended meanwhile is not asked after.
+	isOpenOnly bool
+}
+
+// CollectFinalStates asks for all that was accepted until it has ended or ctx ends, and
+// records the last word of each, with the bytes of what has not ended.
+func (s *Site) CollectFinalStates(ctx context.Context) {
+	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: math.MaxInt64, report: func(string, ...any) {}}
+	a.run(ctx)
+}
+
+// CollectOpenFinalStates does the same for what is not known to have ended, as workers saw it, and for a
+// sample of the rest, for as long as any ends.
+func (s *Site) CollectOpenFinalStates(ctx context.Context, quiet time.Duration, tell func(form string, args ...any)) {
+	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: quiet, report: tell, isOpenOnly: true}
+	a.dropEnded(endedSampleSize)
+	a.run(ctx)
+}
+
+// accepted lists the messages that were accepted.
+func (s *Site) acceptedSubmissions() []Submission {
+	out := []Submission{}
+	s.History.WithLock(func() {
+		for _, sent := range s.History.Sent {
+			if sent.Outcome == check.Taken {
+				out = append(out, sent)
+			}
+		}
+	})
+	return out
+}
+
+// run asks in rounds until nothing is left, nothing has ended for a while, or ctx ends, and then once
+// for the last word.
+func (a *finalStateCollector) run(ctx context.Context) {
+	ticker := time.NewTicker(progressInterval)
+	defer ticker.Stop()
+	lookedAt, left, endedAt := time.Now(), len(a.pending), time.Now()
+	for len(a.pending) > 0 && ctx.Err() == nil && a.site.ctx.Err() == nil && time.Since(endedAt) < a.idleTimeout {
+		a.queryRound(ctx, false)
+		select {
+		case <-ticker.C:
+			a.report("%d messages are not known to have ended, %d are asked after", len(a.pending), a.resolved)
+		default:
+		}
+		sleep(ctx, queryInterval)
+		if time.Since(lookedAt) > endedCheckInterval {
+			lookedAt = time.Now()
+			if a.isOpenOnly {
+				a.dropEnded(0)
+			}
+			if len(a.pending) < left {
+				left, endedAt = len(a.pending), time.Now()
+			}
+		}
+	}
+	if len(a.pending) == 0 || a.site.ctx.Err() != nil {
+		return
+	}
+	bounded, cancel := context.WithTimeout(a.site.ctx, finalRoundTimeout)
+	defer cancel()
+	a.report("the last word of %d messages", len(a.pending))
+	a.queryRound(bounded, true)
+	if len(a.pending) > 0 && a.site.ctx.Err() == nil {
+		a.site.recordFailure("%d messages that were accepted could not be asked after in %v", len(a.pending), finalRoundTimeout)
+	}
+}
+
+// ask asks once for each open message, many at once, and keeps those that are to be asked again.
+func (a *finalStateCollector) queryRound(ctx context.Context, isFinalRound bool) {
+	a.round++
+	pool := pond.NewPool(min(maxConcurrentQueries, maxQueryTries*len(a.site.entry.fronts)))
+	defer pool.Stop()
+	left, group := make(chan Submission, len(a.pending)), pool.NewGroup()
+	for i, sent := range a.pending {
+		group.Submit(func() {
+			if ctx.Err() != nil || !a.site.queryFinalState(sent, i+a.round, isFinalRound) {
+				left <- sent
+			}
+		})
+	}
+	_ = group.Wait()
+	close(left)
+	before := len(a.pending)
+	a.pending = a.pending[:0]
+	for sent := range left {
+		a.pending = append(a.pending, sent)
+	}
+	a.resolved += before - len(a.pending)
+}
+
+// dropEnded leaves out what workers have ended since, but for so many.
+func (a *finalStateCollector) dropEnded(sample int) {
+	a.site.History.WithLock(func() {
+		j, now := newJudge(a.site.History), a.site.Now()
+		a.pending = slices.DeleteFunc(a.pending, func(s Submission) bool {
+			if !j.hasEnded(s, now) {
+				return false
+			}
+			sample--
+			return sample < 0
+		})
+	})
+}
+
+const probePeriod = 20 * time.Millisecond
+
+// productState are the product's words, which its own check knows.
+var productState = map[string]string{"queued": "held", "completed": "ended", "dead_letter": "failed"}
+
+// ObserveMessages asks any front for some message that was accepted, its state and its
+// bytes, until ctx ends.
+func (s *Site) ObserveMessages(ctx context.Context) {
+	for sleep(ctx, probePeriod) {
+		sent := Submission{}
+		s.History.WithLock(func() {
+			if n := len(s.History.Sent); n > 0 {
+				sent = s.History.Sent[n-1-rand.IntN(min(n, 400))]
+			}
+		})
+		if sent.Outcome == check.Taken {
+			go s.observe(sent)
+			s.queryAcrossTenants(sent)
+		}
+	}
+}
+
+func (s *Site) observe(sent Submission) {
+	addr := s.at(s.entry.fronts[rand.IntN(len(s.entry.fronts))].host, portFront)
+	seen := check.StatusRead{Id: sent.Id, RequestedAt: s.Now(), State: "unknown"}
+	code, raw := s.query(addr, sent, "/v1/message/")
+	if code != 200 && code != 404 {
+		return // it cannot be reached now
+	}
+	if code == 200 {
+		seen.State = productState[gjson.GetBytes(raw, "state").Str]
+	}
+	if code, raw := s.query(addr, sent, "/v1/message-body/"); code == 200 {
+		seen.BodySum = fleet.Checksum(raw)
+	}
+	seen.AnsweredAt = s.Now()
+	s.History.WithLock(func() { s.History.Observations = append(s.History.Observations, seen) })
+}
+
+// lastWord is true once there is no more to ask.
+func (s *Site) queryFinalState(sent Submission, turn int, isFinalRound bool) bool {
+	fronts := s.entry.fronts
+	for try := range min(maxQueryTries, len(fronts)) {
+		addr := s.at(fronts[(turn+try)%len(fronts)].host, portFront)
+		code, raw := s.query(addr, sent, "/v1/message/")
+		if code != 200 && code != 404 {
+			continue
+		}
+		end := FinalState{State: gjson.GetBytes(raw, "state").Str, Stamp: gjson.GetBytes(raw, "stamp").Str}
+		if code == 404 {
+			end.State = "unknown"
+		}
+		if end.State == "queued" && !isFinalRound {
+			return false
+		}
+		if end.State == "queued" {
+			if code, raw = s.query(addr, sent, "/v1/message-body/"); code != 200 {
+				continue // it may have ended meanwhile
+			}
+			end.BodySum = fleet.Checksum(raw)
+		}
+		end.At = s.Now()
+		s.History.WithLock(func() { s.History.FinalStates[sent.Token] = end })
+		return true
+	}
+	if isFinalRound && s.ctx.Err() == nil {
+		s.History.WithLock(func() { s.History.FinalStates[sent.Token] = FinalState{At: s.Now()} })
+	}
+	return isFinalRound
+}
+
+func (s *Site) query(addr string, sent Submission, path string) (int, []byte) {
+	return s.queryWithKey(s.keys.valid(sent.Tenant), addr, sent, path)
+}
+
+func (s *Site) queryWithKey(key, addr string, sent Submission, path string) (int, []byte) {
+	ctx, cancel := context.WithTimeout(s.ctx, queryTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path+sent.Id, nil)
+	if err != nil {
+		return 0, nil
+	}
+	req.Host = s.operator.hostOf(sent.Lane)
+	if key != "" {
+		req.Header.Set(authorization, bearer+key)
+	}
+	answer, err := s.queryClient.Do(req)
+	if err != nil {
+		return 0, nil
+	}
+	defer answer.Body.Close()
+	raw, err := readAll(answer)
+	if err != nil {
+		return 0, nil
+	}
+	return answer.StatusCode, raw
+}
+
+func readAll(answer *http.Response) ([]byte, error) { return io.ReadAll(answer.Body) }
--- a/internal/standin/list.go
+++ b/internal/standin/instancelist.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	listLag  = 300 * time.Millisecond
-	listRate = 20.0
-	listPage = 4
+	listDelay         = 300 * time.Millisecond
+	listRatePerSecond = 20.0
+	listPageEntries   = 4
 )
 
 type instance struct {
@@ -27,17 +27,17 @@
 	ColdFor    int64  `json:"cold_remaining_ms"`
 }
 
-// list is the platform's list of workers. It shows what was, a lag ago.
+// operationList is the platform's list of workers. It shows what was, a lag ago.
 type list struct {
-	site   *Site
-	page   int     // entries of a page
-	rate   float64 // calls a second that are taken from all
-	shared []*manyWorkers
-	mu     sync.Mutex
-	was    []listState
-	took   []time.Duration // calls within the last second
+	site          *Site
+	page          int     // entries of a page
+	rate          float64 // calls a second that are taken from all
+	sharedWorkers []*manyWorkers
+	mu            sync.Mutex
+	snapshots     []listState
+	recentCalls   []time.Duration // calls within the last second
 	// Calls and Over count those that came and those over the rate.
-	Calls, Over int
+	Calls, CallsOverRate int
 }
 
 type listState struct {
@@ -68,7 +68,7 @@
 }
 
 // cut returns the entries of a zone from one up to another, and whether there are more.
-func (s listState) cut(zone string, from, until int) (out []instance, isMore bool) {
+func (s listState) page(zone string, from, until int) (out []instance, isMore bool) {
 	out = []instance{}
 	for _, r := range s.rows {
 		part := r.of(zone)
@@ -80,7 +80,7 @@
 	return out, until < 0
 }
 
-func (l *list) now() []*rows {
+func (l *list) currentRows() []*rows {
 	own, now := []instance{}, l.site.Now()
 	for _, p := range l.site.Pools {
 		if p.Count == 0 {
@@ -88,27 +88,27 @@
 		}
 		for _, w := range p.all() {
 			state := "ready"
-			if w.isLeaving.Load() {
+			if w.isDraining.Load() {
 				state = "draining"
 			}
 			own = append(own, instance{w.Id, p.Name, w.Addr, w.Zone, "v1", p.Slots, state, max(0, (w.ColdUntil - now).Milliseconds())})
 		}
 	}
 	out := []*rows{newRows(own)}
-	for _, c := range l.shared {
+	for _, c := range l.sharedWorkers {
 		out = append(out, c.rows())
 	}
 	return out
 }
 
-// look notes what is, so that it can be shown a lag later.
-func (l *list) look() {
-	rows := l.now()
+// snapshot notes what is, so that it can be shown a lag later.
+func (l *list) snapshot() {
+	rows := l.currentRows()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.was = append(l.was, listState{l.site.Now(), rows})
-	for len(l.was) > 1 && l.was[1].at < l.site.Now()-listLag {
-		l.was = l.was[1:]
+	l.snapshots = append(l.snapshots, listState{l.site.Now(), rows})
+	for len(l.snapshots) > 1 && l.snapshots[1].at < l.site.Now()-listDelay {
+		l.snapshots = l.snapshots[1:]
 	}
 }
 
@@ -117,22 +117,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Calls++
-	for len(l.took) > 0 && l.took[0] <= now-time.Second {
-		l.took = l.took[1:]
+	for len(l.recentCalls) > 0 && l.recentCalls[0] <= now-time.Second {
+		l.recentCalls = l.recentCalls[1:]
 	}
 	if r.URL.Path != "/instances" || r.Method != http.MethodGet {
 		out.WriteHeader(404)
 		return
 	}
-	if len(l.took) >= int(math.Ceil(l.rate)) {
-		l.Over++
+	if len(l.recentCalls) >= int(math.Ceil(l.rate)) {
+		l.CallsOverRate++
 		out.WriteHeader(429)
 		return
 	}
-	l.took = append(l.took, now)
+	l.recentCalls = append(l.recentCalls, now)
 	from, _ := strconv.Atoi(strings.TrimPrefix(r.URL.Query().Get("page_token"), "after-"))
 	from = max(from, 0)
-	page, isMore := l.was[0].cut(r.URL.Query().Get("zone"), from, from+l.page)
+	page, isMore := l.snapshots[0].page(r.URL.Query().Get("zone"), from, from+l.page)
 	var next any
 	if isMore {
 		next = "after-" + strconv.Itoa(from+l.page)
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -11,23 +11,23 @@
 
 // The platform's bounds, which its settings files tell too.
 const (
-	contact      = 4000 * time.Millisecond
-	acknowledge  = 5000 * time.Millisecond
-	drain        = 3000 * time.Millisecond
-	grace        = 6 * time.Second
-	lossSlack    = 200 * time.Millisecond
-	apply        = 3000 * time.Millisecond
-	rollback     = 250 * time.Millisecond
-	evacuation   = 5000 * time.Millisecond
-	finish       = 10 * time.Second
-	earliest     = 100 * time.Millisecond // a run may begin so long before its delay is over
-	earlySlack   = 200 * time.Millisecond // and by so much more no rule is broken
-	readSpare    = 50 * time.Millisecond  // a success that is told later may run again
-	ceilingSpan  = 5 * time.Second
-	ceilingShare = 1.1
-	ceilingMore  = 5
-	coldShare    = 1.5
-	coldMore     = 5
+	contactBound     = 4000 * time.Millisecond
+	acknowledgeBound = 5000 * time.Millisecond
+	drainBound       = 3000 * time.Millisecond
+	gracePeriod      = 6 * time.Second
+	lossSlack        = 200 * time.Millisecond
+	configApplyBound = 3000 * time.Millisecond
+	rollbackSlack    = 250 * time.Millisecond
+	evacuationBound  = 5000 * time.Millisecond
+	finishBound      = 10 * time.Second
+	maxEarlyStart    = 100 * time.Millisecond // a run may begin so long before its delay is over
+	earlyStartSlack  = 200 * time.Millisecond // and by so much more no rule is broken
+	minTimeLeft      = 50 * time.Millisecond  // a success that is told later may run again
+	ceilingWindow    = 5 * time.Second
+	ceilingOvershoot = 1.1
+	ceilingSlack     = 5
+	coldOvershoot    = 1.5
+	coldSlack        = 5
 )
 
 // Rules that a history is held against, by the platform's names.
@@ -52,17 +52,17 @@
 )
 
 type judge struct {
-	h        *History
-	breaches []check.Breach
-	sent     map[string]Sent
-	byId     map[string]Sent
-	runs     map[string][]Run // by token, in order of start
-
-	operations map[string]*operation // by token
-	list       []*operation
-	keys       []map[string]string // the tenants by their API keys, for each configuration
-	tenants    map[string]string   // the same for all of them
-	hasTenants bool
+	h           *History
+	breaches    []check.Breach
+	submissions map[string]Submission
+	byId        map[string]Submission
+	runs        map[string][]Run // by token, in order of start
+
+	operations    map[string]*operation // by token
+	operationList []*operation
+	keys          []map[string]string // the tenants by their API keys, for each configuration
+	tenants       map[string]string   // the same for all of them
+	hasTenants    bool
 }
 
 func (j *judge) breach(rule, form string, args ...any) {
@@ -71,16 +71,16 @@
 
 // newJudge is called with the history's mu held.
 func newJudge(h *History) *judge {
-	j := &judge{h: h, sent: map[string]Sent{}, byId: map[string]Sent{}, runs: map[string][]Run{}}
+	j := &judge{h: h, submissions: map[string]Submission{}, byId: map[string]Submission{}, runs: map[string][]Run{}}
 	slices.SortStableFunc(h.Runs, func(a, b Run) int { return cmp.Compare(a.Start, b.Start) })
 	for _, s := range h.Sent {
-		j.sent[s.Token], j.byId[s.Id] = s, s
+		j.submissions[s.Token], j.byId[s.Id] = s, s
 	}
 	for _, r := range h.Runs {
 		j.runs[r.Token] = append(j.runs[r.Token], r)
 	}
-	j.learnKeys()
-	j.gather()
+	j.indexKeys()
+	j.groupOperations()
 	return j
 }
 
@@ -90,44 +90,44 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j := newJudge(h)
-	j.same()
-	j.unasked()
-	j.tenancy()
-	j.twice()
-	j.shapes()
-	j.pries()
-	j.quotas()
-	j.ends()
-	j.tells()
-	j.order()
-	j.early()
-	j.unanswered()
-	j.edits()
-	j.readBack()
-	j.calls()
+	j.judgeProductRules()
+	j.judgeUnasked()
+	j.judgeTenancy()
+	j.judgeDuplicates()
+	j.judgeResponseFields()
+	j.judgeCrossTenantQueries()
+	j.judgeQuotas()
+	j.judgeFinalStates()
+	j.judgeCallbacks()
+	j.judgeOrdering()
+	j.judgeEarlyRuns()
+	j.judgeUnanswered()
+	j.judgeEdits()
+	j.judgeReadBack()
+	j.judgeCalls()
 	if isTimed {
-		j.timed()
-		j.rates()
-		j.answers()
-		j.wentBack()
-		j.keyAnswers()
-		j.keysWentBack()
-		j.shares()
-		j.broken()
-		j.orders()
+		j.judgeTimed()
+		j.judgeRates()
+		j.judgeRouteResponses()
+		j.judgeRouteRegressions()
+		j.judgeKeyResponses()
+		j.judgeKeyRegressions()
+		j.judgeQuotaShares()
+		j.judgeBrokenConnections()
+		j.judgeCommands()
 	}
 	return j.breaches
 }
 
-// rulesOf are the platform's names of rules that the product has too.
-var rulesOf = map[string]string{check.RuleGhost: RuleRefused, check.RuleLost: RuleLost, check.RuleBytes: RuleUnasked,
-	check.RuleMixed: RuleMixed, check.RuleBack: RuleMixed, check.RuleDouble: RuleTwice, check.RulePool: RuleRoute, check.RuleRecovery: RuleRecover}
+// platformRuleOf are the platform's names of rules that the product has too.
+var platformRuleOf = map[string]string{check.RuleRejectedRun: RuleRefused, check.RuleTakenLost: RuleLost, check.RuleAlteredBody: RuleUnasked,
+	check.RuleMixedAnswer: RuleMixed, check.RuleStateRegression: RuleMixed, check.RuleRepeatedSuccess: RuleTwice, check.RuleWrongPool: RuleRoute, check.RuleRecovery: RuleRecover}
 
-func (j *judge) take(breaches []check.Breach, other map[string]string) {
+func (j *judge) addBreaches(breaches []check.Breach, other map[string]string) {
 	for _, b := range breaches {
 		rule := other[b.Rule]
 		if rule == "" {
-			rule = rulesOf[b.Rule]
+			rule = platformRuleOf[b.Rule]
 		}
 		if rule != "" {
 			j.breach(rule, "%s", b.Text)
@@ -135,8 +135,8 @@
 	}
 }
 
-// like gives what the product's own check can judge of a history.
-func (j *judge) like() *check.History {
+// productHistory gives what the product's own check can judge of a history.
+func (j *judge) productHistory() *check.History {
 	out := check.NewHistory()
 	for _, s := range j.h.Sent {
 		out.Sent = append(out.Sent, s.Sent)
@@ -147,36 +147,36 @@
 	return out
 }
 
-// same holds the history against the product's rules that mean the same as the
+// judgeProductRules holds the history against the product's rules that mean the same as the
 // platform's, whatever the time.
-func (j *judge) same() {
-	h := j.like()
+func (j *judge) judgeProductRules() {
+	h := j.productHistory()
 	for i, r := range j.h.Runs {
 		next := slices.IndexFunc(j.h.Runs[i+1:], func(n Run) bool { return n.Token == r.Token })
-		if next < 0 || r.Spare < readSpare || !j.h.isCalm(r.Start-contact, j.h.Runs[i+1+next].Start, unplanned) {
-			h.Runs[i].IsWhole = false // it may run again
+		if next < 0 || r.TimeLeft < minTimeLeft || !j.h.isQuiet(r.Start-contactBound, j.h.Runs[i+1+next].Start, isUnplanned) {
+			h.Runs[i].IsAnswerComplete = false // it may run again
 		}
 	}
-	j.join(h)
-	for _, x := range j.h.Sights {
-		if s := j.byId[x.Id]; x.State != "unknown" || !j.hasEnded(s, x.ToldAt) {
-			h.Sights = append(h.Sights, x)
+	j.joinFinalStates(h)
+	for _, x := range j.h.Observations {
+		if s := j.byId[x.Id]; x.State != "unknown" || !j.hasEnded(s, x.AnsweredAt) {
+			h.Reads = append(h.Reads, x)
 		}
 	}
 	for _, e := range j.h.Edits {
 		if !e.IsInvalid {
 			for route, services := range e.Pools {
-				h.Pools[route] = append(h.Pools[route], services...)
+				h.LanePools[route] = append(h.LanePools[route], services...)
 			}
 		}
 	}
-	j.take(check.Check(h), nil)
+	j.addBreaches(check.Check(h), nil)
 }
 
 // lastWord is unknown only for a message that is lost: not ended, and its
 // bytes do not come back, or it is said to have ended.
-func (j *judge) lastWord(s Sent) string {
-	end, isAsked := j.h.Ends[s.Token]
+func (j *judge) finalState(s Submission) string {
+	end, isAsked := j.h.FinalStates[s.Token]
 	if !isAsked || end.State == "queued" && end.BodySum != "" || j.hasEnded(s, end.At) {
 		return "held"
 	}
@@ -184,13 +184,13 @@
 }
 
 // hasEnded reports whether a message may have ended by a moment.
-func (j *judge) hasEnded(s Sent, at time.Duration) bool {
+func (j *judge) hasEnded(s Submission, at time.Duration) bool {
 	_, isOver := j.endOf(s, at)
 	return isOver
 }
 
 // endOf returns when a message ended at the earliest, as the platform means it.
-func (j *judge) endOf(s Sent, by time.Duration) (time.Duration, bool) {
+func (j *judge) endOf(s Submission, by time.Duration) (time.Duration, bool) {
 	route, failed, o := j.h.Routes[s.Lane], 0, j.operationOf(s)
 	best, isOver := by, false
 	note := func(at time.Duration) {
@@ -202,44 +202,44 @@
 		if r.Status == 500 {
 			failed++
 		}
-		if r.Status >= 200 && r.Status <= 299 || r.Status == 422 || failed > 0 && failed >= route.Attempts {
+		if r.Status >= 200 && r.Status <= 299 || r.Status == 422 || failed > 0 && failed >= route.MaxAttempts {
 			note(r.End)
 		}
 	}
-	note(o.sends[0].At + route.Retention)
+	note(o.submissions[0].SentAt + route.Retention)
 	for _, e := range j.h.Edits {
 		_, isKept := e.Pools[s.Lane]
-		mayFollow := s.ToldAt < max(e.At, e.AckAt)+apply // it may be accepted until the change must hold
-		if !isKept && !e.IsInvalid && e.Code/100 != 4 && mayFollow && (e.At > s.ToldAt || e.AckAt > 0) {
-			note(max(e.At, s.ToldAt))
+		mayFollow := s.AnsweredAt < max(e.SentAt, e.AcknowledgedAt)+configApplyBound // it may be accepted until the change must hold
+		if !isKept && !e.IsInvalid && e.Code/100 != 4 && mayFollow && (e.SentAt > s.AnsweredAt || e.AcknowledgedAt > 0) {
+			note(max(e.SentAt, s.AnsweredAt))
 		}
 	}
 	return best, isOver
 }
 
-// timed holds deliveries against bounds of time, as far as all were in touch.
-func (j *judge) timed() {
-	h := j.like()
+// judgeTimed holds deliveries against bounds of time, as far as all were in touch.
+func (j *judge) judgeTimed() {
+	h := j.productHistory()
 	for i := range h.Sent {
-		h.Sent[i].Told, h.Sent[i].Id = "", "" // names are judged by same
+		h.Sent[i].Outcome, h.Sent[i].Id = "", "" // names are judged by same
 	}
-	h.Runs = slices.DeleteFunc(h.Runs, func(r check.Run) bool { return !j.h.inTouch(r.Start) })
+	h.Runs = slices.DeleteFunc(h.Runs, func(r check.Run) bool { return !j.h.isSettled(r.Start) })
 	for i := range h.Runs {
-		h.Runs[i].IsWhole = false
+		h.Runs[i].IsAnswerComplete = false
 	}
-	h.Edits, h.Zones, h.Outages = j.proper(), j.h.Zones, j.h.Outages
+	h.Edits, h.Zones, h.Outages = j.validEdits(), j.h.Zones, j.h.Outages
 	for _, isOfZone := range []bool{true, false} {
-		h.Marks = slices.DeleteFunc(slices.Clone(j.h.Marks), func(m check.Mark) bool { return (m.Zone != "") != isOfZone })
+		h.Drains = slices.DeleteFunc(slices.Clone(j.h.Marks), func(m check.Drain) bool { return (m.Zone != "") != isOfZone })
 		rule := map[bool]string{true: RuleEvac, false: RuleDrain}[isOfZone]
-		j.take(check.Check(h), map[string]string{check.RuleLeaving: rule, check.RulePool: RuleConfig})
+		j.addBreaches(check.Check(h), map[string]string{check.RuleRunAfterDrain: rule, check.RuleWrongPool: RuleConfig})
 		h.Edits, h.Outages, h.Sent = nil, nil, nil // judged once
 	}
 }
 
-// proper lists the configurations that may have come into force, and before
+// validEdits lists the configurations that may have come into force, and before
 // them the one of the beginning, which has nothing.
-func (j *judge) proper() []check.Edit {
-	out := []check.Edit{{AckAt: 1}}
+func (j *judge) validEdits() []check.Edit {
+	out := []check.Edit{{AcknowledgedAt: 1}}
 	for _, e := range j.h.Edits {
 		if !e.IsInvalid && e.Code/100 != 4 {
 			out = append(out, e.Edit)
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -20,70 +20,70 @@
 	if status == 200 {
 		seal = "seal of " + token
 	}
-	return Run{Run: check.Run{Token: token, Id: token, Pool: service, Worker: worker, Sum: "sum of " + token, Start: start, End: end,
-		Status: status, IsWhole: status != 0}, Line: "POST /" + token, Seal: seal, Spare: s}
+	return Run{Run: check.Run{Token: token, Id: token, Pool: service, Worker: worker, BodySum: "sum of " + token, Start: start, End: end,
+		Status: status, IsAnswerComplete: status != 0}, RequestLine: "POST /" + token, Stamp: seal, TimeLeft: s}
 }
 
-func sent(token, route, key string, at time.Duration, told check.Told, code int) Sent {
-	out := Sent{Sent: check.Sent{Token: token, Lane: route, Key: key, Sum: "sum of " + token, At: at, ToldAt: at + 10*ms, Told: told},
-		Line: "POST /" + token, Code: code, Daemon: "front-1", Life: 1}
+func sent(token, route, key string, at time.Duration, told check.Outcome, code int) Submission {
+	out := Submission{Sent: check.Sent{Token: token, Lane: route, Key: key, BodySum: "sum of " + token, SentAt: at, AnsweredAt: at + 10*ms, Outcome: told},
+		RequestLine: "POST /" + token, Code: code, Daemon: "front-1", Incarnation: 1}
 	if told == check.Taken {
 		out.Id = "id of " + token
 	}
 	return out
 }
 
-// clean is a history in which nothing is wrong: a message that failed once, an
+// cleanHistory is a history in which nothing is wrong: a message that failed once, an
 // ordered pair, one that was not taken, one that is dead and one that waits.
-func clean() *History {
+func cleanHistory() *History {
 	h := NewHistory()
 	pools := map[string][]string{"r": {"p"}, "o": {"q"}}
-	h.Routes["r"] = Route{Service: "p", Bound: 2 * s, Attempts: 3, Retention: 90 * s}
-	h.Routes["o"] = Route{Service: "q", IsOrdered: true, Bound: 2 * s, Attempts: 2, Retention: 90 * s}
+	h.Routes["r"] = Route{Service: "p", Timeout: 2 * s, MaxAttempts: 3, Retention: 90 * s}
+	h.Routes["o"] = Route{Service: "q", IsOrdered: true, Timeout: 2 * s, MaxAttempts: 2, Retention: 90 * s}
 	h.Services["p"], h.Services["q"] = Service{ColdRate: 2}, Service{Rate: 1}
 	h.Zones["p/w"], h.Zones["q/v"] = "north", "south"
 	h.Edits = []Edit{
-		{Edit: check.Edit{At: 1 * s, AckAt: 2 * s, Revision: 3, Pools: pools}, Whole: []byte(`{"version":3}`), Code: 200},
-		{Edit: check.Edit{At: 30 * s, AckAt: 31 * s, Revision: 5, Pools: pools}, Base: 3, Whole: []byte(`{"version":5,"x":1.0}`), Code: 200}}
+		{Edit: check.Edit{SentAt: 1 * s, AcknowledgedAt: 2 * s, Revision: 3, Pools: pools}, Document: []byte(`{"version":3}`), Code: 200},
+		{Edit: check.Edit{SentAt: 30 * s, AcknowledgedAt: 31 * s, Revision: 5, Pools: pools}, Base: 3, Document: []byte(`{"version":5,"x":1.0}`), Code: 200}}
 	h.Read = ReadBack{200, []byte(`{"x":1,"version":5}`)}
-	h.Sent = []Sent{sent("a", "r", "", 10*s, check.Taken, 202), sent("b", "r", "", 10*s, check.NotTaken, 503),
+	h.Sent = []Submission{sent("a", "r", "", 10*s, check.Taken, 202), sent("b", "r", "", 10*s, check.NotTaken, 503),
 		sent("x", "o", "k", 11*s, check.Taken, 202), sent("y", "o", "k", 12*s, check.Taken, 202),
 		sent("d", "r", "", 13*s, check.Taken, 202), sent("w", "r", "", 14*s, check.Taken, 202)}
 	h.Sent[0].IsNotified = true
 	h.Runs = []Run{run("a", "p", "w", 10*s, 11*s, 500), run("a", "p", "w", 12*s, 13*s, 200), run("x", "q", "v", 14*s, 15*s, 200),
 		run("y", "q", "v", 16*s, 17*s, 200), run("d", "p", "w", 18*s, 19*s, 422)}
 	at := 60 * s
-	h.Ends = map[string]End{"a": {"completed", "seal of a", "", at}, "x": {"completed", "seal of x", "", at},
+	h.FinalStates = map[string]FinalState{"a": {"completed", "seal of a", "", at}, "x": {"completed", "seal of x", "", at},
 		"y": {"completed", "seal of y", "", at}, "d": {"dead_letter", "", "", at}, "w": {"queued", "", "sum of w", at}}
-	h.Tells = []Tell{{"a", "completed", "seal of a", 14 * s}}
+	h.Callbacks = []Callback{{"a", "completed", "seal of a", 14 * s}}
 	return h
 }
 
-func meet(h *History, service string, isCold bool, count int) {
+func addArrivals(h *History, service string, isCold bool, count int) {
 	for i := range count {
-		h.Met = append(h.Met, Met{Service: service, Worker: "w", At: 20*s + time.Duration(i)*10*ms, IsCold: isCold})
+		h.Arrivals = append(h.Arrivals, Arrival{Service: service, Worker: "w", At: 20*s + time.Duration(i)*10*ms, IsCold: isCold})
 	}
 }
 
-// lacking gives a configuration without route r, acknowledged at a moment.
-func lacking(h *History, seal int64, ack time.Duration) {
-	h.Edits = append(h.Edits, Edit{Edit: check.Edit{At: ack - s, AckAt: ack, Revision: seal, Pools: map[string][]string{"o": {"q"}}}, Base: 5,
-		Whole: []byte(fmt.Sprintf(`{"version":%d}`, seal)), Code: 200})
-	h.Read.Doc = h.Edits[len(h.Edits)-1].Whole
+// removeRoute gives a configuration without route r, acknowledged at a moment.
+func removeRoute(h *History, seal int64, ack time.Duration) {
+	h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: seal, Pools: map[string][]string{"o": {"q"}}}, Base: 5,
+		Document: []byte(fmt.Sprintf(`{"version":%d}`, seal)), Code: 200})
+	h.Read.Doc = h.Edits[len(h.Edits)-1].Document
 }
 
-func sight(h *History, state, sum string) {
-	at := 20*s + time.Duration(len(h.Sights))*s
-	h.Sights = append(h.Sights, check.Sight{Id: "id of w", At: at, ToldAt: at + 10*ms, State: state, BodySum: sum})
+func addObservation(h *History, state, sum string) {
+	at := 20*s + time.Duration(len(h.Observations))*s
+	h.Observations = append(h.Observations, check.StatusRead{Id: "id of w", RequestedAt: at, AnsweredAt: at + 10*ms, State: state, BodySum: sum})
 }
 
-func asked(h *History, at, ack time.Duration) {
-	h.Orders = append(h.Orders, Order{Text: "an order", At: at, AckAt: ack})
+func addCommand(h *History, at, ack time.Duration) {
+	h.Commands = append(h.Commands, Command{Text: "an order", At: at, AckAt: ack})
 }
 
-// outage has ten messages sent in the seconds in which traffic must be back.
-func outage(h *History, served int) {
-	h.Outages = []check.Outage{{Text: "an outage", At: 30 * s}}
+// addOutage has ten messages sent in the seconds in which traffic must be back.
+func addOutage(h *History, served int) {
+	h.Outages = []check.Outage{{Description: "an outage", At: 30 * s}}
 	for i := range 10 {
 		token := fmt.Sprint("n", i)
 		h.Sent = append(h.Sent, sent(token, "r", "", 39*s, check.Undecided, 0))
@@ -94,141 +94,141 @@
 }
 
 // cut has a session broken off by a daemon that was asked to leave.
-func cut(h *History, after time.Duration, isPlanned bool) {
+func addBrokenConnection(h *History, after time.Duration, isPlanned bool) {
 	x := sent("c", "r", "", 40*s, check.Undecided, 0)
-	x.IsBroken, x.ToldAt = true, x.At+after
+	x.IsConnectionBroken, x.AnsweredAt = true, x.SentAt+after
 	h.Sent = append(h.Sent, x)
-	h.Troubles = append(h.Troubles, Trouble{Daemon: "front-1", From: 39 * s, Until: 45 * s, IsPlanned: isPlanned})
+	h.Disruptions = append(h.Disruptions, Disruption{Daemon: "front-1", From: 39 * s, Until: 45 * s, IsPlanned: isPlanned})
 }
 
-var broken = []struct {
+var flagged = []struct {
 	rule, text string
 	hurt       func(h *History)
 }{
-	{RuleMixed, "a state with a stamp that no run gave", func(h *History) { h.Ends["a"] = End{"completed", "seal of x", "", 60 * s} }},
-	{RuleMixed, "a state without a stamp", func(h *History) { h.Ends["a"] = End{"completed", "", "", 60 * s} }},
-	{RuleMixed, "a dead letter that has not ended", func(h *History) { h.Ends["w"] = End{"dead_letter", "", "", 60 * s} }},
+	{RuleMixed, "a state with a stamp that no run gave", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "seal of x", "", 60 * s} }},
+	{RuleMixed, "a state without a stamp", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "", "", 60 * s} }},
+	{RuleMixed, "a dead letter that has not ended", func(h *History) { h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s} }},
 	{RuleMixed, "a dead letter with an attempt to come", func(h *History) {
 		h.Runs = append(h.Runs, run("w", "p", "w", 20*s, 21*s, 500), run("w", "p", "w", 22*s, 23*s, 500))
-		h.Ends["w"] = End{"dead_letter", "", "", 60 * s}
+		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
-	{RuleMixed, "a call-back with a stamp that no run gave", func(h *History) { h.Tells[0].Seal = "x" }},
-	{RuleMixed, "a call-back of a dead letter that has not ended", func(h *History) { h.Tells[0] = Tell{"a", "dead_letter", "", 12 * s} }},
-	{RuleMixed, "a call-back with a state that is no end", func(h *History) { h.Tells[0].State = "queued" }},
-	{RuleMixed, "a call-back that nobody asked for", func(h *History) { h.Tells[0].Token = "x" }},
+	{RuleMixed, "a call-back with a stamp that no run gave", func(h *History) { h.Callbacks[0].Stamp = "x" }},
+	{RuleMixed, "a call-back of a dead letter that has not ended", func(h *History) { h.Callbacks[0] = Callback{"a", "dead_letter", "", 12 * s} }},
+	{RuleMixed, "a call-back with a state that is no end", func(h *History) { h.Callbacks[0].State = "queued" }},
+	{RuleMixed, "a call-back that nobody asked for", func(h *History) { h.Callbacks[0].Token = "x" }},
 	{RuleMixed, "two messages of one name", func(h *History) { h.Sent[2].Id = h.Sent[3].Id }},
-	{RuleUnasked, "other bytes read back", func(h *History) { h.Ends["w"] = End{"queued", "", "others", 60 * s} }},
-	{RuleUnasked, "other bytes read on the way", func(h *History) { sight(h, "held", "others") }},
-	{RuleLost, "a message that nobody knew on the way", func(h *History) { sight(h, "unknown", "") }},
-	{RuleMixed, "a state that went back", func(h *History) { sight(h, "ended", ""); sight(h, "held", "") }},
+	{RuleUnasked, "other bytes read back", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "others", 60 * s} }},
+	{RuleUnasked, "other bytes read on the way", func(h *History) { addObservation(h, "held", "others") }},
+	{RuleLost, "a message that nobody knew on the way", func(h *History) { addObservation(h, "unknown", "") }},
+	{RuleMixed, "a state that went back", func(h *History) { addObservation(h, "ended", ""); addObservation(h, "held", "") }},
 	{RuleUnasked, "a run of what was not sent", func(h *History) { h.Runs = append(h.Runs, run("z", "p", "w", 20*s, 21*s, 200)) }},
-	{RuleUnasked, "altered bytes", func(h *History) { h.Runs[1].Sum = "others" }},
-	{RuleUnasked, "an altered path", func(h *History) { h.Runs[1].Line = "POST /b" }},
+	{RuleUnasked, "altered bytes", func(h *History) { h.Runs[1].BodySum = "others" }},
+	{RuleUnasked, "an altered path", func(h *History) { h.Runs[1].RequestLine = "POST /b" }},
 	{RuleRefused, "a run of what was not taken", func(h *History) { h.Runs = append(h.Runs, run("b", "p", "w", 20*s, 21*s, 200)) }},
 	{RuleRoute, "a run by a service that no configuration allows", func(h *History) { h.Runs[1].Pool = "q" }},
-	{RuleLost, "a message that nobody knows", func(h *History) { h.Ends["w"] = End{"unknown", "", "", 60 * s} }},
-	{RuleLost, "a message without its bytes", func(h *History) { h.Ends["w"] = End{"queued", "", "", 60 * s} }},
-	{RuleLost, "no word at all", func(h *History) { h.Ends["w"] = End{At: 60 * s} }},
-	{RuleLost, "an end that never was", func(h *History) { h.Ends["w"] = End{"completed", "", "", 60 * s} }},
-	{RuleLost, "an errand cut off by a daemon that leaves", func(h *History) { cut(h, s, true) }},
+	{RuleLost, "a message that nobody knows", func(h *History) { h.FinalStates["w"] = FinalState{"unknown", "", "", 60 * s} }},
+	{RuleLost, "a message without its bytes", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "", 60 * s} }},
+	{RuleLost, "no word at all", func(h *History) { h.FinalStates["w"] = FinalState{At: 60 * s} }},
+	{RuleLost, "an end that never was", func(h *History) { h.FinalStates["w"] = FinalState{"completed", "", "", 60 * s} }},
+	{RuleLost, "an errand cut off by a daemon that leaves", func(h *History) { addBrokenConnection(h, s, true) }},
 	{RuleOrder, "a start before an end", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
 	{RuleOrder, "a start before the delay is over", func(h *History) { h.Sent[0].Delay = 310 * ms }},
 	{RuleOrder, "a start between two attempts", func(h *History) { h.Runs[2].Status = 500 }},
 	{RuleTwice, "a run after a success that was told", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
-	{RuleCeiling, "too many arrivals", func(h *History) { meet(h, "q", false, 11) }},
-	{RuleFailback, "too many arrivals at a cold worker", func(h *History) { meet(h, "p", true, 9) }},
+	{RuleCeiling, "too many arrivals", func(h *History) { addArrivals(h, "q", false, 11) }},
+	{RuleFailback, "too many arrivals at a cold worker", func(h *History) { addArrivals(h, "p", true, 9) }},
 	{RuleDrain, "an arrival after leaving", func(h *History) {
-		h.Marks = []check.Mark{{Pool: "p", Worker: "w", From: 14 * s, Bound: drain}}
+		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 14 * s, Grace: drainBound}}
 	}},
 	{RuleEvac, "an arrival in an evacuated zone", func(h *History) {
-		h.Marks = []check.Mark{{Zone: "north", From: 12 * s, Bound: evacuation}}
+		h.Marks = []check.Drain{{Zone: "north", From: 12 * s, Grace: evacuationBound}}
 	}},
-	{RuleConfig, "a run of a route that was dropped", func(h *History) { lacking(h, 9, 14*s) }},
+	{RuleConfig, "a run of a route that was dropped", func(h *History) { removeRoute(h, 9, 14*s) }},
 	{RuleConfig, "404 on a route that is there", func(h *History) { h.Sent[1].Code = 404 }},
 	{RuleConfig, "404 after the route was taken, on the way back", func(h *History) {
-		h.Sent[1].At, h.Sent[1].Code = 12*s, 404
-		h.Troubles = []Trouble{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
+		h.Sent[1].SentAt, h.Sent[1].Code = 12*s, 404
+		h.Disruptions = []Disruption{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
 	}},
 	{RuleConfig, "202 on a route that was dropped", func(h *History) {
-		lacking(h, 9, 35*s)
+		removeRoute(h, 9, 35*s)
 		h.Sent = append(h.Sent, sent("late", "r", "", 45*s, check.Taken, 202))
 	}},
 	{RuleConfig, "an invalid one that was acknowledged", func(h *History) { h.Edits[1].IsInvalid = true }},
-	{RuleConfig, "a race with two winners", func(h *History) { lacking(h, 7, 50*s); h.Edits[2].Base = 3 }},
+	{RuleConfig, "a race with two winners", func(h *History) { removeRoute(h, 7, 50*s); h.Edits[2].Base = 3 }},
 	{RuleConfig, "an older one read back", func(h *History) { h.Read.Doc = []byte(`{"version":3}`) }},
 	{RuleConfig, "a changed one read back", func(h *History) { h.Read.Doc = []byte(`{"version":5,"x":2}`) }},
 	{RuleConfig, "none read back", func(h *History) { h.Read = ReadBack{} }},
 	{RuleConfig, "a refused one read back", func(h *History) {
-		h.Read.Doc, h.Edits = []byte(`{"version":8}`), append(h.Edits, Edit{Edit: check.Edit{At: 40 * s, Revision: 8}, Base: 5, Code: 412, Whole: []byte(`{"version":8}`)})
+		h.Read.Doc, h.Edits = []byte(`{"version":8}`), append(h.Edits, Edit{Edit: check.Edit{SentAt: 40 * s, Revision: 8}, Base: 5, Code: 412, Document: []byte(`{"version":8}`)})
 	}},
 	{RuleConfig, "a refused one in force", func(h *History) {
-		h.Edits = append(h.Edits, Edit{Edit: check.Edit{At: 11 * s, Revision: 4, Pools: map[string][]string{"r": {"n"}}}, Base: 3, Code: 412})
+		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: 11 * s, Revision: 4, Pools: map[string][]string{"r": {"n"}}}, Base: 3, Code: 412})
 		h.Runs[1].Pool = "n"
 	}},
-	{RuleRecover, "traffic that does not come back", func(h *History) { outage(h, 2) }},
-	{RuleAcks, "an order that was never acknowledged", func(h *History) { asked(h, 20*s, 0) }},
-	{RuleAcks, "an order acknowledged late", func(h *History) { asked(h, 20*s, 26*s) }},
+	{RuleRecover, "traffic that does not come back", func(h *History) { addOutage(h, 2) }},
+	{RuleAcks, "an order that was never acknowledged", func(h *History) { addCommand(h, 20*s, 0) }},
+	{RuleAcks, "an order acknowledged late", func(h *History) { addCommand(h, 20*s, 26*s) }},
 }
 
-var allowed = []struct {
+var unflagged = []struct {
 	text string
 	ease func(h *History)
 }{
 	{"nothing odd", func(*History) {}},
-	{"404 before the first configuration must hold", func(h *History) { h.Sent[1].At, h.Sent[1].ToldAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
+	{"404 before the first configuration must hold", func(h *History) { h.Sent[1].SentAt, h.Sent[1].AnsweredAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
 	{"a second run after unplanned trouble", func(h *History) {
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
-		h.Troubles = []Trouble{{Daemon: "store-1", From: 14 * s, Until: 15 * s}}
+		h.Disruptions = []Disruption{{Daemon: "store-1", From: 14 * s, Until: 15 * s}}
 	}},
 	{"a second run after a success that nobody heard", func(h *History) {
-		h.Runs[1].IsWhole = false
+		h.Runs[1].IsAnswerComplete = false
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
 	}},
 	{"a second run after a success told too late", func(h *History) {
-		h.Runs[1].Spare = 20 * ms
+		h.Runs[1].TimeLeft = 20 * ms
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
 	}},
 	{"a dead letter after all its attempts", func(h *History) {
 		for i := range 3 {
 			h.Runs = append(h.Runs, run("w", "p", "w", time.Duration(20+2*i)*s, time.Duration(21+2*i)*s, 500))
 		}
-		h.Ends["w"] = End{"dead_letter", "", "", 60 * s}
+		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
 	{"a dead letter whose time has passed, and one whose route was dropped", func(h *History) {
-		h.Ends["w"] = End{"dead_letter", "", "", 105 * s}
-		lacking(h, 9, 50*s)
+		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 105 * s}
+		removeRoute(h, 9, 50*s)
 	}},
-	{"an ended message that nobody knows any more", func(h *History) { h.Ends["d"] = End{"unknown", "", "", 60 * s} }},
-	{"any order of messages sent at once", func(h *History) { h.Sent[3].At, h.Runs[3].Start = 11*s, 14*s }},
-	{"arrivals up to the ceiling, and of warm workers", func(h *History) { meet(h, "q", false, 10); meet(h, "p", false, 60) }},
-	{"arrivals that a cold worker bears", func(h *History) { meet(h, "p", true, 8) }},
+	{"an ended message that nobody knows any more", func(h *History) { h.FinalStates["d"] = FinalState{"unknown", "", "", 60 * s} }},
+	{"any order of messages sent at once", func(h *History) { h.Sent[3].SentAt, h.Runs[3].Start = 11*s, 14*s }},
+	{"arrivals up to the ceiling, and of warm workers", func(h *History) { addArrivals(h, "q", false, 10); addArrivals(h, "p", false, 60) }},
+	{"arrivals that a cold worker bears", func(h *History) { addArrivals(h, "p", true, 8) }},
 	{"arrivals within the bounds of marks, or after their end", func(h *History) {
-		h.Marks = []check.Mark{{Pool: "p", Worker: "w", From: 16 * s, Bound: drain}, {Zone: "south", From: 5 * s, Until: 13 * s, Bound: evacuation}}
+		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 16 * s, Grace: drainBound}, {Zone: "south", From: 5 * s, Until: 13 * s, Grace: evacuationBound}}
 	}},
 	{"late arrivals while something is hurt", func(h *History) {
-		h.Marks = []check.Mark{{Pool: "p", Worker: "w", From: 14 * s, Bound: drain}}
-		h.Troubles = []Trouble{{Daemon: "core-1", From: 15 * s, Until: 16 * s}}
+		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 14 * s, Grace: drainBound}}
+		h.Disruptions = []Disruption{{Daemon: "core-1", From: 15 * s, Until: 16 * s}}
 	}},
-	{"a session that a killed daemon breaks", func(h *History) { cut(h, s, false) }},
-	{"a session that a leaving daemon closes at once", func(h *History) { cut(h, 100*ms, true) }},
+	{"a session that a killed daemon breaks", func(h *History) { addBrokenConnection(h, s, false) }},
+	{"a session that a leaving daemon closes at once", func(h *History) { addBrokenConnection(h, 100*ms, true) }},
 	{"a newer configuration without a clear answer read back", func(h *History) {
-		lacking(h, 9, 50*s)
-		h.Edits[2].AckAt, h.Edits[2].Code = 0, 0
+		removeRoute(h, 9, 50*s)
+		h.Edits[2].AcknowledgedAt, h.Edits[2].Code = 0, 0
 	}},
-	{"traffic that comes back", func(h *History) { outage(h, 3) }},
+	{"traffic that comes back", func(h *History) { addOutage(h, 3) }},
 	{"an order acknowledged, and one that met trouble", func(h *History) {
-		asked(h, 20*s, 21*s)
-		asked(h, 40*s, 0)
-		h.Troubles = []Trouble{{Daemon: "core-1", From: 41 * s, Until: 42 * s, IsPlanned: true}}
+		addCommand(h, 20*s, 21*s)
+		addCommand(h, 40*s, 0)
+		h.Disruptions = []Disruption{{Daemon: "core-1", From: 41 * s, Until: 42 * s, IsPlanned: true}}
 	}},
 }
 
 // TestJudgeIsNotBlind breaks each rule of the platform on purpose.
 func TestJudgeIsNotBlind(t *testing.T) {
 	Convey("A history is flagged that has", t, func() {
-		for _, c := range broken {
+		for _, c := range flagged {
 			Convey(c.rule+": "+c.text, func() {
-				h := clean()
+				h := cleanHistory()
 				c.hurt(h)
 				rules := []string{}
 				for _, b := range Judge(h, true) {
@@ -239,9 +239,9 @@
 		}
 	})
 	Convey("A history is not flagged that has", t, func() {
-		for _, c := range allowed {
+		for _, c := range unflagged {
 			Convey(c.text, func() {
-				h := clean()
+				h := cleanHistory()
 				c.ease(h)
 				So(Judge(h, true), ShouldBeEmpty)
 			})
--- a/internal/standin/config.go
+++ b/internal/standin/judgeconfig.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/config"
 )
 
-// edits: nothing invalid is acknowledged, and of two on one base only one.
-func (j *judge) edits() {
+// judgeEdits: nothing invalid is acknowledged, and of two on one base only one.
+func (j *judge) judgeEdits() {
 	byBase := map[int64]int64{}
 	for _, e := range j.h.Edits {
 		if e.Code/100 != 2 {
@@ -28,12 +28,12 @@
 	}
 }
 
-// readBack: at the end the newest acknowledged version comes back, or a newer
+// judgeReadBack: at the end the newest acknowledged version comes back, or a newer
 // one that got no clear answer, each as it was sent.
-func (j *judge) readBack() {
+func (j *judge) judgeReadBack() {
 	newest := int64(0)
 	for _, e := range j.h.Edits {
-		if e.AckAt > 0 {
+		if e.AcknowledgedAt > 0 {
 			newest = max(newest, e.Revision)
 		}
 	}
@@ -46,42 +46,42 @@
 		if e.Revision != version || e.IsInvalid || e.Code/100 == 4 {
 			continue
 		}
-		if differences, err := config.Diff(e.Whole, j.h.Read.Doc); err == nil && len(differences) == 0 {
+		if differences, err := config.Diff(e.Document, j.h.Read.Doc); err == nil && len(differences) == 0 {
 			return
 		}
 	}
 	j.breach(RuleConfig, "version %d came back other than anything that was sent and not refused", version)
 }
 
-// answers holds what clients were told against the configurations in force.
-func (j *judge) answers() {
-	edits := j.proper()
+// judgeRouteResponses holds what clients were told against the configurations in force.
+func (j *judge) judgeRouteResponses() {
+	edits := j.validEdits()
 	for _, s := range j.h.Sent {
-		if !j.h.inTouch(s.At) || s.Code != 404 && s.Code != 202 {
+		if !j.h.isSettled(s.SentAt) || s.Code != 404 && s.Code != 202 {
 			continue
 		}
-		list := check.InForce(edits, s.At, s.ToldAt)
+		list := check.InForce(edits, s.SentAt, s.AnsweredAt)
 		lacks := func(e check.Edit) bool { return len(e.Pools[s.Lane]) == 0 }
 		switch {
 		case len(list) == 0:
 		case s.Code == 404 && !slices.ContainsFunc(list, lacks):
-			j.breach(RuleConfig, "%s got 404 at %v from %s, though route %s is there", s.Token, s.At, s.Daemon, s.Lane)
+			j.breach(RuleConfig, "%s got 404 at %v from %s, though route %s is there", s.Token, s.SentAt, s.Daemon, s.Lane)
 		case s.Code == 202 && !slices.ContainsFunc(list, func(e check.Edit) bool { return !lacks(e) }):
-			j.breach(RuleConfig, "%s was accepted at %v by %s, though route %s is not there", s.Token, s.At, s.Daemon, s.Lane)
+			j.breach(RuleConfig, "%s was accepted at %v by %s, though route %s is not there", s.Token, s.SentAt, s.Daemon, s.Lane)
 		}
 	}
 }
 
-// wentBack: a daemon that has taken messages of a route does not forget it
+// judgeRouteRegressions: a daemon that has taken messages of a route does not forget it
 // within its life, unless a newer configuration drops it.
-func (j *judge) wentBack() {
-	edits := j.proper()
+func (j *judge) judgeRouteRegressions() {
+	edits := j.validEdits()
 	isDropped := func(route string, by time.Duration) bool {
 		isSeen := false
 		for _, e := range edits { // in order of their versions
 			_, isThere := e.Pools[route]
 			isSeen = isSeen || isThere
-			if isSeen && !isThere && e.At <= by {
+			if isSeen && !isThere && e.SentAt <= by {
 				return true
 			}
 		}
@@ -94,41 +94,41 @@
 	}
 	taken := map[life]time.Duration{}
 	for _, s := range j.h.Sent {
-		key := life{s.Daemon, s.Life, s.Lane}
-		if at, isKnown := taken[key]; s.Code == 202 && (!isKnown || s.ToldAt < at) {
-			taken[key] = s.ToldAt
+		key := life{s.Daemon, s.Incarnation, s.Lane}
+		if at, isKnown := taken[key]; s.Code == 202 && (!isKnown || s.AnsweredAt < at) {
+			taken[key] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := taken[life{s.Daemon, s.Life, s.Lane}]
-		if s.Code == 404 && isKnown && s.At > at+rollback && !isDropped(s.Lane, s.ToldAt) {
-			j.breach(RuleConfig, "%s took messages of %s at %v and knew nothing of it at %v", s.Daemon, s.Lane, at, s.At)
+		at, isKnown := taken[life{s.Daemon, s.Incarnation, s.Lane}]
+		if s.Code == 404 && isKnown && s.SentAt > at+rollbackSlack && !isDropped(s.Lane, s.AnsweredAt) {
+			j.breach(RuleConfig, "%s took messages of %s at %v and knew nothing of it at %v", s.Daemon, s.Lane, at, s.SentAt)
 		}
 	}
 }
 
 // broken: while a daemon leaves as planned, no message that it has read is cut.
-func (j *judge) broken() {
+func (j *judge) judgeBrokenConnections() {
 	for _, s := range j.h.Sent {
-		if !s.IsBroken || s.ToldAt-s.At <= lossSlack || !j.h.isCalm(s.At-contact, s.ToldAt, unplanned) {
+		if !s.IsConnectionBroken || s.AnsweredAt-s.SentAt <= lossSlack || !j.h.isQuiet(s.SentAt-contactBound, s.AnsweredAt, isUnplanned) {
 			continue
 		}
-		for _, t := range j.h.Troubles {
-			if t.IsPlanned && t.Daemon == s.Daemon && s.ToldAt >= t.From && s.ToldAt <= t.From+grace+time.Second {
-				j.breach(RuleLost, "%s was cut off at %v by %s, which was asked to leave at %v", s.Token, s.ToldAt, s.Daemon, t.From)
+		for _, t := range j.h.Disruptions {
+			if t.IsPlanned && t.Daemon == s.Daemon && s.AnsweredAt >= t.From && s.AnsweredAt <= t.From+gracePeriod+time.Second {
+				j.breach(RuleLost, "%s was cut off at %v by %s, which was asked to leave at %v", s.Token, s.AnsweredAt, s.Daemon, t.From)
 			}
 		}
 	}
 }
 
-// orders: the operator's proper orders are acknowledged within one stretch in which nothing was hurt.
-func (j *judge) orders() {
-	for _, o := range j.h.Orders {
+// judgeCommands: the operator's proper orders are acknowledged within one stretch in which nothing was hurt.
+func (j *judge) judgeCommands() {
+	for _, o := range j.h.Commands {
 		end := o.AckAt
 		if end == 0 {
-			end = max(o.Until, o.At+acknowledge+1)
+			end = max(o.GivenUpAt, o.At+acknowledgeBound+1)
 		}
-		if j.h.calmStretch(o.At, end, anyTrouble) > acknowledge {
+		if j.h.longestUndisrupted(o.At, end, anyKind) > acknowledgeBound {
 			j.breach(RuleAcks, "%s of %v was acknowledged at %v", o.Text, o.At, o.AckAt)
 		}
 	}
--- /dev/null
+++ b/internal/standin/judgemessages.go
@@ -0,0 +1,116 @@
+package standin
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// judgeUnasked: a worker runs only what a client sent, and as it was sent.
+func (j *judge) judgeUnasked() {
+	for _, r := range j.h.Runs {
+		s, isKnown := j.submissions[r.Token]
+		switch {
+		case !isKnown:
+			j.breach(RuleUnasked, "%s ran %q, which no client sent", r.Worker, r.Token)
+		case r.RequestLine != s.RequestLine:
+			j.breach(RuleUnasked, "%s was sent as %q and came to %s as %q", r.Token, s.RequestLine, r.Worker, r.RequestLine)
+		}
+	}
+}
+
+// seals lists the seals of a message's runs that succeeded.
+func (j *judge) successStamps(s Submission) []string {
+	out := []string{}
+	for _, r := range j.operationOf(s).runs {
+		if r.Status >= 200 && r.Status <= 299 {
+			out = append(out, r.Stamp)
+		}
+	}
+	return out
+}
+
+// judgeReportedState holds one word about an end against what workers did.
+func (j *judge) judgeReportedState(s Submission, by, state, seal string, at time.Duration) {
+	switch {
+	case state == "completed" && !slices.Contains(j.successStamps(s), seal):
+		j.breach(RuleMixed, "%s says that %s is completed with %q, which no run gave", by, s.Token, seal)
+	case state == "dead_letter" && !j.hasEnded(s, at):
+		j.breach(RuleMixed, "%s says that %s is dead, and it has not ended", by, s.Token)
+	}
+}
+
+// judgeFinalStates: what is said of a message at the end.
+func (j *judge) judgeFinalStates() {
+	for token, end := range j.h.FinalStates {
+		j.judgeReportedState(j.submissions[token], "the state", end.State, end.Stamp, end.At)
+	}
+}
+
+// judgeCallbacks: call-backs are about messages that were sent, and their words hold.
+func (j *judge) judgeCallbacks() {
+	for _, t := range j.h.Callbacks {
+		s, isKnown := j.submissions[t.Token]
+		switch {
+		case !isKnown || !s.IsNotified:
+			j.breach(RuleMixed, "a call-back came for %q, for which none was asked", t.Token)
+		case t.State != "completed" && t.State != "dead_letter":
+			j.breach(RuleMixed, "a call-back for %s says %q", t.Token, t.State)
+		default:
+			j.judgeReportedState(s, "a call-back", t.State, t.Stamp, t.At)
+		}
+	}
+}
+
+// judgeEarlyRuns: a message begins only when its delay is over, counted from when it was sent.
+func (j *judge) judgeEarlyRuns() {
+	for _, r := range j.h.Runs {
+		s := j.submissions[r.Token]
+		if s.Delay > 0 && r.Start < s.SentAt+s.Delay-maxEarlyStart-earlyStartSlack {
+			j.breach(RuleOrder, "%s began %v before its delay of %v was over", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
+		}
+	}
+}
+
+// judgeRates holds arrivals against ceilings and against what cold workers bear.
+func (j *judge) judgeRates() {
+	met := map[string][]time.Duration{}
+	for _, m := range j.h.Arrivals {
+		if j.h.Services[m.Service].Rate > 0 {
+			met[m.Service] = append(met[m.Service], m.At)
+		}
+	}
+	for service, list := range met {
+		most := j.h.Services[service].Rate*ceilingWindow.Seconds()*ceilingOvershoot + ceilingSlack
+		if got, at := densestWindow(list, ceilingWindow); float64(got) > most {
+			j.breach(RuleCeiling, "%s met %d in the %v before %v, allowed are %v", service, got, ceilingWindow, at, most)
+		}
+	}
+	cold := map[[2]string][]time.Duration{}
+	for _, m := range j.h.Arrivals {
+		if m.IsCold && j.h.Services[m.Service].ColdRate > 0 {
+			cold[[2]string{m.Service, m.Worker}] = append(cold[[2]string{m.Service, m.Worker}], m.At)
+		}
+	}
+	for who, list := range cold {
+		most := j.h.Services[who[0]].ColdRate*coldOvershoot + coldSlack
+		if got, at := densestWindow(list, time.Second); float64(got) > most {
+			j.breach(RuleFailback, "%s, cold, met %d in the second before %v, allowed are %v", who[1], got, at, most)
+		}
+	}
+}
+
+// densestWindow returns the most moments in any window, and its end.
+func densestWindow(list []time.Duration, window time.Duration) (most int, until time.Duration) {
+	slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(a, b) })
+	first := 0
+	for i, at := range list {
+		for list[first] <= at-window {
+			first++
+		}
+		if i-first+1 > most {
+			most, until = i-first+1, at
+		}
+	}
+	return most, until
+}
--- /dev/null
+++ b/internal/standin/judgeoperations.go
@@ -0,0 +1,162 @@
+package standin
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+
+	"caperwheel/internal/check"
+)
+
+// operation is one message as its tries have it in common: all sends of a tenant with one operation key, or
+// one send without a key.
+type operation struct {
+	tenant      string
+	key         string
+	submissions []Submission // in order of sending
+	runs        []Run        // of any of them, in order of start
+}
+
+// groupOperations joins sends and runs to operations. It is called with the history's mu held.
+func (j *judge) groupOperations() {
+	type name struct{ tenant, key string }
+	byName := map[name]*operation{}
+	j.operations = map[string]*operation{}
+	sends := slices.Clone(j.h.Sent)
+	slices.SortStableFunc(sends, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	for _, s := range sends {
+		own := name{j.tenantOf(s), s.Operation}
+		o := byName[own]
+		if o == nil || s.Operation == "" {
+			o = &operation{tenant: own.tenant, key: s.Operation}
+			j.operationList = append(j.operationList, o)
+		}
+		if s.Operation != "" {
+			byName[own] = o
+		}
+		o.submissions = append(o.submissions, s)
+		j.operations[s.Token] = o
+	}
+	for _, r := range j.h.Runs { // in order of start
+		if o := j.operations[r.Token]; o != nil {
+			o.runs = append(o.runs, r)
+		}
+	}
+}
+
+// operationOf returns the operation of a send.
+func (j *judge) operationOf(s Submission) *operation {
+	if o := j.operations[s.Token]; o != nil {
+		return o
+	}
+	return &operation{submissions: []Submission{s}, runs: j.runs[s.Token]}
+}
+
+// accepted returns the send of an operation that was accepted first.
+func (o *operation) firstAccepted() (first Submission, isAccepted bool) {
+	for _, s := range o.submissions {
+		if s.Outcome == check.Taken && (!isAccepted || s.AnsweredAt < first.AnsweredAt) {
+			first, isAccepted = s, true
+		}
+	}
+	return first, isAccepted
+}
+
+// judgeDuplicates: of an operation one send runs, whichever daemons the others come to, and all that are accepted are
+// told the name of the first.
+func (j *judge) judgeDuplicates() {
+	for _, o := range j.operationList {
+		if o.key == "" {
+			continue
+		}
+		j.judgeDuplicateRuns(o)
+		j.judgeDuplicateNames(o)
+	}
+}
+
+// judgeDuplicateRuns looks for two sends of an operation that both ran, the later one sent within the window of the other.
+func (j *judge) judgeDuplicateRuns(o *operation) {
+	last, isKnown := Submission{}, false
+	for _, s := range o.submissions {
+		if !j.countsAsRun(s) {
+			continue
+		}
+		if isKnown && s.SentAt < last.SentAt+keyWindow {
+			j.breach(RuleTwice, "%s and %s, sent %v apart with the key %s of %q, both ran", last.Token, s.Token, s.SentAt-last.SentAt, o.key, o.tenant)
+		}
+		last, isKnown = s, true
+	}
+}
+
+// countsAsRun reports whether a send ran, so that no other of its operation may. Where workers keep a record of
+// their own, a run that broke off is not counted.
+func (j *judge) countsAsRun(s Submission) bool {
+	return slices.ContainsFunc(j.runs[s.Token], func(r Run) bool { return r.Status != 0 || !j.h.Routes[s.Lane].HasDeduplication })
+}
+
+// judgeDuplicateNames holds what repeats of an accepted operation were told.
+func (j *judge) judgeDuplicateNames(o *operation) {
+	first, isAccepted := o.firstAccepted()
+	for _, s := range o.submissions {
+		isRepeat := isAccepted && s.Token != first.Token && s.SentAt > first.AnsweredAt && s.SentAt < first.SentAt+keyWindow
+		switch {
+		case !isAccepted || s.SentAt >= first.SentAt+keyWindow:
+		case s.Outcome == check.Taken && s.Id != first.Id:
+			j.breach(RuleTwice, "%s and %s, with the key %s of %q, were told two names: %s, %s", first.Token, s.Token, o.key, o.tenant, first.Id, s.Id)
+		case isRepeat && slices.Contains(forbiddenRepeatCodes, s.Code):
+			j.breach(RuleMixed, "%s repeats %s, which was accepted, and was refused with %d", s.Token, first.Token, s.Code)
+		}
+	}
+}
+
+// forbiddenRepeatCodes are statuses that no repeat of an accepted message may get.
+var forbiddenRepeatCodes = []int{400, 409, 410, 412, 413, 415, 422, 500, 501}
+
+// judgeOrdering: on an ordered route a message begins only when those of its tenant and key that were accepted before
+// it was first sent have ended.
+func (j *judge) judgeOrdering() {
+	keys := map[string][]*operation{}
+	for _, o := range j.operationList {
+		if s := o.submissions[0]; s.Key != "" && j.h.Routes[s.Lane].IsOrdered {
+			name := strings.Join([]string{s.Lane, o.tenant, s.Key}, "\x00")
+			keys[name] = append(keys[name], o)
+		}
+	}
+	for _, list := range keys {
+		for _, o := range list {
+			if len(o.runs) > 0 {
+				j.judgeBegunAfter(o, list)
+			}
+		}
+	}
+}
+
+// judgeBegunAfter holds the first run of a message against all others about the same thing.
+func (j *judge) judgeBegunAfter(o *operation, others []*operation) {
+	begun := o.runs[0].Start
+	for _, before := range others {
+		s, isAccepted := before.firstAccepted()
+		if before == o || !isAccepted || s.AnsweredAt >= o.submissions[0].SentAt || j.hasEnded(s, begun) {
+			continue
+		}
+		j.breach(RuleOrder, "key %s of %q: %s began at %v, and %s, accepted at %v, had not ended", s.Key, o.tenant, o.runs[0].Token, begun, s.Token, s.AnsweredAt)
+	}
+}
+
+// joinFinalStates gives the product's check one send for each message that was accepted, with the worst that was said of it
+// at last, whichever of its sends was asked for.
+func (j *judge) joinFinalStates(h *check.History) {
+	for i, s := range j.h.Sent {
+		if s.Outcome != check.Taken {
+			continue
+		}
+		first, _ := j.operationOf(s).firstAccepted()
+		if first.Token != s.Token && first.Id == s.Id {
+			h.Sent[i].Outcome, h.Sent[i].Id = "", ""
+		}
+		end := check.FinalState{State: j.finalState(s), BodySum: j.h.FinalStates[s.Token].BodySum}
+		if was, isKnown := h.Finals[s.Id]; !isKnown || was.State != "unknown" && (end.State == "unknown" || end.BodySum != "") {
+			h.Finals[s.Id] = end
+		}
+	}
+}
--- /dev/null
+++ b/internal/standin/judgequotas.go
@@ -0,0 +1,106 @@
+package standin
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+// limitOf returns how many messages a configuration lets a tenant send in one window; infinite without a limit.
+func limitOf(tenants []tenant, name string) float64 {
+	for _, t := range tenants {
+		if t.Name == name && t.Rate > 0 {
+			return t.Rate*quotaWindow.Seconds() + t.Burst
+		}
+	}
+	return math.Inf(1)
+}
+
+// quotaRun is a request that ran, by when it was sent and when it came to its worker.
+type quotaRun struct{ sentAt, startedAt time.Duration }
+
+// judgeQuotas: in no window more requests of a tenant are sent and come to a worker that runs them than its limit allows.
+func (j *judge) judgeQuotas() {
+	byTenant := map[string][]quotaRun{}
+	for _, s := range j.h.Sent {
+		if name, isHeld := j.tenants[s.ApiKey]; isHeld && len(j.runs[s.Token]) > 0 {
+			byTenant[name] = append(byTenant[name], quotaRun{s.SentAt, j.runs[s.Token][0].Start})
+		}
+	}
+	binds := j.bindingTimes()
+	for name, runs := range byTenant {
+		slices.SortFunc(runs, func(a, b quotaRun) int { return cmp.Compare(a.sentAt, b.sentAt) })
+		j.judgeTenantQuota(name, runs, binds)
+	}
+}
+
+// judgeTenantQuota holds each window that begins with a send of a tenant, and tells of the worst one.
+func (j *judge) judgeTenantQuota(name string, runs []quotaRun, binds []time.Duration) {
+	worst, text := 0.0, ""
+	for i, first := range runs {
+		got, until := 0, first.sentAt+quotaWindow
+		for _, r := range runs[i:] {
+			if r.sentAt > until {
+				break
+			}
+			if r.startedAt <= until {
+				got++
+			}
+		}
+		allowed := j.maxLimitIn(name, first.sentAt, until, binds)*(1+quotaOvershoot) + quotaSlack
+		if over := float64(got) - allowed; over > worst {
+			worst, text = over, fmt.Sprintf("%d of %s were sent and ran from %v to %v, allowed are %.1f", got, name, first.sentAt, until, allowed)
+		}
+	}
+	if worst > 0 {
+		j.breach(RuleQuota, "%s", text)
+	}
+}
+
+// maxLimitIn returns the highest limit of a tenant that may hold in a window.
+func (j *judge) maxLimitIn(name string, first, last time.Duration, binds []time.Duration) (most float64) {
+	newest := int64(0)
+	for i, e := range j.h.Edits {
+		if binds[i] > 0 && binds[i] < first {
+			newest = max(newest, e.Revision)
+		}
+	}
+	for _, e := range j.h.Edits {
+		isOut := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+		if !isOut {
+			most = max(most, limitOf(e.Tenants, name))
+		}
+	}
+	return most
+}
+
+// bindingTimes gives for each configuration the moment from which windows are held against it alone: the first
+// after its bound at which all machines are in touch. 0: never.
+func (j *judge) bindingTimes() []time.Duration {
+	out := make([]time.Duration, len(j.h.Edits))
+	for i, e := range j.h.Edits {
+		if !e.IsInvalid && e.AcknowledgedAt > 0 {
+			out[i] = j.firstSettledAt(e.AcknowledgedAt + configApplyBound)
+		}
+	}
+	return out
+}
+
+// firstSettledAt returns the first moment from one on at which all machines are in touch; 0 if there is none.
+func (j *judge) firstSettledAt(from time.Duration) time.Duration {
+	moments := []time.Duration{from}
+	for _, t := range j.h.Disruptions {
+		if after := t.Until + contactBound + 1; t.Until > 0 && after > from {
+			moments = append(moments, after)
+		}
+	}
+	slices.Sort(moments)
+	for _, at := range moments {
+		if j.h.isQuiet(at-contactBound, at, func(t Disruption) bool { return !t.IsPermanent }) {
+			return at
+		}
+	}
+	return 0
+}
--- a/internal/standin/lying.go
+++ b/internal/standin/judgewaits.go
@@ -6,34 +6,34 @@
 	"caperwheel/internal/check"
 )
 
-// lyingSlack is how long a message may wait at the end with nothing in its way.
-const lyingSlack = 15 * time.Second
+// stuckSlack is how long a message may wait at the end with nothing in its way.
+const stuckSlack = 15 * time.Second
 
-// busySlack: so long before the end no message has succeeded, where one is left lying.
-const busySlack = 3 * time.Second
+// backlogSlack: so long before the end no message has succeeded, where one is left lying.
+const backlogSlack = 3 * time.Second
 
 // killedSlack: an answer that a process wrote so shortly before it was killed may be lost.
 const killedSlack = 100 * time.Millisecond
 
-// unanswered: a request that a process has read whole gets its answer, unless the
+// judgeUnanswered: a request that a process has read whole gets its answer, unless the
 // process is killed or frozen meanwhile.
-func (j *judge) unanswered() {
-	for _, list := range [][]Sent{j.h.Sent, j.h.Doors} {
+func (j *judge) judgeUnanswered() {
+	for _, list := range [][]Submission{j.h.Sent, j.h.AdminRequests} {
 		for _, s := range list {
-			hasRun := s.IsBroken && s.Told != check.Taken && len(j.runs[s.Token]) > 0
-			if !s.IsRead && !hasRun || j.wasHurt(s) {
+			hasRun := s.IsConnectionBroken && s.Outcome != check.Taken && len(j.runs[s.Token]) > 0
+			if !s.IsFullyRead && !hasRun || j.wasDisrupted(s) {
 				continue
 			}
-			j.breach(RuleLost, "%s (%s), sent at %v, was read whole by %s, and its connection ended without an answer at %v", s.Token, s.Lane, s.At, s.Daemon, s.ToldAt)
+			j.breach(RuleLost, "%s (%s), sent at %v, was read whole by %s, and its connection ended without an answer at %v", s.Token, s.Lane, s.SentAt, s.Daemon, s.AnsweredAt)
 		}
 	}
 }
 
-// wasHurt reports whether a request's daemon was in unplanned trouble before the
+// wasDisrupted reports whether a request's daemon was in unplanned trouble before the
 // request had ended.
-func (j *judge) wasHurt(s Sent) bool {
-	for _, t := range j.h.Troubles {
-		if !t.IsPlanned && t.Daemon == s.Daemon && t.From <= s.ToldAt+killedSlack && (t.Until == 0 || t.Until >= s.At) {
+func (j *judge) wasDisrupted(s Submission) bool {
+	for _, t := range j.h.Disruptions {
+		if !t.IsPlanned && t.Daemon == s.Daemon && t.From <= s.AnsweredAt+killedSlack && (t.Until == 0 || t.Until >= s.SentAt) {
 			return true
 		}
 	}
@@ -47,14 +47,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	j := newJudge(h)
-	j.lying()
+	j.judgeStuckMessages()
 	return j.breaches
 }
 
-func (j *judge) lying() {
+func (j *judge) judgeStuckMessages() {
 	healed := time.Duration(0)
-	for _, t := range j.h.Troubles {
-		if t.Until == 0 && t.From > 0 && !t.IsForGood {
+	for _, t := range j.h.Disruptions {
+		if t.Until == 0 && t.From > 0 && !t.IsPermanent {
 			return // not healed at all
 		}
 		healed = max(healed, t.From, t.Until)
@@ -65,13 +65,13 @@
 			newest = max(newest, r.End)
 		}
 	}
-	for token, end := range j.h.Ends {
-		if end.At-newest < busySlack {
+	for token, end := range j.h.FinalStates {
+		if end.At-newest < backlogSlack {
 			continue // messages are being worked off still, however slow the machine is
 		}
-		s := j.sent[token]
-		waits := end.At - max(healed, s.At+s.Delay)
-		if end.State == "queued" && waits > lyingSlack && !j.hasEnded(s, end.At) {
+		s := j.submissions[token]
+		waits := end.At - max(healed, s.SentAt+s.Delay)
+		if end.State == "queued" && waits > stuckSlack && !j.hasEnded(s, end.At) {
 			j.breach(RuleLying, "%s (%s) has waited %v with nothing in its way, and %d runs", token, s.Lane, waits.Round(time.Millisecond), len(j.operationOf(s).runs))
 		}
 	}
--- a/internal/standin/keyring.go
+++ b/internal/standin/keyring.go
@@ -10,25 +10,25 @@
 
 // keyring is what clients know of their tenants' API keys.
 type keyring struct {
-	mu    sync.Mutex
-	held  map[string][]string // by tenant
-	taken map[string][]string // keys that it once held
+	mu      sync.Mutex
+	held    map[string][]string // by tenant
+	revoked map[string][]string // keys that it once held
 }
 
 func newKeyring(tenants []tenant) *keyring {
-	k := &keyring{held: map[string][]string{}, taken: map[string][]string{}}
-	k.learn(tenants)
+	k := &keyring{held: map[string][]string{}, revoked: map[string][]string{}}
+	k.update(tenants)
 	return k
 }
 
-// learn takes the tenants of a configuration that was acknowledged.
-func (k *keyring) learn(tenants []tenant) {
+// update takes the tenants of a configuration that was acknowledged.
+func (k *keyring) update(tenants []tenant) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, t := range tenants {
 		for _, key := range k.held[t.Name] {
 			if !slices.Contains(t.ApiKeys, key) {
-				k.taken[t.Name] = append(k.taken[t.Name], key)
+				k.revoked[t.Name] = append(k.revoked[t.Name], key)
 			}
 		}
 		k.held[t.Name] = slices.Clone(t.ApiKeys)
@@ -37,24 +37,24 @@
 
 // Of a hundred requests so many carry something other than a key that their tenant holds.
 const (
-	takenKeys   = 3 // one that was taken away
-	unknownKeys = 1
-	noKeys      = 1
+	revokedKeyPercent = 3 // one that was taken away
+	unknownKeyPercent = 1
+	missingKeyPercent = 1
 )
 
-// draw returns what a client of a tenant sends as its API key; empty for none. Clients of a tenant that has
+// drawBody returns what a client of a tenant sends as its API key; empty for none. Clients of a tenant that has
 // lost all its keys go on with an old one.
 func (k *keyring) draw(name string, draws *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, taken := k.held[name], k.taken[name]
+	held, taken := k.held[name], k.revoked[name]
 	chance := draws.IntN(100)
 	switch {
-	case chance < unknownKeys:
+	case chance < unknownKeyPercent:
 		return newApiKey(draws)
-	case chance < unknownKeys+noKeys:
+	case chance < unknownKeyPercent+missingKeyPercent:
 		return ""
-	case len(taken) > 0 && (len(held) == 0 || chance < unknownKeys+noKeys+takenKeys):
+	case len(taken) > 0 && (len(held) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
 		return taken[draws.IntN(len(taken))]
 	case len(held) == 0:
 		return ""
@@ -72,25 +72,25 @@
 	return ""
 }
 
-// keyIn returns the field of a request in which an API key stands; empty for none.
-func keyIn(r *http.Request) string {
+// apiKeyField returns the field of a request in which an API key stands; empty for none.
+func apiKeyField(r *http.Request) string {
 	for name, values := range r.Header {
-		if strings.Contains(strings.Join(values, " "), apiKeyMark) {
+		if strings.Contains(strings.Join(values, " "), apiKeyPrefix) {
 			return name
 		}
 	}
-	if strings.Contains(r.URL.String(), apiKeyMark) {
+	if strings.Contains(r.URL.String(), apiKeyPrefix) {
 		return "URL"
 	}
 	return ""
 }
 
-// pryShare: one sight in so many is followed by a question of somebody else.
-const pryShare = 20
+// crossTenantQueryEvery: one sight in so many is followed by a question of somebody else.
+const crossTenantQueryEvery = 20
 
-// pry asks for a tenant's message as another tenant, or as nobody.
-func (s *Site) pry(sent Sent) {
-	if sent.Tenant == "" || len(s.plan.Customers) == 0 || rand.IntN(pryShare) > 0 {
+// queryAcrossTenants asks for a tenant's message as another tenant, or as nobody.
+func (s *Site) queryAcrossTenants(sent Submission) {
+	if sent.Tenant == "" || len(s.plan.Customers) == 0 || rand.IntN(crossTenantQueryEvery) > 0 {
 		return
 	}
 	other := s.plan.Customers[rand.IntN(len(s.plan.Customers))].Name
@@ -101,7 +101,9 @@
 	addr := s.at(s.entry.fronts[rand.IntN(len(s.entry.fronts))].host, portFront)
 	path := []string{"/v1/message/", "/v1/message-body/"}[rand.IntN(2)]
 	go func() {
-		code, _ := s.askWith(key, addr, sent, path)
-		s.History.Add(func() { s.History.Pries = append(s.History.Pries, Pry{sent.Token, sent.Tenant, key, code}) })
+		code, _ := s.queryWithKey(key, addr, sent, path)
+		s.History.WithLock(func() {
+			s.History.CrossTenantQueries = append(s.History.CrossTenantQueries, CrossTenantQuery{sent.Token, sent.Tenant, key, code})
+		})
 	}()
 }
--- /dev/null
+++ b/internal/standin/limitedlistener.go
@@ -0,0 +1,37 @@
+package standin
+
+import (
+	"net"
+	"sync"
+	"sync/atomic"
+)
+
+// limitedListener resets the sessions that are too many.
+type limitedListener struct {
+	net.Listener
+	maxOpen, open int64
+}
+
+func (l *limitedListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if err != nil {
+			return nil, err
+		}
+		if l.maxOpen == 0 || atomic.AddInt64(&l.open, 1) <= l.maxOpen {
+			return &countedConn{Conn: conn, onClose: sync.OnceFunc(func() { atomic.AddInt64(&l.open, -1) })}, nil
+		}
+		atomic.AddInt64(&l.open, -1)
+		if tcp, isTcp := conn.(*net.TCPConn); isTcp {
+			_ = tcp.SetLinger(0)
+		}
+		conn.Close()
+	}
+}
+
+type countedConn struct {
+	net.Conn
+	onClose func()
+}
+
+func (c *countedConn) Close() error { c.onClose(); return c.Conn.Close() }
--- a/internal/standin/net.go
+++ b/internal/standin/listen.go
@@ -9,8 +9,8 @@
 	"caperwheel/internal/errs"
 )
 
-// takeNet takes a part of loopback that no other site has.
-func (s *Site) takeNet() error {
+// reserveNetwork takes a part of loopback that no other site has.
+func (s *Site) reserveNetwork() error {
 	for range 200 {
 		s.net, s.port = 1+rand.IntN(250), 12000+20*rand.IntN(900)
 		guard, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.1:%d", s.net, guardPort))
@@ -29,6 +29,6 @@
 	}
 	server := &http.Server{Handler: h}
 	s.servers = append(s.servers, server)
-	go func() { _ = server.Serve(&fewConns{Listener: listener, most: int64(most)}) }()
+	go func() { _ = server.Serve(&limitedListener{Listener: listener, maxOpen: int64(most)}) }()
 	return nil
 }
--- a/internal/standin/longlist_test.go
+++ b/internal/standin/longlist_test.go
@@ -21,27 +21,27 @@
 	dir := t.TempDir()
 	Convey("Where the list has more pages than it takes calls in a second, messages run", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
-		plan := patient()
-		plan.Services[0].Count = 2 * listRate * listPage / len(plan.Zones)
+		plan := slowMachinePlan()
+		plan.Services[0].Count = 2 * listRatePerSecond * listPageEntries / len(plan.Zones)
 		site, err := New(plan, filepath.Join(dir, "bin"), dir)
 		So(err, ShouldBeNil)
 		defer site.Down()
 		So(site.Up(ctx), ShouldBeNil)
 		loadCtx, stop := context.WithTimeout(ctx, 30*time.Second)
 		defer stop()
-		go site.Traffic(loadCtx, plan.Loads[:1], plan.Deadline)
-		So(site.runs(loadCtx, 50), ShouldBeTrue)
+		go site.RunTraffic(loadCtx, plan.Loads[:1], plan.Deadline)
+		So(site.waitForRuns(loadCtx, 50), ShouldBeTrue)
 	})
 }
 
-// runs waits until so many runs have begun.
-func (s *Site) runs(ctx context.Context, least int) bool {
+// waitForRuns waits until so many runs have begun.
+func (s *Site) waitForRuns(ctx context.Context, least int) bool {
 	count := func() (n int) {
-		s.History.Add(func() { n = len(s.History.Runs) })
+		s.History.WithLock(func() { n = len(s.History.Runs) })
 		return n
 	}
 	for count() < least {
-		if !pause(ctx, 20*time.Millisecond) {
+		if !sleep(ctx, 20*time.Millisecond) {
 			return false
 		}
 	}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -22,42 +22,42 @@
 )
 
 const (
-	fileVariable = "CAPERWHEEL_NODE_FILE"
-	watchPeriod  = 100 * time.Millisecond
-	restartPause = 500 * time.Millisecond
+	settingsFileVariable = "CAPERWHEEL_NODE_FILE"
+	watchPeriod          = 100 * time.Millisecond
+	restartPause         = 500 * time.Millisecond
 )
 
 // Machine is one machine with the processes of its roles.
 type Machine struct {
-	Name, Short, Class, Zone string
-	Processes                []*fleet.Process
-	site                     *Site
-	host                     int
+	Name, ShortName, Class, Zone string
+	Processes                    []*fleet.Process
+	site                         *Site
+	host                         int
 
-	mu      sync.Mutex
-	isMeant bool // that it runs
-	hasRun  bool
-	isMoved bool // its list is at the other address
-	life    atomic.Int64
+	mu             sync.Mutex
+	shouldRun      bool // that it runs
+	hasRun         bool
+	usesSecondList bool // its list is at the other address
+	incarnation    atomic.Int64
 	// signalled is of the next signal that asks its processes to go or to read again.
-	signalled atomic.Pointer[signalNote]
-	isGone    bool                // it never starts again
-	troubled  func(time.Duration) // ends the trouble that it is in
+	nextSignalNote    atomic.Pointer[signalNote]
+	isPermanentlyDown bool                // it never starts again
+	endDisruption     func(time.Duration) // ends the trouble that it is in
 }
 
-func (m *Machine) lay() {
+func (m *Machine) createProcesses() {
 	roles := map[string][]string{classCore: {"manager"}, classStore: {"store"}, classFront: {"agent", "adapter"}}
 	for _, kind := range roles[m.Class] {
-		log := filepath.Join(m.site.Dir, "log", m.Short+"-"+kind+".log")
-		m.Processes = append(m.Processes, fleet.NewProcess(kind, m.Short, m.Zone, m.site.Bin, log, "", fileVariable+"="+m.file(kind)))
+		log := filepath.Join(m.site.Dir, "log", m.ShortName+"-"+kind+".log")
+		m.Processes = append(m.Processes, fleet.NewProcess(kind, m.ShortName, m.Zone, m.site.Bin, log, "", settingsFileVariable+"="+m.file(kind)))
 	}
 }
 
 func (m *Machine) file(kind string) string {
-	return filepath.Join(m.site.Dir, "etc", m.Short+"-"+kind+".json")
+	return filepath.Join(m.site.Dir, "etc", m.ShortName+"-"+kind+".json")
 }
 
-func (m *Machine) disk() string { return filepath.Join(m.site.Dir, "disk", m.Short) }
+func (m *Machine) disk() string { return filepath.Join(m.site.Dir, "disk", m.ShortName) }
 
 // settings is what the platform tells the processes of a machine.
 func (m *Machine) settings(kind string) map[string]any {
@@ -68,7 +68,7 @@
 	}
 	ip, _, _ := strings.Cut(s.at(m.host, 0), ":")
 	listen, serves, list := map[string]string{}, []string{}, listHost
-	if m.isMoved {
+	if m.usesSecondList {
 		seeds[0], seeds[1], list = seeds[1], seeds[0], listHost+1
 	}
 	var data any
@@ -91,15 +91,15 @@
 			"link_speed_mbps": 900.0, "disk_mb": 200},
 		"heartbeat_interval_ms": 1000, "active_contracts": []string{"base", "drain", "config", "ingest", "recover", "places"},
 		"tolerated_losses": map[string]int{"machines": 1, "zones": 1, "regions": 0},
-		"bounds": map[string]any{"seed_lag_s": 2, "address_reuse_s": 2, "contact_ms": contact.Milliseconds(),
-			"acknowledge_ms": acknowledge.Milliseconds(), "catch_up_s": 4, "drain_ms": drain.Milliseconds(),
-			"grace_period_s": s.grace().Seconds(), "loss_slack_ms": lossSlack.Milliseconds(), "config_apply_ms": apply.Milliseconds(),
-			"rollback_slack_ms": rollback.Milliseconds(), "outer_stretch_ms": 11000, "cold_overshoot": coldShare, "cold_slack": coldMore,
-			"evacuation_ms": evacuation.Milliseconds(), "recovery_s": 12, "finish_s": finish.Seconds(), "status_s": 100,
-			"callback_timeout_s": 5, "visibility_ms": 3000, "earliest_ms": 100, "ceiling_window_s": ceilingSpan.Seconds(),
-			"ceiling_overshoot": ceilingShare, "key_window_s": keyWindow.Seconds(), "quota_window_s": quotaSpan.Seconds(),
+		"bounds": map[string]any{"seed_lag_s": 2, "address_reuse_s": 2, "contact_ms": contactBound.Milliseconds(),
+			"acknowledge_ms": acknowledgeBound.Milliseconds(), "catch_up_s": 4, "drain_ms": drainBound.Milliseconds(),
+			"grace_period_s": s.grace().Seconds(), "loss_slack_ms": lossSlack.Milliseconds(), "config_apply_ms": configApplyBound.Milliseconds(),
+			"rollback_slack_ms": rollbackSlack.Milliseconds(), "outer_stretch_ms": 11000, "cold_overshoot": coldOvershoot, "cold_slack": coldSlack,
+			"evacuation_ms": evacuationBound.Milliseconds(), "recovery_s": 12, "finish_s": finishBound.Seconds(), "status_s": 100,
+			"callback_timeout_s": 5, "visibility_ms": 3000, "earliest_ms": 100, "ceiling_window_s": ceilingWindow.Seconds(),
+			"ceiling_overshoot": ceilingOvershoot, "key_window_s": keyWindow.Seconds(), "quota_window_s": quotaWindow.Seconds(),
 			"quota_overshoot": quotaOvershoot, "quota_slack": quotaSlack, "revoke_ms": 5000, "revoked_everywhere": false},
-		"cloud_api":      map[string]any{"address": s.at(list, 0), "rate_per_s": s.List.rate, "duties": []string{}, "max_lag_ms": listLag.Milliseconds()},
+		"cloud_api":      map[string]any{"address": s.at(list, 0), "rate_per_s": s.List.rate, "duties": []string{}, "max_lag_ms": listDelay.Milliseconds()},
 		"field_of_later": map[string]any{"to_be": "ignored"}}
 }
 
@@ -123,7 +123,7 @@
 func (m *Machine) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.isMeant || m.isGone {
+	if m.shouldRun || m.isPermanentlyDown {
 		return nil // another fault's end has started it, or none may
 	}
 	if err := os.MkdirAll(m.disk(), 0o755); err != nil {
@@ -137,48 +137,48 @@
 			return err
 		}
 	}
-	m.isMeant, m.hasRun = true, true
-	m.life.Add(1)
-	if m.troubled != nil {
-		m.troubled(m.site.Now())
-		m.troubled = nil
+	m.shouldRun, m.hasRun = true, true
+	m.incarnation.Add(1)
+	if m.endDisruption != nil {
+		m.endDisruption(m.site.Now())
+		m.endDisruption = nil
 	}
 	return nil
 }
 
 func (m *Machine) restart() {
 	if err := m.start(); err != nil {
-		m.site.failed("%s does not start: %v", m.Short, err)
+		m.site.recordFailure("%s does not start: %v", m.ShortName, err)
 	}
 }
 
-// hup changes the settings file and says so.
-func (m *Machine) hup() {
+// reloadSettings changes the settings file and says so.
+func (m *Machine) reloadSettings() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.isMoved = !m.isMoved
+	m.usesSecondList = !m.usesSecondList
 	if err := m.write(); err != nil {
-		m.site.failed("%v", err)
+		m.site.recordFailure("%v", err)
 	}
 	m.noteSignal()
 	for _, p := range m.Processes {
-		if m.isMeant && m.hasBegun(p) {
+		if m.shouldRun && m.isListening(p) {
 			p.Signal(syscall.SIGHUP)
 		}
 	}
 }
 
-// watch starts what has ended by itself, and tells it.
-func (s *Site) watch() {
+// restartExited starts what has ended by itself, and tells it.
+func (s *Site) restartExited() {
 	for _, m := range s.Machines {
 		if !m.mu.TryLock() {
 			continue
 		}
 		for _, p := range m.Processes {
-			if m.isMeant && !p.IsUp() {
-				s.failed("%s %s ended by itself: %s", m.Short, p.Kind, p.Ended())
+			if m.shouldRun && !p.IsUp() {
+				s.recordFailure("%s %s ended by itself: %s", m.ShortName, p.Kind, p.ExitStatus())
 				if err := p.Start(); err != nil {
-					s.failed("%s: %v", m.Short, err)
+					s.recordFailure("%s: %v", m.ShortName, err)
 				}
 			}
 		}
--- /dev/null
+++ b/internal/standin/messageowner.go
@@ -0,0 +1,54 @@
+package standin
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"time"
+)
+
+// noOperationKeyEvery: one message in so many has no operation key.
+const noOperationKeyEvery = 20
+
+// assignOwner draws whose a message is, and the operation key that all its tries carry, with the same bytes.
+func (s *Site) assignOwner(m *Message, draws *rand.Rand) {
+	if m.hasOwner || len(s.plan.Customers) == 0 {
+		return
+	}
+	m.hasOwner, m.firstSentAt = true, s.Now()
+	if !m.IsPublic && m.Tenant == "" {
+		m.Tenant = drawCustomer(s.plan.Customers, draws).Name
+	}
+	if draws.IntN(noOperationKeyEvery) > 0 {
+		m.Operation = fmt.Sprintf("op%d-%x", lastSubmission.Add(1), draws.Uint64())
+		m.body = m.drawBody(m.Operation, draws)
+	}
+}
+
+// drawBody draws the bytes of a message, which name it.
+func (m Message) drawBody(name string, draws *rand.Rand) []byte {
+	return []byte(m.BodyPrefix + " of " + name + strings.Repeat(".", m.Size/2+draws.IntN(m.Size+1)))
+}
+
+func drawCustomer(list []Customer, draws *rand.Rand) Customer {
+	at := draws.Float64()
+	for _, c := range list {
+		if at -= c.MessageShare; at < 0 {
+			return c
+		}
+	}
+	return list[len(list)-1]
+}
+
+// roamingInterval is how long a rover's clients stay with one front.
+const roamingInterval = 3 * time.Second
+
+// chooseClient chooses the client that sends a message.
+func (s *Site) chooseClient(m Message, clients []*Client, draws *rand.Rand) *Client {
+	for i, c := range s.plan.Customers {
+		if c.Name == m.Tenant && c.IsRoaming {
+			return clients[(i+int(s.Now()/roamingInterval))%len(clients)]
+		}
+	}
+	return clients[draws.IntN(len(clients))]
+}
--- /dev/null
+++ b/internal/standin/messagetrace.go
@@ -0,0 +1,48 @@
+package standin
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+)
+
+// writeLocations writes what each store and adapter knows of where a message stands now, and what it
+// waits for.
+func (s *Site) writeLocations(out io.Writer, token string) {
+	id := ""
+	s.History.WithLock(func() {
+		if i := slices.IndexFunc(s.History.Sent, func(x Submission) bool { return x.Token == token }); i >= 0 {
+			id = s.History.Sent[i].Id
+		}
+	})
+	for _, m := range s.Machines {
+		if m.Class == classCore || id == "" {
+			continue
+		}
+		if told := s.fetchTrace(m, id); told != "" {
+			fmt.Fprintf(out, "  %s knows: %s\n", m.ShortName, told)
+		}
+	}
+}
+
+// fetchTrace returns a machine's part of a message's story; empty where it has none.
+func (s *Site) fetchTrace(m *Machine, id string) string {
+	ctx, cancel := context.WithTimeout(s.ctx, queryTimeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.at(m.host, portHttp)+"/v1/messages/"+id+"/story", nil)
+	if err != nil {
+		return ""
+	}
+	answer, err := s.queryClient.Do(req)
+	if err != nil {
+		return "cannot be asked: " + err.Error()
+	}
+	defer answer.Body.Close()
+	raw, err := io.ReadAll(answer.Body)
+	if err != nil || answer.StatusCode != http.StatusOK {
+		return ""
+	}
+	return string(raw)
+}
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	callBound    = time.Second
-	mostPauses   = time.Second
-	configBound  = 20 * time.Second // for a change, and beside drawn faults for one stretch in which the core is whole
-	firstBound   = 2 * time.Minute  // for the first one, which is sent until it is taken
-	drawnBound   = 2 * time.Minute  // for a change beside drawn faults in all
-	lookInterval = 250 * time.Millisecond
-	otherRejects = 3 // so many other 4xx end a call
+	callTimeout              = time.Second
+	maxRetryPause            = time.Second
+	configTimeout            = 20 * time.Second // for a change, and beside drawn faults for one stretch in which the core is whole
+	firstConfigTimeout       = 2 * time.Minute  // for the first one, which is sent until it is taken
+	randomFaultConfigTimeout = 2 * time.Minute  // for a change beside drawn faults in all
+	lookInterval             = 250 * time.Millisecond
+	maxOtherRejections       = 3 // so many other 4xx end a call
 )
 
 // operator gives the orders.
 type operator struct {
-	site   *Site
-	client *http.Client
-	mu     sync.Mutex
-	now    siteConfig   // as last acknowledged
-	built  []siteConfig // all that were sent whole or as an update, to know them by their version
+	site        *Site
+	client      *http.Client
+	mu          sync.Mutex
+	current     siteConfig   // as last acknowledged
+	sentConfigs []siteConfig // all that were sent whole or as an update, to know them by their version
 }
 
 func newOperator(s *Site, plan SitePlan) *operator {
-	return &operator{site: s, client: &http.Client{Timeout: callBound}, now: plan.config(s)}
+	return &operator{site: s, client: &http.Client{Timeout: callTimeout}, current: plan.config(s)}
 }
 
 // call repeats an order unchanged until there is a clear answer.
@@ -68,12 +68,12 @@
 		case code/100 == 2, code == 400, code == 409, code == 412, code == 413, code == 422:
 			return code, raw
 		case code/100 == 4 && code != 408 && code != 429:
-			if rejects++; rejects == otherRejects {
+			if rejects++; rejects == maxOtherRejections {
 				return code, raw
 			}
 		}
-		pause(ctx, wait)
-		wait = min(2*wait, mostPauses)
+		sleep(ctx, wait)
+		wait = min(2*wait, maxRetryPause)
 	}
 	return 0, nil
 }
@@ -86,54 +86,54 @@
 		path = "/v1/configuration/update"
 	}
 	at := o.site.Now()
-	h.Add(func() {
-		i, order = len(h.Edits), len(h.Orders)
-		h.Edits = append(h.Edits, Edit{Edit: check.Edit{At: at, Revision: c.Version, Pools: c.pools()}, Base: base,
-			Order: orderOf(path, fmt.Sprint(base), body), Whole: c.whole(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
-		for name, r := range c.judged() {
+	h.WithLock(func() {
+		i, order = len(h.Edits), len(h.Commands)
+		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: at, Revision: c.Version, Pools: c.pools()}, Base: base,
+			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.document(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
+		for name, r := range c.judgedRoutes() {
 			h.Routes[name] = r
 		}
 		if !isInvalid {
-			h.Orders = append(h.Orders, Order{Text: fmt.Sprintf("version %d", c.Version), At: at})
+			h.Commands = append(h.Commands, Command{Text: fmt.Sprintf("version %d", c.Version), At: at})
 		}
 	})
-	ctx, cancel := o.within(ctx)
+	ctx, cancel := o.withTimeout(ctx)
 	defer cancel()
-	code := o.configuration(ctx, path, base, c.Version, body, isInvalid)
-	h.Add(func() {
+	code := o.sendConfiguration(ctx, path, base, c.Version, body, isInvalid)
+	h.WithLock(func() {
 		h.Edits[i].Code = code
 		if code/100 == 2 {
-			h.Edits[i].AckAt = o.site.Now()
+			h.Edits[i].AcknowledgedAt = o.site.Now()
 		}
 		switch {
 		case isInvalid:
 		case code != 0: // a race's loser has its answer too
-			h.Orders[order].AckAt = o.site.Now()
+			h.Commands[order].AckAt = o.site.Now()
 		default:
-			h.Orders[order].Until = o.site.Now()
+			h.Commands[order].GivenUpAt = o.site.Now()
 		}
 	})
 	return code
 }
 
-// within bounds for how long a change is sent. The first one waits for a deployment to come up. Drawn faults
+// withTimeout bounds for how long a change is sent. The first one waits for a deployment to come up. Drawn faults
 // may keep all stores away for longer than those of a schedule: beside them only a stretch counts in which no
 // store and no manager is hurt.
-func (o *operator) within(ctx context.Context) (context.Context, context.CancelFunc) {
+func (o *operator) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	switch {
-	case len(o.built) <= 1:
-		return context.WithTimeout(ctx, firstBound)
-	case !o.site.isDrawn:
-		return context.WithTimeout(ctx, configBound)
+	case len(o.sentConfigs) <= 1:
+		return context.WithTimeout(ctx, firstConfigTimeout)
+	case !o.site.hasRandomFaults:
+		return context.WithTimeout(ctx, configTimeout)
 	}
-	ctx, cancel := context.WithTimeout(ctx, drawnBound)
+	ctx, cancel := context.WithTimeout(ctx, randomFaultConfigTimeout)
 	began := o.site.Now()
 	go func() {
 		for ctx.Err() == nil {
-			pause(ctx, lookInterval)
+			sleep(ctx, lookInterval)
 			h, now, stretch := o.site.History, o.site.Now(), time.Duration(0)
-			h.Add(func() { stretch = h.calmStretch(began, now, o.site.isOfCore) })
-			if stretch >= configBound {
+			h.WithLock(func() { stretch = h.longestUndisrupted(began, now, o.site.isCoreDisruption) })
+			if stretch >= configTimeout {
 				cancel()
 			}
 		}
@@ -141,10 +141,10 @@
 	return ctx, cancel
 }
 
-// isOfCore reports whether a trouble was one of a store or a manager.
-func (s *Site) isOfCore(t Trouble) bool {
+// isCoreDisruption reports whether a trouble was one of a store or a manager.
+func (s *Site) isCoreDisruption(t Disruption) bool {
 	for _, m := range s.Machines {
-		if m.Short == t.Daemon {
+		if m.ShortName == t.Daemon {
 			return m.Class != classFront
 		}
 	}
@@ -152,13 +152,13 @@
 }
 
 // first gives the first configuration until it is taken.
-func (o *operator) first(ctx context.Context) int {
+func (o *operator) sendFirst(ctx context.Context) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.now.Version = 1 + rand.Int64N(5)
-	o.built = append(o.built, o.now)
-	code := o.send(ctx, false, 0, o.now, o.now.whole(), false)
-	o.site.History.Add(func() { o.site.History.Orders = nil }) // nothing was settled yet
+	o.current.Version = 1 + rand.Int64N(5)
+	o.sentConfigs = append(o.sentConfigs, o.current)
+	code := o.send(ctx, false, 0, o.current, o.current.document(), false)
+	o.site.History.WithLock(func() { o.site.History.Commands = nil }) // nothing was settled yet
 	return code
 }
 
@@ -173,60 +173,60 @@
 func (o *operator) changeFrom(ctx context.Context, isUpdate bool, edit func(*siteConfig)) (was, next siteConfig, code int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	was = o.now
+	was = o.current
 	next = was.next()
 	edit(&next)
-	body := next.whole()
+	body := next.document()
 	if isUpdate {
-		body = next.since(was)
+		body = next.updateFrom(was)
 	}
-	o.built = append(o.built, next)
+	o.sentConfigs = append(o.sentConfigs, next)
 	code = o.send(ctx, isUpdate, was.Version, next, body, false)
 	if code == 200 {
-		o.now = next
-		o.site.keys.learn(next.Tenants)
+		o.current = next
+		o.site.keys.update(next.Tenants)
 	} else {
-		o.site.failed("version %d on %d was answered %d", next.Version, was.Version, code)
+		o.site.recordFailure("version %d on %d was answered %d", next.Version, was.Version, code)
 		o.sync(ctx)
 	}
 	return was, next, code
 }
 
 func (o *operator) sync(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, configBound)
+	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	_, raw := o.read(ctx)
-	for _, c := range o.built {
+	_, raw := o.readConfiguration(ctx)
+	for _, c := range o.sentConfigs {
 		if c.Version == gjson.GetBytes(raw, "version").Int() {
-			o.now = c
+			o.current = c
 		}
 	}
-	o.site.keys.learn(o.now.Tenants)
+	o.site.keys.update(o.current.Tenants)
 }
 
-// readBack reads the configuration at the end.
+// judgeReadBack reads the configuration at the end.
 func (o *operator) readBack(ctx context.Context) {
-	code, raw := o.read(ctx)
-	o.site.History.Add(func() { o.site.History.Read = ReadBack{code, raw} })
+	code, raw := o.readConfiguration(ctx)
+	o.site.History.WithLock(func() { o.site.History.Read = ReadBack{code, raw} })
 }
 
 // evacuate starts or finishes an evacuation; true if it was acknowledged.
 func (o *operator) evacuate(ctx context.Context, zone, verb string) bool {
 	h := o.site.History
-	order := Order{Text: verb + " of " + zone, At: o.site.Now()}
-	ctx, cancel := context.WithTimeout(ctx, acknowledge)
+	order := Command{Text: verb + " of " + zone, At: o.site.Now()}
+	ctx, cancel := context.WithTimeout(ctx, acknowledgeBound)
 	defer cancel()
-	if code := o.zone(ctx, zone, verb); code/100 == 2 {
+	if code := o.changeEvacuation(ctx, zone, verb); code/100 == 2 {
 		order.AckAt = o.site.Now()
 	}
-	h.Add(func() { h.Orders = append(h.Orders, order) })
+	h.WithLock(func() { h.Commands = append(h.Commands, order) })
 	return order.AckAt > 0
 }
 
 func (o *operator) hostOf(route string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, c := range o.built {
+	for _, c := range o.sentConfigs {
 		for _, r := range c.Routes {
 			if r.Name == route {
 				return r.Host
--- /dev/null
+++ b/internal/standin/operatorcalls.go
@@ -0,0 +1,101 @@
+package standin
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"strings"
+
+	"github.com/tidwall/gjson"
+
+	"caperwheel/internal/config"
+	"caperwheel/internal/fleet"
+	"caperwheel/internal/linearize"
+)
+
+// orderOf names an order by all that makes it the same when it is sent again.
+func requestDigest(path, base string, body []byte) string {
+	return fmt.Sprintf("%s on %s: %s", path, base, fleet.Checksum(body))
+}
+
+// outcomeOf is what the last clear answer to a call says; 0 is none.
+func outcomeOf(code int) linearize.Outcome {
+	switch {
+	case code == 0:
+		return linearize.Indeterminate
+	case code/100 == 2:
+		return linearize.Confirmed
+	}
+	return linearize.Refused
+}
+
+// recordedCall makes a call and notes it with all its tries.
+func (o *operator) recordedCall(ctx context.Context, method, path, base string, body []byte, as linearize.Operation) (int, []byte) {
+	as.CalledAt = o.site.Now()
+	code, raw := o.call(ctx, method, path, base, body)
+	as.ReturnedAt, as.Outcome = o.site.Now(), outcomeOf(code)
+	if as.Kind == linearize.Read && code != http.StatusOK {
+		return code, raw // it told of no configuration
+	}
+	o.site.History.WithLock(func() {
+		if as.Kind == linearize.Read {
+			as.ReadVersion, as.ReadDigest = gjson.GetBytes(raw, "version").Int(), o.site.History.requestDigestOf(raw)
+		}
+		o.site.History.Calls = append(o.site.History.Calls, as)
+	})
+	return code, raw
+}
+
+// orderOf names the order that made a configuration, if any did.
+func (h *History) requestDigestOf(doc []byte) string {
+	version := gjson.GetBytes(doc, "version").Int()
+	for _, e := range h.Edits {
+		if e.Revision != version || e.IsInvalid {
+			continue
+		}
+		if differences, err := config.Diff(e.Document, doc); err == nil && len(differences) == 0 {
+			return e.RequestDigest
+		}
+	}
+	return "nobody's"
+}
+
+// sendConfiguration sends a configuration, whole or as an update.
+func (o *operator) sendConfiguration(ctx context.Context, path string, base, version int64, body []byte, isInvalid bool) int {
+	given := fmt.Sprint(base)
+	kind := linearize.Replace
+	if strings.HasSuffix(path, "update") {
+		kind = linearize.Update
+	}
+	code, _ := o.recordedCall(ctx, http.MethodPost, path, given, body, linearize.Operation{Kind: kind, Version: version, Base: base,
+		Digest: requestDigest(path, given, body), IsInvalid: isInvalid})
+	return code
+}
+
+// readConfiguration asks for the configuration in force.
+func (o *operator) readConfiguration(ctx context.Context) (int, []byte) {
+	return o.recordedCall(ctx, http.MethodGet, "/v1/configuration/read", "", nil, linearize.Operation{Kind: linearize.Read})
+}
+
+// changeEvacuation starts or finishes an evacuation.
+func (o *operator) changeEvacuation(ctx context.Context, zone, verb string) int {
+	kind := map[string]linearize.Kind{"start": linearize.Evacuate, "finish": linearize.Finish}[verb]
+	code, _ := o.recordedCall(ctx, http.MethodPost, "/v1/evacuation/"+zone+"/"+verb, "", nil, linearize.Operation{Kind: kind, Zone: zone})
+	return code
+}
+
+// judgeCalls: there is one order of the operators' calls that explains their answers.
+func (j *judge) judgeCalls() {
+	rules := map[bool]string{false: RuleConfig, true: RuleEvac}
+	for _, isZone := range []bool{false, true} {
+		part := []linearize.Operation{}
+		for _, o := range j.h.Calls {
+			if (o.Zone != "") == isZone {
+				part = append(part, o)
+			}
+		}
+		if ok, text := linearize.Check(part); !ok {
+			j.breach(rules[isZone], "the operators' calls have no order: %s", text)
+		}
+	}
+}
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -28,12 +28,12 @@
 		out.WriteHeader(500)
 		return
 	}
-	t := Tell{Token: gjson.GetBytes(raw, "identifier").Str, State: gjson.GetBytes(raw, "state").Str,
-		Seal: gjson.GetBytes(raw, "stamp").Str, At: v.site.Now()}
+	t := Callback{Token: gjson.GetBytes(raw, "identifier").Str, State: gjson.GetBytes(raw, "state").Str,
+		Stamp: gjson.GetBytes(raw, "stamp").Str, At: v.site.Now()}
 	h := v.site.History
-	h.Add(func() { h.Tells = append(h.Tells, t) })
+	h.WithLock(func() { h.Callbacks = append(h.Callbacks, t) })
 	if t.State != "completed" && t.State != "dead_letter" {
 		out.WriteHeader(400)
 	}
-	_ = formOf(t.Token).write(out)
+	_ = responseShapeOf(t.Token).write(out)
 }
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -16,24 +16,24 @@
 
 // Figures of a run.
 type Figures struct {
-	Tries     int            `json:"tries"`
-	Again     int            `json:"accepted_again"` // sends of what was accepted already
-	Doors     int            `json:"asked_at_other_doors"`
-	Changes   int            `json:"changes"`
-	Processes int            `json:"processes"`
-	Codes     map[int]int    `json:"codes"` // 0: no whole answer
-	Pause     string         `json:"longest_without_an_accept"`
-	PauseAt   string         `json:"longest_without_an_accept_from"`
-	Runs      int            `json:"runs"`
-	Repeats   int            `json:"repeated_successes"`
-	Early     int            `json:"begun_before_their_delay"`
-	Ends      map[string]int `json:"ends"`
-	Tells     int            `json:"call_backs"`
-	Untold    int            `json:"call_backs_owed"`
-	Edits     map[int]int    `json:"configurations"`
-	Calls     int            `json:"calls_to_the_list"`
-	Over      int            `json:"calls_over_its_rate"`
-	Failures  []string       `json:"failures"`
+	Tries                int            `json:"tries"`
+	AcceptedAgain        int            `json:"accepted_again"` // sends of what was accepted already
+	AdminRequests        int            `json:"asked_at_other_doors"`
+	Changes              int            `json:"changes"`
+	Processes            int            `json:"processes"`
+	Codes                map[int]int    `json:"codes"` // 0: no whole answer
+	LongestAcceptGap     string         `json:"longest_without_an_accept"`
+	LongestAcceptGapFrom string         `json:"longest_without_an_accept_from"`
+	Runs                 int            `json:"runs"`
+	Repeats              int            `json:"repeated_successes"`
+	Early                int            `json:"begun_before_their_delay"`
+	FinalStates          map[string]int `json:"ends"`
+	Callbacks            int            `json:"call_backs"`
+	MissingCallbacks     int            `json:"call_backs_owed"`
+	Edits                map[int]int    `json:"configurations"`
+	Calls                int            `json:"calls_to_the_list"`
+	CallsOverRate        int            `json:"calls_over_its_rate"`
+	Failures             []string       `json:"failures"`
 
 	Tenants []TenantFigures `json:"tenants"`
 
@@ -43,9 +43,9 @@
 
 // Report judges what was seen and counts it.
 func (s *Site) Report(isTimed bool) Figures {
-	out := Figures{Codes: map[int]int{}, Ends: map[string]int{}, Edits: map[int]int{}, Breaches: Judge(s.History, isTimed), Crashes: s.Crashes()}
+	out := Figures{Codes: map[int]int{}, FinalStates: map[string]int{}, Edits: map[int]int{}, Breaches: Judge(s.History, isTimed), Crashes: s.Crashes()}
 	s.List.mu.Lock()
-	out.Calls, out.Over = s.List.Calls, s.List.Over
+	out.Calls, out.CallsOverRate = s.List.Calls, s.List.CallsOverRate
 	s.List.mu.Unlock()
 	s.steps.Lock()
 	out.Failures = append(out.Failures, s.Failures...)
@@ -53,28 +53,28 @@
 	h := s.History
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out.Doors, out.Changes = len(h.Doors), len(h.Edits)
+	out.AdminRequests, out.Changes = len(h.AdminRequests), len(h.Edits)
 	for _, m := range s.Machines {
 		out.Processes += len(m.Processes)
 	}
-	out.Tries, out.Runs, out.Tells = len(h.Sent), len(h.Runs), len(h.Tells)
+	out.Tries, out.Runs, out.Callbacks = len(h.Sent), len(h.Runs), len(h.Callbacks)
 	j := newJudge(h)
 	out.Tenants = j.tenantFigures()
-	sent, told, done := map[string]Sent{}, map[*operation]bool{}, map[string]bool{}
+	sent, told, done := map[string]Submission{}, map[*operation]bool{}, map[string]bool{}
 	for _, x := range h.Sent {
 		sent[x.Token] = x
 		out.Codes[x.Code]++
-		if x.Told == check.Taken && !j.isFirstAccept(x) {
-			out.Again++
+		if x.Outcome == check.Taken && !j.isFirstAccept(x) {
+			out.AcceptedAgain++
 		}
 	}
-	pause, from := longestPause(h.Sent)
-	out.Pause, out.PauseAt = pause.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
-	for _, t := range h.Tells {
+	pause, from := longestAcceptGap(h.Sent)
+	out.LongestAcceptGap, out.LongestAcceptGapFrom = pause.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
+	for _, t := range h.Callbacks {
 		told[j.operations[t.Token]] = true
 	}
 	for _, r := range h.Runs {
-		if x := sent[r.Token]; r.Start < x.At+x.Delay-earliest {
+		if x := sent[r.Token]; r.Start < x.SentAt+x.Delay-maxEarlyStart {
 			out.Early++
 		}
 		if done[r.Token] {
@@ -82,10 +82,10 @@
 		}
 		done[r.Token] = done[r.Token] || r.Status == 200
 	}
-	for token, end := range h.Ends {
-		out.Ends[end.State]++
+	for token, end := range h.FinalStates {
+		out.FinalStates[end.State]++
 		if x := sent[token]; x.IsNotified && !told[j.operations[token]] && end.State != "queued" {
-			out.Untold++
+			out.MissingCallbacks++
 		}
 	}
 	for _, e := range h.Edits {
@@ -94,13 +94,13 @@
 	return out
 }
 
-// longestPause returns the longest time in which nothing was accepted, and its
+// longestAcceptGap returns the longest time in which nothing was accepted, and its
 // beginning on the clock of all records.
-func longestPause(sent []Sent) (pause, from time.Duration) {
+func longestAcceptGap(sent []Submission) (pause, from time.Duration) {
 	told := []time.Duration{}
 	for _, x := range sent {
 		if x.Code == 202 {
-			told = append(told, x.ToldAt)
+			told = append(told, x.AnsweredAt)
 		}
 	}
 	slices.Sort(told)
@@ -118,13 +118,13 @@
 }
 
 const (
-	upBound   = time.Minute
-	quietSpan = 3 * time.Second // between the last steps and the last questions
+	startTimeout = time.Minute
+	quietPeriod  = 3 * time.Second // between the last steps and the last questions
 )
 
-// Play runs a small site for a time under a schedule, and writes the figures.
-func Play(ctx context.Context, bin, dir string, schedule fleet.Schedule, length time.Duration, out io.Writer) error {
-	plan := Small()
+// RunSchedule runs a small site for a time under a schedule, and writes the figures.
+func RunSchedule(ctx context.Context, bin, dir string, schedule fleet.Schedule, length time.Duration, out io.Writer) error {
+	plan := SmallPlan()
 	s, err := New(plan, bin, dir)
 	if s != nil {
 		defer s.Down()
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	upCtx, cancel := context.WithTimeout(ctx, upBound)
+	upCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if err := s.Up(upCtx); err != nil {
 		return err
@@ -141,19 +141,19 @@
 	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	caused := make(chan struct{})
-	go func() { s.Cause(loadCtx, schedule); close(caused) }()
-	go s.Probe(loadCtx)
-	s.Traffic(loadCtx, plan.Loads, plan.Deadline)
+	go func() { s.InjectFaults(loadCtx, schedule); close(caused) }()
+	go s.ObserveMessages(loadCtx)
+	s.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
 	<-caused
 	for _, m := range s.Machines {
 		m.restart()
 	}
-	s.operator.giveMissingKeys(ctx)
-	pause(ctx, quietSpan)
-	settleCtx, cancel := context.WithTimeout(ctx, finish)
+	s.operator.addMissingKeys(ctx)
+	sleep(ctx, quietPeriod)
+	settleCtx, cancel := context.WithTimeout(ctx, finishBound)
 	defer cancel()
-	s.Settle(settleCtx)
-	readCtx, cancel := context.WithTimeout(ctx, configBound)
+	s.CollectFinalStates(settleCtx)
+	readCtx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	s.operator.readBack(readCtx)
 	figures := s.Report(true)
--- a/internal/standin/series.go
+++ b/internal/standin/series.go
@@ -13,51 +13,51 @@
 
 // Spans of faults that come in series.
 const (
-	seriesBegin = 2 * time.Second        // before the first one
-	seriesEnd   = 4 * time.Second        // after the last one
-	seriesGap   = 700 * time.Millisecond // between two, on the mean
-	nagPause    = 400 * time.Millisecond // the longest between two signals to one process
-	nagCount    = 4
-	churnCount  = 10
+	seriesBegin    = 2 * time.Second        // before the first one
+	seriesEnd      = 4 * time.Second        // after the last one
+	meanSeriesGap  = 700 * time.Millisecond // between two, on the mean
+	maxSignalPause = 400 * time.Millisecond // the longest between two signals to one process
+	signalCount    = 4
+	churnCount     = 10
 )
 
-// nag asks machines to stop and gives them further signals while they do. Undone,
+// signalWhileStopping asks machines to stop and gives them further signals while they do. Undone,
 // they start again.
-func nag(ctx context.Context, s *Site, who string) func() {
-	return s.each(who, func(m *Machine) {
+func signalWhileStopping(ctx context.Context, s *Site, who string) func() {
+	return s.disruptEach(who, func(m *Machine) {
 		stopping, stopped := context.WithCancel(ctx)
 		defer stopped()
 		go func() { // not a signal more once they have gone: the next life is not meant
-			for i := 0; i < nagCount && pause(stopping, time.Duration(rand.Int64N(int64(nagPause)))); i++ {
-				m.signalAgain([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[i%2])
+			for i := 0; i < signalCount && sleep(stopping, time.Duration(rand.Int64N(int64(maxSignalPause)))); i++ {
+				m.sendSignal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[i%2])
 			}
 		}()
 		m.stop(true)
 	})
 }
 
-// storm has machines read changed settings again and again.
-func storm(ctx context.Context, s *Site, who string) func() {
-	for range nagCount {
-		for _, m := range s.match(who) {
-			m.hup()
+// reloadRepeatedly has machines read changed settings again and again.
+func reloadRepeatedly(ctx context.Context, s *Site, who string) func() {
+	for range signalCount {
+		for _, m := range s.machinesMatching(who) {
+			m.reloadSettings()
 		}
-		pause(ctx, time.Duration(rand.Int64N(int64(nagPause))))
+		sleep(ctx, time.Duration(rand.Int64N(int64(maxSignalPause))))
 	}
 	return func() {}
 }
 
-// gone has machines lose power for good.
-func gone(_ context.Context, s *Site, who string) func() {
-	for _, m := range s.match(who) {
+// losePower has machines lose power for good.
+func losePower(_ context.Context, s *Site, who string) func() {
+	for _, m := range s.machinesMatching(who) {
 		m.stop(false)
 		m.mu.Lock()
-		m.isGone = true
+		m.isPermanentlyDown = true
 		m.mu.Unlock()
-		s.History.Add(func() {
-			for i, t := range s.History.Troubles {
-				if t.Daemon == m.Short && t.Until == 0 {
-					s.History.Troubles[i].IsForGood = true
+		s.History.WithLock(func() {
+			for i, t := range s.History.Disruptions {
+				if t.Daemon == m.ShortName && t.Until == 0 {
+					s.History.Disruptions[i].IsPermanent = true
 				}
 			}
 		})
@@ -65,16 +65,16 @@
 	return func() {}
 }
 
-// churn changes the configuration many times, one right after another.
-func churn(ctx context.Context, s *Site, who string) func() {
+// changeRepeatedly changes the configuration many times, one right after another.
+func changeRepeatedly(ctx context.Context, s *Site, who string) func() {
 	for range churnCount {
-		edit(ctx, s, who)
+		changeConfig(ctx, s, who)
 	}
 	return func() {}
 }
 
-// forget has workers close the connections that wait on them, without a word.
-func forget(_ context.Context, s *Site, who string) func() {
+// closeIdleConnections has workers close the connections that wait on them, without a word.
+func closeIdleConnections(_ context.Context, s *Site, who string) func() {
 	for _, w := range s.workers(who) {
 		w.server.SetKeepAlivesEnabled(false)
 		w.server.SetKeepAlivesEnabled(true)
@@ -82,8 +82,8 @@
 	return func() {}
 }
 
-// seriesDraws are the faults of a series, for a site with so many fronts.
-func seriesDraws(fronts int) []fleet.Draw {
+// seriesFaults are the faults of a series, for a site with so many fronts.
+func seriesFaults(fronts int) []fleet.FaultDraw {
 	of := func(names ...string) func(*rand.Rand) string {
 		return func(r *rand.Rand) string { return names[r.IntN(len(names))] }
 	}
@@ -94,56 +94,56 @@
 		return front(r) + "+" + of("store-1", "store-2", "store-3", "store-*")(r)
 	}
 	workers := of("pool-1/1", "pool-1/2", "pool-1/3", "pool-1/4", "pool-2/1", "pool-2/2")
-	return []fleet.Draw{
-		{Share: 10, Do: "stop", Who: front, Most: 2 * time.Second},
-		{Share: 4, Do: "nag", Who: front, Most: 2 * time.Second},
-		{Share: 3, Do: "stop", Who: other, Most: 2 * time.Second},
-		{Share: 1, Do: "nag", Who: other, Most: 2 * time.Second},
-		{Share: 1, Do: "stop", Who: all, Most: 2 * time.Second},
-		{Share: 1, Do: "nag", Who: of("front-*", "zone north-bank"), Most: 2 * time.Second},
-		{Share: 2, Do: "kill", Who: front, Most: 3 * time.Second},
-		{Share: 2, Do: "kill", Who: other, Most: 3 * time.Second},
-		{Share: 1, Do: "kill", Who: of("zone south-bank", "store-*", "core-*"), Most: 2 * time.Second},
-		{Share: 1, Do: "freeze", Who: front, Most: 4 * time.Second},
-		{Share: 1, Do: "freeze", Who: other, Most: 4 * time.Second},
-		{Share: 2, Do: "hup", Who: of("front-*", "core-*", "store-*", "*")},
-		{Share: 1, Do: "storm", Who: of("front-*", "*")},
-		{Share: 2, Do: "reload", Who: of("front-*", "*")},
-		{Share: 2, Do: "lone", Who: front},
-		{Share: 1, Do: "lone", Who: of("front-*")},
-		{Share: 3, Do: "together", Who: pairs, Most: 2 * time.Second},
-		{Share: 2, Do: "churn", Who: of("timeout", "update")},
-		{Share: 4, Do: "edit", Who: of("timeout", "add", "remove", "update", "race", "repeat")},
-		{Share: 1, Do: "fail", Who: workers, Most: 4 * time.Second},
-		{Share: 1, Do: "crawl", Who: workers, Most: 4 * time.Second},
-		{Share: 1, Do: "cut", Who: workers, Most: 4 * time.Second},
-		{Share: 1, Do: "full", Who: of("pool-2/*", "pool-1/*"), Most: 3 * time.Second},
-		{Share: 1, Do: "vanish", Who: of("pool-1/1", "pool-2/*"), Most: 4 * time.Second},
-		{Share: 1, Do: "leave", Who: workers, Most: 6 * time.Second},
-		{Share: 2, Do: "forget", Who: of("pool-1/*", "pool-2/*")},
+	return []fleet.FaultDraw{
+		{Weight: 10, Action: "stop", Target: front, MaxDuration: 2 * time.Second},
+		{Weight: 4, Action: "nag", Target: front, MaxDuration: 2 * time.Second},
+		{Weight: 3, Action: "stop", Target: other, MaxDuration: 2 * time.Second},
+		{Weight: 1, Action: "nag", Target: other, MaxDuration: 2 * time.Second},
+		{Weight: 1, Action: "stop", Target: all, MaxDuration: 2 * time.Second},
+		{Weight: 1, Action: "nag", Target: of("front-*", "zone north-bank"), MaxDuration: 2 * time.Second},
+		{Weight: 2, Action: "kill", Target: front, MaxDuration: 3 * time.Second},
+		{Weight: 2, Action: "kill", Target: other, MaxDuration: 3 * time.Second},
+		{Weight: 1, Action: "kill", Target: of("zone south-bank", "store-*", "core-*"), MaxDuration: 2 * time.Second},
+		{Weight: 1, Action: "freeze", Target: front, MaxDuration: 4 * time.Second},
+		{Weight: 1, Action: "freeze", Target: other, MaxDuration: 4 * time.Second},
+		{Weight: 2, Action: "hup", Target: of("front-*", "core-*", "store-*", "*")},
+		{Weight: 1, Action: "storm", Target: of("front-*", "*")},
+		{Weight: 2, Action: "reload", Target: of("front-*", "*")},
+		{Weight: 2, Action: "lone", Target: front},
+		{Weight: 1, Action: "lone", Target: of("front-*")},
+		{Weight: 3, Action: "together", Target: pairs, MaxDuration: 2 * time.Second},
+		{Weight: 2, Action: "churn", Target: of("timeout", "update")},
+		{Weight: 4, Action: "edit", Target: of("timeout", "add", "remove", "update", "race", "repeat")},
+		{Weight: 1, Action: "fail", Target: workers, MaxDuration: 4 * time.Second},
+		{Weight: 1, Action: "crawl", Target: workers, MaxDuration: 4 * time.Second},
+		{Weight: 1, Action: "cut", Target: workers, MaxDuration: 4 * time.Second},
+		{Weight: 1, Action: "full", Target: of("pool-2/*", "pool-1/*"), MaxDuration: 3 * time.Second},
+		{Weight: 1, Action: "vanish", Target: of("pool-1/1", "pool-2/*"), MaxDuration: 4 * time.Second},
+		{Weight: 1, Action: "leave", Target: workers, MaxDuration: 6 * time.Second},
+		{Weight: 2, Action: "forget", Target: of("pool-1/*", "pool-2/*")},
 	}
 }
 
-// Series draws faults by seed that come close upon each other and overlap. The same
+// FaultSeries draws faults by seed that come close upon each other and overlap. The same
 // seed draws the same series. On a site with spare fronts, up to a quarter go for good.
-func Series(seed uint64, length time.Duration, fronts, zones int) fleet.Schedule {
-	r, draws, shares := rand.New(rand.NewPCG(seed, seriesStream)), seriesDraws(fronts), 0
+func FaultSeries(seed uint64, length time.Duration, fronts, zones int) fleet.Schedule {
+	r, draws, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
 	for _, d := range draws {
-		shares += d.Share
+		shares += d.Weight
 	}
-	out := fleet.Schedule{Note: fmt.Sprintf("series of seed %d", seed), For: length.String()}
+	out := fleet.Schedule{Note: fmt.Sprintf("series of seed %d", seed), Duration: length.String()}
 	spare := (fronts - zones) / 4
-	for at := seriesBegin; at < length-seriesEnd; at += time.Duration(r.Int64N(int64(2*seriesGap))) + time.Millisecond {
+	for at := seriesBegin; at < length-seriesEnd; at += time.Duration(r.Int64N(int64(2*meanSeriesGap))) + time.Millisecond {
 		left := r.IntN(shares)
-		d := draws[slices.IndexFunc(draws, func(d fleet.Draw) bool { left -= d.Share; return left < 0 })]
-		step := fleet.Step{At: at.String(), Do: d.Do, Who: d.Who(r)}
-		if d.Most > 0 {
-			lasts := min(time.Duration(r.Int64N(int64(d.Most))), length-at-time.Second).Round(time.Millisecond)
-			step.For = lasts.String()
+		d := draws[slices.IndexFunc(draws, func(d fleet.FaultDraw) bool { left -= d.Weight; return left < 0 })]
+		step := fleet.Step{At: at.String(), Action: d.Action, Target: d.Target(r)}
+		if d.MaxDuration > 0 {
+			lasts := min(time.Duration(r.Int64N(int64(d.MaxDuration))), length-at-time.Second).Round(time.Millisecond)
+			step.Duration = lasts.String()
 		}
 		out.Steps = append(out.Steps, step)
-		if spare > 0 && r.IntN(goneShare) == 0 {
-			out.Steps = append(out.Steps, fleet.Step{At: at.String(), Do: "gone", Who: fmt.Sprintf("front-%d", fronts-spare+1)})
+		if spare > 0 && r.IntN(powerLossEvery) == 0 {
+			out.Steps = append(out.Steps, fleet.Step{At: at.String(), Action: "gone", Target: fmt.Sprintf("front-%d", fronts-spare+1)})
 			spare--
 		}
 	}
@@ -151,6 +151,6 @@
 }
 
 const (
-	seriesStream = 31 // the stream of chance of a series, apart from others of the same seed
-	goneShare    = 6  // beside one in so many faults a front goes for good
+	seriesSeedStream = 31 // the stream of chance of a series, apart from others of the same seed
+	powerLossEvery   = 6  // beside one in so many faults a front goes for good
 )
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -19,18 +19,18 @@
 
 // Addresses of a site: 127.n.net.*, where all machines have the same ports.
 const (
-	guardPort    = 11999 // held on host 1 while a site is laid out
-	listHost     = 2     // and the one after it: the list can move
-	receiverHost = 5
-	machineHost  = 20
-	workerHost   = 1000
-	slowGraces   = 5
-	hostsOfNet   = 250 // addresses of 127.n.net.*
-	portFront    = 0
-	portReady    = 1
-	portControl  = 2
-	portFirst    = 10
-	portLast     = 19
+	guardPort       = 11999 // held on host 1 while a site is laid out
+	listHost        = 2     // and the one after it: the list can move
+	receiverHost    = 5
+	machineHost     = 20
+	workerHost      = 1000
+	slowGraceFactor = 5
+	hostsPerNetwork = 250 // addresses of 127.n.net.*
+	portFront       = 0
+	portReady       = 1
+	portControl     = 2
+	portFirst       = 10
+	portLast        = 19
 )
 
 // Site is a whole deployment on the stand-in platform.
@@ -43,37 +43,37 @@
 	Receiver *Receiver
 	List     *list
 
-	plan     SitePlan
-	entry    *entry
-	operator *operator
-	began    time.Time
-	net      int
-	port     int
-	hosts    atomic.Int32
-	guard    net.Listener
-	servers  []*http.Server
-	end      context.CancelFunc
-	ctx      context.Context
-	loops    sync.WaitGroup
-	asking   *http.Client // for the state of messages
-	keys     *keyring
-	repeats  repeats
-
-	isDrawn  bool // faults are drawn: one may hurt what another keeps idle
-	steps    sync.Mutex
-	Failures []string // steps not carried out, daemons that ended by themselves
+	plan        SitePlan
+	entry       *entry
+	operator    *operator
+	startedAt   time.Time
+	net         int
+	port        int
+	hosts       atomic.Int32
+	guard       net.Listener
+	servers     []*http.Server
+	cancel      context.CancelFunc
+	ctx         context.Context
+	loops       sync.WaitGroup
+	queryClient *http.Client // for the state of messages
+	keys        *keyring
+	repeats     repeats
+
+	hasRandomFaults bool // faults are drawn: one may hurt what another keeps idle
+	steps           sync.Mutex
+	Failures        []string // steps not carried out, daemons that ended by themselves
 }
 
 // Now is the clock of all records.
-func (s *Site) Now() time.Duration { return time.Since(s.began) }
+func (s *Site) Now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Site) failed(form string, args ...any) {
+func (s *Site) recordFailure(form string, args ...any) {
 	s.steps.Lock()
 	defer s.steps.Unlock()
 	s.Failures = append(s.Failures, fmt.Sprintf(form, args...))
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	beat := time.NewTimer(d)
 	defer beat.Stop()
 	select {
@@ -87,10 +87,10 @@
 // New lays a site out in a folder: workers and the platform serve, daemons do
 // not run yet.
 func New(plan SitePlan, bin, dir string) (*Site, error) {
-	s := &Site{plan: plan, Zones: plan.Zones, Dir: dir, Bin: bin, History: NewHistory(), Pools: map[string]*Pool{}, began: time.Now()}
-	s.ctx, s.end = context.WithCancel(context.Background())
-	s.asking = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: askers}}
-	if err := s.takeNet(); err != nil {
+	s := &Site{plan: plan, Zones: plan.Zones, Dir: dir, Bin: bin, History: NewHistory(), Pools: map[string]*Pool{}, startedAt: time.Now()}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.queryClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentQueries}}
+	if err := s.reserveNetwork(); err != nil {
 		return nil, err
 	}
 	s.hosts.Store(workerHost)
@@ -98,19 +98,19 @@
 		pool := newPool(s, p)
 		s.Pools[p.Name] = pool
 		s.History.Services[p.Name] = Service{p.Rate, p.ColdRate}
-		if err := pool.lay(); err != nil {
+		if err := pool.startWorkers(); err != nil {
 			return s, errs.Wrap(err, errs.Internal, "worker")
 		}
 	}
-	s.List, s.Receiver = &list{site: s, page: cmp.Or(plan.ListPage, listPage), rate: cmp.Or(plan.ListRate, listRate)}, &Receiver{site: s}
+	s.List, s.Receiver = &list{site: s, page: cmp.Or(plan.ListPage, listPageEntries), rate: cmp.Or(plan.ListRate, listRatePerSecond)}, &Receiver{site: s}
 	for _, p := range plan.Services {
 		if p.Listed > 0 {
-			if err := s.addShared(p); err != nil {
+			if err := s.addManyWorkers(p); err != nil {
 				return s, err
 			}
 		}
 	}
-	s.List.look()
+	s.List.snapshot()
 	for i, h := range []http.Handler{s.List, s.List, s.Receiver} {
 		most := 0
 		host := listHost + i
@@ -121,11 +121,11 @@
 			return s, err
 		}
 	}
-	if err := s.layMachines(); err != nil {
+	if err := s.createMachines(); err != nil {
 		return s, err
 	}
 	s.entry, s.operator = newEntry(s), newOperator(s, plan)
-	s.keys = newKeyring(s.operator.now.Tenants)
+	s.keys = newKeyring(s.operator.current.Tenants)
 	return s, nil
 }
 
@@ -134,26 +134,26 @@
 }
 
 func (s *Site) ip(host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", host/hostsOfNet, s.net, 1+host%hostsOfNet)
+	return fmt.Sprintf("127.%d.%d.%d", host/hostsPerNetwork, s.net, 1+host%hostsPerNetwork)
 }
 
-// grace is how long processes are told that they have from SIGTERM to SIGKILL.
-func (s *Site) grace() time.Duration { return cmp.Or(s.plan.Grace, grace) }
+// gracePeriod is how long processes are told that they have from SIGTERM to SIGKILL.
+func (s *Site) grace() time.Duration { return cmp.Or(s.plan.Grace, gracePeriod) }
 
-// patience is how long they really have.
-func (s *Site) patience() time.Duration {
+// stopTimeout is how long they really have.
+func (s *Site) stopTimeout() time.Duration {
 	if s.plan.IsSlow {
-		return slowGraces * s.grace()
+		return slowGraceFactor * s.grace()
 	}
 	return s.grace()
 }
 
-// every does something again and again until the site goes down.
-func (s *Site) every(period time.Duration, do func()) {
+// runPeriodically does something again and again until the site goes down.
+func (s *Site) runPeriodically(period time.Duration, do func()) {
 	s.loops.Add(1)
 	go func() {
 		defer s.loops.Done()
-		for pause(s.ctx, period) {
+		for sleep(s.ctx, period) {
 			do()
 		}
 	}()
@@ -167,14 +167,14 @@
 			return err
 		}
 	}
-	s.every(listLag/4, s.List.look)
-	s.every(time.Second, s.entry.probe)
-	s.every(watchPeriod, s.watch)
-	if code := s.operator.first(ctx); code != 200 {
+	s.runPeriodically(listDelay/4, s.List.snapshot)
+	s.runPeriodically(time.Second, s.entry.probe)
+	s.runPeriodically(watchPeriod, s.restartExited)
+	if code := s.operator.sendFirst(ctx); code != 200 {
 		return errs.New(errs.DeadlineExceeded, "the first configuration was answered %d", code)
 	}
-	for !s.entry.isWhole() {
-		if !pause(ctx, 50*time.Millisecond) {
+	for !s.entry.isEveryFrontReady() {
+		if !sleep(ctx, 50*time.Millisecond) {
 			return errs.New(errs.DeadlineExceeded, "not every front says that it is ready")
 		}
 	}
@@ -183,18 +183,18 @@
 
 // Down ends everything that the site started.
 func (s *Site) Down() {
-	s.end()
+	s.cancel()
 	s.loops.Wait()
 	s.killAll() // whoever waits for the end of one lets its machine go
 	for _, m := range s.Machines {
 		m.mu.Lock()
-		m.isGone = true // a fault that ends late starts it no more
+		m.isPermanentlyDown = true // a fault that ends late starts it no more
 		m.mu.Unlock()
 	}
 	s.killAll()
 	for _, p := range s.Pools {
 		for _, w := range p.all() {
-			w.end()
+			w.shutDown()
 		}
 	}
 	for _, server := range s.servers {
@@ -218,7 +218,7 @@
 // Crashes reports what panics have left in the logs.
 func (s *Site) Crashes() []string { return fleet.CrashesIn(filepath.Join(s.Dir, "log")) }
 
-func (s *Site) layMachines() error {
+func (s *Site) createMachines() error {
 	for _, folder := range []string{"log", "etc"} {
 		if err := os.MkdirAll(filepath.Join(s.Dir, folder), 0o755); err != nil {
 			return errs.Wrap(err, errs.Internal, "folder")
@@ -233,10 +233,10 @@
 		for i := range count {
 			zone := s.Zones[i%len(s.Zones)]
 			m := &Machine{site: s, Class: class, Zone: zone, host: host, Name: fmt.Sprintf("%s-%s-%d", class, zone, 1+i/len(s.Zones)),
-				Short: fmt.Sprintf("%s-%d", map[string]string{classCore: "core", classStore: "store", classFront: "front"}[class], i+1)}
-			m.signalled.Store(newSignal())
+				ShortName: fmt.Sprintf("%s-%d", map[string]string{classCore: "core", classStore: "store", classFront: "front"}[class], i+1)}
+			m.nextSignalNote.Store(newSignal())
 			host++
-			m.lay()
+			m.createProcesses()
 			s.Machines = append(s.Machines, m)
 		}
 	}
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -12,9 +12,9 @@
 	"caperwheel/internal/fleet"
 )
 
-// patient is the small site for machines that may be busy with other tests.
-func patient() SitePlan {
-	plan := Small()
+// slowMachinePlan is the small site for machines that may be busy with other tests.
+func slowMachinePlan() SitePlan {
+	plan := SmallPlan()
 	plan.Deadline = 10 * time.Second
 	for i := range plan.Routes {
 		plan.Routes[i].Timeout = 8000
@@ -31,48 +31,48 @@
 	dir := t.TempDir()
 	Convey("Given a small site on the platform", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
-		plan := patient()
+		plan := slowMachinePlan()
 		site, err := New(plan, filepath.Join(dir, "bin"), dir)
 		So(err, ShouldBeNil)
 		defer site.Down()
 		So(site.Up(ctx), ShouldBeNil)
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		go site.Probe(loadCtx)
+		go site.ObserveMessages(loadCtx)
 		done := make(chan struct{})
-		go func() { site.Traffic(loadCtx, plan.Loads, plan.Deadline); close(done) }()
+		go func() { site.RunTraffic(loadCtx, plan.Loads, plan.Deadline); close(done) }()
 		Convey("messages are kept and run while a store is lost and the configuration changes", func() {
-			So(site.accepts(ctx, 60), ShouldBeTrue)
-			store := site.match("store-1")[0]
+			So(site.waitForAccepts(ctx, 60), ShouldBeTrue)
+			store := site.machinesMatching("store-1")[0]
 			store.stop(false)
-			So(site.accepts(ctx, 60), ShouldBeTrue)
+			So(site.waitForAccepts(ctx, 60), ShouldBeTrue)
 			store.restart()
 			c, code := site.operator.change(ctx, true, func(c *siteConfig) { c.Routes = append(c.Routes, c.trial()) })
 			So(code, ShouldEqual, 200)
-			So(site.knows(ctx, c.Routes[len(c.Routes)-1]), ShouldBeTrue)
-			So(site.accepts(ctx, 60), ShouldBeTrue)
+			So(site.waitForRoute(ctx, c.Routes[len(c.Routes)-1]), ShouldBeTrue)
+			So(site.waitForAccepts(ctx, 60), ShouldBeTrue)
 			stop()
 			<-done
-			site.Settle(ctx)
+			site.CollectFinalStates(ctx)
 			site.operator.readBack(ctx)
 			figures := site.Report(false)
 			So(figures.Breaches, ShouldBeEmpty)
 			So(figures.Failures, ShouldBeEmpty)
 			So(figures.Crashes, ShouldBeEmpty)
-			So(figures.Ends["completed"]+figures.Ends["dead_letter"], ShouldEqual, figures.Codes[202])
-			So(figures.Ends["completed"], ShouldBeGreaterThan, 150)
-			So(figures.Tells, ShouldBeGreaterThan, 0)
+			So(figures.FinalStates["completed"]+figures.FinalStates["dead_letter"], ShouldEqual, figures.Codes[202])
+			So(figures.FinalStates["completed"], ShouldBeGreaterThan, 150)
+			So(figures.Callbacks, ShouldBeGreaterThan, 0)
 			So(figures.Calls, ShouldBeGreaterThan, 0)
 		})
 	})
 }
 
-// accepts waits until so many more messages were accepted.
-func (s *Site) accepts(ctx context.Context, more int) bool {
+// waitForAccepts waits until so many more messages were accepted.
+func (s *Site) waitForAccepts(ctx context.Context, more int) bool {
 	count := func() (n int) {
-		s.History.Add(func() {
+		s.History.WithLock(func() {
 			for _, x := range s.History.Sent {
-				if x.Told == check.Taken {
+				if x.Outcome == check.Taken {
 					n++
 				}
 			}
@@ -80,25 +80,25 @@
 		return n
 	}
 	for until := count() + more; count() < until; {
-		if !pause(ctx, 20*time.Millisecond) {
+		if !sleep(ctx, 20*time.Millisecond) {
 			return false
 		}
 	}
 	return true
 }
 
-// knows waits until every front accepts messages of a route.
-func (s *Site) knows(ctx context.Context, r route) bool {
+// waitForRoute waits until every front accepts messages of a route.
+func (s *Site) waitForRoute(ctx context.Context, r route) bool {
 	for _, m := range s.entry.fronts {
 		for {
 			c := newClient(s, m.Zone, "direct", s.plan.Deadline)
 			bounded, cancel := context.WithTimeout(ctx, s.plan.Deadline)
-			sent, _ := c.once(bounded, s.entry.via(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newDraws()), s.plan.Deadline, newDraws())
+			sent, _ := c.submit(bounded, s.entry.transportTo(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newRand()), s.plan.Deadline, newRand())
 			cancel()
-			if sent.Told == check.Taken {
+			if sent.Outcome == check.Taken {
 				break
 			}
-			if !pause(ctx, 50*time.Millisecond) {
+			if !sleep(ctx, 50*time.Millisecond) {
 				return false
 			}
 		}
@@ -109,8 +109,8 @@
 // TestChoose is the table of how the entry spreads sessions.
 func TestChoose(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	a1, a2, a3, b1, c1 := &Machine{Short: "a1", Zone: "a"}, &Machine{Short: "a2", Zone: "a"}, &Machine{Short: "a3", Zone: "a"},
-		&Machine{Short: "b1", Zone: "b"}, &Machine{Short: "c1", Zone: "c"}
+	a1, a2, a3, b1, c1 := &Machine{ShortName: "a1", Zone: "a"}, &Machine{ShortName: "a2", Zone: "a"}, &Machine{ShortName: "a3", Zone: "a"},
+		&Machine{ShortName: "b1", Zone: "b"}, &Machine{ShortName: "c1", Zone: "c"}
 	fronts := []*Machine{a1, a2, a3, b1, c1}
 	cases := []struct {
 		text string
@@ -131,7 +131,7 @@
 			Convey(c.text, func() {
 				got := map[*Machine]bool{}
 				for client := range 100 {
-					m := choose(zones, fronts, c.in, c.zone, string(rune('A'+client)), 0)
+					m := chooseFrontFor(zones, fronts, c.in, c.zone, string(rune('A'+client)), 0)
 					So(c.want, ShouldContain, m)
 					got[m] = true
 				}
@@ -139,9 +139,9 @@
 			})
 		}
 		Convey("another one at the next try, the same at the same try", func() {
-			first, again := choose(zones, fronts, fronts, "a", "x", 0), choose(zones, fronts, fronts, "a", "x", 0)
+			first, again := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
 			So(first, ShouldEqual, again)
-			So(choose(zones, fronts, fronts, "a", "x", 1), ShouldNotEqual, first)
+			So(chooseFrontFor(zones, fronts, fronts, "a", "x", 1), ShouldNotEqual, first)
 		})
 	})
 }
@@ -160,11 +160,11 @@
 	})
 	Convey("Drawn schedules name faults that there are", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
-			schedule := fleet.DrawSchedule(Draws(), seed, time.Minute)
+			schedule := fleet.DrawSchedule(RandomFaults(), seed, time.Minute)
 			So(len(schedule.Steps), ShouldBeGreaterThan, 3)
-			So(fleet.DrawSchedule(Draws(), seed, time.Minute), ShouldResemble, schedule)
+			So(fleet.DrawSchedule(RandomFaults(), seed, time.Minute), ShouldResemble, schedule)
 			for _, step := range schedule.Steps {
-				So(IsFault(step.Do), ShouldBeTrue)
+				So(IsFault(step.Action), ShouldBeTrue)
 			}
 		}
 	})
--- a/internal/standin/configs.go
+++ b/internal/standin/siteconfig.go
@@ -11,34 +11,34 @@
 
 // route is one as a configuration has it.
 type route struct {
-	Name      string  `json:"name"`
-	Host      string  `json:"hostname"`
-	Prefix    string  `json:"path_prefix"`
-	Kind      string  `json:"route_kind"`
-	Timeout   int64   `json:"timeout_ms"`
-	Target    int64   `json:"target_latency_ms"`
-	Priority  int     `json:"priority"`
-	Service   string  `json:"service"`
-	Attempts  int     `json:"max_attempts"`
-	IsOrdered bool    `json:"ordered"`
-	Retention float64 `json:"retention_s"`
-	IsTold    bool    `json:"callback_url"`
-	RunTarget int64   `json:"run_target_ms"`
-	IsPublic  bool    `json:"public_access"`
+	Name        string  `json:"name"`
+	Host        string  `json:"hostname"`
+	Prefix      string  `json:"path_prefix"`
+	Kind        string  `json:"route_kind"`
+	Timeout     int64   `json:"timeout_ms"`
+	Target      int64   `json:"target_latency_ms"`
+	Priority    int     `json:"priority"`
+	Service     string  `json:"service"`
+	Attempts    int     `json:"max_attempts"`
+	IsOrdered   bool    `json:"ordered"`
+	Retention   float64 `json:"retention_s"`
+	HasCallback bool    `json:"callback_url"`
+	RunTarget   int64   `json:"run_target_ms"`
+	IsPublic    bool    `json:"public_access"`
 }
 
 type service struct {
-	Name     string  `json:"name"`
-	Health   string  `json:"health_path"`
-	Conns    int     `json:"connection_limit"`
-	Protocol string  `json:"protocol"`
-	IsSecure bool    `json:"transport_security"`
-	ColdFor  float64 `json:"cold_start_s"`
-	ColdRate float64 `json:"cold_per_s"`
-	Rate     float64 `json:"rate_per_s"`
-	IsShared bool    `json:"deduplicates"`
-	IsPulled bool    `json:"pull_mode"`
-	Fixed    *string `json:"fixed_endpoint"`
+	Name             string  `json:"name"`
+	Health           string  `json:"health_path"`
+	Conns            int     `json:"connection_limit"`
+	Protocol         string  `json:"protocol"`
+	IsSecure         bool    `json:"transport_security"`
+	ColdFor          float64 `json:"cold_start_s"`
+	ColdRate         float64 `json:"cold_per_s"`
+	Rate             float64 `json:"rate_per_s"`
+	HasDeduplication bool    `json:"deduplicates"`
+	IsPullMode       bool    `json:"pull_mode"`
+	Fixed            *string `json:"fixed_endpoint"`
 }
 
 type limits struct {
@@ -59,7 +59,7 @@
 // SitePlan is a deployment with its services and load.
 type SitePlan struct {
 	Zones    []string
-	Services []Plan
+	Services []ServicePlan
 	Routes   []route
 	Loads    []Load
 	Deadline time.Duration // of clients
@@ -72,32 +72,32 @@
 	Customers []Customer // nobody needs a key if there are none
 }
 
-// Small is the small deployment that everything here is about: three zones with
+// SmallPlan is the small deployment that everything here is about: three zones with
 // a machine of each class, a service that anybody may call, one that is ordered
 // and shares a table of ids, and an endpoint with a rate.
-func Small() SitePlan {
+func SmallPlan() SitePlan {
 	salt := fmt.Sprintf("%x", rand.Uint32())
 	sort, press, buoy := "sort"+salt, "press."+salt, "buoy-"+salt // one is no product name
 	hosts := []string{"Lots" + salt + ".example", "orders" + salt + ".example"}
 	make := func(name, host, prefix, service string, timeout int64, priority, attempts int, isOrdered, isTold bool) route {
 		return route{Name: name, Host: host, Prefix: prefix, Kind: "asynchronous", Timeout: timeout, Target: 150, Priority: priority,
-			Service: service, Attempts: attempts, IsOrdered: isOrdered, Retention: 80, IsTold: isTold, RunTarget: 1000}
+			Service: service, Attempts: attempts, IsOrdered: isOrdered, Retention: 80, HasCallback: isTold, RunTarget: 1000}
 	}
 	plan := SitePlan{Zones: []string{"north-bank", "south-bank", "mill-island"}, Deadline: 2 * time.Second,
-		Services: []Plan{
-			{Name: sort, Slots: 4, Queue: 12, Conns: 60, Work: 60 * time.Millisecond, Count: 2, TellsLoad: true, ColdRate: 1, ColdFor: 3 * time.Second},
-			{Name: press, Slots: 2, Queue: 6, Conns: 60, Work: 20 * time.Millisecond, Count: 1, IsShared: true},
-			{Name: buoy, Slots: 12, Queue: 40, Conns: 40, Work: 40 * time.Millisecond, Rate: 24}},
+		Services: []ServicePlan{
+			{Name: sort, Slots: 4, Queue: 12, MaxConns: 60, Work: 60 * time.Millisecond, Count: 2, ReportsLoad: true, ColdRate: 1, ColdFor: 3 * time.Second},
+			{Name: press, Slots: 2, Queue: 6, MaxConns: 60, Work: 20 * time.Millisecond, Count: 1, HasDeduplication: true},
+			{Name: buoy, Slots: 12, Queue: 40, MaxConns: 40, Work: 40 * time.Millisecond, Rate: 24}},
 		Routes: []route{make("lots", hosts[0], "/lots/", sort, 2000, 2, 5, false, true),
 			make("orders", hosts[1], "/line/", press, 900, 0, 3, true, false),
 			make("buoys "+salt, hosts[0], "/lots/buoys/", buoy, 1500, 1, 4, false, false),
 			make("notices", hosts[1], "/notices/", sort, 2000, 3, 4, false, false)},
-		Loads: []Load{{Route: "lots", Host: hosts[0], Prefix: "/lots/", Rate: 40, Size: 1200, Delayed: 0.1, Poisoned: 0.01, Failing: 0.05, IsNotified: true},
-			{Route: "orders", Host: hosts[1], Prefix: "/line/", Rate: 25, Keys: 20, Size: 300, Poisoned: 0.02, Failing: 0.04},
-			{Route: "buoys " + salt, Host: hosts[0], Prefix: "/lots/buoys/", Rate: 14, Size: 500, Failing: 0.05},
+		Loads: []Load{{Route: "lots", Host: hosts[0], Prefix: "/lots/", Rate: 40, Size: 1200, DelayedShare: 0.1, PoisonedShare: 0.01, FailingShare: 0.05, IsNotified: true},
+			{Route: "orders", Host: hosts[1], Prefix: "/line/", Rate: 25, Keys: 20, Size: 300, PoisonedShare: 0.02, FailingShare: 0.04},
+			{Route: "buoys " + salt, Host: hosts[0], Prefix: "/lots/buoys/", Rate: 14, Size: 500, FailingShare: 0.05},
 			{Route: "notices", Host: hosts[1], Prefix: "/notices/", Rate: 4, Size: 300, IsPublic: true}}}
 	plan.Routes[len(plan.Routes)-1].IsPublic = true
-	plan.Customers = customers(newDraws(), plan.keyedRate())
+	plan.Customers = customers(newRand(), plan.keyedRate())
 	return plan
 }
 
@@ -115,8 +115,8 @@
 func (p SitePlan) config(s *Site) siteConfig {
 	c := siteConfig{Routes: p.Routes, Limits: limits{16384, 200000, 3000, 12000}}
 	for _, v := range p.Services {
-		out := service{Name: v.Name, Health: healthPath, Conns: v.Conns, Protocol: "h1", ColdFor: v.ColdFor.Seconds(), ColdRate: v.ColdRate,
-			Rate: v.Rate, IsShared: v.IsShared}
+		out := service{Name: v.Name, Health: healthPath, Conns: v.MaxConns, Protocol: "h1", ColdFor: v.ColdFor.Seconds(), ColdRate: v.ColdRate,
+			Rate: v.Rate, HasDeduplication: v.HasDeduplication}
 		if v.Count == 0 {
 			addr := s.Pools[v.Name].all()[0].Addr
 			out.Fixed = &addr
@@ -136,7 +136,7 @@
 	return c
 }
 
-func (c siteConfig) whole() []byte {
+func (c siteConfig) document() []byte {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return nil
@@ -144,8 +144,8 @@
 	return raw
 }
 
-// since is the update that makes this configuration of another.
-func (c siteConfig) since(was siteConfig) []byte {
+// updateFrom is the update that makes this configuration of another.
+func (c siteConfig) updateFrom(was siteConfig) []byte {
 	set, gone := []route{}, []string{}
 	for _, r := range c.Routes {
 		if !slices.Contains(was.Routes, r) {
@@ -158,7 +158,7 @@
 		}
 	}
 	items, names := map[string]any{"routes": set}, map[string]any{"routes": gone}
-	if tenants, lost := c.tenantsSince(was); len(tenants)+len(lost) > 0 {
+	if tenants, lost := c.tenantUpdateFrom(was); len(tenants)+len(lost) > 0 {
 		items["tenants"], names["tenants"] = tenants, lost
 	}
 	raw, err := json.Marshal(map[string]any{"version": c.Version, "set_items": items, "remove_names": names})
@@ -186,33 +186,36 @@
 	return out
 }
 
-func (c siteConfig) judged() map[string]Route {
+func (c siteConfig) judgedRoutes() map[string]Route {
 	out := map[string]Route{}
 	for _, r := range c.Routes {
-		isShared := slices.ContainsFunc(c.Services, func(v service) bool { return v.Name == r.Service && v.IsShared })
+		isShared := slices.ContainsFunc(c.Services, func(v service) bool { return v.Name == r.Service && v.HasDeduplication })
 		out[r.Name] = Route{r.Service, r.IsOrdered, time.Duration(r.Timeout) * time.Millisecond, r.Attempts,
 			time.Duration(r.Retention * float64(time.Second)), r.IsPublic, isShared}
 	}
 	return out
 }
 
-// spoilt are ways in which a configuration is invalid. c has a version of its own.
-var spoilt = []func(c siteConfig, was int64) (siteConfig, []byte){
-	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.whole(); return c, raw[:len(raw)*2/3] },
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Service = "nobody"; return c, c.whole() },
+// invalidations are ways in which a configuration is invalid. c has a version of its own.
+var invalidations = []func(c siteConfig, was int64) (siteConfig, []byte){
+	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.document(); return c, raw[:len(raw)*2/3] },
+	func(c siteConfig, _ int64) (siteConfig, []byte) {
+		c.Routes[0].Service = "nobody"
+		return c, c.document()
+	},
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
 		r := c.Routes[0]
 		r.Name = "double"
 		c.Routes = append(c.Routes, r)
-		return c, c.whole()
+		return c, c.document()
 	},
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.whole() },
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.whole() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.document() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.document() },
 	func(c siteConfig, was int64) (siteConfig, []byte) {
 		c.Version, c.Routes[0].Timeout = was, c.Routes[0].Timeout+7
-		return c, c.whole()
+		return c, c.document()
 	},
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
-		return c, []byte(strings.Replace(string(c.whole()), `"timeout_ms":`, `"timeout_ms":"`, 1))
+		return c, []byte(strings.Replace(string(c.document()), `"timeout_ms":`, `"timeout_ms":"`, 1))
 	},
 }
--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -32,21 +32,21 @@
 	Convey("Stops, restarts and changes in series leave no request without its answer and no message without its end", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), true), ShouldBeNil)
 		out := &bytes.Buffer{}
-		figures, err := Soak(ctx, SoakOptions{Seed: soakSeed, For: soakSpan, Processes: LeastProcesses, Bin: filepath.Join(dir, "bin"), Dir: dir}, out)
+		figures, err := Soak(ctx, SoakOptions{Seed: soakSeed, For: soakSpan, Processes: MinProcesses, Bin: filepath.Join(dir, "bin"), Dir: dir}, out)
 		So(err, ShouldBeNil)
 		So(out.String(), ShouldBeEmpty)
 		So(figures.IsClean(), ShouldBeTrue)
 		So(figures.Codes[202], ShouldBeGreaterThan, 100)
 		So(figures.Codes[401], ShouldBeGreaterThan, 10)
-		So(figures.Again, ShouldBeGreaterThan, 10)
-		So(figures.Doors, ShouldBeGreaterThan, 10)
-		So(figures.Processes, ShouldEqual, LeastProcesses)
+		So(figures.AcceptedAgain, ShouldBeGreaterThan, 10)
+		So(figures.AdminRequests, ShouldBeGreaterThan, 10)
+		So(figures.Processes, ShouldEqual, MinProcesses)
 	})
 }
 
 // lying has a message that waits at the end of a history.
-func lying(h *History, state string, at time.Duration) {
-	h.Ends["w"] = End{state, "", "sum of w", at}
+func setFinalState(h *History, state string, at time.Duration) {
+	h.FinalStates["w"] = FinalState{state, "", "sum of w", at}
 }
 
 // TestSoakIsNotBlind breaks what a soak holds, one kind after the other.
@@ -57,35 +57,35 @@
 	}{
 		{RuleLost, "a request that was read and not answered", func(h *History) {
 			x := sent("c", "r", "", 40*s, check.Undecided, 0)
-			x.IsBroken, x.IsRead = true, true
+			x.IsConnectionBroken, x.IsFullyRead = true, true
 			h.Sent = append(h.Sent, x)
 		}},
 		{RuleLost, "the same at a door that takes no message", func(h *History) {
 			x := sent("/metrics", "/metrics", "", 40*s, check.Undecided, 0)
-			x.IsBroken, x.IsRead = true, true
-			h.Doors = append(h.Doors, x)
+			x.IsConnectionBroken, x.IsFullyRead = true, true
+			h.AdminRequests = append(h.AdminRequests, x)
 		}},
 		{RuleLost, "a message that runs and whose caller was cut off", func(h *History) {
-			cut(h, 7*ms, true)
+			addBrokenConnection(h, 7*ms, true)
 			h.Runs = append(h.Runs, run("c", "p", "w", 41*s, 42*s, 200))
 		}},
-		{RuleLost, "a message that nobody knows", func(h *History) { lying(h, "unknown", 60*s) }},
-		{RuleMixed, "a message told as dead that has not ended", func(h *History) { lying(h, "dead_letter", 60*s) }},
+		{RuleLost, "a message that nobody knows", func(h *History) { setFinalState(h, "unknown", 60*s) }},
+		{RuleMixed, "a message told as dead that has not ended", func(h *History) { setFinalState(h, "dead_letter", 60*s) }},
 		{RuleOrder, "a run before its delay", func(h *History) { h.Sent[0].Delay = s }},
 		{RuleOrder, "a key out of its order", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
 		{RuleTwice, "a run after a success that was told", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
-		{RuleLying, "a message that waits with nothing in its way", func(h *History) { lying(h, "queued", 60*s) }},
+		{RuleLying, "a message that waits with nothing in its way", func(h *History) { setFinalState(h, "queued", 60*s) }},
 		{RuleLying, "a message that waits for long after the last trouble", func(h *History) {
-			lying(h, "queued", 60*s)
-			h.Troubles = []Trouble{{Daemon: "front-1", From: 30 * s, Until: 40 * s}, {Daemon: "front-2", From: 30 * s, IsForGood: true}}
+			setFinalState(h, "queued", 60*s)
+			h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s, Until: 40 * s}, {Daemon: "front-2", From: 30 * s, IsPermanent: true}}
 		}},
 		{RuleLying, "a message taken after the removal of its route must hold", func(h *History) {
-			lying(h, "queued", 60*s)
-			lacking(h, 9, 10*s)
-			h.Sent[5].At, h.Sent[5].ToldAt = 14*s, 14*s+10*ms
+			setFinalState(h, "queued", 60*s)
+			removeRoute(h, 9, 10*s)
+			h.Sent[5].SentAt, h.Sent[5].AnsweredAt = 14*s, 14*s+10*ms
 		}},
 		{RuleLying, "a message with a delay that was over long ago", func(h *History) {
-			lying(h, "queued", 60*s)
+			setFinalState(h, "queued", 60*s)
 			h.Sent[5].Delay = 10 * s
 		}},
 	}
@@ -94,19 +94,19 @@
 		ease func(h *History)
 	}{
 		{"a request cut off by a process that was killed", func(h *History) {
-			cut(h, 7*ms, false)
-			h.Sent[len(h.Sent)-1].IsRead = true
+			addBrokenConnection(h, 7*ms, false)
+			h.Sent[len(h.Sent)-1].IsFullyRead = true
 		}},
-		{"a request that was not read, of a process that left", func(h *History) { cut(h, 7*ms, true) }},
+		{"a request that was not read, of a process that left", func(h *History) { addBrokenConnection(h, 7*ms, true) }},
 		{"a message that waits right after the last trouble", func(h *History) {
-			h.Troubles = []Trouble{{Daemon: "front-1", From: 30 * s, Until: 50 * s}}
+			h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s, Until: 50 * s}}
 		}},
 		{"a message whose delay is just over", func(h *History) { h.Sent[5].Delay = 40 * s }},
-		{"a message that waits while something is still hurt", func(h *History) { h.Troubles = []Trouble{{Daemon: "front-1", From: 30 * s}} }},
-		{"a message whose route was dropped", func(h *History) { lacking(h, 9, 50*s) }},
+		{"a message that waits while something is still hurt", func(h *History) { h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s}} }},
+		{"a message whose route was dropped", func(h *History) { removeRoute(h, 9, 50*s) }},
 		{"a message taken while the removal of its route came into force", func(h *History) {
-			lacking(h, 9, 15*s)
-			h.Sent[5].At, h.Sent[5].ToldAt = 14*s+500*ms, 14*s+510*ms
+			removeRoute(h, 9, 15*s)
+			h.Sent[5].SentAt, h.Sent[5].AnsweredAt = 14*s+500*ms, 14*s+510*ms
 			h.Runs = h.Runs[:4]
 		}},
 	}
@@ -114,8 +114,8 @@
 	Convey("A soak's history is flagged that has", t, func() {
 		for _, c := range broken {
 			Convey(c.rule+": "+c.text, func() {
-				h := clean()
-				lying(h, "queued", 20*s)
+				h := cleanHistory()
+				setFinalState(h, "queued", 20*s)
 				So(judged(h), ShouldBeEmpty)
 				c.hurt(h)
 				rules := []string{}
@@ -129,7 +129,7 @@
 	Convey("A soak's history is not flagged that has", t, func() {
 		for _, c := range allowed {
 			Convey(c.text, func() {
-				h := clean()
+				h := cleanHistory()
 				c.ease(h)
 				So(judged(h), ShouldBeEmpty)
 			})
@@ -142,22 +142,22 @@
 	Convey("A series of faults", t, func() {
 		for _, fronts := range []int{3, 99} {
 			for seed := uint64(1); seed < 30; seed++ {
-				series := Series(seed, time.Minute, fronts, 3)
-				So(series, ShouldResemble, Series(seed, time.Minute, fronts, 3))
+				series := FaultSeries(seed, time.Minute, fronts, 3)
+				So(series, ShouldResemble, FaultSeries(seed, time.Minute, fronts, 3))
 				So(len(series.Steps), ShouldBeGreaterThan, 20)
 				for _, step := range series.Steps {
-					So(IsFault(step.Do), ShouldBeTrue)
+					So(IsFault(step.Action), ShouldBeTrue)
 				}
 			}
 		}
-		So(Series(1, time.Minute, 3, 3), ShouldNotResemble, Series(2, time.Minute, 3, 3))
+		So(FaultSeries(1, time.Minute, 3, 3), ShouldNotResemble, FaultSeries(2, time.Minute, 3, 3))
 	})
 }
 
 // TestSoakOptions: what cannot be run is refused.
 func TestSoakOptions(t *testing.T) {
 	Convey("A soak", t, func() {
-		So(SoakOptions{For: LeastSoak, Processes: LeastProcesses}.Check(), ShouldBeNil)
+		So(SoakOptions{For: MinSoakDuration, Processes: MinProcesses}.Check(), ShouldBeNil)
 		for _, o := range []SoakOptions{{For: time.Second, Processes: 20}, {For: time.Minute, Processes: 11}, {For: time.Minute, Processes: 301}} {
 			So(errs.Is(o.Check(), errs.Invalid), ShouldBeTrue)
 		}
--- /dev/null
+++ b/internal/standin/soakchecks.go
@@ -0,0 +1,51 @@
+package standin
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"caperwheel/internal/check"
+)
+
+// minJudgedMessages is from how many accepted messages of a route on some must have run.
+const minJudgedMessages = 10
+
+// requireRuns: a soak in which the messages of a route did not run has shown nothing of it.
+func (s *Site) requireRuns() {
+	accepted, runs := map[string]int{}, map[string]int{}
+	s.History.WithLock(func() {
+		lanes := map[string]string{}
+		for _, sent := range s.History.Sent {
+			lanes[sent.Token] = sent.Lane
+			if sent.Outcome == check.Taken && sent.Delay == 0 {
+				accepted[sent.Lane]++
+			}
+		}
+		for _, run := range s.History.Runs {
+			runs[lanes[run.Token]]++
+		}
+	})
+	for _, lane := range slices.Sorted(maps.Keys(accepted)) {
+		if accepted[lane] >= minJudgedMessages && runs[lane] == 0 {
+			s.recordFailure("%d messages of %s were accepted and none ran: the soak shows nothing of it", accepted[lane], lane)
+		}
+	}
+}
+
+// requireRecovery: while something is hurt, what is left lying cannot be told.
+func (s *Site) requireRecovery() {
+	hurt := []string{}
+	s.History.WithLock(func() {
+		for _, t := range s.History.Disruptions {
+			if t.Until == 0 && t.From > 0 && !t.IsPermanent {
+				hurt = append(hurt, fmt.Sprintf("%s since %v", t.Daemon, t.From.Round(time.Millisecond)))
+			}
+		}
+	})
+	if len(hurt) > 0 {
+		s.recordFailure("never healed, so what is left lying cannot be told: %s", strings.Join(hurt, ", "))
+	}
+}
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -28,13 +28,13 @@
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
 		for _, when := range []string{"called", "well again"} { // while callers call, and while their messages are asked after
 			asked, breakOff := context.WithCancel(ctx)
-			span := LeastSoak
+			span := MinSoakDuration
 			if when == "called" {
 				span = time.Hour
 				time.AfterFunc(8*time.Second, breakOff)
 			}
-			_, err := Soak(asked, SoakOptions{Seed: 4, For: span, Processes: LeastProcesses, Bin: bin, Dir: filepath.Join(dir, when),
-				Tell: func(form string, _ ...any) {
+			_, err := Soak(asked, SoakOptions{Seed: 4, For: span, Processes: MinProcesses, Bin: bin, Dir: filepath.Join(dir, when),
+				Progress: func(form string, _ ...any) {
 					if strings.Contains(form, when) {
 						breakOff()
 					}
@@ -62,20 +62,20 @@
 func TestNothingRan(t *testing.T) {
 	Convey("A soak in which no message of a route ran says so", t, func() {
 		s := &Site{History: NewHistory()}
-		for i := range leastSample {
+		for i := range minJudgedMessages {
 			for _, lane := range []string{"served", "idle"} {
 				s.History.Sent = append(s.History.Sent, sent(fmt.Sprint(lane, i), lane, "", 0, check.Taken, 0))
 			}
 		}
 		s.History.Runs = append(s.History.Runs, run("served3", "p", "w", 1*time.Second, 2*time.Second, 200))
-		s.needRuns()
+		s.requireRuns()
 		So(s.Failures, ShouldHaveLength, 1)
 		So(s.Failures[0], ShouldContainSubstring, "of idle were accepted and none ran")
 	})
 	Convey("Where a trouble was never healed, what lies cannot be told, and it says so", t, func() {
 		s := &Site{History: NewHistory()}
-		s.History.Troubles = []Trouble{{Daemon: "front-1", From: 3 * time.Second}, {Daemon: "front-2", From: 3 * time.Second, IsForGood: true}}
-		s.needHealed()
+		s.History.Disruptions = []Disruption{{Daemon: "front-1", From: 3 * time.Second}, {Daemon: "front-2", From: 3 * time.Second, IsPermanent: true}}
+		s.requireRecovery()
 		So(s.Failures, ShouldHaveLength, 1)
 		So(s.Failures[0], ShouldContainSubstring, "front-1 since 3s")
 	})
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -20,7 +20,7 @@
 	dir := t.TempDir()
 	Convey("Each daemon ends cleanly when it is asked to", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
-		plan := patient()
+		plan := slowMachinePlan()
 		plan.IsSlow = true
 		site, err := New(plan, filepath.Join(dir, "bin"), dir)
 		So(err, ShouldBeNil)
@@ -28,10 +28,10 @@
 		So(site.Up(ctx), ShouldBeNil)
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
-		go site.Traffic(loadCtx, plan.Loads, plan.Deadline)
+		go site.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
 		for _, who := range []string{"store-1", "store-2", "core-1", "front-1"} {
-			So(site.accepts(ctx, 30), ShouldBeTrue)
-			m := site.match(who)[0]
+			So(site.waitForAccepts(ctx, 30), ShouldBeTrue)
+			m := site.machinesMatching(who)[0]
 			m.stop(true)
 			m.restart()
 		}
