--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -20,10 +20,10 @@
 	return []tenant{{Name: hall, ApiKeys: hallKeys, Rate: 2, Burst: 2}, {Name: grower, ApiKeys: []string{growerKey}, Rate: 100, Burst: 100}}
 }
 
-// tenanted is a clean history in which all messages are of tenants: one was sent again after its accept, and was
+// tenantHistory is a clean history in which all messages are of tenants: one was sent again after its accept, and was
 // told the first one's name.
-func tenanted() *History {
-	h := clean()
+func tenantHistory() *History {
+	h := cleanHistory()
 	for i := range h.Edits {
 		h.Edits[i].Tenants = tenantsOf(hallKey)
 	}
@@ -33,22 +33,22 @@
 	for i := range h.Runs {
 		h.Runs[i].Tenant = hall
 	}
-	again(h, "a2", 0, 20*s)
-	h.Ends["a2"] = h.Ends["a"]
+	addRepeat(h, "a2", 0, 20*s)
+	h.FinalStates["a2"] = h.FinalStates["a"]
 	return h
 }
 
 // again has a message sent again, through another daemon, which is told the first one's name.
-func again(h *History, token string, of int, at time.Duration) *Sent {
+func addRepeat(h *History, token string, of int, at time.Duration) *Submission {
 	x := h.Sent[of]
-	x.Token, x.At, x.ToldAt, x.Daemon = token, at, at+10*ms, "front-2"
-	x.Told, x.Code, x.Id = check.Taken, 202, "id of "+h.Sent[of].Token
+	x.Token, x.SentAt, x.AnsweredAt, x.Daemon = token, at, at+10*ms, "front-2"
+	x.Outcome, x.Code, x.Id = check.Taken, 202, "id of "+h.Sent[of].Token
 	h.Sent = append(h.Sent, x)
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// late is a send of the hall's after all that a clean history has.
-func late(h *History, key string, code int, at time.Duration) *Sent {
+// addLateSubmission is a send of the hall's after all that a clean history has.
+func addLateSubmission(h *History, key string, code int, at time.Duration) *Submission {
 	told := check.NotTaken
 	if code == 202 {
 		told = check.Taken
@@ -59,123 +59,123 @@
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// keysBecome gives a configuration in which the hall has other keys.
-func keysBecome(h *History, ack time.Duration, keys ...string) {
-	rule(h, ack, tenantsOf(keys...))
+// changeKeys gives a configuration in which the hall has other keys.
+func changeKeys(h *History, ack time.Duration, keys ...string) {
+	changeTenants(h, ack, tenantsOf(keys...))
 }
 
-func rule(h *History, ack time.Duration, tenants []tenant) {
+func changeTenants(h *History, ack time.Duration, tenants []tenant) {
 	last := h.Edits[len(h.Edits)-1]
-	next := Edit{Edit: check.Edit{At: ack - s, AckAt: ack, Revision: last.Revision + 2, Pools: last.Pools}, Base: last.Revision, Code: 200, Tenants: tenants}
-	next.Whole = []byte(fmt.Sprintf(`{"version":%d}`, next.Revision))
-	h.Edits, h.Read.Doc = append(h.Edits, next), next.Whole
+	next := Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: last.Revision + 2, Pools: last.Pools}, Base: last.Revision, Code: 200, Tenants: tenants}
+	next.Document = []byte(fmt.Sprintf(`{"version":%d}`, next.Revision))
+	h.Edits, h.Read.Doc = append(h.Edits, next), next.Document
 }
 
-// pours has so many messages of the hall sent at one moment and run.
-func pours(h *History, count int, at time.Duration) {
+// addBurst has so many messages of the hall sent at one moment and run.
+func addBurst(h *History, count int, at time.Duration) {
 	for range count {
-		x := late(h, hallKey, 202, at)
+		x := addLateSubmission(h, hallKey, 202, at)
 		r := run(x.Token, "p", "w", at+20*ms, at+30*ms, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}
 }
 
-// mostInWindow is how many messages of the hall the judge lets run in one window: (2 x 5 + 2) x 1.1 + 20.
-const mostInWindow = 33
+// maxInWindow is how many messages of the hall the judge lets run in one window: (2 x 5 + 2) x 1.1 + 20.
+const maxInWindow = 33
 
-var brokenTenancy = []struct {
+var flaggedTenancy = []struct {
 	rule, text string
 	hurt       func(h *History)
 }{
 	{RuleUnasked, "a worker that is told another tenant", func(h *History) { h.Runs[1].Tenant = grower }},
 	{RuleUnasked, "a worker that is told none", func(h *History) { h.Runs[1].Tenant = "" }},
-	{RuleUnasked, "a worker that is given the key", func(h *History) { h.Runs[1].KeyIn = "Authorization" }},
+	{RuleUnasked, "a worker that is given the key", func(h *History) { h.Runs[1].KeyField = "Authorization" }},
 	{RuleRoute, "a run of what came without a key", func(h *History) { h.Sent[0].ApiKey = "" }},
 	{RuleRoute, "a run of what came with a key that nobody ever held", func(h *History) { h.Sent[0].ApiKey = "api-key-other" }},
 	{RuleRoute, "a run with a key that only an invalid configuration has", func(h *History) {
-		keysBecome(h, 40*s, "api-key-other")
-		h.Edits[2].IsInvalid, h.Edits[2].Code, h.Edits[2].AckAt, h.Read.Doc = true, 400, 0, h.Edits[1].Whole
+		changeKeys(h, 40*s, "api-key-other")
+		h.Edits[2].IsInvalid, h.Edits[2].Code, h.Edits[2].AcknowledgedAt, h.Read.Doc = true, 400, 0, h.Edits[1].Document
 		h.Sent[0].ApiKey = "api-key-other"
 	}},
 	{RuleTwice, "two sends of one key that ran", func(h *History) {
 		r := run("a2", "p", "w", 21*s, 22*s, 200)
-		r.Sum, r.Line, r.Tenant = "sum of a", "POST /a", hall
+		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
 	{RuleTwice, "two sends of one key that ran, with two keys of their tenant, at the end of the window", func(h *History) {
-		keysBecome(h, 40*s, hallKey, "api-key-new")
-		x := again(h, "a3", 0, 10*s+keyWindow-ms)
-		x.ApiKey, x.Told, x.Code, x.Id = "api-key-new", check.Undecided, 504, ""
-		r := run("a3", "p", "w", x.At, x.At+s, 500)
-		r.Sum, r.Line, r.Tenant = "sum of a", "POST /a", hall
+		changeKeys(h, 40*s, hallKey, "api-key-new")
+		x := addRepeat(h, "a3", 0, 10*s+keyWindow-ms)
+		x.ApiKey, x.Outcome, x.Code, x.Id = "api-key-new", check.Undecided, 504, ""
+		r := run("a3", "p", "w", x.SentAt, x.SentAt+s, 500)
+		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
 	{RuleTwice, "two names for one key", func(h *History) { h.Sent[6].Id = "id of another" }},
 	{RuleMixed, "one name for the same key of two tenants", func(h *History) { h.Sent[6].ApiKey = growerKey }},
 	{RuleMixed, "a repeat that is refused as a conflict", func(h *History) {
-		h.Sent[6].Told, h.Sent[6].Code, h.Sent[6].Id = check.NotTaken, 409, ""
+		h.Sent[6].Outcome, h.Sent[6].Code, h.Sent[6].Id = check.NotTaken, 409, ""
 	}},
-	{RuleLost, "an accepted message that only its repeat's asker misses", func(h *History) { h.Ends["a2"] = End{"unknown", "", "", 12 * s} }},
+	{RuleLost, "an accepted message that only its repeat's asker misses", func(h *History) { h.FinalStates["a2"] = FinalState{"unknown", "", "", 12 * s} }},
 	{RuleOrder, "a start before another of its tenant's has ended", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-	{RuleConfig, "401 with a key that is there", func(h *History) { late(h, hallKey, 401, 40*s) }},
+	{RuleConfig, "401 with a key that is there", func(h *History) { addLateSubmission(h, hallKey, 401, 40*s) }},
 	{RuleConfig, "401 with a key that was given, after the bound", func(h *History) {
-		keysBecome(h, 40*s, hallKey, "api-key-new")
-		late(h, "api-key-new", 401, 40*s+apply+ms)
+		changeKeys(h, 40*s, hallKey, "api-key-new")
+		addLateSubmission(h, "api-key-new", 401, 40*s+configApplyBound+ms)
 	}},
 	{RuleConfig, "202 with a key that was taken away, after the bound", func(h *History) {
-		keysBecome(h, 40*s, "api-key-new")
-		late(h, hallKey, 202, 40*s+apply+ms)
+		changeKeys(h, 40*s, "api-key-new")
+		addLateSubmission(h, hallKey, 202, 40*s+configApplyBound+ms)
 	}},
 	{RuleConfig, "a run with a key that was taken away, though nobody accepted it", func(h *History) {
-		keysBecome(h, 40*s, "api-key-new")
-		x := late(h, hallKey, 504, 40*s+apply+ms)
-		x.Told = check.Undecided
+		changeKeys(h, 40*s, "api-key-new")
+		x := addLateSubmission(h, hallKey, 504, 40*s+configApplyBound+ms)
+		x.Outcome = check.Undecided
 		r := run(x.Token, "p", "w", 45*s, 46*s, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}},
 	{RuleConfig, "a daemon that forgets a key that it has accepted", func(h *History) {
-		h.Troubles = []Trouble{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
-		late(h, hallKey, 401, 12*s)
+		h.Disruptions = []Disruption{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
+		addLateSubmission(h, hallKey, 401, 12*s)
 	}},
 	{RuleConfig, "two tenants that share a key, acknowledged", func(h *History) {
-		keysBecome(h, 40*s, hallKey, growerKey)
+		changeKeys(h, 40*s, hallKey, growerKey)
 		h.Edits[2].IsInvalid = true
 	}},
-	{RuleQuota, "more in one window than the limit", func(h *History) { pours(h, mostInWindow+1, 40*s) }},
+	{RuleQuota, "more in one window than the limit", func(h *History) { addBurst(h, maxInWindow+1, 40*s) }},
 	{RuleQuota, "more in a window that no clock's beat begins", func(h *History) {
-		pours(h, mostInWindow/2+1, 42*s)
-		pours(h, mostInWindow/2+1, 42*s+quotaSpan-100*ms)
+		addBurst(h, maxInWindow/2+1, 42*s)
+		addBurst(h, maxInWindow/2+1, 42*s+quotaWindow-100*ms)
 	}},
 	{RuleQuota, "more than a lower limit, one window after it binds", func(h *History) {
 		h.Edits[0].Tenants[0].Rate, h.Edits[1].Tenants[0].Rate = 100, 100
-		keysBecome(h, 40*s, hallKey)
-		pours(h, mostInWindow+1, 40*s+apply+ms)
+		changeKeys(h, 40*s, hallKey)
+		addBurst(h, maxInWindow+1, 40*s+configApplyBound+ms)
 	}},
 	{RuleQuota, "a tenant that gets far less than its limit", func(h *History) {
-		for i := range 2 * leastLosses {
+		for i := range 2 * minJudgedSubmissions {
 			code := 429
 			if i%2 == 0 {
 				code = 202
 			}
-			x := late(h, growerKey, code, 40*s+time.Duration(i)*50*ms)
+			x := addLateSubmission(h, growerKey, code, 40*s+time.Duration(i)*50*ms)
 			x.Tenant, x.RetryAfter = grower, "1"
 		}
 	}},
-	{RuleMixed, "a message that another tenant is told of", func(h *History) { h.Pries = []Pry{{"a", hall, growerKey, 200}} }},
-	{RuleShape, "429 without a word when to come back", func(h *History) { late(h, hallKey, 429, 40*s) }},
-	{RuleShape, "429 with a time that is none", func(h *History) { late(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
-	{RuleShape, "429 that sends away for too long", func(h *History) { late(h, hallKey, 429, 40*s).RetryAfter = "61" }},
-	{RuleShape, "401 with a message's name", func(h *History) { late(h, "api-key-other", 401, 40*s).Id = "id of z" }},
+	{RuleMixed, "a message that another tenant is told of", func(h *History) { h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 200}} }},
+	{RuleShape, "429 without a word when to come back", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s) }},
+	{RuleShape, "429 with a time that is none", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
+	{RuleShape, "429 that sends away for too long", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "61" }},
+	{RuleShape, "401 with a message's name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
 }
 
 // TestTenancyIsJudged breaks each rule of tenants, keys and quotas on purpose.
 func TestTenancyIsJudged(t *testing.T) {
 	Convey("A history is flagged that has", t, func() {
-		for _, c := range brokenTenancy {
+		for _, c := range flaggedTenancy {
 			Convey(c.rule+": "+c.text, func() {
-				h := tenanted()
+				h := tenantHistory()
 				c.hurt(h)
 				rules := []string{}
 				for _, b := range Judge(h, true) {
@@ -186,9 +186,9 @@
 		}
 	})
 	Convey("A history is not flagged that has", t, func() {
-		for _, c := range allowedTenancy {
+		for _, c := range unflaggedTenancy {
 			Convey(c.text, func() {
-				h := tenanted()
+				h := tenantHistory()
 				c.ease(h)
 				So(Judge(h, true), ShouldBeEmpty)
 			})
@@ -211,14 +211,14 @@
 	Convey("Of a hot tenant", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
-				h := tenanted()
-				h.Sent, h.Ends = nil, map[string]End{}
+				h := tenantHistory()
+				h.Sent, h.FinalStates = nil, map[string]FinalState{}
 				for i := range 400 {
 					code := 429
 					if c.accepted(i) {
 						code = 202
 					}
-					late(h, hallKey, code, 40*s+time.Duration(i)*20*ms)
+					addLateSubmission(h, hallKey, code, 40*s+time.Duration(i)*20*ms)
 				}
 				f := newJudge(h).tenantFigures()
 				So(f, ShouldHaveLength, 1)
--- a/internal/standin/tenancyallowed_test.go
+++ b/internal/standin/tenancyallowed_test.go
@@ -4,41 +4,41 @@
 	"caperwheel/internal/check"
 )
 
-// allowedTenancy are histories of tenants in which no rule is broken.
-var allowedTenancy = []struct {
+// unflaggedTenancy are histories of tenants in which no rule is broken.
+var unflaggedTenancy = []struct {
 	text string
 	ease func(h *History)
 }{
 	{"nothing odd", func(*History) {}},
 	{"a repeat of which nothing is known", func(h *History) {
-		h.Sent[6].Told, h.Sent[6].Code, h.Sent[6].Id = check.Undecided, 504, ""
-		delete(h.Ends, "a2")
+		h.Sent[6].Outcome, h.Sent[6].Code, h.Sent[6].Id = check.Undecided, 504, ""
+		delete(h.FinalStates, "a2")
 	}},
 	{"a first send of which nothing is known, and whose repeat was told its name", func(h *History) {
-		h.Sent[0].Told, h.Sent[0].Code, h.Sent[0].Id = check.Undecided, 0, ""
-		delete(h.Ends, "a")
+		h.Sent[0].Outcome, h.Sent[0].Code, h.Sent[0].Id = check.Undecided, 0, ""
+		delete(h.FinalStates, "a")
 	}},
 	{"a repeat that was refused for now", func(h *History) {
-		h.Sent[6].Told, h.Sent[6].Code, h.Sent[6].Id, h.Sent[6].RetryAfter = check.NotTaken, 429, "", "1"
-		delete(h.Ends, "a2")
+		h.Sent[6].Outcome, h.Sent[6].Code, h.Sent[6].Id, h.Sent[6].RetryAfter = check.NotTaken, 429, "", "1"
+		delete(h.FinalStates, "a2")
 	}},
 	{"two runs of one key, its window past", func(h *History) {
-		x := again(h, "a3", 0, 10*s+keyWindow)
+		x := addRepeat(h, "a3", 0, 10*s+keyWindow)
 		x.Id = "id of a3"
-		r := run("a3", "p", "w", x.At, x.At+s, 200)
-		r.Sum, r.Line, r.Tenant = "sum of a", "POST /a", hall
+		r := run("a3", "p", "w", x.SentAt, x.SentAt+s, 200)
+		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
-		h.Ends["a3"] = End{"completed", r.Seal, "", 80 * s}
+		h.FinalStates["a3"] = FinalState{"completed", r.Stamp, "", 80 * s}
 	}},
 	{"two sends of one key where workers keep a record, and one run broke off", func(h *History) {
 		o := h.Routes["o"]
-		o.IsShared = true
+		o.HasDeduplication = true
 		h.Routes["o"] = o
-		x := again(h, "x2", 2, 11*s+500*ms)
-		x.Told, x.Code, x.Id = check.Undecided, 504, ""
-		h.Sent[3].At, h.Sent[3].ToldAt = 12*s, 12*s+10*ms
+		x := addRepeat(h, "x2", 2, 11*s+500*ms)
+		x.Outcome, x.Code, x.Id = check.Undecided, 504, ""
+		h.Sent[3].SentAt, h.Sent[3].AnsweredAt = 12*s, 12*s+10*ms
 		r := run("x2", "q", "v", 13*s, 13*s+ms, 0)
-		r.Sum, r.Line, r.Tenant, r.IsWhole = "sum of x", "POST /x", hall, false
+		r.BodySum, r.RequestLine, r.Tenant, r.IsAnswerComplete = "sum of x", "POST /x", hall, false
 		h.Runs = append(h.Runs, r)
 	}},
 	{"two tenants with the same operation key and order key", func(h *History) {
@@ -52,59 +52,61 @@
 		for i := range h.Edits {
 			h.Edits[i].Public = []string{"r"}
 		}
-		x := late(h, "", 202, 40*s)
+		x := addLateSubmission(h, "", 202, 40*s)
 		x.Tenant = ""
 		h.Runs = append(h.Runs, run(x.Token, "p", "w", 41*s, 42*s, 200))
 	}},
 	{"401 without a key, with one that nobody held, and with one that was taken away", func(h *History) {
-		keysBecome(h, 30*s, "api-key-new")
-		h.Edits[2].At = 29 * s
+		changeKeys(h, 30*s, "api-key-new")
+		h.Edits[2].SentAt = 29 * s
 		for _, key := range []string{"", "api-key-other", hallKey} {
-			late(h, key, 401, 40*s)
+			addLateSubmission(h, key, 401, 40*s)
 		}
 	}},
 	{"202 and 401 with a key that comes or goes, before the bound", func(h *History) {
-		keysBecome(h, 40*s, "api-key-new")
-		late(h, hallKey, 202, 40*s+apply-ms)
-		late(h, hallKey, 401, 40*s+apply-ms)
-		late(h, "api-key-new", 401, 40*s+apply-ms)
+		changeKeys(h, 40*s, "api-key-new")
+		addLateSubmission(h, hallKey, 202, 40*s+configApplyBound-ms)
+		addLateSubmission(h, hallKey, 401, 40*s+configApplyBound-ms)
+		addLateSubmission(h, "api-key-new", 401, 40*s+configApplyBound-ms)
 	}},
 	{"a message of a key that was taken away after its accept", func(h *History) {
-		keysBecome(h, 15*s, "api-key-new")
-		h.Edits[2].At, h.Edits[2].Revision, h.Edits[2].Base = 14*s, 4, 3
+		changeKeys(h, 15*s, "api-key-new")
+		h.Edits[2].SentAt, h.Edits[2].Revision, h.Edits[2].Base = 14*s, 4, 3
 		h.Edits[1], h.Edits[2] = h.Edits[2], h.Edits[1]
 		h.Edits[2].Tenants, h.Edits[2].Base = tenantsOf("api-key-new"), 4
-		h.Read.Doc = h.Edits[2].Whole
+		h.Read.Doc = h.Edits[2].Document
 		h.Sent[6].ApiKey = "api-key-new"
 	}},
-	{"as much as the limit in one window", func(h *History) { pours(h, mostInWindow, 40*s) }},
+	{"as much as the limit in one window", func(h *History) { addBurst(h, maxInWindow, 40*s) }},
 	{"more in two windows", func(h *History) {
-		pours(h, mostInWindow, 40*s)
-		pours(h, mostInWindow, 40*s+quotaSpan+ms)
+		addBurst(h, maxInWindow, 40*s)
+		addBurst(h, maxInWindow, 40*s+quotaWindow+ms)
 	}},
 	{"more that was accepted in one window and ran in another", func(h *History) {
-		pours(h, 2*mostInWindow, 40*s)
-		for i := range mostInWindow {
-			h.Runs[len(h.Runs)-1-i].Start += quotaSpan + s
-			h.Runs[len(h.Runs)-1-i].End += quotaSpan + s
+		addBurst(h, 2*maxInWindow, 40*s)
+		for i := range maxInWindow {
+			h.Runs[len(h.Runs)-1-i].Start += quotaWindow + s
+			h.Runs[len(h.Runs)-1-i].End += quotaWindow + s
 		}
 	}},
 	{"more than a lower limit that does not bind yet", func(h *History) {
 		h.Edits[0].Tenants[0].Rate, h.Edits[1].Tenants[0].Rate = 100, 100
-		keysBecome(h, 40*s, hallKey)
-		pours(h, mostInWindow+1, 40*s+apply-ms)
+		changeKeys(h, 40*s, hallKey)
+		addBurst(h, maxInWindow+1, 40*s+configApplyBound-ms)
 	}},
 	{"more than a lower limit while a machine is hurt, and for one contact", func(h *History) {
 		h.Edits[0].Tenants[0].Rate, h.Edits[1].Tenants[0].Rate = 100, 100
-		keysBecome(h, 40*s, hallKey)
-		h.Troubles = []Trouble{{Daemon: "front-1", From: 41 * s, Until: 50 * s}}
-		pours(h, mostInWindow+1, 50*s+contact)
+		changeKeys(h, 40*s, hallKey)
+		h.Disruptions = []Disruption{{Daemon: "front-1", From: 41 * s, Until: 50 * s}}
+		addBurst(h, maxInWindow+1, 50*s+contactBound)
+	}},
+	{"a message that others are told nothing of", func(h *History) {
+		h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 404}, {"a", hall, "", 401}}
 	}},
-	{"a message that others are told nothing of", func(h *History) { h.Pries = []Pry{{"a", hall, growerKey, 404}, {"a", hall, "", 401}} }},
 	{"a hot tenant that is refused beyond its limit", func(h *History) {
-		pours(h, 2, 40*s)
+		addBurst(h, 2, 40*s)
 		for range 200 {
-			late(h, hallKey, 429, 40*s+ms).RetryAfter = "1"
+			addLateSubmission(h, hallKey, 429, 40*s+ms).RetryAfter = "1"
 		}
 	}},
 }
--- a/internal/standin/tenantfaults.go
+++ b/internal/standin/tenantfaults.go
@@ -13,18 +13,18 @@
 
 // Figures of what befalls tenants.
 const (
-	hotShare    = 20  // times its rate that a hot tenant sends
-	mostHot     = 300 // messages a second, of any hot tenant
-	raisedShare = 3
-	loweredPart = 8
-	bothHold    = apply + time.Second // an old key and a new one
+	hotRateFactor  = 20  // times its rate that a hot tenant sends
+	maxHotRate     = 300 // messages a second, of any hot tenant
+	raisedFactor   = 3
+	loweredDivisor = 8
+	keyOverlap     = configApplyBound + time.Second // an old key and a new one
 )
 
 // customer finds the tenant that a step names by its place in the plan.
 func (s *Site) customer(who string) (Customer, bool) {
 	var place int
 	if _, err := fmt.Sscanf(who, "tenant-%d", &place); err != nil || place < 1 || place > len(s.plan.Customers) {
-		s.failed("no tenant is called %s", who)
+		s.recordFailure("no tenant is called %s", who)
 		return Customer{}, false
 	}
 	return s.plan.Customers[place-1], true
@@ -39,34 +39,34 @@
 	})
 }
 
-func giveKey(t *tenant) { t.ApiKeys = append(t.ApiKeys, newApiKey(newDraws())) }
+func addKey(t *tenant) { t.ApiKeys = append(t.ApiKeys, newApiKey(newRand())) }
 
-// rotate gives a tenant a new key, and takes the old ones away once all know the new one.
-func rotate(ctx context.Context, s *Site, who string) func() {
+// rotateKey gives a tenant a new key, and takes the old ones away once all know the new one.
+func rotateKey(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
 		return func() {}
 	}
-	s.changeTenant(ctx, c.Name, giveKey)
-	pause(ctx, bothHold)
+	s.changeTenant(ctx, c.Name, addKey)
+	sleep(ctx, keyOverlap)
 	s.changeTenant(ctx, c.Name, func(t *tenant) { t.ApiKeys = t.ApiKeys[len(t.ApiKeys)-1:] })
 	return func() {}
 }
 
-// revoke takes all keys of a tenant away. Undone, it gets a new one.
-func revoke(ctx context.Context, s *Site, who string) func() {
+// revokeKeys takes all keys of a tenant away. Undone, it gets a new one.
+func revokeKeys(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
 		return func() {}
 	}
 	s.changeTenant(ctx, c.Name, func(t *tenant) { t.ApiKeys = []string{} })
-	return func() { s.changeTenant(s.ctx, c.Name, giveKey) }
+	return func() { s.changeTenant(s.ctx, c.Name, addKey) }
 }
 
-// giveMissingKeys gives each tenant without a key a new one: nobody else may ask for its messages.
-func (o *operator) giveMissingKeys(ctx context.Context) {
+// addMissingKeys gives each tenant without a key a new one: nobody else may ask for its messages.
+func (o *operator) addMissingKeys(ctx context.Context) {
 	o.mu.Lock()
-	isMissing := slices.ContainsFunc(o.now.Tenants, func(t tenant) bool { return len(t.ApiKeys) == 0 })
+	isMissing := slices.ContainsFunc(o.current.Tenants, func(t tenant) bool { return len(t.ApiKeys) == 0 })
 	o.mu.Unlock()
 	if !isMissing {
 		return
@@ -74,7 +74,7 @@
 	o.change(ctx, true, func(c *siteConfig) {
 		for i := range c.Tenants {
 			if len(c.Tenants[i].ApiKeys) == 0 {
-				giveKey(&c.Tenants[i])
+				addKey(&c.Tenants[i])
 			}
 		}
 	})
@@ -93,44 +93,44 @@
 	return func() { s.changeTenant(s.ctx, c.Name, set(c.Rate, c.Burst)) }
 }
 
-func raise(ctx context.Context, s *Site, who string) func() { return limit(ctx, s, who, raisedShare) }
+func raise(ctx context.Context, s *Site, who string) func() { return limit(ctx, s, who, raisedFactor) }
 func lower(ctx context.Context, s *Site, who string) func() {
-	return limit(ctx, s, who, 1.0/loweredPart)
+	return limit(ctx, s, who, 1.0/loweredDivisor)
 }
 
-// hot has a tenant send many times its rate, until undone.
-func hot(ctx context.Context, s *Site, who string) func() {
+// overload has a tenant send many times its rate, until undone.
+func overload(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	load := s.plan.Loads[0]
-	load.Tenant, load.Rate, load.Delayed = c.Name, min(mostHot, hotShare*c.Rate), 0
-	go s.Traffic(ctx, []Load{load}, time.Second)
+	load.Tenant, load.Rate, load.DelayedShare = c.Name, min(maxHotRate, hotRateFactor*c.Rate), 0
+	go s.RunTraffic(ctx, []Load{load}, time.Second)
 	return cancel
 }
 
 // Steps that befall tenants, by seed.
 const (
-	tenantStream = 32              // the stream of chance, apart from others of the same seed
-	tenantGap    = 5 * time.Second // between two, on the mean
-	tenantBegin  = 3 * time.Second
-	tenantEnd    = 8 * time.Second // before the end of a schedule
-	mostTenantOn = 8 * time.Second
+	tenantSeedStream       = 32              // the stream of chance, apart from others of the same seed
+	meanTenantFaultGap     = 5 * time.Second // between two, on the mean
+	tenantBegin            = 3 * time.Second
+	tenantEnd              = 8 * time.Second // before the end of a schedule
+	maxTenantFaultDuration = 8 * time.Second
 )
 
-// tenantDraws are what may befall a tenant.
-var tenantDraws = []string{"rotate", "rotate", "revoke", "raise", "lower", "lower", "hot", "hot"}
+// tenantFaults are what may befall a tenant.
+var tenantFaults = []string{"rotate", "rotate", "revoke", "raise", "lower", "lower", "hot", "hot"}
 
-// TenantSteps draws by seed what befalls tenants, for any schedule of that length. A tenant is in one step at most.
-func TenantSteps(seed uint64, length time.Duration) []fleet.Step {
-	r, out := rand.New(rand.NewPCG(seed, tenantStream)), []fleet.Step{}
-	tenants, kinds := r.Perm(largeCustomers+smallCustomers), r.Perm(len(tenantDraws)) // each kind comes before any comes again
-	for at := tenantBegin; at < length-tenantEnd && len(tenants) > 0; at += time.Duration(r.Int64N(int64(2*tenantGap))) + time.Millisecond {
-		step := fleet.Step{At: at.String(), Do: tenantDraws[kinds[len(out)%len(kinds)]], Who: "tenant-" + strconv.Itoa(tenants[0]+1)}
-		if step.Do != "rotate" {
-			step.For = min(mostTenantOn, length-at-time.Second).String()
+// TenantFaultSteps draws by seed what befalls tenants, for any schedule of that length. A tenant is in one step at most.
+func TenantFaultSteps(seed uint64, length time.Duration) []fleet.Step {
+	r, out := rand.New(rand.NewPCG(seed, tenantSeedStream)), []fleet.Step{}
+	tenants, kinds := r.Perm(largeCustomers+smallCustomers), r.Perm(len(tenantFaults)) // each kind comes before any comes again
+	for at := tenantBegin; at < length-tenantEnd && len(tenants) > 0; at += time.Duration(r.Int64N(int64(2*meanTenantFaultGap))) + time.Millisecond {
+		step := fleet.Step{At: at.String(), Action: tenantFaults[kinds[len(out)%len(kinds)]], Target: "tenant-" + strconv.Itoa(tenants[0]+1)}
+		if step.Action != "rotate" {
+			step.Duration = min(maxTenantFaultDuration, length-at-time.Second).String()
 		}
 		tenants = tenants[1:]
 		out = append(out, step)
--- a/internal/standin/shares.go
+++ b/internal/standin/tenantfigures.go
@@ -42,7 +42,7 @@
 	byTenant := map[string]*TenantFigures{}
 	buckets := map[string]*bucket{}
 	sends := slices.Clone(j.h.Sent)
-	slices.SortStableFunc(sends, func(a, b Sent) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(sends, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
 	for _, s := range sends {
 		name, isHeld := j.tenants[s.ApiKey]
 		if !isHeld {
@@ -51,7 +51,7 @@
 		if byTenant[name] == nil {
 			byTenant[name], buckets[name] = &TenantFigures{Name: name}, &bucket{level: math.Inf(1)}
 		}
-		j.count(byTenant[name], buckets[name], s)
+		j.countSubmission(byTenant[name], buckets[name], s)
 	}
 	out := []TenantFigures{}
 	for _, f := range byTenant {
@@ -62,13 +62,13 @@
 	return out
 }
 
-// count adds one send to a tenant's figures. Repeats of what was accepted take nothing of the limit.
-func (j *judge) count(f *TenantFigures, b *bucket, s Sent) {
+// countSubmission adds one send to a tenant's figures. Repeats of what was accepted take nothing of the limit.
+func (j *judge) countSubmission(f *TenantFigures, b *bucket, s Submission) {
 	f.Sent++
-	rate, burst := j.leastLimit(f.Name, s.At, s.ToldAt)
-	b.fill(s.At, rate, burst)
+	rate, burst := j.minLimit(f.Name, s.SentAt, s.AnsweredAt)
+	b.fill(s.SentAt, rate, burst)
 	switch {
-	case s.Told == check.Taken && j.isFirstAccept(s):
+	case s.Outcome == check.Taken && j.isFirstAccept(s):
 		f.Accepted++
 	case s.Code == 429:
 		f.Refused++
@@ -81,13 +81,13 @@
 	}
 }
 
-func (j *judge) isFirstAccept(s Sent) bool {
-	first, _ := j.operationOf(s).accepted()
+func (j *judge) isFirstAccept(s Submission) bool {
+	first, _ := j.operationOf(s).firstAccepted()
 	return first.Token == s.Token
 }
 
-// leastLimit returns the lowest limit of a tenant that may be in force from first to last.
-func (j *judge) leastLimit(name string, first, last time.Duration) (rate, burst float64) {
+// minLimit returns the lowest limit of a tenant that may be in force from first to last.
+func (j *judge) minLimit(name string, first, last time.Duration) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
 	for _, i := range j.inForce(first, last) {
 		for _, t := range j.h.Edits[i].Tenants {
@@ -104,14 +104,14 @@
 // shares are reported. A front that dies takes its part of a limit with it until that expires, and schedules kill
 // one front of three at a time: what is lost so stays below the part of a front.
 const (
-	mostLostBelow = 1.0 / 3
-	leastLosses   = 100 // sends that the limit lets pass, from which on a share tells anything
+	maxLossShare         = 1.0 / 3
+	minJudgedSubmissions = 100 // sends that the limit lets pass, from which on a share tells anything
 )
 
-// shares: a tenant gets what its limit lets it send.
-func (j *judge) shares() {
+// judgeQuotaShares: a tenant gets what its limit lets it send.
+func (j *judge) judgeQuotaShares() {
 	for _, f := range j.tenantFigures() {
-		if f.Allowed >= leastLosses && f.Share > mostLostBelow {
+		if f.Allowed >= minJudgedSubmissions && f.Share > maxLossShare {
 			j.breach(RuleQuota, "%d messages of %s were accepted, and its limit allowed %d", f.Accepted, f.Name, f.Allowed)
 		}
 	}
--- a/internal/standin/tenants.go
+++ b/internal/standin/tenants.go
@@ -11,7 +11,7 @@
 // Bounds of tenants, which the settings files tell too.
 const (
 	keyWindow      = 60 * time.Second // in which an operation key names one message
-	quotaSpan      = 5 * time.Second
+	quotaWindow    = 5 * time.Second
 	quotaOvershoot = 0.1
 	quotaSlack     = 20
 )
@@ -28,8 +28,8 @@
 // Customer is a tenant with the messages that its clients send.
 type Customer struct {
 	tenant
-	Share   float64 // of all messages that need a key
-	IsRover bool    // its clients come through one front at a time, now this one, now that
+	MessageShare float64 // of all messages that need a key
+	IsRoaming    bool    // its clients come through one front at a time, now this one, now that
 }
 
 // How customers differ.
@@ -37,9 +37,9 @@
 	largeCustomers = 2
 	smallCustomers = 8
 	largeShare     = 0.3 // of all messages, for each large one
-	headroom       = 2.5 // of a limit above what a tenant sends on the mean
-	burstSpan      = 3   // seconds of its rate that a tenant may send at once
-	leastRate      = 4   // messages a second that any tenant may send
+	limitHeadroom  = 2.5 // of a limit above what a tenant sends on the mean
+	burstSeconds   = 3   // seconds of its rate that a tenant may send at once
+	minTenantRate  = 4   // messages a second that any tenant may send
 	topPriority    = 5
 )
 
@@ -47,31 +47,31 @@
 func customers(draws *rand.Rand, perSecond float64) []Customer {
 	out, left, weights := []Customer{}, 1.0, 0.0
 	for i := range largeCustomers + smallCustomers {
-		c := Customer{tenant: tenant{Name: fmt.Sprintf("tenant-%d-%x", i+1, draws.Uint32()), Priority: draws.IntN(topPriority)}, Share: largeShare}
+		c := Customer{tenant: tenant{Name: fmt.Sprintf("tenant-%d-%x", i+1, draws.Uint32()), Priority: draws.IntN(topPriority)}, MessageShare: largeShare}
 		c.ApiKeys = []string{newApiKey(draws)}
-		c.IsRover = i%2 == 1
+		c.IsRoaming = i%2 == 1
 		if i < largeCustomers {
-			left -= c.Share
+			left -= c.MessageShare
 		} else {
-			c.Share = 0.5 + draws.Float64()
-			weights += c.Share
+			c.MessageShare = 0.5 + draws.Float64()
+			weights += c.MessageShare
 		}
 		out = append(out, c)
 	}
 	for i := range out {
 		if i >= largeCustomers {
-			out[i].Share *= left / weights
+			out[i].MessageShare *= left / weights
 		}
-		out[i].Rate = math.Ceil(max(leastRate, headroom*out[i].Share*perSecond))
-		out[i].Burst = burstSpan * out[i].Rate
+		out[i].Rate = math.Ceil(max(minTenantRate, limitHeadroom*out[i].MessageShare*perSecond))
+		out[i].Burst = burstSeconds * out[i].Rate
 	}
 	return out
 }
 
-// apiKeyMark begins each API key, so that workers know one wherever it stands.
-const apiKeyMark = "api-key-"
+// apiKeyPrefix begins each API key, so that workers know one wherever it stands.
+const apiKeyPrefix = "api-key-"
 
-func newApiKey(draws *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyMark, draws.Uint64()) }
+func newApiKey(draws *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyPrefix, draws.Uint64()) }
 
 // cloneTenants copies tenants with their keys.
 func cloneTenants(list []tenant) []tenant {
@@ -86,8 +86,8 @@
 	return a.Name == b.Name && a.Priority == b.Priority && a.Rate == b.Rate && a.Burst == b.Burst && slices.Equal(a.ApiKeys, b.ApiKeys)
 }
 
-// tenantsSince lists what an update of tenants sets and removes.
-func (c siteConfig) tenantsSince(was siteConfig) (set []tenant, gone []string) {
+// tenantUpdateFrom lists what an update of tenants sets and removes.
+func (c siteConfig) tenantUpdateFrom(was siteConfig) (set []tenant, gone []string) {
 	set, gone = []tenant{}, []string{} // an update holds lists, if empty ones
 	for _, t := range c.Tenants {
 		if !slices.ContainsFunc(was.Tenants, func(o tenant) bool { return isSameTenant(o, t) }) {
@@ -104,10 +104,10 @@
 
 // shareKey gives two tenants one key, which makes a configuration invalid.
 func (c siteConfig) shareKey() siteConfig {
-	shared := newApiKey(newDraws())
+	shared := newApiKey(newRand())
 	for i := range 2 {
 		if i == len(c.Tenants) {
-			c.Tenants = append(c.Tenants, tenant{Name: fmt.Sprintf("trial-%d", i), Rate: leastRate, Burst: leastRate})
+			c.Tenants = append(c.Tenants, tenant{Name: fmt.Sprintf("trial-%d", i), Rate: minTenantRate, Burst: minTenantRate})
 		}
 		c.Tenants[i].ApiKeys = append(c.Tenants[i].ApiKeys, shared)
 	}
--- a/internal/standin/tenants_test.go
+++ b/internal/standin/tenants_test.go
@@ -18,24 +18,24 @@
 			list, sum := customers(rand.New(rand.NewPCG(seed, 1)), 80), 0.0
 			So(list, ShouldResemble, customers(rand.New(rand.NewPCG(seed, 1)), 80))
 			for _, c := range list {
-				sum += c.Share
-				So(c.Rate, ShouldBeGreaterThanOrEqualTo, c.Share*80*headroom)
+				sum += c.MessageShare
+				So(c.Rate, ShouldBeGreaterThanOrEqualTo, c.MessageShare*80*limitHeadroom)
 				So(c.ApiKeys, ShouldHaveLength, 1)
 			}
 			So(sum, ShouldAlmostEqual, 1, 1e-9)
-			So(list[0].Share, ShouldBeGreaterThan, 2*list[largeCustomers].Share)
+			So(list[0].MessageShare, ShouldBeGreaterThan, 2*list[largeCustomers].MessageShare)
 		}
 	})
 	Convey("An update tells the tenants that differ, and those that are gone", t, func() {
 		was := siteConfig{Tenants: tenantsOf(hallKey)}
 		next := was.next()
-		giveKey(&next.Tenants[0])
+		addKey(&next.Tenants[0])
 		So(was.Tenants[0].ApiKeys, ShouldHaveLength, 1) // a copy
-		set, gone := next.tenantsSince(was)
+		set, gone := next.tenantUpdateFrom(was)
 		So(set, ShouldResemble, next.Tenants[:1])
 		So(gone, ShouldBeEmpty)
 		next.Tenants = next.Tenants[:1]
-		_, gone = next.tenantsSince(was)
+		_, gone = next.tenantUpdateFrom(was)
 		So(gone, ShouldResemble, []string{grower})
 	})
 }
@@ -44,7 +44,7 @@
 func TestKeyring(t *testing.T) {
 	Convey("Of a tenant whose old key was taken away", t, func() {
 		k := newKeyring(tenantsOf(hallKey))
-		k.learn(tenantsOf("api-key-new"))
+		k.update(tenantsOf("api-key-new"))
 		drawn, draws := map[string]int{}, rand.New(rand.NewPCG(1, 1))
 		for range 1000 {
 			drawn[k.draw(hall, draws)]++
@@ -55,7 +55,7 @@
 		So(len(drawn), ShouldBeGreaterThan, 5) // unknown ones
 		So(k.valid(hall), ShouldEqual, "api-key-new")
 		Convey("that then loses all its keys, clients go on with an old one", func() {
-			k.learn(tenantsOf())
+			k.update(tenantsOf())
 			So(k.valid(hall), ShouldBeEmpty)
 			drawn := map[string]int{}
 			for range 1000 {
@@ -68,16 +68,16 @@
 		r, err := http.NewRequest(http.MethodPost, "http://x.example/a?b=c", nil)
 		So(err, ShouldBeNil)
 		r.Header.Set(tenantName, hall)
-		So(keyIn(r), ShouldBeEmpty)
-		r.Header.Set("X-Other", "of "+newApiKey(newDraws()))
-		So(keyIn(r), ShouldEqual, "X-Other")
+		So(apiKeyField(r), ShouldBeEmpty)
+		r.Header.Set("X-Other", "of "+newApiKey(newRand()))
+		So(apiKeyField(r), ShouldEqual, "X-Other")
 	})
 }
 
 // TestRepeats: a repeat goes through another zone, in its time, with the key and bytes of the first send.
 func TestRepeats(t *testing.T) {
 	Convey("A message that is to be sent again", t, func() {
-		r, m := &repeats{}, Message{Operation: "op", body: []byte("b"), first: s}
+		r, m := &repeats{}, Message{Operation: "op", body: []byte("b"), firstSentAt: s}
 		r.put(m, "north", 2*s)
 		_, isThere := r.take("north", 3*s)
 		So(isThere, ShouldBeFalse)
@@ -91,20 +91,20 @@
 	})
 	Convey("is not sent once the span of its key is over, nor without a key", t, func() {
 		r := &repeats{}
-		r.put(Message{Operation: "op", first: s}, "north", 2*s)
-		_, isThere := r.take("south", s+repeatSpan+ms)
+		r.put(Message{Operation: "op", firstSentAt: s}, "north", 2*s)
+		_, isThere := r.take("south", s+repeatWindow+ms)
 		So(isThere, ShouldBeFalse)
-		r.put(Message{first: s}, "north", 2*s)
+		r.put(Message{firstSentAt: s}, "north", 2*s)
 		_, isThere = r.take("south", 3*s)
 		So(isThere, ShouldBeFalse)
 	})
 	Convey("is drawn after whatever it was told", t, func() {
-		for _, told := range []check.Told{check.Taken, check.NotTaken, check.Undecided} {
+		for _, told := range []check.Outcome{check.Taken, check.NotTaken, check.Undecided} {
 			r := &repeats{}
 			for range 300 {
-				r.note(Message{Operation: "op"}, "north", told, s, rand.New(rand.NewPCG(uint64(len(r.wait)), rand.Uint64())))
+				r.note(Message{Operation: "op"}, "north", told, s, rand.New(rand.NewPCG(uint64(len(r.pending)), rand.Uint64())))
 			}
-			So(len(r.wait), ShouldBeBetween, 3, 290)
+			So(len(r.pending), ShouldBeBetween, 3, 290)
 		}
 	})
 }
@@ -113,13 +113,13 @@
 func TestTenantSteps(t *testing.T) {
 	Convey("Steps that befall tenants", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
-			steps, seen := TenantSteps(seed, time.Minute), map[string]bool{}
-			So(steps, ShouldResemble, TenantSteps(seed, time.Minute))
+			steps, seen := TenantFaultSteps(seed, time.Minute), map[string]bool{}
+			So(steps, ShouldResemble, TenantFaultSteps(seed, time.Minute))
 			So(len(steps), ShouldBeGreaterThan, 3)
 			for _, step := range steps {
-				So(IsFault(step.Do), ShouldBeTrue)
-				So(seen[step.Who], ShouldBeFalse)
-				seen[step.Who] = true
+				So(IsFault(step.Action), ShouldBeTrue)
+				So(seen[step.Target], ShouldBeFalse)
+				seen[step.Target] = true
 			}
 		}
 	})
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -26,102 +26,102 @@
 		}
 	}
 	if len(out) == 0 {
-		s.failed("no worker is called %s", who)
+		s.recordFailure("no worker is called %s", who)
 	}
 	return out
 }
 
-func behave(_ context.Context, s *Site, who string) func() {
+func setMode(_ context.Context, s *Site, who string) func() {
 	do, who, _ := strings.Cut(who, " ")
 	all := s.workers(who)
 	for _, w := range all {
-		w.mode.Store(int32(modes[do]))
+		w.mode.Store(int32(faultModes[do]))
 	}
 	return func() {
 		met := int64(0)
 		for _, w := range all {
-			w.mode.Store(int32(Well))
-			met += w.met.Load()
+			w.mode.Store(int32(Healthy))
+			met += w.faultyRequests.Load()
 		}
-		if met == 0 && !s.isDrawn {
-			s.failed("no run met %s while it behaved oddly", who)
+		if met == 0 && !s.hasRandomFaults {
+			s.recordFailure("no run met %s while it behaved oddly", who)
 		}
 	}
 }
 
-// deafen has receivers of call-backs fail.
-func deafen(_ context.Context, s *Site, _ string) func() {
+// failReceivers has receivers of call-backs fail.
+func failReceivers(_ context.Context, s *Site, _ string) func() {
 	s.Receiver.mode.Store(int32(Fail))
-	return func() { s.Receiver.mode.Store(int32(Well)) }
+	return func() { s.Receiver.mode.Store(int32(Healthy)) }
 }
 
-// renew begins a new life at an address; at another one where faults are drawn and one
+// replaceWorker begins a new life at an address; at another one where faults are drawn and one
 // that overlaps has begun a life there.
-func (s *Site) renew(p *Pool, zone, addr string, isCold bool) {
+func (s *Site) replaceWorker(p *Pool, zone, addr string, isCold bool) {
 	_, err := p.add(zone, addr, isCold)
-	if errors.Is(err, syscall.EADDRINUSE) && s.isDrawn {
+	if errors.Is(err, syscall.EADDRINUSE) && s.hasRandomFaults {
 		_, err = p.add(zone, s.nextAddr(), isCold)
 	}
 	if err != nil {
-		s.failed("%s does not come back: %v", p.Name, err)
+		s.recordFailure("%s does not come back: %v", p.Name, err)
 	}
 }
 
-// vanish breaks workers off; the list shows them for some seconds more. Undone,
+// crashWorkers breaks workers off; the list shows them for some seconds more. Undone,
 // new lives begin there, cold.
-func vanish(ctx context.Context, s *Site, who string) func() {
+func crashWorkers(ctx context.Context, s *Site, who string) func() {
 	all := s.workers(who)
 	for _, w := range all {
-		w.end()
-		go func() { pause(s.ctx, 2*time.Second); w.Service.drop(w) }()
+		w.shutDown()
+		go func() { sleep(s.ctx, 2*time.Second); w.Service.remove(w) }()
 	}
 	return func() {
 		for _, w := range all {
-			w.Service.drop(w)
-			s.renew(w.Service, w.Zone, w.Addr, true)
+			w.Service.remove(w)
+			s.replaceWorker(w.Service, w.Zone, w.Addr, true)
 		}
 	}
 }
 
-// drainOut has the list show a worker as leaving, and ends it when its time and
+// drainWorker has the list show a worker as leaving, and ends it when its time and
 // a little more have passed.
-func (s *Site) drainOut(ctx context.Context, w *Worker) {
-	w.isLeaving.Store(true)
-	shown := s.Now() + listLag + listLag/4
-	s.History.Add(func() {
-		s.History.Marks = append(s.History.Marks, check.Mark{Pool: w.Service.Name, Worker: w.Id, From: shown, Bound: drain})
+func (s *Site) drainWorker(ctx context.Context, w *Worker) {
+	w.isDraining.Store(true)
+	shown := s.Now() + listDelay + listDelay/4
+	s.History.WithLock(func() {
+		s.History.Marks = append(s.History.Marks, check.Drain{Pool: w.Service.Name, Worker: w.Id, From: shown, Grace: drainBound})
 	})
-	pause(ctx, drain+listLag+2*time.Second)
-	w.Service.drop(w)
-	w.end()
+	sleep(ctx, drainBound+listDelay+2*time.Second)
+	w.Service.remove(w)
+	w.shutDown()
 }
 
-func leave(ctx context.Context, s *Site, who string) func() {
+func drainWorkers(ctx context.Context, s *Site, who string) func() {
 	all, done := s.workers(who), make(chan struct{})
 	for _, w := range all {
-		go func() { s.drainOut(ctx, w); done <- struct{}{} }()
+		go func() { s.drainWorker(ctx, w); done <- struct{}{} }()
 	}
 	return func() {
 		for _, w := range all {
 			<-done
-			s.renew(w.Service, w.Zone, w.Addr, true)
+			s.replaceWorker(w.Service, w.Zone, w.Addr, true)
 		}
 	}
 }
 
-// swap has a worker crash, and one of another service come at its address.
-func swap(ctx context.Context, s *Site, who string) func() {
+// reuseAddress has a worker crash, and one of another service come at its address.
+func reuseAddress(ctx context.Context, s *Site, who string) func() {
 	for _, w := range s.workers(who) {
-		w.end()
-		go func() { pause(s.ctx, 4*time.Second); w.Service.drop(w) }()
-		pause(ctx, 2*time.Second)
+		w.shutDown()
+		go func() { sleep(s.ctx, 4*time.Second); w.Service.remove(w) }()
+		sleep(ctx, 2*time.Second)
 		for _, p := range s.Pools {
 			if p != w.Service && p.Count > 0 {
-				s.renew(p, w.Zone, w.Addr, true)
+				s.replaceWorker(p, w.Zone, w.Addr, true)
 				break
 			}
 		}
-		s.renew(w.Service, w.Zone, s.nextAddr(), true)
+		s.replaceWorker(w.Service, w.Zone, s.nextAddr(), true)
 	}
 	return func() {}
 }
