--- a/internal/cli/aliases_test.go
+++ b/internal/cli/aliases_test.go
@@ -13,8 +13,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestWords: the command line takes the standard words, and for a release those
-// that it had before, as the same calls.
+// TestWords checks that the command line accepts the former names of commands and flags, for one more release, and
+// makes the same calls for them.
 func TestWords(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "document.json")
 	if err := os.WriteFile(file, []byte(`{}`), 0o600); err != nil {
@@ -32,7 +32,7 @@
 		{"zone empty b", "cell empty b", "POST /v1/cells/b/empty"},
 		{"zone restore b", "cell restore b", "POST /v1/cells/b/restore"},
 	}
-	Convey("Given a manager that notes calls", t, func() {
+	Convey("Given a manager that records calls", t, func() {
 		calls := []string{}
 		manager := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls = append(calls, strings.TrimSpace(r.Method+" "+r.URL.Path+" "+r.Header.Get("If-Match")))
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -13,22 +13,23 @@
 	"caperwheel/internal/manifest"
 )
 
+// applyCommand holds the arguments of apply.
 type applyCommand struct {
 	Folder string `arg:"positional,required" help:"folder with charter.json, workers/POOL.json and routes/*.yaml, as kept in version control"`
 	DryRun bool   `arg:"--dry-run" help:"only show the plan"`
 }
 
-// declaration is one document as declared, and how the system has it.
+// declaration is one declared document, and how the current document differs from it.
 type declaration struct {
 	file, path string
 	body       []byte
 	revision   string
-	changes    []string // empty: it is as declared
+	changes    []string // empty if the current document is as declared
 }
 
-// apply makes the system what a folder declares. All files are checked before
-// anything is written; each document is then written whole, on the base that
-// the plan was made from, or not at all. What is as declared is left alone.
+// apply brings the system to the state that a folder declares. All files are checked before anything is written. Each
+// document that differs is then replaced whole, on condition that its revision is still the one that the plan was
+// made from. Documents that are as declared are not written.
 func (t *runner) apply(c *applyCommand) error {
 	plan, err := readFolder(c.Folder)
 	if err != nil {
@@ -60,19 +61,18 @@
 			continue
 		}
 		if err := t.putDocument(d); err != nil {
-			return errs.Wrap(err, errs.KindOf(err), "%s is not applied, nor what comes behind it", d.file)
+			return errs.Wrap(err, errs.KindOf(err), "apply %s; neither it nor the documents after it were applied", d.file)
 		}
 	}
 	return nil
 }
 
-// readFolder finds and checks the declared documents: the configuration first, since
-// it names the pools.
+// readFolder reads and checks the declared documents. The configuration comes first, since it defines the pools.
 func readFolder(folder string) ([]declaration, error) {
 	out := []declaration{}
 	doc, err := os.ReadFile(filepath.Join(folder, "charter.json"))
 	if err != nil && !os.IsNotExist(err) {
-		return nil, errs.Wrap(err, errs.Invalid, "charter.json")
+		return nil, errs.Wrap(err, errs.Invalid, "read charter.json")
 	}
 	faults := []string{}
 	rules := &config.Rules{}
@@ -91,7 +91,7 @@
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "workers", "*.json"))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Invalid, "workers")
+		return nil, errs.Wrap(err, errs.Invalid, "list the files in workers")
 	}
 	slices.Sort(files)
 	for _, file := range files {
@@ -99,12 +99,12 @@
 		pool := strings.TrimSuffix(filepath.Base(file), ".json")
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Invalid, "%s", name)
+			return nil, errs.Wrap(err, errs.Invalid, "read %s", name)
 		}
 		list, found := config.ReadWorkers(raw)
 		faults = append(faults, faultLines(name, found)...)
 		if p, isKnown := rules.Pools[pool]; rules != nil && rules.Pools != nil && (!isKnown || p.IsEndpoint) {
-			faults = append(faults, name+": the configuration beside it has no such pool of workers")
+			faults = append(faults, name+": charter.json has no such pool of workers")
 		}
 		out = append(out, declaration{file: name, path: "/v1/pools/" + pool + "/workers", body: list.Encode()})
 	}
@@ -117,18 +117,17 @@
 	return out, nil
 }
 
-// readRoutes merges routes in the manner of the Gateway API into the configuration
-// that is declared beside them.
+// readRoutes merges the folder's Gateway API routes into the configuration doc.
 func readRoutes(folder string, doc []byte) ([]byte, []config.Fault, error) {
 	files, err := filepath.Glob(filepath.Join(folder, "routes", "*.yaml"))
 	if err != nil {
-		return nil, nil, errs.Wrap(err, errs.Invalid, "routes")
+		return nil, nil, errs.Wrap(err, errs.Invalid, "list the files in routes")
 	}
 	slices.Sort(files)
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			return nil, nil, errs.Wrap(err, errs.Invalid, "%s", file)
+			return nil, nil, errs.Wrap(err, errs.Invalid, "read %s", file)
 		}
 		merged, faults := manifest.Translate(doc, raw)
 		if len(faults) > 0 {
@@ -142,6 +141,7 @@
 	return doc, nil, nil
 }
 
+// faultLines formats the faults of a file, one a line.
 func faultLines(file string, faults []config.Fault) []string {
 	out := []string{}
 	for _, f := range faults {
@@ -150,8 +150,8 @@
 	return out
 }
 
-// diffDeclaration reads how the system has a document. A pool that only the configuration of
-// this plan brings has no list yet.
+// diffDeclaration reads the current document and sets its revision and the differences. A pool that only this plan's
+// configuration adds has no list of workers yet: it is taken as empty, with revision 0.
 func (t *runner) diffDeclaration(d *declaration) error {
 	resp, err := t.get(d.path)
 	base := []byte(`{"workers":[]}`)
@@ -174,13 +174,14 @@
 	for _, x := range differences {
 		raw, err := json.Marshal(x)
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, "difference")
+			return errs.Wrap(err, errs.Internal, "encode a difference")
 		}
 		d.changes = append(d.changes, string(raw))
 	}
 	return nil
 }
 
+// putDocument replaces a declared document on the revision that was read.
 func (t *runner) putDocument(d declaration) error {
 	resp, err := t.sendChange("PUT", d.path, d.revision, d.body, false)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli implements caperwheel, the operators' command line: reading and
-// changing the configuration, the workers and the members, and the doctor.
+// Package cli implements caperwheel, the operators' command line. It reads and changes the configuration, tenants,
+// workers, zones and stores through the HTTP API of a manager, traces messages on adapters and stores, and looks for
+// common faults of a deployment. cmd/caperwheel calls it; it keeps no state between commands.
 package cli
 
 import (
@@ -19,11 +20,11 @@
 
 // Exit codes of the command line, stable for scripts.
 const (
-	ExitOk        = 0 // done
+	ExitOk        = 0 // success
 	ExitFailed    = 1 // the request failed, or the doctor found a fault
 	ExitUsage     = 2 // the command line or a file given is wrong
-	ExitConflict  = 3 // lost a race, or a stale base: read again and retry
-	ExitUndecided = 4 // undecided: the change may or may not hold
+	ExitConflict  = 3 // another change came first, or the base is stale: read again and retry
+	ExitUndecided = 4 // undecided: the change may or may not have been made
 )
 
 type configCommand struct {
@@ -35,14 +36,17 @@
 	History *struct{}    `arg:"subcommand:history" help:"list recent revisions with who and when"`
 }
 
+// getCommand holds the arguments of config get.
 type getCommand struct {
 	Whole bool `arg:"--whole" help:"also the document that it was made from, which may hold keys of tenants"`
 }
 
+// fileCommand holds the arguments of commands that read one file.
 type fileCommand struct {
 	File string `arg:"positional,required"`
 }
 
+// editCommand holds the arguments of commands that change a document.
 type editCommand struct {
 	File     string `arg:"positional,required" help:"file with the document; - for standard input"`
 	Revision string `arg:"--revision" help:"revision that the change is based on; the newest if not given"`
@@ -50,14 +54,15 @@
 	DryRun   bool   `arg:"--dry-run" help:"only check, and show the differences"`
 }
 
-// base returns the revision that the change is based on; empty for the newest.
+// base returns the revision that the change is based on, or an empty string for the newest.
 func (e editCommand) base() (string, error) {
 	if e.Revision != "" && e.Stamp != "" && e.Revision != e.Stamp {
-		return "", errs.New(errs.Invalid, "--revision and --stamp name two revisions")
+		return "", errs.New(errs.Invalid, "--revision and --stamp name different revisions")
 	}
 	return cmp.Or(e.Revision, e.Stamp), nil
 }
 
+// poolEditCommand holds the arguments of commands that change a pool's list of workers.
 type poolEditCommand struct {
 	Pool string `arg:"positional,required"`
 	editCommand
@@ -69,6 +74,7 @@
 	Patch *poolEditCommand `arg:"subcommand:patch" help:"change the entries given, by name: POOL FILE"`
 }
 
+// nameCommand holds the arguments of commands on one named object.
 type nameCommand struct {
 	Name string `arg:"positional,required"`
 }
@@ -84,6 +90,7 @@
 	Progress *nameCommand `arg:"subcommand:progress" help:"tell how far a retirement has come"`
 }
 
+// messageCommand holds the arguments of message.
 type messageCommand struct {
 	Adapter string `arg:"--adapter,env:CAPERWHEEL_ADAPTER" help:"HTTP address of an adapter; one is looked up if not given"`
 	ApiKey  string `arg:"--,env:CAPERWHEEL_API_KEY" help:"API key of the message's tenant, if it is one's"`
@@ -92,6 +99,7 @@
 	Story   bool   `arg:"--story" help:"print where it stands on every daemon, and what it waits for"`
 }
 
+// arguments holds the global options and the commands, of which at most one is set.
 type arguments struct {
 	Manager  string          `arg:"--manager,env:CAPERWHEEL_MANAGER" default:"127.0.0.1:8090" help:"HTTP address of any manager"`
 	Json     bool            `arg:"--json" help:"print JSON as the API gives it"`
@@ -110,6 +118,7 @@
 // Version returns the text that --version prints.
 func (arguments) Version() string { return "caperwheel (unreleased)" }
 
+// runner runs one command against the manager that its arguments name.
 type runner struct {
 	args        arguments
 	in          io.Reader
@@ -117,10 +126,11 @@
 	client      *resty.Client
 }
 
-// Main runs the command that args name and returns the exit code. Results go to
-// out, messages to errOut.
+// Main runs the command line args and returns the exit code. Results are written to out, messages and errors to
+// errOut. A file argument of - and --stdin read standard input.
 func Main(args []string, out, errOut io.Writer) int { return run(args, os.Stdin, out, errOut) }
 
+// run is Main with standard input replaced by in for API keys.
 func run(args []string, in io.Reader, out, errOut io.Writer) int {
 	t := &runner{in: in, out: out, errOut: errOut, client: resty.New()}
 	parser, err := arg.NewParser(arg.Config{Program: "caperwheel"}, &t.args)
@@ -143,6 +153,7 @@
 	return t.exitCode(t.run(parser))
 }
 
+// exitCode prints an error and returns the exit code for its kind.
 func (t *runner) exitCode(err error) int {
 	if err == nil {
 		return ExitOk
@@ -159,6 +170,7 @@
 	return ExitFailed
 }
 
+// run runs the command that was parsed, or prints the help if there is none.
 func (t *runner) run(parser *arg.Parser) error {
 	a := t.args
 	switch {
@@ -202,19 +214,21 @@
 		return t.message(a.Message)
 	}
 	_ = parser.WriteHelpForSubcommand(t.out, parser.SubcommandNames()...)
-	return errs.New(errs.Invalid, "a command is missing")
+	return errs.New(errs.Invalid, "no command given")
 }
 
+// readFile reads a file, or standard input if the name is -.
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		raw, err := io.ReadAll(os.Stdin)
-		return raw, errs.Wrap(err, errs.Invalid, "standard input")
+		return raw, errs.Wrap(err, errs.Invalid, "read standard input")
 	}
 	raw, err := os.ReadFile(name)
-	return raw, errs.Wrap(err, errs.Invalid, "file %s", name)
+	return raw, errs.Wrap(err, errs.Invalid, "read file %s", name)
 }
 
-// responseError makes an error of an answer that is no success.
+// responseError converts a response with an error status to an error of the kind, text and details that its body
+// holds.
 func responseError(resp *resty.Response) error {
 	var p struct {
 		Error string `json:"error"`
@@ -230,7 +244,7 @@
 		more = "\n" + string(raw)
 	}
 	if after := resp.Header().Get("Retry-After"); after != "" {
-		more += "\ncome back after " + after + " s"
+		more += "\nretry after " + after + " s"
 	}
 	return errs.New(errs.Kind(p.Error), "%s%s", strings.TrimPrefix(p.Text, p.Error+": "), more)
 }
--- a/internal/cli/doctor.go
+++ b/internal/cli/doctor.go
@@ -15,11 +15,12 @@
 	"caperwheel/internal/store"
 )
 
+// doctorCommand holds the arguments of doctor.
 type doctorCommand struct {
 	Settings []string `arg:"--settings" help:"settings files to check, as KIND=FILE"`
 }
 
-// finding is one fault that the doctor names, with what to do about it.
+// finding is one fault that the doctor reports, with its remedy. Severe findings make the command fail.
 type finding struct {
 	IsSevere bool   `json:"grave"`
 	Where    string `json:"where"`
@@ -27,7 +28,8 @@
 	Remedy   string `json:"remedy"`
 }
 
-// doctor looks for common faults. It compares no clocks.
+// doctor checks settings files and the deployment's status for common faults and prints the findings. It does not
+// compare clocks.
 func (t *runner) doctor(c *doctorCommand) error {
 	found := []finding{}
 	for _, pair := range c.Settings {
@@ -44,7 +46,7 @@
 	if t.args.Json {
 		raw, err := json.MarshalIndent(found, "", "  ")
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, "findings")
+			return errs.Wrap(err, errs.Internal, "encode the findings")
 		}
 		fmt.Fprintln(t.out, string(raw))
 	}
@@ -55,7 +57,7 @@
 		}
 	}
 	if hasSevere {
-		return errs.New(errs.Unhealthy, "the doctor found faults")
+		return errs.New(errs.Unhealthy, "the doctor found severe faults")
 	}
 	if len(found) == 0 && !t.args.Json {
 		fmt.Fprintln(t.out, "No fault was found.")
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// checkSettings reads a file as its daemon would and tries the seeds in it.
+// checkSettings loads a settings file, given as KIND=FILE, as its daemon would, and connects to each seed in it.
 func checkSettings(pair string) []finding {
 	kind, file := "", pair
 	for i, r := range pair {
@@ -74,7 +76,7 @@
 	}
 	s, err := settings.Load(kind, []string{"--settings", file}, nil)
 	if err != nil {
-		return []finding{{true, file, err.Error(), "mend the file; the daemon would not start with it"}}
+		return []finding{{true, file, err.Error(), "correct the file; the daemon would not start with it"}}
 	}
 	out := []finding{}
 	for _, seed := range s.Seeds {
@@ -88,7 +90,7 @@
 	return out
 }
 
-// checkStatus looks through a manager's status.
+// checkStatus returns the faults that a manager's status shows.
 func checkStatus(s manager.Status) []finding {
 	out := []finding{}
 	add := func(isSevere bool, where, fault, remedy string) {
@@ -100,9 +102,9 @@
 	stores, managers, zones, clusters := 0, 0, map[string]bool{}, map[int64]bool{}
 	for _, m := range s.Members {
 		if !m.IsFresh {
-			add(true, m.Name, "its view is stale: it takes and starts nothing", "look at its way to the managers, and at its log")
+			add(true, m.Name, "its view is stale: it accepts and starts no messages", "check its network path to the managers, and its log")
 		} else if m.Revision < s.Revision {
-			add(false, m.Name, fmt.Sprintf("holds configuration %d, the newest is %d", m.Revision, s.Revision), "it should follow within the bound; ask again")
+			add(false, m.Name, fmt.Sprintf("holds configuration revision %d, the newest is %d", m.Revision, s.Revision), "it should catch up within the configured bound; run the doctor again")
 		}
 		switch m.Kind {
 		case "store":
@@ -112,14 +114,14 @@
 				clusters[cluster] = true
 			}
 			if m.Counts["full"] > 0 {
-				add(true, m.Name, "its disk is nearly full: its places reject intake", "free room on the disk, or retire the store")
+				add(true, m.Name, "its disk is nearly full: its places reject new messages", "free space on the disk, or retire the store")
 			}
 			if n := m.Counts[store.UnknownTimeCount]; n > 0 {
-				add(false, m.Name, fmt.Sprintf("nobody knew the time of %d of its places when it became their owner", n),
-					"delays and patience there end late by as long as all of their stores were away; metric place_time_seconds")
+				add(false, m.Name, fmt.Sprintf("no replica had the time of %d of its places when it became their owner", n),
+					"delays and patience there end late, by as long as all of their stores were down; see the metric place_time_seconds")
 			}
 			if m.Counts["segments"] > 8 {
-				add(false, m.Name, fmt.Sprintf("its log has %d segments", m.Counts["segments"]), "slots are not keeping up; is the disk slow?")
+				add(false, m.Name, fmt.Sprintf("its log has %d segments", m.Counts["segments"]), "snapshots are not written fast enough to free segments; is the disk slow?")
 			}
 		case "manager":
 			managers++
@@ -127,15 +129,15 @@
 		}
 	}
 	if len(clusters) > 1 {
-		add(true, "stores", fmt.Sprintf("they belong to %d deployments", len(clusters)),
-			"two halves were founded apart: stop the half that holds nothing yet, blank its data folders, and start it again")
+		add(true, "stores", fmt.Sprintf("they belong to %d separate deployments", len(clusters)),
+			"two groups of stores were founded separately: stop the one that holds no data yet, clear its data folders, and start it again")
 	}
 	if stores < 3 || len(zones) < 3 {
-		add(stores < 2, "stores", fmt.Sprintf("only %d here, in %d zones", stores, len(zones)),
-			"with fewer than three, in as many zones, the loss of one more stops places")
+		add(stores < 2, "stores", fmt.Sprintf("only %d in this deployment, in %d zones", stores, len(zones)),
+			"with fewer than three stores in three zones, the loss of one more stops places")
 	}
 	if managers < 2 {
-		add(false, "managers", fmt.Sprintf("only %d here", managers), "start another: without one, all daemons go stale")
+		add(false, "managers", fmt.Sprintf("only %d in this deployment", managers), "start another: without a manager, the view of every daemon goes stale")
 	}
 	groups := func(kind string, list []manager.StatusGroup) {
 		missing, under, behind := 0, 0, 0
@@ -153,31 +155,31 @@
 			add(true, kind, fmt.Sprintf("%d have no owner", missing), "is a majority of the stores up?")
 		}
 		if under > 0 {
-			add(false, kind, fmt.Sprintf("%d have fewer than three replicas", under), "is a store missing or retired without a spare?")
+			add(false, kind, fmt.Sprintf("%d have fewer than three replicas", under), "is a store down, or retired without a replacement?")
 		}
 		if behind > 0 {
-			add(false, kind, fmt.Sprintf("%d have a replica far behind", behind), "a store is down, or catching up")
+			add(false, kind, fmt.Sprintf("%d have a replica that is far behind", behind), "a store is down, or catching up")
 		}
 	}
 	groups("places", s.Places)
 	groups("parts", s.Parts)
 	for _, p := range s.Pools {
 		if p.Workers == 0 {
-			add(false, "pool "+p.Name, "no workers are listed", "give its live list: caperwheel workers set "+p.Name+" FILE")
+			add(false, "pool "+p.Name, "no workers are listed", "set its live list: caperwheel workers set "+p.Name+" FILE")
 		} else if len(p.Duties) < p.Workers {
-			add(false, "pool "+p.Name, fmt.Sprintf("%d of %d workers have a holder", len(p.Duties), p.Workers), "are adapters up, in zones that are not emptied?")
+			add(false, "pool "+p.Name, fmt.Sprintf("%d of %d workers have a holder", len(p.Duties), p.Workers), "are adapters up in zones that are not drained?")
 		}
 	}
 	for _, zone := range s.DrainedZones {
-		add(false, "zone "+zone, "is emptied", "restore it when its work is done: caperwheel zone restore "+zone)
+		add(false, "zone "+zone, "is drained", "restore it when the maintenance is done: caperwheel zone restore "+zone)
 	}
 	return out
 }
 
-// maxListAgeMs is the age of a list of workers beyond which something is wrong, in milliseconds.
+// maxListAgeMs is the age of a list of workers, in milliseconds, above which it is reported as a severe fault.
 const maxListAgeMs = 60_000
 
-// checkLists looks at the lists of workers that a manager reads.
+// checkLists returns the faults of the lists of workers that a manager reads.
 func checkLists(m manager.StatusMember) []finding {
 	out := []finding{}
 	for _, count := range slices.Sorted(maps.Keys(m.Counts)) {
@@ -191,10 +193,10 @@
 		}
 		switch age := m.Counts[count]; {
 		case age < 0:
-			out = append(out, finding{false, where, fmt.Sprintf("%s has not read it whole yet; %d calls were refused", m.Name, m.Counts[manager.ListRefusedCount]),
-				"a long list takes its time: see list_calls_total and the log of " + m.Name})
+			out = append(out, finding{false, where, fmt.Sprintf("%s has not read it completely yet; %d calls were refused", m.Name, m.Counts[manager.ListRefusedCount]),
+				"a long list takes time to read: see list_calls_total and the log of " + m.Name})
 		case age > maxListAgeMs:
-			out = append(out, finding{true, where, fmt.Sprintf("what is known of it is %d s old; %d calls were refused", age/1000, m.Counts[manager.ListRefusedCount]),
+			out = append(out, finding{true, where, fmt.Sprintf("the last reading of it is %d s old; %d calls were refused", age/1000, m.Counts[manager.ListRefusedCount]),
 				"can " + m.Name + " reach the list, and does list_rate leave it enough calls?"})
 		}
 	}
--- a/internal/cli/doctor_test.go
+++ b/internal/cli/doctor_test.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/wire"
 )
 
-// healthyStatus is the status of a deployment in which nothing is wrong.
+// healthyStatus returns the status of a deployment without faults.
 func healthyStatus() manager.Status {
 	s := manager.Status{Manager: "manager-1", IsFresh: true, Revision: 7}
 	add := func(kind, name, zone string) {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// TestDoctor provokes each of the doctor's checks by its fault.
+// TestDoctor injects the fault that each of the doctor's checks looks for.
 func TestDoctor(t *testing.T) {
 	cases := []struct {
 		says        string
@@ -40,29 +40,29 @@
 	}{
 		{"manager-1: its view is stale", true, func(s *manager.Status) { s.IsFresh = false }},
 		{"store-a: its view is stale", true, func(s *manager.Status) { s.Members[0].IsFresh = false }},
-		{"store-a: holds configuration 6", false, func(s *manager.Status) { s.Members[0].Revision = 6 }},
+		{"store-a: holds configuration revision 6", false, func(s *manager.Status) { s.Members[0].Revision = 6 }},
 		{"store-a: its disk is nearly full", true, func(s *manager.Status) { s.Members[0].Counts["full"] = 1 }},
-		{"store-a: nobody knew the time of 2 of its places when it became their owner", false, func(s *manager.Status) { s.Members[0].Counts["untimed"] = 2 }},
+		{"store-a: no replica had the time of 2 of its places when it became their owner", false, func(s *manager.Status) { s.Members[0].Counts["untimed"] = 2 }},
 		{"store-a: its log has 9 segments", false, func(s *manager.Status) { s.Members[0].Counts["segments"] = 9 }},
-		{"stores: they belong to 2 deployments", true, func(s *manager.Status) {
+		{"stores: they belong to 2 separate deployments", true, func(s *manager.Status) {
 			s.Members[0].Counts["cluster"], s.Members[2].Counts["cluster"] = 5, 6
 		}},
-		{"stores: only 2 here", false, func(s *manager.Status) { s.Members = s.Members[1:] }},
-		{"stores: only 3 here, in 2 zones", false, func(s *manager.Status) { s.Members[0].Zone = "b" }},
-		{"managers: only 1 here", false, func(s *manager.Status) { s.Members = append(s.Members[:3], s.Members[4]) }},
+		{"stores: only 2 in this deployment", false, func(s *manager.Status) { s.Members = s.Members[1:] }},
+		{"stores: only 3 in this deployment, in 2 zones", false, func(s *manager.Status) { s.Members[0].Zone = "b" }},
+		{"managers: only 1 in this deployment", false, func(s *manager.Status) { s.Members = append(s.Members[:3], s.Members[4]) }},
 		{"places: 1 have no owner", true, func(s *manager.Status) { s.Places[0].Owner = "" }},
 		{"parts: 1 have fewer than three replicas", false, func(s *manager.Status) { s.Parts[0].Voters = 2 }},
-		{"places: 1 have a replica far behind", false, func(s *manager.Status) { s.Places[0].Lag = 2000 }},
+		{"places: 1 have a replica that is far behind", false, func(s *manager.Status) { s.Places[0].Lag = 2000 }},
 		{"pool p: no workers are listed", false, func(s *manager.Status) { s.Pools[0].Workers = 0 }},
 		{"pool p: 0 of 1 workers have a holder", false, func(s *manager.Status) { s.Pools[0].Duties = nil }},
-		{"list of workers: manager-a has not read it whole yet; 7 calls were refused", false, func(s *manager.Status) {
+		{"list of workers: manager-a has not read it completely yet; 7 calls were refused", false, func(s *manager.Status) {
 			s.Members[1].Counts[manager.ListAgePrefix], s.Members[1].Counts[manager.ListRefusedCount] = -1, 7
 		}},
-		{"list of workers of zone b: what is known of it is 61 s old", true, func(s *manager.Status) { s.Members[1].Counts[manager.ListAgePrefix+"b"] = 61_000 }},
-		{"zone a: is emptied", false, func(s *manager.Status) { s.DrainedZones = []string{"a"} }},
+		{"list of workers of zone b: the last reading of it is 61 s old", true, func(s *manager.Status) { s.Members[1].Counts[manager.ListAgePrefix+"b"] = 61_000 }},
+		{"zone a: is drained", false, func(s *manager.Status) { s.DrainedZones = []string{"a"} }},
 	}
-	Convey("The doctor finds nothing wrong with a sound deployment", t, func() { So(checkStatus(healthyStatus()), ShouldBeEmpty) })
-	Convey("The doctor says", t, func() {
+	Convey("The doctor finds no faults in a healthy deployment", t, func() { So(checkStatus(healthyStatus()), ShouldBeEmpty) })
+	Convey("The doctor reports", t, func() {
 		for _, c := range cases {
 			Convey(c.says, func() {
 				s := healthyStatus()
@@ -79,7 +79,7 @@
 			})
 		}
 	})
-	Convey("The doctor reads settings as the daemon would", t, func() {
+	Convey("The doctor loads settings as the daemon would", t, func() {
 		free, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		seed := free.Addr().String()
@@ -94,7 +94,7 @@
 		So(checkSettings(good)[0].Fault, ShouldContainSubstring, "does not answer")
 		So(checkSettings(write(`{"name":"agent-1","cel`))[0].IsSevere, ShouldBeTrue)
 	})
-	Convey("Without a manager the doctor fails and says so", t, func() {
+	Convey("If the manager is down, the doctor fails and reports it", t, func() {
 		var out, errOut bytes.Buffer
 		So(Main([]string{"--manager", "127.0.0.1:1", "doctor"}, &out, &errOut), ShouldEqual, ExitFailed)
 		So(out.String(), ShouldContainSubstring, "the manager does not answer")
--- a/internal/cli/messagetrace.go
+++ b/internal/cli/messagetrace.go
@@ -13,21 +13,20 @@
 	"caperwheel/internal/errs"
 )
 
-// traceTimeout is how long one daemon's part of a story is waited for, and concurrentTraceLimit how many are
-// asked at once.
+// traceTimeout limits the request to each daemon, and concurrentTraceLimit how many daemons are queried at once.
 const (
 	traceTimeout         = 3 * time.Second
 	concurrentTraceLimit = 32
 )
 
-// daemonTrace is what one daemon tells of a message.
+// daemonTrace is one daemon's report on a message, or the error of the request for it.
 type daemonTrace struct {
 	Daemon string          `json:"daemon"`
 	Error  string          `json:"error,omitempty"`
 	Report json.RawMessage `json:"told,omitempty"`
 }
 
-// printTrace asks every store and adapter where a message stands there, and prints what is known.
+// printTrace queries every store and adapter for its report on a message, and prints those that have one.
 func (t *runner) printTrace(c *messageCommand) error {
 	status, err := t.readStatus()
 	if err != nil {
@@ -37,7 +36,7 @@
 	group := pool.NewGroup()
 	for i, m := range status.Members {
 		if m.Kind == "store" || m.Kind == "adapter" {
-			key := map[bool]string{true: c.ApiKey}[m.Kind == "adapter"] // a store asks for none
+			key := map[bool]string{true: c.ApiKey}[m.Kind == "adapter"] // stores require none
 			group.Submit(func() { results[i] = fetchTrace(withApiKey(client.R(), key), m.Name, m.Http, c.Id) })
 		}
 	}
@@ -51,10 +50,10 @@
 	if t.args.Json {
 		raw, err := json.MarshalIndent(traces, "", "  ")
 		fmt.Fprintf(t.out, "%s\n", raw)
-		return errs.Wrap(err, errs.Internal, "story")
+		return errs.Wrap(err, errs.Internal, "encode the trace")
 	}
 	if len(traces) == 0 {
-		return errs.New(errs.Unknown, "no daemon knows %s: it is over and forgotten, or its place has no owner", c.Id)
+		return errs.New(errs.Unknown, "no daemon has a record of message %s: it ended longer ago than results are kept, or its place has no owner", c.Id)
 	}
 	for _, p := range traces {
 		fmt.Fprintln(t.out, p.text())
@@ -62,7 +61,7 @@
 	return nil
 }
 
-// fetchTrace asks one daemon; nil where it has nothing of the message.
+// fetchTrace queries one daemon. It returns nil if the daemon has no record of the message.
 func fetchTrace(request *resty.Request, name, address, id string) *daemonTrace {
 	reply, err := request.Get("http://" + address + "/v1/messages/" + id + "/story")
 	switch {
@@ -76,10 +75,10 @@
 	return &daemonTrace{Daemon: name, Report: json.RawMessage(reply.Body())}
 }
 
-// text gives a part in a few words.
+// text formats a report as one line.
 func (p *daemonTrace) text() string {
 	if p.Error != "" {
-		return fmt.Sprintf("%s: cannot be asked: %s", p.Daemon, p.Error)
+		return fmt.Sprintf("%s: query failed: %s", p.Daemon, p.Error)
 	}
 	report := gjson.ParseBytes(p.Report)
 	if runs := report.Get("runs"); runs.Exists() {
@@ -106,7 +105,7 @@
 			run.Get("is_member").Bool(), run.Get("away_ms").Int())
 	}
 	for _, pool := range report.Get("pools").Array() {
-		out += fmt.Sprintf("; pool %s: %d workers to ask, %d resting, %d asks under way", pool.Get("pool").Str, pool.Get("workers").Int(),
+		out += fmt.Sprintf("; pool %s: %d eligible workers, %d resting, %d requests in progress", pool.Get("pool").Str, pool.Get("workers").Int(),
 			pool.Get("resting").Int(), pool.Get("asks").Int())
 	}
 	return out
--- a/internal/cli/messagetrace_test.go
+++ b/internal/cli/messagetrace_test.go
@@ -11,7 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestStory: the story of a message is put together from all stores and adapters, whichever know it.
+// TestStory checks that the trace of a message combines the reports of all stores and adapters that have one.
 func TestStory(t *testing.T) {
 	owner := `{"store":"s1","place":4,"term":9,"id":"4-x","lane":"l","state":"started","attempt":2,"waits_for":"its run","since_ms":-1,"left_ms":-1,
 		"run":{"adapter":"a1","boot":"b","is_member":false,"away_ms":1200,"worker":"w"},"pools":[{"pool":"p","workers":3,"resting":3,"asks":1}]}`
@@ -42,31 +42,31 @@
 		code = Main(append(args, "message", "4-x", "--story"), printed, failed)
 		return code, printed.String(), failed.String()
 	}
-	Convey("The story of a message", t, func() {
-		Convey("has what its owner and its run's adapter know", func() {
+	Convey("The trace of a message", t, func() {
+		Convey("has the reports of its owner and its run's adapter", func() {
 			code, out, _ := runTrace("", [3]string{"s1", "store", daemon(owner)}, [3]string{"s2", "store", daemon("")}, [3]string{"a1", "adapter", daemon(runs)},
 				[3]string{"m1", "manager", "127.0.0.1:1"})
 			So(code, ShouldEqual, ExitOk)
-			So(out, ShouldContainSubstring, "s1: owner of place 4 in term 9; started, 2 runs begun; waits for its run; run at w by a1 (life b, session false, away 1200 ms); pool p: 3 workers to ask, 3 resting, 1 asks under way\n")
+			So(out, ShouldContainSubstring, "s1: owner of place 4 in term 9; started, 2 runs begun; waits for its run; run at w by a1 (life b, session false, away 1200 ms); pool p: 3 eligible workers, 3 resting, 1 requests in progress\n")
 			So(out, ShouldContainSubstring, "a1: run 2 at p/w, stage owner for 800 ms\n")
 			So(out, ShouldNotContainSubstring, "s2")
 		})
-		Convey("tells what is waited for, since when and for how long", func() {
+		Convey("names what the message waits for, since when and for how long", func() {
 			_, out, _ := runTrace("", [3]string{"s1", "store", daemon(held)})
 			So(out, ShouldContainSubstring, "held, 0 runs begun; waits for another message 4-y, for 7 ms, 20 ms more\n")
 		})
-		Convey("names daemons that cannot be asked", func() {
+		Convey("names daemons that cannot be queried", func() {
 			_, out, _ := runTrace("", [3]string{"s1", "store", daemon(held)}, [3]string{"a9", "adapter", "127.0.0.1:1"})
-			So(out, ShouldContainSubstring, "a9: cannot be asked")
+			So(out, ShouldContainSubstring, "a9: query failed")
 		})
-		Convey("is JSON if that is asked for", func() {
+		Convey("is JSON with --json", func() {
 			_, out, _ := runTrace("--json", [3]string{"a1", "adapter", daemon(runs)})
 			So(out, ShouldContainSubstring, `"stage": "owner"`)
 		})
-		Convey("says so where nobody knows the message", func() {
+		Convey("is an error if no daemon has a record of the message", func() {
 			code, _, err := runTrace("", [3]string{"s1", "store", daemon("")})
 			So(code, ShouldEqual, ExitFailed)
-			So(err, ShouldContainSubstring, "no daemon knows 4-x")
+			So(err, ShouldContainSubstring, "no daemon has a record of message 4-x")
 		})
 	})
 }
--- a/internal/cli/requests.go
+++ b/internal/cli/requests.go
@@ -13,10 +13,11 @@
 	"caperwheel/internal/web"
 )
 
+// get reads a path of the manager's API. A response with an error status is an error.
 func (t *runner) get(path string) (*resty.Response, error) {
 	resp, err := t.client.R().Get(path)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Lost, "manager %s", t.args.Manager)
+		return nil, errs.Wrap(err, errs.Lost, "read from manager %s", t.args.Manager)
 	}
 	if resp.IsError() {
 		return nil, responseError(resp)
@@ -24,6 +25,7 @@
 	return resp, nil
 }
 
+// printDocument prints a document of the manager's API, and its revision to standard error.
 func (t *runner) printDocument(path string) error {
 	resp, err := t.get(path)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return nil
 }
 
-// printConfig prints the configuration, without its origin unless it is asked for whole.
+// printConfig prints the configuration, without the document that it was translated from unless isWhole is set.
 func (t *runner) printConfig(isWhole bool) error {
 	if isWhole {
 		return t.printDocument("/v1/charter")
@@ -56,10 +58,11 @@
 	return nil
 }
 
+// post sends an action without a body to the manager and prints the response.
 func (t *runner) post(path string) error {
 	resp, err := t.client.R().Post(path)
 	if err != nil {
-		return errs.Wrap(err, errs.Lost, "manager %s", t.args.Manager)
+		return errs.Wrap(err, errs.Lost, "post to manager %s", t.args.Manager)
 	}
 	if resp.IsError() {
 		return responseError(resp)
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// editDocument changes a document on a base: the revision given, or the newest.
+// editDocument changes a document on condition that its revision is the given one, or the newest if none is given.
 func (t *runner) editDocument(method, path string, e editCommand) error {
 	body, err := readFile(e.File)
 	if err != nil {
@@ -93,8 +96,9 @@
 	return nil
 }
 
-// sendChange brings a change of a document on a base to the manager, or only has it
-// checked.
+// sendChange sends a change to the manager on condition that the document's revision is still revision. With isDryRun
+// the manager only checks the change. If the response is lost, the error is errs.Undecided: the change may have been
+// made.
 func (t *runner) sendChange(method, path, revision string, body []byte, isDryRun bool) (*resty.Response, error) {
 	req := t.client.R().SetHeader("If-Match", `"`+revision+`"`).SetHeader("Content-Type", "application/json").SetBody(body)
 	if isDryRun {
@@ -102,7 +106,7 @@
 	}
 	resp, err := req.Execute(method, path)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Undecided, "manager %s; read the document back", t.args.Manager)
+		return nil, errs.Wrap(err, errs.Undecided, "no response from manager %s to the change; read the document back", t.args.Manager)
 	}
 	if resp.IsError() {
 		return nil, responseError(resp)
@@ -110,6 +114,7 @@
 	return resp, nil
 }
 
+// checkConfig compiles a configuration file locally and prints its faults.
 func (t *runner) checkConfig(file string) error {
 	doc, err := readFile(file)
 	if err != nil {
@@ -120,21 +125,23 @@
 		for _, f := range faults {
 			fmt.Fprintf(t.out, "%s: %s\n", f.Path, f.Text)
 		}
-		return errs.New(errs.Invalid, "%d faults", len(faults))
+		return errs.New(errs.Invalid, "the configuration has %d faults", len(faults))
 	}
 	fmt.Fprintf(t.out, "good: %d lanes, %d pools, %d tenants\n", len(rules.Lanes), len(rules.Pools), len(rules.Tenants))
 	return nil
 }
 
+// readStatus reads the status of the deployment from the manager.
 func (t *runner) readStatus() (manager.Status, error) {
 	var status manager.Status
 	resp, err := t.get("/v1/status")
 	if err != nil {
 		return status, err
 	}
-	return status, errs.Wrap(json.Unmarshal(resp.Body(), &status), errs.Corrupt, "status")
+	return status, errs.Wrap(json.Unmarshal(resp.Body(), &status), errs.Corrupt, "decode the status")
 }
 
+// status prints the members, the owners of places and parts, the pools, and the zones and stores out of use.
 func (t *runner) status() error {
 	if t.args.Json {
 		return t.printDocument("/v1/status")
@@ -162,6 +169,7 @@
 	return nil
 }
 
+// message prints a message's state, body or trace. Without an address it uses the first adapter that is ready.
 func (t *runner) message(c *messageCommand) error {
 	if c.Story {
 		return t.printTrace(c)
@@ -183,7 +191,7 @@
 	}
 	resp, err := withApiKey(t.client.R(), c.ApiKey).Get(path)
 	if err != nil {
-		return errs.Wrap(err, errs.Lost, "adapter %s", c.Adapter)
+		return errs.Wrap(err, errs.Lost, "read from adapter %s", c.Adapter)
 	}
 	if resp.IsError() {
 		return responseError(resp)
@@ -192,7 +200,7 @@
 	return nil
 }
 
-// withApiKey has a request to an adapter carry an API key, if there is one.
+// withApiKey adds an API key to a request to an adapter, unless the key is empty.
 func withApiKey(r *resty.Request, key string) *resty.Request {
 	if key == "" {
 		return r
--- a/internal/cli/tenantedit.go
+++ b/internal/cli/tenantedit.go
@@ -12,24 +12,24 @@
 	"caperwheel/internal/errs"
 )
 
-// Keys of callers.
+// Bounds for API keys that the operator gives.
 const (
-	minKeyBytes   = 16   // bytes of a key that is given: shorter ones could be guessed
-	maxInputBytes = 4096 // bytes read of standard input
+	minKeyBytes   = 16   // shorter keys could be guessed
+	maxInputBytes = 4096 // read from standard input
 )
 
-// changeTenant sets fields of one tenant, or takes it away, on the revision that was read: whoever
-// changed the configuration meanwhile wins.
+// changeTenant sets fields of one tenant, or removes the tenant if fields is nil. The change applies only to the
+// revision that was read: if the configuration has changed since, the other change wins and this one is a conflict.
 func (t *runner) changeTenant(set tenantSet, name string, fields any) error {
 	switch {
 	case set.isDerived:
-		return errs.New(errs.Rejected, "the configuration is made from a document of another interface: change the tenant there")
+		return errs.New(errs.Rejected, "cannot change tenant: the configuration is translated from another interface's document; change the tenant there")
 	case !config.IsTenantName(name):
-		return errs.New(errs.Invalid, "%q can be no tenant's name: at most %d printable ASCII characters", name, config.MaxTenantNameBytes)
+		return errs.New(errs.Invalid, "%q is not a valid tenant name: use at most %d printable ASCII characters", name, config.MaxTenantNameBytes)
 	}
 	patch, err := json.Marshal(map[string]any{"tenants": map[string]any{name: fields}})
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "patch")
+		return errs.Wrap(err, errs.Internal, "encode the patch")
 	}
 	resp, err := t.sendChange("PATCH", "/v1/charter", set.revision, patch, false)
 	if err != nil {
@@ -37,11 +37,12 @@
 	}
 	fmt.Fprintf(t.errOut, "stamp %s\n", strings.Trim(resp.Header().Get("ETag"), `"`))
 	if !set.hasTenants {
-		fmt.Fprintln(t.errOut, "this is the first tenant: lanes that are not public need an API key from now on")
+		fmt.Fprintln(t.errOut, "this is the first tenant: from now on, lanes that are not public require an API key")
 	}
 	return nil
 }
 
+// setTenant sets a tenant's rate and burst. A tenant that does not exist is added without a key.
 func (t *runner) setTenant(set tenantSet, c *tenantCommand) error {
 	fields := map[string]any{}
 	if c.Rate != nil {
@@ -59,6 +60,7 @@
 	return t.changeTenant(set, c.Name, fields)
 }
 
+// removeTenant removes a tenant with all of its keys.
 func (t *runner) removeTenant(set tenantSet, name string) error {
 	if _, err := set.find(name); err != nil {
 		return err
@@ -66,7 +68,8 @@
 	return t.changeTenant(set, name, nil)
 }
 
-// addKey gives a tenant one more key. A key that was drawn is printed once it may hold: nobody else knows it.
+// addKey adds an API key to a tenant. A generated key is printed as soon as it may be valid, also if the outcome of
+// the change is undecided: it is stored nowhere else.
 func (t *runner) addKey(set tenantSet, c *addKeyCommand) error {
 	found, err := set.find(c.Name)
 	if err != nil {
@@ -80,7 +83,7 @@
 	}
 	hash := config.HashApiKey(key).String()
 	if slices.Contains(found.Keys, hash) {
-		return errs.New(errs.Conflict, "the tenant holds the key already")
+		return errs.New(errs.Conflict, "the tenant already has this key")
 	}
 	err = t.changeTenant(set, c.Name, map[string]any{"keys": append(slices.Clone(found.Keys), hash)})
 	if err != nil && !errs.Is(err, errs.Undecided) {
@@ -93,11 +96,11 @@
 	return err
 }
 
-// readKey reads a key that its tenant has chosen.
+// readKey reads and checks an API key that was not generated here.
 func readKey(in io.Reader) (string, error) {
 	raw, err := io.ReadAll(io.LimitReader(in, maxInputBytes))
 	if err != nil {
-		return "", errs.Wrap(err, errs.Invalid, "standard input")
+		return "", errs.Wrap(err, errs.Invalid, "read standard input")
 	}
 	key := strings.TrimSpace(string(raw))
 	if len(key) < minKeyBytes || !config.IsApiKey(key) {
@@ -106,6 +109,7 @@
 	return key, nil
 }
 
+// removeKey removes the one key of a tenant whose hash begins with the given digits.
 func (t *runner) removeKey(set tenantSet, c *removeKeyCommand) error {
 	found, err := set.find(c.Name)
 	if err != nil {
@@ -123,16 +127,16 @@
 	}
 	switch len(found.Keys) - len(remaining) {
 	case 0:
-		return errs.New(errs.Unknown, "%s holds no key whose hash begins with %s", c.Name, prefix)
+		return errs.New(errs.Unknown, "tenant %s has no key whose hash begins with %s", c.Name, prefix)
 	case 1:
 	default:
-		return errs.New(errs.Invalid, "%d keys of %s begin with %s", len(found.Keys)-len(remaining), c.Name, prefix)
+		return errs.New(errs.Invalid, "%d keys of tenant %s have hashes that begin with %s", len(found.Keys)-len(remaining), c.Name, prefix)
 	}
 	if err := t.changeTenant(set, c.Name, map[string]any{"keys": remaining}); err != nil {
 		return err
 	}
 	if len(remaining) == 0 {
-		fmt.Fprintf(t.errOut, "%s has no key left: its callers are refused with 401\n", c.Name)
+		fmt.Fprintf(t.errOut, "tenant %s has no key left: its callers are rejected with 401\n", c.Name)
 	}
 	return nil
 }
--- a/internal/cli/tenants.go
+++ b/internal/cli/tenants.go
@@ -12,6 +12,7 @@
 	"caperwheel/internal/errs"
 )
 
+// tenantsCommand holds the subcommands of tenants.
 type tenantsCommand struct {
 	List      *struct{}         `arg:"subcommand:list" help:"list the tenants, with how many keys each has"`
 	Show      *nameCommand      `arg:"subcommand:show" help:"print a tenant's limit and how the hashes of its keys begin"`
@@ -21,51 +22,55 @@
 	Remove    *nameCommand      `arg:"subcommand:remove" help:"take a tenant away, with all of its keys"`
 }
 
+// tenantCommand holds the arguments of tenants set.
 type tenantCommand struct {
 	Name  string   `arg:"positional,required"`
 	Rate  *float64 `arg:"--rate" help:"messages a second over the whole fleet; 0 for no limit"`
 	Burst *float64 `arg:"--burst" help:"messages beyond the rate at any time; at least 1"`
 }
 
+// addKeyCommand holds the arguments of tenants add-key.
 type addKeyCommand struct {
 	Name  string `arg:"positional,required"`
 	Stdin bool   `arg:"--stdin" help:"take the key from standard input; else one is drawn, and printed this once"`
 }
 
+// removeKeyCommand holds the arguments of tenants remove-key.
 type removeKeyCommand struct {
 	Name   string `arg:"positional,required"`
 	Prefix string `arg:"positional,required" help:"how the key's hash begins, as 'tenants show' prints it"`
 }
 
-// tenant is a tenant as the configuration has it.
+// tenant is a tenant in the configuration.
 type tenant struct {
 	Keys  []string `json:"keys"` // hashes
 	Rate  float64  `json:"rate"`
 	Burst float64  `json:"burst"`
 }
 
-// tenantSummary is what is printed of a tenant.
+// tenantSummary is the printed form of a tenant.
 type tenantSummary struct {
 	Name  string   `json:"name"`
-	Keys  []string `json:"keys"` // how the hashes begin
+	Keys  []string `json:"keys"` // first digits of the hashes
 	Rate  float64  `json:"rate"`
 	Burst float64  `json:"burst"`
 }
 
-// Digits of a key's hash.
+// Hexadecimal digits of a key's hash.
 const (
-	shownHashDigits = 12
-	minHashDigits   = 8 // that name a key
+	shownHashDigits = 12 // printed
+	minHashDigits   = 8  // needed to name a key
 )
 
-// tenantSet is the tenants of a revision of the configuration.
+// tenantSet holds the tenants of one revision of the configuration.
 type tenantSet struct {
 	revision   string
-	isDerived  bool // from a document that another interface changes
-	hasTenants bool // else lanes need no API key
+	isDerived  bool // the configuration is translated from a document of another interface
+	hasTenants bool // if false, lanes require no API key
 	tenants    map[string]tenant
 }
 
+// tenants runs a subcommand of tenants on the newest revision of the configuration.
 func (t *runner) tenants(c *tenantsCommand) error {
 	set, err := t.readTenants()
 	if err != nil {
@@ -85,9 +90,10 @@
 	case c.Remove != nil:
 		return t.removeTenant(set, c.Remove.Name)
 	}
-	return errs.New(errs.Invalid, "one of list, show, set, add-key, remove-key, remove is missing")
+	return errs.New(errs.Invalid, "no subcommand given: use list, show, set, add-key, remove-key or remove")
 }
 
+// readTenants reads the tenants from the manager's newest configuration.
 func (t *runner) readTenants() (tenantSet, error) {
 	resp, err := t.get("/v1/charter")
 	if err != nil {
@@ -100,33 +106,34 @@
 	if set.hasTenants = tenants.Exists(); set.hasTenants {
 		err = json.Unmarshal([]byte(tenants.Raw), &set.tenants)
 	}
-	return set, errs.Wrap(err, errs.Corrupt, "tenants")
+	return set, errs.Wrap(err, errs.Corrupt, "decode the tenants of the configuration")
 }
 
-// checkTenants tells of tenants whose callers cannot get in.
+// checkTenants returns a finding for each tenant without an API key, whose callers are all rejected.
 func (t *runner) checkTenants() []finding {
 	set, err := t.readTenants()
 	if err != nil {
-		return []finding{{false, t.args.Manager, "the configuration cannot be read: " + err.Error(), "ask again, or another manager"}}
+		return []finding{{false, t.args.Manager, "the configuration cannot be read: " + err.Error(), "run the doctor again, or use another manager"}}
 	}
 	out := []finding{}
 	for _, name := range slices.Sorted(maps.Keys(set.tenants)) {
 		if len(set.tenants[name].Keys) == 0 {
-			out = append(out, finding{false, "tenant " + name, "it has no key: its callers are refused with 401", "give it one, or take it away"})
+			out = append(out, finding{false, "tenant " + name, "it has no key: its callers are rejected with 401", "add a key, or remove the tenant"})
 		}
 	}
 	return out
 }
 
-// find returns a tenant that must be there.
+// find returns the tenant of a name, or errs.Unknown.
 func (b tenantSet) find(name string) (tenant, error) {
 	found, isThere := b.tenants[name]
 	if !isThere {
-		return tenant{}, errs.New(errs.Unknown, "no tenant %s; 'tenants set %s' adds it", name, name)
+		return tenant{}, errs.New(errs.Unknown, "tenant %s does not exist; 'tenants set %s' adds it", name, name)
 	}
 	return found, nil
 }
 
+// summarize returns the printed form of a tenant, without the full hashes of its keys.
 func summarize(name string, of tenant) tenantSummary {
 	out := tenantSummary{Name: name, Keys: []string{}, Rate: of.Rate, Burst: of.Burst}
 	for _, hash := range of.Keys {
@@ -135,6 +142,7 @@
 	return out
 }
 
+// listTenants prints all tenants in the order of their names.
 func (t *runner) listTenants(set tenantSet) error {
 	all := []tenantSummary{}
 	for _, name := range slices.Sorted(maps.Keys(set.tenants)) {
@@ -150,6 +158,7 @@
 	return nil
 }
 
+// showTenant prints one tenant and the first digits of its keys' hashes.
 func (t *runner) showTenant(set tenantSet, name string) error {
 	found, err := set.find(name)
 	if err != nil {
@@ -166,10 +175,11 @@
 	return nil
 }
 
+// printJson prints a value as indented JSON.
 func (t *runner) printJson(what any) error {
 	raw, err := json.MarshalIndent(what, "", "  ")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "tenants")
+		return errs.Wrap(err, errs.Internal, "encode the tenants")
 	}
 	fmt.Fprintln(t.out, string(raw))
 	return nil
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -15,12 +15,12 @@
 	"caperwheel/internal/config"
 )
 
-// fakeManager is a manager that keeps one configuration, and takes patches of its newest revision.
+// fakeManager holds one configuration and accepts patches of its newest revision.
 type fakeManager struct {
 	doc                 []byte
 	revision            int
-	hasConcurrentChange bool // somebody else changes it after it is read
-	losesReplies        bool // answers to changes are lost
+	hasConcurrentChange bool // another change follows each read
+	losesReplies        bool // responses to changes are lost
 }
 
 func (c *fakeManager) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -56,13 +56,13 @@
 	fmt.Fprint(w, `{}`)
 }
 
-// commandResult is what one command came to.
+// commandResult is the exit code and output of one command.
 type commandResult struct {
 	code     int
 	out, err string
 }
 
-// runCommand runs a command against a manager.
+// runCommand runs a command line against the manager.
 func (c *fakeManager) runCommand(line, input string) commandResult {
 	server := httptest.NewServer(c)
 	defer server.Close()
@@ -72,7 +72,7 @@
 	return commandResult{code, out.String(), errOut.String()}
 }
 
-// tenantOf gives the tenant that holds a key.
+// tenantOf returns the tenant that has a key.
 func (c *fakeManager) tenantOf(key string) string {
 	rules, faults := config.Compile(c.doc)
 	So(faults, ShouldBeEmpty)
@@ -90,7 +90,7 @@
 	return newFakeManager(fmt.Sprintf(`,"tenants":{"halls":{"keys":[%q],"rate":5,"burst":10},"growers":{}}`, config.HashApiKey(keyOne)))
 }
 
-// TestTenantCommands is the table of what the commands on tenants come to.
+// TestTenantCommands lists commands on tenants and their results.
 func TestTenantCommands(t *testing.T) {
 	prefix := config.HashApiKey(keyOne).String()[:shownHashDigits]
 	cases := []struct {
@@ -101,26 +101,26 @@
 		{"a list", "tenants list", "", ExitOk, "halls                       1            5           10\n"},
 		{"a list in JSON", "--json tenants list", "", ExitOk, `"` + prefix + `"`},
 		{"a tenant", "tenants show halls", "", ExitOk, "halls: rate 5, burst 10\nkey " + prefix + "\n"},
-		{"no such tenant", "tenants show other", "", ExitFailed, "unknown: no tenant other"},
+		{"no such tenant", "tenants show other", "", ExitFailed, "unknown: tenant other does not exist"},
 		{"a new limit", "tenants set halls --rate 7 --burst 9", "", ExitOk, "stamp 8"},
 		{"no limit at all", "tenants set halls", "", ExitUsage, "invalid: give --rate"},
-		{"a limit that is refused", "tenants set halls --rate 7 --burst 0", "", ExitUsage, "tenants.halls.burst"},
-		{"a tenant that is new", "tenants set new", "", ExitOk, "stamp 8"},
-		{"a name that can be none", "tenants set hällar", "", ExitUsage, "can be no tenant's name"},
-		{"a key for nobody", "tenants add-key other", "", ExitFailed, "unknown: no tenant other"},
+		{"an invalid limit", "tenants set halls --rate 7 --burst 0", "", ExitUsage, "tenants.halls.burst"},
+		{"a new tenant", "tenants set new", "", ExitOk, "stamp 8"},
+		{"an invalid name", "tenants set hällar", "", ExitUsage, "is not a valid tenant name"},
+		{"a key for a tenant that does not exist", "tenants add-key other", "", ExitFailed, "unknown: tenant other does not exist"},
 		{"a key that is given", "tenants add-key halls --stdin", keyTwo + "\n", ExitOk, "key " + config.HashApiKey(keyTwo).String()[:shownHashDigits] + " of halls"},
-		{"a key that is held", "tenants add-key halls --stdin", keyOne, ExitConflict, "holds the key already"},
-		{"a key that is another's", "tenants add-key growers --stdin", keyOne, ExitUsage, "tenants.halls.keys"},
+		{"a key that the tenant already has", "tenants add-key halls --stdin", keyOne, ExitConflict, "already has this key"},
+		{"a key of another tenant", "tenants add-key growers --stdin", keyOne, ExitUsage, "tenants.halls.keys"},
 		{"a key that is too short", "tenants add-key halls --stdin", "abc", ExitUsage, "a key must be"},
 		{"a key with a space", "tenants add-key halls --stdin", "key two of the halls", ExitUsage, "a key must be"},
 		{"the last key", "tenants remove-key halls " + prefix, "", ExitOk, "halls has no key left"},
-		{"a key in large letters", "tenants remove-key halls " + strings.ToUpper(prefix), "", ExitOk, "stamp 8"},
-		{"a key that is not held", "tenants remove-key halls 0123456789", "", ExitFailed, "unknown: halls holds no key"},
+		{"a key in capitals", "tenants remove-key halls " + strings.ToUpper(prefix), "", ExitOk, "stamp 8"},
+		{"a key that the tenant does not have", "tenants remove-key halls 0123456789", "", ExitFailed, "unknown: tenant halls has no key"},
 		{"a key by too few digits", "tenants remove-key halls " + prefix[:minHashDigits-1], "", ExitUsage, "at least 8 digits"},
-		{"a tenant to take away", "tenants remove halls", "", ExitOk, "stamp 8"},
-		{"no tenant to take away", "tenants remove other", "", ExitFailed, "unknown"},
+		{"a tenant to remove", "tenants remove halls", "", ExitOk, "stamp 8"},
+		{"a tenant to remove that does not exist", "tenants remove other", "", ExitFailed, "unknown"},
 		{"no command", "tenants", "", ExitUsage, "add-key"},
-		{"all, looked over", "doctor", "", ExitFailed, "note  tenant growers: it has no key"},
+		{"all, checked by the doctor", "doctor", "", ExitFailed, "note  tenant growers: it has no key"},
 	}
 	Convey("A command on", t, func() {
 		for _, c := range cases {
@@ -138,7 +138,7 @@
 	})
 }
 
-// TestKeyRotation: a new key is added, both hold, the old one is taken away.
+// TestKeyRotation checks that both keys are valid between adding the new and removing the old one.
 func TestKeyRotation(t *testing.T) {
 	Convey("An operator", t, func() {
 		manager := newManagerWithTenants()
@@ -154,43 +154,43 @@
 			So([]string{manager.tenantOf(keyOne), manager.tenantOf(key)}, ShouldResemble, []string{"", "halls"})
 			So(gjson.GetBytes(manager.doc, "tenants.halls.rate").Num, ShouldEqual, 5)
 		})
-		Convey("draws another key each time", func() {
+		Convey("gets a different generated key each time", func() {
 			So(manager.runCommand("tenants add-key halls", "").out, ShouldNotEqual, manager.runCommand("tenants add-key halls", "").out)
 		})
-		Convey("loses a race, and no key is printed", func() {
+		Convey("gets a conflict with another change, and no key is printed", func() {
 			manager.hasConcurrentChange = true
 			got := manager.runCommand("tenants add-key halls", "")
 			So([]any{got.code, got.out}, ShouldResemble, []any{ExitConflict, ""})
 		})
-		Convey("gets no clear answer, and the key that may hold is printed", func() {
+		Convey("gets no response, and the key that may be valid is printed", func() {
 			manager.losesReplies = true
 			got := manager.runCommand("tenants add-key halls", "")
 			So(got.code, ShouldEqual, ExitUndecided)
 			So(manager.tenantOf(strings.TrimSpace(got.out)), ShouldEqual, "halls")
 		})
-		Convey("is warned before callers without a key are refused", func() {
+		Convey("is warned that callers without a key are rejected from the first tenant on", func() {
 			So(newFakeManager("").runCommand("tenants set halls", "").err, ShouldContainSubstring, "this is the first tenant")
 			So(manager.runCommand("tenants set more", "").err, ShouldNotContainSubstring, "first tenant")
 		})
 	})
 }
 
-// TestOriginIsNotShown: what another interface's document holds, keys among them, is not printed by the way,
-// and what is printed instead cannot be taken for the configuration.
+// TestOriginIsNotShown checks that the source document, which may hold API keys, is printed only on request, and that
+// the redacted output cannot be set as a configuration by mistake.
 func TestOriginIsNotShown(t *testing.T) {
-	Convey("Given a configuration that was made from another document", t, func() {
+	Convey("Given a configuration that was translated from another document", t, func() {
 		manager := newFakeManager(`,"origin":{"tenants":[{"name":"halls","api_keys":["secret-1"]}]},"tenants":{"halls":{}}`)
-		Convey("it is printed without that", func() {
+		Convey("it is printed without that document", func() {
 			got := manager.runCommand("config get", "")
 			So(got.out, ShouldNotContainSubstring, "secret-1")
 			So(gjson.Get(got.out, "lanes.l").Exists(), ShouldBeTrue)
 			_, faults := config.Compile([]byte(got.out))
 			So(faults, ShouldResemble, []config.Fault{{Path: "origin", Text: "must be an object"}})
 		})
-		Convey("… unless that is asked for", func() {
+		Convey("it is printed with that document if --whole is set", func() {
 			So(manager.runCommand("config get --whole", "").out, ShouldContainSubstring, "secret-1")
 		})
-		Convey("its tenants are not changed here", func() {
+		Convey("its tenants cannot be changed here", func() {
 			for _, line := range []string{"tenants set halls --rate 1 --burst 1", "tenants add-key halls", "tenants remove halls"} {
 				got := manager.runCommand(line, "")
 				So([]any{got.code, got.out, manager.revision}, ShouldResemble, []any{ExitFailed, "", 7})
