--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter is the front proxy: it takes messages in over HTTP and
+// Command adapter is the front proxy: it accepts messages over HTTP and
 // delivers them to workers and outside endpoints.
 package main
 
@@ -54,9 +54,9 @@
 		case !d.IsFresh():
 			return false, string(errs.Stale)
 		case !configs.Current().MayStartWork(d.Who.Zone):
-			return false, "the cell is being emptied"
+			return false, "the zone is being drained"
 		case !d.Membership.HasOwner(wire.FirstPlaceGroup):
-			return false, "no place can be reached"
+			return false, "no place has a known owner"
 		}
 		return true, ""
 	}
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -1,5 +1,5 @@
-// Command agent runs beside an adapter: it keeps the link to the control plane
-// and feeds the adapter over loopback.
+// Command agent runs on the same machine as an adapter: it keeps the connections to the control plane and
+// supplies the adapter with control state over loopback.
 package main
 
 import (
--- a/cmd/caperwheel/main.go
+++ b/cmd/caperwheel/main.go
@@ -1,5 +1,5 @@
-// Command caperwheel is the operators' command line: it wraps the managers'
-// API, and its doctor looks for common faults.
+// Command caperwheel is the operators' command line. It calls the managers' API, and its doctor looks for common
+// faults.
 package main
 
 import (
--- a/cmd/fleet/backend.go
+++ b/cmd/fleet/backend.go
@@ -8,12 +8,13 @@
 	"caperwheel/internal/fleet"
 )
 
-// backendCommand is one stand-in worker, for trying things out.
+// backendCommand holds the arguments of backend.
 type backendCommand struct {
 	Listen string        `arg:"--listen" default:"127.0.0.1:9001" help:"address to listen on"`
 	Work   time.Duration `arg:"--work" default:"20ms" help:"how long a run takes, about"`
 }
 
+// backend runs one simulated worker, for manual tests, until the process is killed.
 func backend(a *backendCommand) error {
 	began := time.Now()
 	b := fleet.Backend{Pool: "standin", Name: "standin", MeanRunTime: a.Work}
@@ -21,6 +22,6 @@
 	if err := b.Start(a.Listen); err != nil {
 		return err
 	}
-	fmt.Printf("a stand-in worker answers at %s\n", b.Addr)
+	fmt.Printf("a simulated worker listens on %s\n", b.Addr)
 	select {}
 }
--- a/cmd/fleet/bench.go
+++ b/cmd/fleet/bench.go
@@ -14,8 +14,8 @@
 	"caperwheel/internal/wire"
 )
 
-// benchCommand measures the transport alone, between two processes, with
-// messages of 46 bytes, over a grid of batch and pool sizes, as the source did.
+// benchCommand holds the arguments of bench, which measures the transport alone, between two processes, with messages
+// of 46 bytes, over a grid of batch and pool sizes; size and grid are those of the source.
 type benchCommand struct {
 	For     time.Duration `arg:"--for" default:"1s" help:"how long each cell of the grid is measured"`
 	Rounds  int           `arg:"--rounds" default:"3" help:"rounds over the whole grid, interleaved"`
@@ -25,9 +25,10 @@
 	Pool    int           `arg:"--pool" default:"40" help:"pool of the receiving process (internal)"`
 }
 
-// body is 46 bytes as an encoded Look with its correlation number.
+// benchMessageId is a message id with which an encoded Look has 46 bytes, correlation number included.
 const benchMessageId = "0123456789012345678901234567890123456789"
 
+// bench measures each cell of the grid in each round and prints the median, least and greatest rate of each.
 func bench(a *benchCommand) error {
 	if a.Serve {
 		return serveBench(a.Pool)
@@ -61,6 +62,8 @@
 	return nil
 }
 
+// serveBench is the receiving process. It prints its address and discards messages until standard input is closed; it
+// answers only a Look that requests the body.
 func serveBench(pool int) error {
 	node, err := transport.NewNode(transport.Options{Listen: "127.0.0.1:0", Pool: pool, Window: 1 << 16,
 		Handlers: map[string]transport.Handler{"place": func(_ wire.Who, body any, answer func(any)) {
@@ -73,26 +76,28 @@
 	}
 	fmt.Println(node.Addr())
 	go node.Serve()
-	_, _ = os.Stdin.Read(make([]byte, 1)) // until the other side closes
+	_, _ = os.Stdin.Read(make([]byte, 1)) // returns when the sending process closes the pipe
 	return nil
 }
 
+// measureCell starts a receiving process, sends to it for a time and returns the messages a second, up to the answer
+// to a last message that follows all others.
 func measureCell(batch, pool int, length time.Duration) (float64, error) {
 	exe, err := os.Executable()
 	if err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "executable")
+		return 0, errs.Wrap(err, errs.Internal, "find this program's executable")
 	}
 	cmd := exec.Command(exe, "bench", "--serve", "--pool", strconv.Itoa(pool))
 	in, _ := cmd.StdinPipe()
 	out, _ := cmd.StdoutPipe()
 	if err := cmd.Start(); err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "receiver")
+		return 0, errs.Wrap(err, errs.Internal, "start the receiving process")
 	}
 	defer func() { in.Close(); _ = cmd.Wait() }()
 	raw := make([]byte, 64)
 	n, err := out.Read(raw)
 	if err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "receiver's address")
+		return 0, errs.Wrap(err, errs.Internal, "read the receiving process's address")
 	}
 	node, err := transport.NewNode(transport.Options{Batch: batch, Pool: pool, Window: 1 << 16})
 	if err != nil {
@@ -110,7 +115,7 @@
 			if peer.Post(&wire.Look{Id: benchMessageId}, nil) == nil {
 				sent++
 			} else {
-				time.Sleep(20 * time.Microsecond) // the window is full
+				time.Sleep(20 * time.Microsecond) // the send window is full
 			}
 		}
 	}
--- a/cmd/fleet/check.go
+++ b/cmd/fleet/check.go
@@ -11,6 +11,7 @@
 	"caperwheel/internal/explore"
 )
 
+// checkCommand holds the arguments of check.
 type checkCommand struct {
 	Members  int    `arg:"--members" default:"3" help:"founding members of the group"`
 	Scenario string `arg:"--scenario" help:"the search to make, by name; all if not given"`
@@ -22,8 +23,8 @@
 	Jobs     int    `arg:"--jobs" help:"searches and walks at once; one for each processor if not given"`
 }
 
-// checkGroup explores the group's code: searches first, then random walks. What is
-// broken is printed with the events that lead to it.
+// checkGroup explores the states of a replicated group: exhaustive searches first, then random walks. A violated
+// invariant is printed with the events that lead to it.
 func checkGroup(a *checkCommand) error {
 	if a.Members < 1 || a.Members > explore.MaxMembers {
 		return errs.New(errs.Invalid, "members must be from 1 to %d", explore.MaxMembers)
@@ -52,7 +53,7 @@
 		searches.Submit(func() { report(s.Name, explore.Search(&s.Options, s.Depth, a.States)) })
 	}
 	if !isKnown {
-		return errs.New(errs.Unknown, "search %q", a.Scenario)
+		return errs.New(errs.Unknown, "there is no search %q", a.Scenario)
 	}
 	walks := pool.NewGroup()
 	var events atomic.Int64
@@ -66,12 +67,12 @@
 	}
 	for _, group := range []pond.TaskGroup{searches, walks} {
 		if err := group.Wait(); err != nil {
-			return errs.Wrap(err, errs.Internal, "check")
+			return errs.Wrap(err, errs.Internal, "run the searches and walks")
 		}
 	}
 	fmt.Printf("%d walks: %d events\n", a.Walks, events.Load())
 	if n := broken.Load(); n > 0 {
-		return errs.New(errs.Unhealthy, "%d searches or walks broke an invariant", n)
+		return errs.New(errs.Unhealthy, "%d searches or walks violated an invariant", n)
 	}
 	return nil
 }
--- a/cmd/fleet/lists.go
+++ b/cmd/fleet/lists.go
@@ -14,6 +14,7 @@
 	"caperwheel/internal/standin"
 )
 
+// listsCommand holds the arguments of lists.
 type listsCommand struct {
 	Workers []int         `arg:"--workers" help:"lengths of the list to measure; 100, 1000, 10000 and 100000 if not given"`
 	Page    int           `arg:"--page" default:"50" help:"entries of a page"`
@@ -22,7 +23,7 @@
 	Root    string        `arg:"--root" default:"." help:"root of the sources, for building"`
 }
 
-// lists measures a small deployment with lists of workers of several lengths.
+// lists measures a small deployment with lists of workers of several lengths, and prints the figures of each.
 func lists(a *listsCommand) error {
 	if len(a.Workers) == 0 {
 		a.Workers = []int{100, 1000, 10000, 100000}
@@ -31,7 +32,7 @@
 	defer cancel()
 	dir, err := os.MkdirTemp("", "lists-")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "temporary folder")
+		return errs.Wrap(err, errs.Internal, "create temporary folder")
 	}
 	defer os.RemoveAll(dir)
 	bin := filepath.Join(dir, "bin")
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -1,5 +1,6 @@
-// Command fleet runs whole deployments on one machine, with stand-in callers
-// and back ends, and checks what happened against the rules.
+// Command fleet tests whole deployments on one machine, with simulated callers and workers, and checks the recorded
+// history against the delivery rules. It also simulates deployments from seeds, explores the states of a replicated
+// group and measures the transport.
 package main
 
 import (
@@ -15,6 +16,7 @@
 	"caperwheel/internal/fleet"
 )
 
+// runCommand holds the arguments of run.
 type runCommand struct {
 	Config string        `arg:"--charter,required" help:"charter file; the plan lies beside it as NAME.fleet.json"`
 	For    time.Duration `arg:"--for" default:"30s" help:"how long callers send"`
@@ -28,6 +30,7 @@
 	Stores int           `arg:"--stores" help:"so many stores instead of the plan's"`
 }
 
+// sweepCommand holds the arguments of sweep.
 type sweepCommand struct {
 	From  uint64        `arg:"--from" default:"1" help:"first seed"`
 	Seeds uint64        `arg:"--seeds" default:"1000" help:"how many seeds of each kind"`
@@ -36,6 +39,7 @@
 	Span  time.Duration `arg:"--span" help:"simulated time for which a whole deployment is troubled (control); 60s if not given"`
 }
 
+// arguments holds the commands, of which at most one is set.
 type arguments struct {
 	Up       *upCommand       `arg:"subcommand:up" help:"start a small deployment and let it serve until Ctrl-C"`
 	Backend  *backendCommand  `arg:"subcommand:backend" help:"run one stand-in worker"`
@@ -80,6 +84,8 @@
 	}
 }
 
+// run starts a deployment, injects the faults of a schedule under load, waits until the messages have settled, and
+// prints a report. It returns an error if a rule was broken, a step failed, a daemon crashed or nothing was run.
 func run(a *runCommand) error {
 	ctx := context.Background()
 	plan, doc, err := fleet.ReadPlan(a.Config)
@@ -117,7 +123,7 @@
 		}
 		if schedule.Duration != "" {
 			if a.For, err = time.ParseDuration(schedule.Duration); err != nil {
-				return errs.Wrap(err, errs.Invalid, "schedule")
+				return errs.Wrap(err, errs.Invalid, "read the duration of the schedule")
 			}
 		}
 	}
@@ -140,11 +146,11 @@
 	report.Config, report.Counters = f.CheckConfig(readCtx), f.SumCounters(readCtx)
 	raw, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "report")
+		return errs.Wrap(err, errs.Internal, "encode the report")
 	}
 	fmt.Println(string(raw))
 	if len(report.Breaches) > 0 || report.Unsettled != "" || len(report.Config) > 0 || len(report.FailedSteps)+len(report.Crashes) > 0 || report.Runs == 0 {
-		return errs.New(errs.Unhealthy, "%d rules broken, %d steps not carried out, %d crashes", len(report.Breaches)+len(report.Config),
+		return errs.New(errs.Unhealthy, "%d rule violations, %d steps not carried out, %d crashes", len(report.Breaches)+len(report.Config),
 			len(report.FailedSteps), len(report.Crashes))
 	}
 	return nil
--- a/cmd/fleet/platform.go
+++ b/cmd/fleet/platform.go
@@ -10,6 +10,7 @@
 	"caperwheel/internal/standin"
 )
 
+// platformCommand holds the arguments of platform.
 type platformCommand struct {
 	For    time.Duration `arg:"--for" default:"20s" help:"how long clients send"`
 	Root   string        `arg:"--root" default:"." help:"root of the sources, for building"`
@@ -20,7 +21,7 @@
 	Seed   uint64        `arg:"--seed" help:"draw a schedule of mixed faults by this seed"`
 }
 
-// platform runs a small deployment on the stand-in platform and judges it.
+// platform runs a small deployment on the simulated platform and checks it against the platform's rules.
 func platform(a *platformCommand) error {
 	ctx := context.Background()
 	schedule, err := fleet.Schedule{}, error(nil)
@@ -30,7 +31,7 @@
 		}
 		if schedule.Duration != "" {
 			if a.For, err = time.ParseDuration(schedule.Duration); err != nil {
-				return errs.Wrap(err, errs.Invalid, "schedule")
+				return errs.Wrap(err, errs.Invalid, "read the duration of the schedule")
 			}
 		}
 	}
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -18,6 +18,7 @@
 	"caperwheel/internal/standin"
 )
 
+// soakCommand holds the arguments of soak.
 type soakCommand struct {
 	Seed      uint64        `arg:"--seed" default:"1" help:"first seed; the same one draws the same series of faults"`
 	Seeds     uint64        `arg:"--seeds" default:"1" help:"how many seeds, one after another or --jobs at once"`
@@ -30,25 +31,26 @@
 	Keep      bool          `arg:"--keep" help:"keep the folder"`
 }
 
+// options returns the options of the soak for one seed, without its folders.
 func (a *soakCommand) options(seed uint64) standin.SoakOptions {
 	return standin.SoakOptions{Seed: seed, For: a.For, Processes: a.Processes}
 }
 
-// soak runs deployments under series of signals, restarts and changes, with callers that
-// use their connections until the process is gone. Ctrl-C ends all that it started.
+// soak runs deployments under series of signals, restarts and configuration changes, with callers that keep their
+// connections until the process at the other end exits. Ctrl-C ends all processes that it started.
 func soak(a *soakCommand) error {
 	if a.Seeds < 1 || a.Jobs < 1 {
-		return errs.New(errs.Invalid, "seeds and jobs must be 1 or more")
+		return errs.New(errs.Invalid, "--seeds and --jobs must be 1 or more")
 	}
 	if err := a.options(a.Seed).Check(); err != nil {
 		return err
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
-	if a.Bin == "" { // built before any seed's folder, and once
+	if a.Bin == "" { // build once, before any seed's folder exists
 		bin, err := os.MkdirTemp("", "soak-bin-")
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, "temporary folder")
+			return errs.Wrap(err, errs.Internal, "create temporary folder")
 		}
 		defer os.RemoveAll(bin)
 		if err := fleet.Build(ctx, a.Root, bin, false); err != nil {
@@ -76,17 +78,17 @@
 		return err
 	}
 	if broken > 0 {
-		return errs.New(errs.Unhealthy, "%d of %d seeds broke a rule", broken, a.Seeds)
+		return errs.New(errs.Unhealthy, "%d of %d seeds violated a rule", broken, a.Seeds)
 	}
 	return nil
 }
 
-// runSeed runs one seed, and gives what there is to print of it.
+// runSeed runs one seed and returns the text to print and whether no rule was violated.
 func (a *soakCommand) runSeed(ctx context.Context, seed uint64) (text string, isClean bool, err error) {
 	dir := filepath.Join(a.Dir, fmt.Sprintf("soak-%d", seed))
 	if a.Dir == "" {
 		if dir, err = os.MkdirTemp("", "soak-"); err != nil {
-			return "", false, errs.Wrap(err, errs.Internal, "temporary folder")
+			return "", false, errs.Wrap(err, errs.Internal, "create temporary folder")
 		}
 	}
 	if !a.Keep {
@@ -100,9 +102,9 @@
 	}
 	result, err := standin.Soak(ctx, o, out)
 	if err != nil {
-		return out.String(), false, errs.Wrap(err, errs.KindOf(err), "seed %d", seed)
+		return out.String(), false, errs.Wrap(err, errs.KindOf(err), "run seed %d", seed)
 	}
-	fmt.Fprintf(out, "seed %d: %d processes, %d requests, answers %v, %d asked at other doors, %d runs, ends %v, %d configurations, %d broken, %d failures, %d crashes\n",
+	fmt.Fprintf(out, "seed %d: %d processes, %d requests, status codes %v, %d sent to daemons that accept no messages, %d runs, results %v, %d configurations, %d violations, %d failures, %d crashes\n",
 		seed, result.Processes, result.Tries, result.Codes, result.AdminRequests, result.Runs, result.FinalStates, result.Changes, len(result.Breaches), len(result.Failures), len(result.Crashes))
 	return out.String(), result.IsClean(), nil
 }
--- a/cmd/fleet/sweep.go
+++ b/cmd/fleet/sweep.go
@@ -16,15 +16,15 @@
 	"caperwheel/internal/sim"
 )
 
-// sweepGCPercent is by how many hundredths the heap grows between two collections.
+// sweepGCPercent is the garbage collector's target: the growth of the heap between two collections, in percent.
 const sweepGCPercent = 400
 
-// sweep simulates many seeds, each with all faults mixed. A failing seed
-// prints its number, its trace and what was broken; the same seed fails alike.
+// sweep simulates many seeds of each kind, each with a mix of faults. For a failing seed it prints the number, the
+// trace and the violated rules; the same seed fails in the same way again.
 func sweep(a *sweepCommand) error {
 	klog.LogToStderr(false)
-	klog.SetOutput(io.Discard)         // what the real code logs in the simulation
-	debug.SetGCPercent(sweepGCPercent) // worlds are short-lived: memory is cheaper than collecting them
+	klog.SetOutput(io.Discard)         // log lines of the simulated daemons
+	debug.SetGCPercent(sweepGCPercent) // simulations are short-lived: memory is cheaper than collection
 	pool := pond.NewPool(runtime.NumCPU())
 	var failed atomic.Int64
 	var printing sync.Mutex
@@ -46,12 +46,12 @@
 			})
 		}
 		if err := group.Wait(); err != nil {
-			return errs.Wrap(err, errs.Internal, "sweep")
+			return errs.Wrap(err, errs.Internal, "run the sweep")
 		}
 		fmt.Printf("%s: %d seeds done, %d broken so far\n", kind, a.Seeds, failed.Load())
 	}
 	if n := failed.Load(); n > 0 {
-		return errs.New(errs.Unhealthy, "%d seeds broke a rule", n)
+		return errs.New(errs.Unhealthy, "%d seeds violated a rule", n)
 	}
 	return nil
 }
--- a/cmd/fleet/up.go
+++ b/cmd/fleet/up.go
@@ -11,13 +11,14 @@
 	"caperwheel/internal/fleet"
 )
 
+// upCommand holds the arguments of up.
 type upCommand struct {
 	Config string `arg:"--charter,required" help:"charter file; the plan lies beside it as NAME.fleet.json"`
 	Root   string `arg:"--root" default:"." help:"root of the sources, for building"`
 	Bin    string `arg:"--bin" help:"folder with built programs; built if not given"`
 }
 
-// up starts a deployment and lets it serve until a signal comes.
+// up starts a deployment and keeps it running until SIGINT or SIGTERM, then removes its data and logs.
 func up(a *upCommand) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer cancel()
@@ -41,7 +42,7 @@
 	if err := f.Start(upCtx); err != nil {
 		return err
 	}
-	fmt.Printf("%d daemons serve; logs and data are in %s until the end.\n", len(f.All()), w.Dir)
+	fmt.Printf("%d daemons are running; logs and data are in %s and are removed at the end.\n", len(f.All()), w.Dir)
 	for _, p := range f.Adapters {
 		fmt.Printf("messages: http://%s/v1/lanes/LANE/messages\n", p.Http)
 	}
--- a/cmd/fleet/workspace.go
+++ b/cmd/fleet/workspace.go
@@ -9,18 +9,19 @@
 	"caperwheel/internal/fleet"
 )
 
-// workspace is where a command keeps data, logs and programs.
+// workspace holds the folders of a command: for data and logs, and for the daemons' programs.
 type workspace struct {
-	Dir string // for data and logs; a temporary folder if not given
-	Bin string // with built programs; built from Root if not given
+	Dir string // data and logs; prepare creates a temporary folder if empty
+	Bin string // built programs; prepare builds them into Dir/bin if empty
 }
 
-// prepare makes what is not given. The caller removes Dir.
+// prepare creates the folders that are not set and builds the programs from the sources in root. The caller removes
+// Dir, also after an error.
 func (w *workspace) prepare(ctx context.Context, root string) error {
 	if w.Dir == "" {
 		dir, err := os.MkdirTemp("", "fleet-")
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, "temporary folder")
+			return errs.Wrap(err, errs.Internal, "create temporary folder")
 		}
 		w.Dir = dir
 	}
--- a/cmd/manager/main.go
+++ b/cmd/manager/main.go
@@ -1,5 +1,5 @@
-// Command manager is the control daemon: sessions, feeds, the operators' API
-// and the controllers.
+// Command manager is the control daemon: it keeps the sessions of all daemons, distributes the control state to
+// them, serves the operators' API and runs the controllers.
 package main
 
 import (
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Command store keeps durable places and parts of the control state on disk.
+// Command store keeps replicas of places and of parts of the control state on disk.
 package main
 
 import (
