--- a/cmd/fleet/check.go
+++ b/cmd/fleet/check.go
@@ -33,11 +33,11 @@
 		a.Jobs = runtime.NumCPU()
 	}
 	pool := pond.NewPool(a.Jobs)
-	var broken atomic.Int64
+	var violations atomic.Int64
 	report := func(name string, r explore.Result) {
 		fmt.Println(name + ": " + r.String())
 		if r.Breach != "" {
-			broken.Add(1)
+			violations.Add(1)
 		}
 	}
 	searches := pool.NewGroup()
@@ -71,7 +71,7 @@
 		}
 	}
 	fmt.Printf("%d walks: %d events\n", a.Walks, events.Load())
-	if n := broken.Load(); n > 0 {
+	if n := violations.Load(); n > 0 {
 		return errs.New(errs.Unhealthy, "%d searches or walks violated an invariant", n)
 	}
 	return nil
--- a/cmd/fleet/lists.go
+++ b/cmd/fleet/lists.go
@@ -40,12 +40,12 @@
 		return err
 	}
 	for _, workers := range a.Workers {
-		bounded, cancelMeasurement := context.WithTimeout(ctx, a.Timeout)
-		got, err := standin.MeasureList(bounded, standin.ListOptions{Workers: workers, Page: a.Page, Rate: a.Rate, Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(workers))})
+		measureCtx, cancelMeasurement := context.WithTimeout(ctx, a.Timeout)
+		result, err := standin.MeasureList(measureCtx, standin.ListOptions{Workers: workers, Page: a.Page, Rate: a.Rate, Bin: bin, Dir: filepath.Join(dir, fmt.Sprint(workers))})
 		cancelMeasurement()
 		fmt.Printf("%d workers: first run %v, all known %v, all held %v, a change known %v, %d calls, %d refused\n  idle cores %v\n  memory %v\n", workers,
-			got.FirstRun.Round(time.Millisecond), got.Listed.Round(time.Millisecond), got.Assigned.Round(time.Millisecond), got.Changed.Round(time.Millisecond),
-			got.Calls, got.Refused, got.Idle, got.Memory)
+			result.FirstRun.Round(time.Millisecond), result.Listed.Round(time.Millisecond), result.Assigned.Round(time.Millisecond), result.Changed.Round(time.Millisecond),
+			result.Calls, result.Refused, result.Idle, result.Memory)
 		if err != nil {
 			return err
 		}
--- a/cmd/fleet/main.go
+++ b/cmd/fleet/main.go
@@ -85,7 +85,8 @@
 }
 
 // run starts a deployment, injects the faults of a schedule under load, waits until the messages have settled, and
-// prints a report. It returns an error if a rule was broken, a step failed, a daemon crashed or nothing was run.
+// prints a report. It returns an error if a rule was violated, a step of the schedule failed, a daemon crashed or no
+// message was run.
 func run(a *runCommand) error {
 	ctx := context.Background()
 	plan, doc, err := fleet.ReadPlan(a.Config)
@@ -114,7 +115,7 @@
 	if err := f.Start(upCtx); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "fleet: %d daemons serve after %v.\n", len(f.All()), time.Since(began).Round(time.Millisecond))
+	fmt.Fprintf(os.Stderr, "fleet: %d daemons are running after %v.\n", len(f.All()), time.Since(began).Round(time.Millisecond))
 	callers := fleet.NewCallers(f)
 	var schedule fleet.Schedule
 	if a.Faults != "" {
@@ -133,11 +134,11 @@
 	}
 	loadCtx, cancel := context.WithTimeout(ctx, a.For)
 	defer cancel()
-	caused := make(chan struct{})
-	go func() { f.RunSchedule(loadCtx, schedule); close(caused) }()
+	scheduleDone := make(chan struct{})
+	go func() { f.RunSchedule(loadCtx, schedule); close(scheduleDone) }()
 	go f.Probe(loadCtx, callers)
 	callers.Run(loadCtx)
-	<-caused
+	<-scheduleDone
 	settleCtx, cancel := context.WithTimeout(ctx, 2*time.Minute)
 	defer cancel()
 	report := f.Report(callers, f.Settle(settleCtx, true))
--- a/cmd/fleet/soak.go
+++ b/cmd/fleet/soak.go
@@ -58,7 +58,7 @@
 		}
 		a.Bin = bin
 	}
-	seeds, printing, broken := pond.NewPool(a.Jobs).NewGroup(), sync.Mutex{}, 0
+	seeds, printing, failedSeeds := pond.NewPool(a.Jobs).NewGroup(), sync.Mutex{}, 0
 	for seed := a.Seed; seed < a.Seed+a.Seeds; seed++ {
 		seeds.SubmitErr(func() error {
 			if ctx.Err() != nil {
@@ -69,7 +69,7 @@
 			defer printing.Unlock()
 			fmt.Print(text)
 			if !isClean {
-				broken++
+				failedSeeds++
 			}
 			return err
 		})
@@ -77,8 +77,8 @@
 	if err := seeds.Wait(); err != nil {
 		return err
 	}
-	if broken > 0 {
-		return errs.New(errs.Unhealthy, "%d of %d seeds violated a rule", broken, a.Seeds)
+	if failedSeeds > 0 {
+		return errs.New(errs.Unhealthy, "%d of %d seeds violated a rule", failedSeeds, a.Seeds)
 	}
 	return nil
 }
--- a/cmd/fleet/sweep.go
+++ b/cmd/fleet/sweep.go
@@ -26,7 +26,7 @@
 	klog.SetOutput(io.Discard)         // log lines of the simulated daemons
 	debug.SetGCPercent(sweepGCPercent) // simulations are short-lived: memory is cheaper than collection
 	pool := pond.NewPool(runtime.NumCPU())
-	var failed atomic.Int64
+	var failedSeeds atomic.Int64
 	var printing sync.Mutex
 	for _, kind := range sim.SweepKinds() {
 		if a.Kind != "" && a.Kind != kind {
@@ -39,7 +39,7 @@
 				if len(breaches) == 0 {
 					return
 				}
-				failed.Add(1)
+				failedSeeds.Add(1)
 				printing.Lock()
 				defer printing.Unlock()
 				fmt.Printf("%s seed %d is broken:\n%s\n%s\n", kind, seed, strings.Join(trace, "\n"), strings.Join(breaches, "\n"))
@@ -48,9 +48,9 @@
 		if err := group.Wait(); err != nil {
 			return errs.Wrap(err, errs.Internal, "run the sweep")
 		}
-		fmt.Printf("%s: %d seeds done, %d broken so far\n", kind, a.Seeds, failed.Load())
+		fmt.Printf("%s: %d seeds done, %d broken so far\n", kind, a.Seeds, failedSeeds.Load())
 	}
-	if n := failed.Load(); n > 0 {
+	if n := failedSeeds.Load(); n > 0 {
 		return errs.New(errs.Unhealthy, "%d seeds violated a rule", n)
 	}
 	return nil
--- a/internal/cli/apply.go
+++ b/internal/cli/apply.go
@@ -164,8 +164,8 @@
 		return err
 	}
 	if d.path != "/v1/charter" {
-		was, _ := config.ReadWorkers(base)
-		base = was.Encode()
+		current, _ := config.ReadWorkers(base)
+		base = current.Encode()
 	}
 	differences, err := config.Diff(base, d.body)
 	if err != nil {
--- a/internal/cli/doctor.go
+++ b/internal/cli/doctor.go
@@ -102,7 +102,7 @@
 	stores, managers, zones, clusters := 0, 0, map[string]bool{}, map[int64]bool{}
 	for _, m := range s.Members {
 		if !m.IsFresh {
-			add(true, m.Name, "its view is stale: it accepts and starts no messages", "check its network path to the managers, and its log")
+			add(true, m.Name, "its view is stale: it accepts and starts no work", "check its network path to the managers, and its log")
 		} else if m.Revision < s.Revision {
 			add(false, m.Name, fmt.Sprintf("holds configuration revision %d, the newest is %d", m.Revision, s.Revision), "it should catch up within the configured bound; run the doctor again")
 		}
@@ -117,7 +117,7 @@
 				add(true, m.Name, "its disk is nearly full: its places reject new messages", "free space on the disk, or retire the store")
 			}
 			if n := m.Counts[store.UnknownTimeCount]; n > 0 {
-				add(false, m.Name, fmt.Sprintf("no replica had the time of %d of its places when it became their owner", n),
+				add(false, m.Name, fmt.Sprintf("the time of %d of its places was unknown when it became their owner", n),
 					"delays and patience there end late, by as long as all of their stores were down; see the metric place_time_seconds")
 			}
 			if m.Counts["segments"] > 8 {
@@ -140,25 +140,25 @@
 		add(false, "managers", fmt.Sprintf("only %d in this deployment", managers), "start another: without a manager, the view of every daemon goes stale")
 	}
 	groups := func(kind string, list []manager.StatusGroup) {
-		missing, under, behind := 0, 0, 0
+		withoutOwner, underReplicated, lagging := 0, 0, 0
 		for _, g := range list {
 			switch {
 			case g.Owner == "":
-				missing++
+				withoutOwner++
 			case g.Voters < 3:
-				under++
+				underReplicated++
 			case g.Lag > 1000:
-				behind++
+				lagging++
 			}
 		}
-		if missing > 0 {
-			add(true, kind, fmt.Sprintf("%d have no owner", missing), "is a majority of the stores up?")
+		if withoutOwner > 0 {
+			add(true, kind, fmt.Sprintf("%d have no owner", withoutOwner), "is a majority of the stores up?")
 		}
-		if under > 0 {
-			add(false, kind, fmt.Sprintf("%d have fewer than three replicas", under), "is a store down, or retired without a replacement?")
+		if underReplicated > 0 {
+			add(false, kind, fmt.Sprintf("%d have fewer than three replicas", underReplicated), "is a store down, or retired without a replacement?")
 		}
-		if behind > 0 {
-			add(false, kind, fmt.Sprintf("%d have a replica that is far behind", behind), "a store is down, or catching up")
+		if lagging > 0 {
+			add(false, kind, fmt.Sprintf("%d have a replica that is far behind", lagging), "a store is down, or catching up")
 		}
 	}
 	groups("places", s.Places)
--- a/internal/cli/doctor_test.go
+++ b/internal/cli/doctor_test.go
@@ -42,7 +42,7 @@
 		{"store-a: its view is stale", true, func(s *manager.Status) { s.Members[0].IsFresh = false }},
 		{"store-a: holds configuration revision 6", false, func(s *manager.Status) { s.Members[0].Revision = 6 }},
 		{"store-a: its disk is nearly full", true, func(s *manager.Status) { s.Members[0].Counts["full"] = 1 }},
-		{"store-a: no replica had the time of 2 of its places when it became their owner", false, func(s *manager.Status) { s.Members[0].Counts["untimed"] = 2 }},
+		{"store-a: the time of 2 of its places was unknown when it became their owner", false, func(s *manager.Status) { s.Members[0].Counts["untimed"] = 2 }},
 		{"store-a: its log has 9 segments", false, func(s *manager.Status) { s.Members[0].Counts["segments"] = 9 }},
 		{"stores: they belong to 2 separate deployments", true, func(s *manager.Status) {
 			s.Members[0].Counts["cluster"], s.Members[2].Counts["cluster"] = 5, 6
--- a/internal/cli/messagetrace.go
+++ b/internal/cli/messagetrace.go
@@ -42,9 +42,9 @@
 	}
 	_ = group.Wait()
 	traces := []*daemonTrace{}
-	for _, p := range results {
-		if p != nil {
-			traces = append(traces, p)
+	for _, trace := range results {
+		if trace != nil {
+			traces = append(traces, trace)
 		}
 	}
 	if t.args.Json {
@@ -55,8 +55,8 @@
 	if len(traces) == 0 {
 		return errs.New(errs.Unknown, "no daemon has a record of message %s: it ended longer ago than results are kept, or its place has no owner", c.Id)
 	}
-	for _, p := range traces {
-		fmt.Fprintln(t.out, p.text())
+	for _, trace := range traces {
+		fmt.Fprintln(t.out, trace.text())
 	}
 	return nil
 }
@@ -76,20 +76,20 @@
 }
 
 // text formats a report as one line.
-func (p *daemonTrace) text() string {
-	if p.Error != "" {
-		return fmt.Sprintf("%s: query failed: %s", p.Daemon, p.Error)
+func (d *daemonTrace) text() string {
+	if d.Error != "" {
+		return fmt.Sprintf("%s: query failed: %s", d.Daemon, d.Error)
 	}
-	report := gjson.ParseBytes(p.Report)
+	report := gjson.ParseBytes(d.Report)
 	if runs := report.Get("runs"); runs.Exists() {
 		out := ""
 		for _, run := range runs.Array() {
-			out += fmt.Sprintf("%s: run %d at %s/%s, stage %s for %d ms", p.Daemon, run.Get("attempt").Int(), run.Get("pool").Str,
+			out += fmt.Sprintf("%s: run %d at %s/%s, stage %s for %d ms", d.Daemon, run.Get("attempt").Int(), run.Get("pool").Str,
 				run.Get("worker").Str, run.Get("stage").Str, run.Get("since_ms").Int())
 		}
 		return out
 	}
-	out := fmt.Sprintf("%s: owner of place %d in term %d; %s, %d runs begun; waits for %s", p.Daemon, report.Get("place").Int(), report.Get("term").Int(),
+	out := fmt.Sprintf("%s: owner of place %d in term %d; %s, %d runs begun; waits for %s", d.Daemon, report.Get("place").Int(), report.Get("term").Int(),
 		report.Get("state").Str, report.Get("attempt").Int(), report.Get("waits_for").Str)
 	if behind := report.Get("behind").Str; behind != "" {
 		out += " " + behind
@@ -101,7 +101,7 @@
 		out += fmt.Sprintf(", %d ms more", left)
 	}
 	if run := report.Get("run"); run.Exists() {
-		out += fmt.Sprintf("; run at %s by %s (life %s, session %t, away %d ms)", run.Get("worker").Str, run.Get("adapter").Str, run.Get("boot").Str,
+		out += fmt.Sprintf("; run at %s by %s (boot %s, session %t, away %d ms)", run.Get("worker").Str, run.Get("adapter").Str, run.Get("boot").Str,
 			run.Get("is_member").Bool(), run.Get("away_ms").Int())
 	}
 	for _, pool := range report.Get("pools").Array() {
--- a/internal/cli/messagetrace_test.go
+++ b/internal/cli/messagetrace_test.go
@@ -47,7 +47,7 @@
 			code, out, _ := runTrace("", [3]string{"s1", "store", daemon(owner)}, [3]string{"s2", "store", daemon("")}, [3]string{"a1", "adapter", daemon(runs)},
 				[3]string{"m1", "manager", "127.0.0.1:1"})
 			So(code, ShouldEqual, ExitOk)
-			So(out, ShouldContainSubstring, "s1: owner of place 4 in term 9; started, 2 runs begun; waits for its run; run at w by a1 (life b, session false, away 1200 ms); pool p: 3 eligible workers, 3 resting, 1 requests in progress\n")
+			So(out, ShouldContainSubstring, "s1: owner of place 4 in term 9; started, 2 runs begun; waits for its run; run at w by a1 (boot b, session false, away 1200 ms); pool p: 3 eligible workers, 3 resting, 1 requests in progress\n")
 			So(out, ShouldContainSubstring, "a1: run 2 at p/w, stage owner for 800 ms\n")
 			So(out, ShouldNotContainSubstring, "s2")
 		})
