--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -130,7 +130,7 @@
 // errOut. A file argument of - and --stdin read standard input.
 func Main(args []string, out, errOut io.Writer) int { return run(args, os.Stdin, out, errOut) }
 
-// run is Main with standard input replaced by in for API keys.
+// run is Main, but reads API keys from in instead of standard input.
 func run(args []string, in io.Reader, out, errOut io.Writer) int {
 	t := &runner{in: in, out: out, errOut: errOut, client: resty.New()}
 	parser, err := arg.NewParser(arg.Config{Program: "caperwheel"}, &t.args)
--- a/internal/cli/doctor_test.go
+++ b/internal/cli/doctor_test.go
@@ -34,7 +34,7 @@
 // TestDoctor injects the fault that each of the doctor's checks looks for.
 func TestDoctor(t *testing.T) {
 	cases := []struct {
-		says        string
+		finding     string
 		isGrave     bool
 		injectFault func(s *manager.Status)
 	}{
@@ -64,12 +64,12 @@
 	Convey("The doctor finds no faults in a healthy deployment", t, func() { So(checkStatus(healthyStatus()), ShouldBeEmpty) })
 	Convey("The doctor reports", t, func() {
 		for _, c := range cases {
-			Convey(c.says, func() {
+			Convey(c.finding, func() {
 				s := healthyStatus()
 				c.injectFault(&s)
 				found := ""
 				for _, f := range checkStatus(s) {
-					if line := f.Where + ": " + f.Fault; strings.HasPrefix(line, c.says) {
+					if line := f.Where + ": " + f.Fault; strings.HasPrefix(line, c.finding) {
 						found = line
 						So(f.IsSevere, ShouldEqual, c.isGrave)
 						So(f.Remedy, ShouldNotBeEmpty)
--- a/internal/cli/tenants_test.go
+++ b/internal/cli/tenants_test.go
@@ -96,7 +96,7 @@
 	cases := []struct {
 		name, line, input string
 		code              int
-		says              string // in either output
+		want              string // contained in either output
 	}{
 		{"a list", "tenants list", "", ExitOk, "halls                       1            5           10\n"},
 		{"a list in JSON", "--json tenants list", "", ExitOk, `"` + prefix + `"`},
@@ -116,18 +116,18 @@
 		{"the last key", "tenants remove-key halls " + prefix, "", ExitOk, "halls has no key left"},
 		{"a key in capitals", "tenants remove-key halls " + strings.ToUpper(prefix), "", ExitOk, "stamp 8"},
 		{"a key that the tenant does not have", "tenants remove-key halls 0123456789", "", ExitFailed, "unknown: tenant halls has no key"},
-		{"a key by too few digits", "tenants remove-key halls " + prefix[:minHashDigits-1], "", ExitUsage, "at least 8 digits"},
+		{"a key named by too few digits of its hash", "tenants remove-key halls " + prefix[:minHashDigits-1], "", ExitUsage, "at least 8 digits"},
 		{"a tenant to remove", "tenants remove halls", "", ExitOk, "stamp 8"},
 		{"a tenant to remove that does not exist", "tenants remove other", "", ExitFailed, "unknown"},
-		{"no command", "tenants", "", ExitUsage, "add-key"},
-		{"all, checked by the doctor", "doctor", "", ExitFailed, "note  tenant growers: it has no key"},
+		{"no subcommand", "tenants", "", ExitUsage, "add-key"},
+		{"all tenants, checked by the doctor", "doctor", "", ExitFailed, "note  tenant growers: it has no key"},
 	}
 	Convey("A command on", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				manager := newManagerWithTenants()
 				got := manager.runCommand(c.line, c.input)
-				So(got.out+got.err, ShouldContainSubstring, c.says)
+				So(got.out+got.err, ShouldContainSubstring, c.want)
 				So(got.code, ShouldEqual, c.code)
 				So(manager.revision, ShouldEqual, map[bool]int{true: 8, false: 7}[strings.Contains(got.err, "stamp 8")])
 				for _, secret := range []string{keyOne, keyTwo, config.HashApiKey(keyOne).String(), config.HashApiKey(keyTwo).String()} {
