--- a/internal/sim/clusterfaults.go
+++ b/internal/sim/clusterfaults.go
@@ -10,13 +10,13 @@
 	"caperwheel/internal/manager"
 )
 
-// ClusterFaults are troubles of many daemons, of the links or of the operators' answers.
-// Each tells for how long it lasts.
+// ClusterFaults are faults that hit many daemons, the links, or the replies to operators, by name. Each
+// function starts its fault and returns for how long the fault may delay replication.
 var ClusterFaults = map[string]func(d *Deployment) time.Duration{
 	"lost answers": func(d *Deployment) time.Duration {
 		d.LostReplies = 700
 		d.After(10*time.Second, func() { d.LostReplies = 0 })
-		return 0 // of no concern to the daemons
+		return 0 // replies to operators do not affect the daemons
 	},
 	"resets": func(d *Deployment) time.Duration {
 		here := d.presentMachines()
@@ -24,9 +24,9 @@
 		return 0
 	},
 	"power loss of all": func(d *Deployment) time.Duration {
-		d.Tracef("all lose power")
+		d.Tracef("all machines lose power")
 		for _, m := range d.presentMachines() {
-			if m.store.isUp { // else it is away as it is
+			if m.store.isUp { // otherwise the machine is down already, through another fault
 				m.stop(true)
 				d.After(time.Duration(d.Rand.IntN(1000))*time.Millisecond, m.start)
 			}
@@ -34,7 +34,7 @@
 		return time.Second
 	},
 	"kill of all": func(d *Deployment) time.Duration {
-		d.Tracef("all are killed")
+		d.Tracef("all processes are killed")
 		for _, m := range d.presentMachines() {
 			if m.store.isUp {
 				m.stop(false)
@@ -60,21 +60,23 @@
 	},
 }
 
-// injectClusterFaults brings troubles beside the losses until the given time.
+// injectClusterFaults starts one of the named cluster faults after another until the given time,
+// independently of the machine faults.
 func (d *Deployment) injectClusterFaults(names []string, end time.Duration) {
 	d.Go(nil, func(_ context.Context, t *task) {
 		t.sleep(5 * time.Second)
 		for len(names) > 0 && d.now < end {
 			name := names[d.Rand.IntN(len(names))]
-			d.Tracef("trouble: %s", name)
+			d.Tracef("cluster fault: %s", name)
 			d.faults.clusterFaultsUntil = max(d.faults.clusterFaultsUntil, d.now+ClusterFaults[name](d))
 			t.sleep(time.Duration(2000+d.Rand.IntN(10000)) * time.Millisecond)
 		}
 	})
 }
 
-// retireMachines retires one machine after another, whatever else goes on: a new one
-// comes first, and the old one goes with its disk as soon as it is told done.
+// retireMachines retires one machine after another until the given time, while other faults go on. A
+// replacement is added first; the old machine and its disk are removed as soon as the retirement is reported
+// done.
 func (d *Deployment) retireMachines(end time.Duration) {
 	d.Go(nil, func(ctx context.Context, t *task) {
 		for {
@@ -101,12 +103,14 @@
 	})
 }
 
+// nextMachineName returns an unused machine name.
 func nextMachineName(d *Deployment) string {
 	d.serial++
 	return "n" + string(rune('a'+d.serial%26)) + string(rune('a'+d.serial/26%26)) + string(rune('a'+d.serial/676%26))
 }
 
-// retireMachine asks for a retirement until it is taken, and then until it is done.
+// retireMachine requests a retirement until a manager accepts it, then polls its progress. It reports
+// whether the retirement was reported done.
 func (d *Deployment) retireMachine(ctx context.Context, t *task, m *machine) bool {
 	for range 400 {
 		if m.isRemoved || d.hasEndedFaults {
@@ -117,7 +121,7 @@
 			return &operationReply{err}
 		}).(*operationReply)
 		if isAnswered && errs.Is(err.err, errs.Rejected) || isAnswered && errs.Is(err.err, errs.Unknown) {
-			d.recordBreach("the retirement of %s is refused: %v", m.name, err.err)
+			d.recordBreach("the retirement of %s was refused: %v", m.name, err.err)
 			return false
 		}
 		if isAnswered && err.err == nil {
@@ -125,7 +129,7 @@
 		}
 		t.sleep(100 * time.Millisecond)
 	}
-	d.Tracef("%s is to retire", m.name)
+	d.Tracef("the retirement of %s is accepted", m.name)
 	for range 400 {
 		if d.hasEndedFaults {
 			return false
@@ -135,7 +139,7 @@
 			return &progressReply{state, err}
 		}).(*progressReply)
 		if d.mutant == EarlyRemoval || isAnswered && got.err == nil && got.state.IsDone && got.state.IsRetired {
-			d.Tracef("%s is told retired", m.name)
+			d.Tracef("the retirement of %s is reported done", m.name)
 			d.checkRetired(m)
 			return true
 		}
@@ -144,23 +148,26 @@
 	return false
 }
 
+// operationReply is the reply to an operation that returns an error only.
 type operationReply struct{ err error }
 
+// progressReply is the reply to a query for a retirement's progress.
 type progressReply struct {
 	state manager.RetirementProgress
 	err   error
 }
 
-// checkRetired judges that a retired machine may go: no group needs it.
+// checkRetired checks that no group has a retired machine in its roster any more.
 func (d *Deployment) checkRetired(m *machine) {
 	for _, id := range groupIds() {
 		_, members := d.ownerAndRoster(id)
 		if slices.Contains(members, m.store.memberId()) {
-			d.recordBreach("%s is told retired and still stands in group %d: %v", m.name, id, members)
+			d.recordBreach("%s is reported retired but still stands in group %d: %v", m.name, id, members)
 		}
 	}
 }
 
+// selectNames returns the selected names of a map in order; all if none are selected.
 func selectNames[F any](all map[string]F, selected []string) []string {
 	out := []string{}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
--- a/internal/sim/featurelevel_test.go
+++ b/internal/sim/featurelevel_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/place"
 )
 
-// runMixedBuilds runs a place one of whose stores is of an older build until a moment, under faults,
-// and returns the levels of the replicas at the end.
+// runMixedBuilds runs a place under faults with one store on an older build; at the given time that store is
+// restarted with the current build. It returns the feature levels of the replicas at the end.
 func runMixedBuilds(mutant Mutant, seed uint64, until time.Duration, faultNames ...string) (levels []int64, breaches []check.Breach) {
 	p := newMixedPlaceCluster(NewWorld(seed), 3, mutant, func(name string) int64 {
 		if name == "s3" {
@@ -33,8 +33,8 @@
 	return levels, breaches
 }
 
-// TestFeatureLevel: a change of what commands mean is switched on in the log of a group, once
-// each replica of its roster has told that it can apply it.
+// TestFeatureLevel covers feature levels: a changed meaning of commands is enabled through the group's log,
+// and only after every replica of the roster has reported that it supports the new level.
 func TestFeatureLevel(t *testing.T) {
 	faultNames := []string{"killed stores", "handed over", "power loss of all", "stores cut off", "frozen stores", "killed adapters"}
 	type result struct {
@@ -53,18 +53,18 @@
 	_, blind := runMixedBuilds(UncheckedLevels, 1, time.Hour, "nothing")
 	Convey("In a fleet of two builds, in seed", t, func() {
 		for name, r := range upgraded {
-			Convey(name+" the level is raised once the older store has come to the newer build", func() {
+			Convey(name+" the level is raised once the older store runs the newer build", func() {
 				So(r.breaches, ShouldBeEmpty)
 				So(r.levels, ShouldResemble, []int64{place.NewestLevel, place.NewestLevel, place.NewestLevel})
 			})
 		}
 		for name, r := range stillMixed {
-			Convey(name+" it is not while that one stays", func() {
+			Convey(name+" the level is not raised while one store runs the older build", func() {
 				So(r.breaches, ShouldBeEmpty)
 				So(r.levels, ShouldResemble, []int64{0, 0, 0})
 			})
 		}
-		Convey("an owner that does not ask is found", func() {
+		Convey("an owner that does not check the level of its replicas is detected", func() {
 			So(fmt.Sprint(blind), ShouldContainSubstring, "s3 gets a command of level")
 		})
 	})
--- a/internal/sim/keys_test.go
+++ b/internal/sim/keys_test.go
@@ -7,11 +7,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// keySeeds are those played in continuous integration; more are swept by hand.
+// keySeeds is the number of seeds run in continuous integration; larger sweeps are run by hand.
 const keySeeds = 20
 
-// TestOperationKeysRunOnce guards against TWICE: two sends of a tenant with one operation key both ran, the second
-// brought to its place after the end of the first was forgotten.
+// TestOperationKeysRunOnce guards against double execution: two sends of a tenant with one operation key
+// both ran, because the second reached its place after the final state of the first had been deleted.
 func TestOperationKeysRunOnce(t *testing.T) {
 	play := func(mutant Mutant) (found string, worlds int) {
 		for seed := uint64(1); seed <= keySeeds && found == ""; seed++ {
@@ -20,12 +20,12 @@
 		}
 		return found, worlds
 	}
-	Convey("Of each operation one send runs, through frozen, cut and killed stores and owners that change", t, func() {
+	Convey("Each operation runs once while stores are frozen, cut off and killed and owners change", t, func() {
 		found, worlds := play(NoMutant)
 		So(found, ShouldBeEmpty)
 		So(worlds, ShouldEqual, keySeeds)
 	})
-	Convey("It does not where an end is kept for the window alone, or fronts name each send anew", t, func() {
+	Convey("Double runs are detected if final states are kept for the key window only, or each send has an id of its own", t, func() {
 		for _, mutant := range []Mutant{ShortRetention, NewIdForRetry} {
 			found, _ := play(mutant)
 			So(found, ShouldContainSubstring, "TWICE")
--- a/internal/sim/lifecycle.go
+++ b/internal/sim/lifecycle.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// lifecycle is a daemon's life under simulation.
+// lifecycle is the state of a simulated process: whether it runs, how often it has been started or stopped,
+// and until when it is frozen.
 type lifecycle struct {
 	isUp        bool
 	generation  int
-	frozenUntil time.Duration // nothing is done before this
+	frozenUntil time.Duration // the process does no work before this time
 }
 
-// runWhenThawed does work now, or when the freeze ends; never in another life.
+// runWhenThawed runs work now or, if the process is frozen, when the freeze ends. The work is dropped if the
+// process has stopped or restarted by then.
 func (w *World) runWhenThawed(b *lifecycle, work func()) {
 	generation := b.generation
 	w.After(max(0, b.frozenUntil-w.now), func() {
--- a/internal/sim/machinefaults.go
+++ b/internal/sim/machinefaults.go
@@ -9,19 +9,19 @@
 	"caperwheel/internal/group"
 )
 
-// troubles are what goes wrong in a run. One machine at a time is lost; the next
-// goes exactly CatchUpTime after the last is back, or after its successor's start.
-// Herd troubles come beside.
+// faultState holds the faults under way in a run. At most one machine is lost at a time; the next loss
+// begins exactly CatchUpTime after the previous machine is back or its replacement has started. Cluster
+// faults occur independently.
 type faultState struct {
-	clusterFaultsUntil time.Duration // links and herds are well again from then on
-	retiring           *machine      // it is being retired
+	clusterFaultsUntil time.Duration // end of the last cluster fault's effect on links and machines
+	retiring           *machine      // the machine that is being retired
 	lost               *machine
-	cutNewMachine      func(other string) // cuts whoever comes off from the one that is cut off; nil for none
+	cutNewMachine      func(other string) // cuts a newly added machine off from the isolated one; nil if none is isolated
 	lossCount          int
 }
 
-// MachineFaults are the ways in which one machine is lost. Each ends when the machine
-// or its successor is back.
+// MachineFaults are the ways in which one machine is lost, by name. Each function returns when the machine
+// or its replacement is back.
 var MachineFaults = map[string]func(d *Deployment, t *task, m *machine){
 	"cut off":     func(d *Deployment, t *task, m *machine) { d.isolate(t, m, true, true, false) },
 	"apart":       func(d *Deployment, t *task, m *machine) { d.isolate(t, m, true, true, true) },
@@ -50,7 +50,7 @@
 	"moved":                     func(d *Deployment, t *task, m *machine) { d.replace(t, m, m.name) },
 }
 
-// randomOutage is how long a machine is away: 20 s and more in one case of three.
+// randomOutage draws how long a machine is away: at least 20 s in one case of three.
 func (d *Deployment) randomOutage() time.Duration {
 	if d.Rand.IntN(3) == 0 {
 		return time.Duration(20000+d.Rand.IntN(5000)) * time.Millisecond
@@ -58,8 +58,8 @@
 	return time.Duration(200+d.Rand.IntN(7000)) * time.Millisecond
 }
 
-// isolate cuts a machine off for a while, also from machines that come meanwhile.
-// Where only the machines are cut, clients and followers still reach it.
+// isolate cuts a machine off for a while, also from machines that are added meanwhile. With isOnlyMachines,
+// operators and subscribers can still reach it.
 func (d *Deployment) isolate(t *task, m *machine, isOutward, isInward, isOnlyMachines bool) {
 	d.faults.cutNewMachine = func(other string) {
 		if isOutward {
@@ -91,8 +91,8 @@
 	m.start()
 }
 
-// wipeDuringPowerLoss has a machine lose its disk while all others lose power at the
-// same moment, those too that hold no state. The wiped one comes back last.
+// wipeDuringPowerLoss wipes the disk of one machine while all other machines and the subscribers, which hold
+// no state, lose power at the same moment. The wiped machine starts last.
 func (d *Deployment) wipeDuringPowerLoss(t *task, m *machine) {
 	others := slices.DeleteFunc(d.presentMachines(), func(other *machine) bool { return other == m })
 	m.stop(true)
@@ -109,22 +109,23 @@
 	m.start()
 }
 
-// remove takes a machine away for good, with its disk.
+// remove removes a machine and its disk permanently.
 func (d *Deployment) remove(m *machine) {
 	m.stop(true)
 	m.isRemoved = true
-	d.Tracef("%s is gone for good", m.name)
+	d.Tracef("%s is removed permanently", m.name)
 }
 
-// replace takes a machine away and brings a blank one in its place, at a new
-// address; it knows the old seeds only.
+// replace removes a machine and starts a replacement with a blank disk at a new address. The replacement has
+// the original seed addresses only.
 func (d *Deployment) replace(t *task, m *machine, name string) {
 	d.remove(m)
 	t.sleep(time.Duration(d.Rand.IntN(3000)) * time.Millisecond)
 	d.add(name, fmt.Sprintf("m%d", len(d.machines)+1), m.zone).start()
 }
 
-// mayRemove: somebody must stay whom new daemons find by the old seeds.
+// mayRemove reports whether a machine may be removed: at least one of the seed machines must remain, so that
+// new daemons can join through the seed addresses.
 func (d *Deployment) mayRemove(m *machine) bool {
 	for _, seed := range d.machines[:replicaCount] {
 		if seed != m && !seed.isRemoved && seed != d.faults.retiring && seed != d.faults.lost {
@@ -134,7 +135,7 @@
 	return false
 }
 
-// lose loses one machine after another until the given time.
+// injectMachineFaults causes one machine fault after another until the given time.
 func (d *Deployment) injectMachineFaults(names []string, end time.Duration) {
 	d.Go(nil, func(_ context.Context, t *task) {
 		t.sleep(6 * time.Second)
@@ -148,18 +149,19 @@
 				t.sleep(time.Millisecond)
 				continue
 			}
-			d.Tracef("%s is lost: %s", m.name, name)
+			d.Tracef("machine fault on %s: %s", m.name, name)
 			d.faults.lost = m
 			MachineFaults[name](d, t, m)
 			d.faults.lost = nil
 			d.faults.lossCount++
-			d.Tracef("%s or its successor is back", m.name)
+			d.Tracef("%s or its replacement is back", m.name)
 			d.awaitCatchUp(t, name, m.name)
 		}
 	})
 }
 
-// awaitCatchUp waits until all must be whole again, and looks.
+// awaitCatchUp waits until CatchUpTime after the last fault, then checks that every group has enough
+// up-to-date copies.
 func (d *Deployment) awaitCatchUp(t *task, what, name string) {
 	for back := d.now; ; {
 		since := max(back, d.faults.clusterFaultsUntil)
@@ -175,8 +177,8 @@
 	}
 }
 
-// missing reports why a group would not outlive one more loss; empty if it would.
-// An election under way is no loss: the copies count.
+// describeMissingCopies returns a description of a group that would not survive the loss of one more
+// machine, or an empty string. It counts up-to-date copies only: an election under way is not a loss.
 func (d *Deployment) describeMissingCopies(id int64) string {
 	members, commit := d.mostAdvancedRoster(id)
 	all, upToDate := group.Voters(members), 0
@@ -192,7 +194,8 @@
 	return ""
 }
 
-// mostAdvancedRoster is the roster of the replica that has gone furthest.
+// mostAdvancedRoster returns the roster and commit index of the running replica with the highest commit
+// index.
 func (d *Deployment) mostAdvancedRoster(id int64) (members []string, commit int64) {
 	commit = -1
 	for _, m := range d.presentMachines() {
@@ -203,5 +206,5 @@
 	return members, commit
 }
 
-// maxCommitLag is how many entries a whole copy may be behind while more come.
+// maxCommitLag is how many entries an up-to-date copy may lack while further entries are being appended.
 const maxCommitLag = 20
--- a/internal/sim/main_test.go
+++ b/internal/sim/main_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain drops the daemons' log lines: thousands of simulated lives would fill what tests print.
+// TestMain discards the daemons' log lines: thousands of simulated processes would flood the tests' output.
 func TestMain(m *testing.M) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/internal/sim/managerprocess.go
+++ b/internal/sim/managerprocess.go
@@ -15,7 +15,8 @@
 	"caperwheel/internal/wire"
 )
 
-// managerProcess is a manager: sessions, feed, and the operators' own code.
+// managerProcess is a simulated manager: its session registry, its view of the parts, and the code behind
+// the operators' interface.
 type managerProcess struct {
 	process
 	registry    *session.Registry
@@ -46,7 +47,7 @@
 	p.every(func() time.Duration { return p.d.bound(timing.Poll) }, p.operators.ObserveStores)
 }
 
-// handleRequest serves sessions and peers.
+// handleRequest answers polls of sessions and the session exchange of other managers.
 func (p *managerProcess) handleRequest(request any, answer func(any)) {
 	now := p.now()
 	switch m := request.(type) {
@@ -59,10 +60,13 @@
 	}
 }
 
+// localSessions returns the sessions that this manager holds, for the other managers.
 func (p *managerProcess) localSessions() *wire.Share {
 	return &wire.Share{Who: p.who(), Members: p.registry.SessionsForPeers(p.now())}
 }
 
+// mergeSessions takes over another manager's sessions. A third manager among them is added only if it is
+// unknown here.
 func (p *managerProcess) mergeSessions(share *wire.Share) {
 	for _, member := range share.Members {
 		if member.Who.Kind == "manager" && member.Who.Name != share.Who.Name {
@@ -73,7 +77,7 @@
 	}
 }
 
-// share exchanges sessions with the other managers, and renews our own membership.
+// exchangeSessions exchanges sessions with the other managers and renews this manager's own membership.
 func (p *managerProcess) exchangeSessions() {
 	p.registry.Renew(wire.Member{Who: p.who()}, p.now(), true)
 	for _, addr := range p.managerAddrs() {
@@ -91,7 +95,7 @@
 	p.membership.Update(p.registry.Members(p.now()))
 }
 
-// pollParts asks every store for news of the parts that it owns.
+// pollParts polls every store for changes of the parts that it owns.
 func (p *managerProcess) pollParts() {
 	polledAt, generation := p.now(), p.generation
 	for _, who := range p.membership.OfKind("store") {
@@ -108,11 +112,12 @@
 	}
 }
 
-// startTask does an operator's work at this manager, in a task of its own.
+// startTask runs an operator's request at this manager in a task of its own.
 func (p *managerProcess) startTask(work func(ctx context.Context, o *manager.Operators)) {
 	p.d.Go(&p.lifecycle, func(ctx context.Context, _ *task) { work(ctx, p.operators) })
 }
 
+// voters returns the members of a roster that vote; the names of others begin with '~'.
 func voters(roster []string) []string {
 	return slices.DeleteFunc(slices.Clone(roster), func(m string) bool { return m[0] == '~' })
 }
--- a/internal/sim/mutants.go
+++ b/internal/sim/mutants.go
@@ -1,22 +1,23 @@
 package sim
 
-// Mutant takes one guard out of a deployment, so that a test sees whether the
-// rules notice.
+// Mutant removes one safeguard of the simulated system, so that a test can show that the checks detect its
+// absence. The value describes the resulting behaviour.
 type Mutant string
 
-// The mutants, each at a port of the simulation.
+// The mutants. Each is applied where the simulation meets the code under test; that code itself is
+// unchanged.
 const (
 	NoMutant           Mutant = ""
-	UnconfirmedReads   Mutant = "reads are answered without contact with a majority"
-	UnconditionalEdits Mutant = "an edit holds whatever it was based on"
-	NewIdForRetry      Mutant = "an order that is sent again has another digest"
-	EarlyDiskAck       Mutant = "the disk tells of syncs that were not done"
+	UnconfirmedReads   Mutant = "reads are answered without confirmation by a majority"
+	UnconditionalEdits Mutant = "an edit is applied whatever revision it was based on"
+	NewIdForRetry      Mutant = "a resent order has another digest"
+	EarlyDiskAck       Mutant = "the disk reports syncs that were not done"
 	KeptIdentity       Mutant = "a wiped member keeps its identity"
-	EarlyRemoval       Mutant = "a retired machine goes before its groups stand elsewhere"
-	StaleSnapshot      Mutant = "a snapshot has the state of the one before"
-	UncheckedViewAge   Mutant = "a daemon never looks how old its view is"
-	LocalGroupTime     Mutant = "a replica keeps its own count of the group's time where that is ahead"
-	UncheckedLevels    Mutant = "an owner raises the feature level without asking"
-	RepliesByPosition  Mutant = "an answer goes to the call that has waited longest"
-	ShortRetention     Mutant = "ends are kept for the window of operation keys and no longer"
+	EarlyRemoval       Mutant = "a retired machine is removed before its groups have moved"
+	StaleSnapshot      Mutant = "a snapshot contains the state of the previous one"
+	UncheckedViewAge   Mutant = "a daemon does not check the age of its view"
+	LocalGroupTime     Mutant = "a replica keeps its own count of group time when that is ahead"
+	UncheckedLevels    Mutant = "an owner raises the feature level without checking that its replicas support it"
+	RepliesByPosition  Mutant = "a reply goes to the oldest pending call"
+	ShortRetention     Mutant = "final states are kept for the window of operation keys only"
 )
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -9,26 +9,27 @@
 	"caperwheel/internal/transport"
 )
 
-// network carries calls between daemons, and from clients. A call may be lost,
-// refused before it was sent, or be reset with its fate unknown.
+// network carries calls between daemons and from operators. A call may be lost, refused before it was sent,
+// or reset with unknown effect.
 type network struct {
 	d             *Deployment
 	pending       []*networkCall
-	refusingAddrs map[string]bool // addresses of machines at which nobody listens
+	refusingAddrs map[string]bool // addresses of machines that refuse connections
 	resetCount    int
 }
 
+// networkCall is a call under way.
 type networkCall struct {
 	from, to string
 	sentAt   time.Duration
 	done     func(reply any, err error)
 }
 
-// callExpiry is when a call that was never answered is forgotten; whoever made
-// it has given up long before.
+// callExpiry is the age at which a call without a reply is dropped; its caller has timed out long before.
 const callExpiry = 10 * time.Second
 
-// machineAddr is a daemon's end of the network: its machine's, or its own.
+// machineAddr returns the process's address on the network: its machine's, or its own if it runs on no
+// machine.
 func (p *process) machineAddr() string {
 	if p.machine != nil {
 		return p.machine.addr
@@ -36,8 +37,8 @@
 	return p.addr
 }
 
-// call asks a daemon. done is called at most once, and never after the call
-// was given up.
+// call sends a request to a daemon; work carries it out there. done is called at most once, and not after
+// the call has expired.
 func (n *network) call(from string, to *process, work func(answer func(any)), done func(reply any, err error)) {
 	now := n.d.now
 	n.pending = slices.DeleteFunc(n.pending, func(c *networkCall) bool { return now-c.sentAt > callExpiry })
@@ -61,8 +62,8 @@
 	})
 }
 
-// answer brings a reply to the call that it answers. The mutant gives it to
-// whichever call has waited longest on that connection.
+// deliverReply delivers a reply to its call. Under the mutant RepliesByPosition it goes to the oldest
+// pending call on the same connection.
 func (n *network) deliverReply(c *networkCall, reply any) {
 	if n.d.mutant == RepliesByPosition {
 		for _, other := range n.pending {
@@ -75,6 +76,7 @@
 	n.finish(c, reply, nil)
 }
 
+// finish passes the result to the caller, unless the call has ended already.
 func (n *network) finish(c *networkCall, reply any, err error) {
 	if at := slices.Index(n.pending, c); at >= 0 {
 		n.pending = slices.Delete(n.pending, at, at+1)
@@ -82,19 +84,19 @@
 	}
 }
 
-// resetConnections breaks all connections of a machine: what is under way may have come
-// through or not.
+// resetConnections breaks all connections of a machine. Calls under way fail with errs.Lost; they may or may
+// not have taken effect.
 func (n *network) resetConnections(addr string) {
 	n.resetCount++
 	n.d.Tracef("all connections of %s are reset", addr)
 	for _, c := range slices.Clone(n.pending) {
 		if c.from == addr || c.to == addr {
-			n.finish(c, nil, errs.New(errs.Lost, "reset"))
+			n.finish(c, nil, errs.New(errs.Lost, "connection reset"))
 		}
 	}
 }
 
-// callAndWait asks a daemon from within a task, as transport.Peer.Call does.
+// callAndWait sends a request to a daemon and blocks the task until the reply, as transport.Peer.Call does.
 func (p *process) callAndWait(ctx context.Context, addr string, request any) (reply any, err error) {
 	to, isKnown := p.d.processAt(addr)
 	if !isKnown {
@@ -103,7 +105,7 @@
 	return p.d.awaitReply(ctx, p.machineAddr(), to, func(answer func(any)) { to.handler(request, answer) })
 }
 
-// awaitReply asks from within a task and waits for the answer or the deadline.
+// awaitReply sends a request from within a task and blocks until the reply or the deadline.
 func (d *Deployment) awaitReply(ctx context.Context, from string, to *process, work func(answer func(any))) (reply any, err error) {
 	c := simulatedContext(ctx)
 	c.t.suspend(func(resume func()) {
@@ -115,7 +117,7 @@
 			}
 		}
 		d.net.call(from, to, work, finish)
-		d.After(max(0, c.deadline-d.now), func() { finish(nil, errs.New(errs.DeadlineExceeded, "no answer")) })
+		d.After(max(0, c.deadline-d.now), func() { finish(nil, errs.New(errs.DeadlineExceeded, "no reply before the deadline")) })
 	})
 	return reply, err
 }
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -56,10 +56,10 @@
 	return wire.Who{Name: n.name, Kind: n.kind, Boot: n.boot(), Zone: n.zone()}
 }
 
-// zone: adapters stand each in one of their own, named by their number.
+// zone is the zone of the node: each adapter has a zone of its own, named after its number.
 func (n *node) zone() string { return n.name[1:] }
 
-// poll asks for news, as session.Client and the manager's follow do.
+// poll requests changes of the view, as session.Client does; a manager polls the stores instead.
 func (n *node) poll() {
 	polledAt := n.c.now
 	if n.kind == "manager" {
@@ -94,7 +94,7 @@
 	})
 }
 
-// share tells the other managers of our sessions, as managers do.
+// exchangeSessions sends this manager's sessions to the other managers, as real managers do.
 func (n *node) exchangeSessions() {
 	n.registry.Renew(wire.Member{Who: n.who()}, n.c.now, true)
 	sessions := n.registry.SessionsForPeers(n.c.now)
@@ -111,6 +111,7 @@
 	}
 }
 
+// pollPart polls one store for changes of the configuration part.
 func (n *node) pollPart(s *partStore, polledAt time.Duration) {
 	revision, generation := n.view.Revision(feed.ConfigPart), n.generation
 	n.c.Send(n.name, s.name, func() {
@@ -131,7 +132,8 @@
 	})
 }
 
-// sendEdit brings an edit to whichever store owns the part, and tells if it held.
+// sendEdit sends an edit to every store; the owner of the part applies it. onCommitted is called with the
+// revision once it is committed.
 func (n *node) sendEdit(e wire.Edit, onCommitted func(revision int64)) {
 	for _, s := range n.c.stores {
 		n.c.Send(n.name, s.name, func() {
--- a/internal/sim/operationkeys.go
+++ b/internal/sim/operationkeys.go
@@ -11,44 +11,45 @@
 	"caperwheel/internal/wire"
 )
 
-// Figures of a world of operation keys.
+// Parameters of the simulation of operation keys.
 const (
-	keysFaultTime   = 40 * time.Second       // in which operations begin and faults are caused
-	keyWindow       = 10 * time.Second       // in which an operation key names one message
-	keysInterval    = 150 * time.Millisecond // between two operations, of each tenant
-	maxRepeats      = 5                      // sends of one operation, besides the first
-	maxShortTimeout = 300 * time.Millisecond // the longest that some callers wait
-	keysSettleTime  = 150 * time.Second      // for all that is held to run, or to be given up
+	keysFaultTime   = 40 * time.Second       // time during which operations start and faults are injected
+	keyWindow       = 10 * time.Second       // time during which an operation key identifies one message
+	keysInterval    = 150 * time.Millisecond // between two operations of each tenant
+	maxRepeats      = 5                      // sends of one operation after the first
+	maxShortTimeout = 300 * time.Millisecond // upper bound of the callers' short time-outs
+	keysSettleTime  = 150 * time.Second      // time for all accepted messages to run or to expire
 )
 
-// sendAttempt is one try of an operation: the token that its run is known by, and when it was sent.
+// sendAttempt is one send of an operation: the token that identifies its run, and the time of the send.
 type sendAttempt struct {
 	token string
 	at    time.Duration
 }
 
-// keyedOperation is an operation: what one tenant sends with one key. Each send names the message anew, as fronts do that
-// know nothing of each other.
+// keyedOperation is an operation: all sends by one tenant with one operation key. Each send builds the
+// message anew, since the front ends do not share state.
 type keyedOperation struct {
 	tenant, key string
 	lane, order string
 	sends       []sendAttempt
-	acceptedId  string // the name that the first accepted send was told
+	acceptedId  string // message id returned by the first send that was accepted
 }
 
-// OperationKeys simulates a place whose callers send messages again with their operation keys.
+// OperationKeys simulates a place whose callers send messages repeatedly with operation keys.
 type OperationKeys struct {
 	*PlaceCluster
 	Breaches []string
 	byToken  map[string]*keyedOperation
 }
 
-// RunOperationKeys hurts a place while tenants send messages again, and holds each operation to one message.
+// RunOperationKeys injects faults into a place while tenants resend messages, and checks that each operation
+// runs as one message only.
 func RunOperationKeys(seed uint64, faults ...func(*PlaceCluster)) *OperationKeys {
 	return RunOperationKeysMutant(NoMutant, seed, faults...)
 }
 
-// RunOperationKeysMutant does the same with a guard taken out.
+// RunOperationKeysMutant is RunOperationKeys with one safeguard removed.
 func RunOperationKeysMutant(mutant Mutant, seed uint64, faults ...func(*PlaceCluster)) *OperationKeys {
 	k := &OperationKeys{PlaceCluster: NewPlaceCluster(NewWorld(seed), 3, mutant), byToken: map[string]*keyedOperation{}}
 	k.retention = timing.KeyRetention(keyWindow)
@@ -67,7 +68,7 @@
 	return k
 }
 
-// hurt causes a fault now and then, and starts what is down.
+// injectFaults injects a fault at random intervals and restarts stopped stores and adapters.
 func (k *OperationKeys) injectFaults(faults []func(*PlaceCluster)) {
 	if !k.isHealthy() {
 		k.degradedAt = k.now
@@ -83,7 +84,8 @@
 	}
 }
 
-// startOperations has two tenants send a message each with the same key, and some of them again within its window.
+// startOperations lets two tenants each send a message with the same operation key, and resends some of them
+// within the key's window.
 func (k *OperationKeys) startOperations() {
 	k.serial++
 	for _, tenant := range []string{"hall", "grower"} {
@@ -98,7 +100,8 @@
 	}
 }
 
-// messageId names the message of an operation as an intake does.
+// messageId returns the message id that an intake derives for the operation. Under the mutant NewIdForRetry
+// every send gets an id of its own.
 func (k *OperationKeys) messageId(o *keyedOperation) string {
 	if k.mutant == NewIdForRetry {
 		return fmt.Sprintf("0-%s-%d", o.key, k.Rand.Uint64())
@@ -106,7 +109,7 @@
 	return "0-" + intake.OperationToken(o.tenant, o.key)
 }
 
-// send makes one try.
+// sendOnce sends the operation's message once.
 func (k *OperationKeys) sendOnce(o *keyedOperation) {
 	token := fmt.Sprintf("%s/%s.%d", o.tenant, o.key, len(o.sends))
 	o.sends = append(o.sends, sendAttempt{token, k.now})
@@ -114,7 +117,7 @@
 	take := &wire.Take{Id: k.messageId(o), Lane: o.lane, Key: o.order, Body: []byte(token), Checksum: "sum of " + o.key,
 		Deadline: (2 * time.Minute).Milliseconds()}
 	timeout := timing.Default.Of(timing.SettleTimeout)
-	if k.Rand.IntN(3) == 0 { // the caller hangs up, and nobody knows what becomes of this try
+	if k.Rand.IntN(3) == 0 { // the caller gives up early, so the outcome of this send is unknown to it
 		timeout = time.Duration(k.Rand.Int64N(int64(maxShortTimeout)))
 	}
 	k.callOwner(timeout, func(p placeOwner, answer func(any)) { p.Take(take, answer) }, func(got *wire.Taken, _ bool) {
@@ -122,33 +125,36 @@
 			k.recordAccepted(o, got.Id)
 		}
 		if got != nil && got.Kind == string(errs.Rejected) {
-			k.Breaches = append(k.Breaches, fmt.Sprintf("%s was rejected, which nobody had asked for", token))
+			k.Breaches = append(k.Breaches, fmt.Sprintf("%s was rejected, but no caller had requested to settle it", token))
 		}
 	})
 }
 
+// recordAccepted checks that all accepted sends of an operation were given the same message id.
 func (k *OperationKeys) recordAccepted(o *keyedOperation, id string) {
 	switch {
 	case o.acceptedId == "":
 		o.acceptedId = id
 	case o.acceptedId != id:
-		k.Breaches = append(k.Breaches, fmt.Sprintf("%s of %s was accepted as %s and as %s", o.key, o.tenant, o.acceptedId, id))
+		k.Breaches = append(k.Breaches, fmt.Sprintf("operation %s of tenant %s was accepted under two message ids: %s and %s", o.key, o.tenant, o.acceptedId, id))
 	}
 }
 
-// judge: of an operation one send runs, however often it is sent. What becomes of it else, the kind "place" holds.
+// checkRunOnce checks that of all sends of an operation at most one has run. The other rules for messages
+// are checked by the sweep kind "place".
 func (k *OperationKeys) checkRunOnce() {
 	ran := map[*keyedOperation]string{}
 	for _, r := range k.runs {
 		o := k.byToken[r.Token]
 		if first, isKnown := ran[o]; isKnown && first != r.Token {
-			k.Breaches = append(k.Breaches, fmt.Sprintf("TWICE: %s and %s both ran: one operation key", first, r.Token))
+			k.Breaches = append(k.Breaches, fmt.Sprintf("TWICE: %s and %s both ran with one operation key", first, r.Token))
 		}
 		ran[o] = r.Token
 	}
 	k.Breaches = append(k.Breaches, breachTexts(k.breaches)...)
 }
 
+// breachTexts formats breaches as "rule: text".
 func breachTexts(breaches []check.Breach) (out []string) {
 	for _, b := range breaches {
 		out = append(out, b.Rule+": "+b.Text)
--- a/internal/sim/operators.go
+++ b/internal/sim/operators.go
@@ -13,11 +13,10 @@
 	"caperwheel/internal/wire"
 )
 
-// operatorCount is how many orders are under way at once.
+// operatorCount is the number of simulated operators; each has one order under way at a time.
 const operatorCount = 8
 
-// sendOrder is one change of the configuration, sent unchanged until it is answered
-// clearly.
+// order is one change of the configuration, resent unchanged until a manager confirms or refuses it.
 type order struct {
 	digest        string
 	version, base int64
@@ -27,11 +26,11 @@
 	return fmt.Appendf(nil, `{"note":"%s","version":%d}`, o.digest, o.version), nil
 }
 
-// operatorAddr is the operators' end of the network.
+// operatorAddr is the network address of the operators.
 const operatorAddr = "op"
 
-// runOperator has one operator work until the given time: it reads, and has the
-// next version made on what it read, as all others do.
+// runOperator simulates one operator until the given time: it reads the configuration and submits the next
+// version based on what it read. All operators do so concurrently.
 func (d *Deployment) runOperator(number int, end time.Duration) {
 	d.Go(nil, func(ctx context.Context, t *task) {
 		for d.now < end {
@@ -47,7 +46,8 @@
 	})
 }
 
-// ask has some manager do an operator's work; nil when no answer came.
+// callManager runs an operator's request at a random manager and returns its reply, or nil if none arrived
+// in time.
 func (d *Deployment) callManager(ctx context.Context, work func(ctx context.Context, o *manager.Operators) any) any {
 	here := d.presentMachines()
 	to := here[d.Rand.IntN(len(here))].manager
@@ -72,14 +72,14 @@
 	return reply
 }
 
-// callerContext ends the work for a caller that has hung up, also while whoever does
-// it stands still.
+// callerContext cancels a request whose caller has given up, also while the process that carries it out is
+// frozen.
 type callerContext struct {
-	work       *taskContext // nil until it begins
+	work       *taskContext // nil until the request begins
 	isCanceled bool
 }
 
-// of returns the context of the work, which is about to begin.
+// begin returns the context of the request, which is about to begin.
 func (c *callerContext) begin(ctx context.Context) context.Context {
 	task := simulatedContext(ctx)
 	c.work = &taskContext{Context: ctx, t: task.t, deadline: task.deadline, isCanceled: c.isCanceled}
@@ -93,6 +93,7 @@
 	}
 }
 
+// configReply is the reply to a read of the configuration.
 type configReply struct {
 	doc      []byte
 	revision int64
@@ -115,10 +116,10 @@
 	return version, true
 }
 
-// maxOrderAttempts bounds how often an order is sent.
+// maxOrderAttempts is the upper bound on how often an order is sent.
 const maxOrderAttempts = 40
 
-// sendOrder sends an order to one manager after another until it has a clear answer.
+// sendOrder sends an order to randomly chosen managers until one confirms or refuses it.
 func (d *Deployment) sendOrder(ctx context.Context, t *task, number int, o *order) {
 	call := linearize.Operation{Client: number, CalledAt: d.now, Kind: linearize.Replace, Outcome: linearize.Indeterminate,
 		Version: o.version, Base: o.base, Digest: o.digest}
@@ -144,10 +145,11 @@
 	d.oracle.operations = append(d.oracle.operations, call)
 }
 
+// verdict is the result of an order; if neither is set, the outcome is unknown.
 type verdict struct{ isConfirmed, isRefused bool }
 
-// propose is what a manager does with an order, and says as the platform's door
-// does: a conflict is a clear no, anything else that failed is not.
+// propose submits an order at a manager and classifies the result as the platform's interface does: a
+// conflict is a refusal, any other failure leaves the outcome open.
 func (d *Deployment) propose(ctx context.Context, ops *manager.Operators, o, sent *order) *verdict {
 	_, err := ops.Propose(ctx, manager.Proposal{By: "operator", Digest: sent.digest, BaseVersion: o.base, IsVersionBased: true, Build: o.doc})
 	switch {
@@ -161,8 +163,7 @@
 	return &verdict{}
 }
 
-// writeToPlaces has messages taken by the places until the given time; what is
-// acknowledged must never be lost.
+// writeToPlaces writes keys to the places until the given time. An acknowledged key must never be lost.
 func (d *Deployment) writeToPlaces(end time.Duration) {
 	d.Go(nil, func(ctx context.Context, t *task) {
 		for d.now < end {
@@ -190,7 +191,7 @@
 	})
 }
 
-// standing reports whether a key stands at the owner of a group.
+// keyRevision returns the revision of a key at the owner of a group, and whether the key exists there.
 func (d *Deployment) keyRevision(id int64, key string) (revision int64, exists bool) {
 	owner, _ := d.ownerAndRoster(id)
 	if owner == nil {
@@ -207,7 +208,7 @@
 	return revision, exists
 }
 
-// ownerConfigRevision is the revision of the configuration that its owner holds.
+// ownerConfigRevision returns the revision of the configuration at its owner.
 func (d *Deployment) ownerConfigRevision() int64 {
 	revision, _ := d.keyRevision(feed.ConfigPart, config.DocumentKey)
 	return revision
--- a/internal/sim/place.go
+++ b/internal/sim/place.go
@@ -18,31 +18,30 @@
 	"caperwheel/internal/wire"
 )
 
-// PlaceCluster simulates one place with its stores, adapters, workers and callers:
-// the real group, host, place owner and adapter's book, on a simulated clock,
-// network and disk.
+// PlaceCluster simulates one place with its stores, adapters, workers and callers. Group, host, place owner
+// and the adapters' run registry are the production code; clock, network and disk are simulated.
 type PlaceCluster struct {
 	*World
 	History           *check.History
 	stores            []*simStore
 	adapters          []*simAdapter
 	rules             *config.Rules
-	retention         time.Duration // for which ends are kept
+	retention         time.Duration // how long final states of messages are kept
 	serial            int
-	runs              []*check.Run  // as the workers saw them
+	runs              []*check.Run  // as the workers recorded them
 	FailedRuns        int           // share of runs that fail, in thousandths
-	LostReplies       int           // share of runs whose answer is lost
-	StalledRuns       int           // share of runs that take longer than their bound
-	BrokenConnections int           // share of runs whose connection breaks
-	accepted          []check.Sent  // to be asked for meanwhile
-	degradedAt        time.Duration // when something was last missing
+	LostReplies       int           // share of runs whose reply is lost, in thousandths
+	StalledRuns       int           // share of runs that may exceed their time-out, in thousandths
+	BrokenConnections int           // share of runs whose connection breaks, in thousandths
+	accepted          []check.Sent  // messages acknowledged to their callers; queryMessage reads their state
+	degradedAt        time.Duration // last time at which isHealthy was false
 	proposals         *proposalLog
 	mutant            Mutant
-	breaches          []check.Breach // found while it ran
-	storesDownUntil   time.Duration  // until then no store that is down comes back
+	breaches          []check.Breach // found while the simulation ran
+	storesDownUntil   time.Duration  // no stopped store is restarted before this time
 }
 
-// simStore is one store; it is the place's surroundings too.
+// simStore is one store. It is also the environment of its place.
 type simStore struct {
 	w             *PlaceCluster
 	name          string
@@ -53,25 +52,26 @@
 	place         *store.PlaceHost
 	membership    map[string]adapterSession
 	peers         []*simStore
-	resultBuffer  *repair.ResultBuffer // of adapters' results; gone when the store is killed
-	freshAt       time.Duration        // newest confirmation; before it is too old, the store may act
+	resultBuffer  *repair.ResultBuffer // results buffered for adapters; lost when the store is killed
+	freshAt       time.Duration        // newest confirmation of its view; the store acts until it is too old
 	diskFullUntil time.Duration        // its disk is full until then
-	frozenUntil   time.Duration        // nothing is done before this; what comes meanwhile waits
-	level         int64                // the newest feature level that its build can apply
+	frozenUntil   time.Duration        // no work is done before this time; events until then are deferred
+	level         int64                // the newest feature level that its build supports
 }
 
+// adapterSession is an adapter's session as one store has it.
 type adapterSession struct {
 	who     wire.Who
 	heardAt time.Duration
 }
 
-// NewPlaceCluster lays everything out and starts it.
+// NewPlaceCluster creates a place with three stores and the given number of adapters, and starts it.
 func NewPlaceCluster(w *World, adapters int, mutant Mutant) *PlaceCluster {
 	return newMixedPlaceCluster(w, adapters, mutant, func(string) int64 { return place.NewestLevel })
 }
 
-// newMixedPlaceCluster is NewPlaceCluster with stores of several builds: level tells which feature level each
-// can apply.
+// newMixedPlaceCluster is NewPlaceCluster with stores of several builds: level returns the newest feature
+// level that a store supports.
 func newMixedPlaceCluster(w *World, adapters int, mutant Mutant, level func(store string) int64) *PlaceCluster {
 	p := &PlaceCluster{World: w, History: check.NewHistory(), proposals: newProposalLog(w), mutant: mutant}
 	p.retention = time.Hour
@@ -102,13 +102,14 @@
 	return p
 }
 
-// compileRules are the rules of the simulation, with the pool's bound, and how long ends are kept.
+// compileRules compiles the simulation's configuration with the given run time-out of the pool and retention
+// of final states.
 func compileRules(runTimeout, retention time.Duration) *config.Rules {
 	rules, faults := config.Compile(fmt.Appendf(nil, `{"pools":{"work":{"bound":"%v"}},"lanes":{
 		"free":{"pools":["work"],"attempts":0,"patience":"2m","retention":"%v"},
 		"seq":{"pools":["work"],"attempts":4,"ordering":"key","patience":"2m","retention":"%v"}}}`, runTimeout, retention, retention))
 	if len(faults) > 0 {
-		panic(errs.New(errs.Internal, "rules of the simulation: %v", faults))
+		panic(errs.New(errs.Internal, "compile the configuration of the simulation: %v", faults))
 	}
 	return rules
 }
@@ -141,7 +142,7 @@
 	s.startTicking(s.dispatch)
 }
 
-// schedule does work of the host once a time has passed, in this life and when thawed.
+// schedule runs work of the host after a delay, once the store is not frozen; not after a restart.
 func (s *simStore) schedule(span time.Duration, work func()) {
 	generation := s.generation
 	s.w.After(max(span, s.frozenUntil-s.w.now), func() {
@@ -156,7 +157,7 @@
 	})
 }
 
-// tick lets the host live by the simulated clock, and does more with each tick.
+// startTicking ticks the host on the simulated clock and calls afterTick after each tick.
 func (s *simStore) startTicking(afterTick func()) {
 	generation := s.generation
 	var tick func()
@@ -173,7 +174,7 @@
 	tick()
 }
 
-// runPending does all that waits at the store, unless it is frozen.
+// runPending runs the host's pending work, unless the store is frozen.
 func (s *simStore) runPending() {
 	if s.w.now >= s.frozenUntil {
 		s.host.RunPending()
@@ -193,6 +194,7 @@
 	}
 }
 
+// sendGroupMessage sends a group message to another store of the place.
 func (s *simStore) sendGroupMessage(m wire.GroupMsg) {
 	for _, to := range s.peers {
 		if to.name == group.Name(m.To) {
@@ -206,14 +208,14 @@
 	}
 }
 
-// dispatcher stands for the dispatcher: while something is ready, it asks some
-// adapter for a slot.
+// dispatch stands in for the dispatcher: for messages that are ready it requests a permit from a random
+// adapter.
 func (s *simStore) dispatch() {
 	if !s.host.IsOwner() || !s.IsFresh() {
 		return
 	}
 	ready := s.place.Ready()
-	for _, lane := range slices.Sorted(maps.Keys(ready)) { // in order: a seed must replay exactly
+	for _, lane := range slices.Sorted(maps.Keys(ready)) { // in a fixed order, so that a seed replays exactly
 		for range min(ready[lane], 3) {
 			a := s.w.adapters[s.w.Rand.IntN(len(s.w.adapters))]
 			who, isMember := s.Find(a.name)
--- a/internal/sim/placefaults.go
+++ b/internal/sim/placefaults.go
@@ -7,12 +7,12 @@
 	"caperwheel/internal/check"
 )
 
-// PlaceFaults are the ways a place, its adapters and its workers are hurt.
+// PlaceFaults are the faults of a place, its adapters and its workers, by name.
 var PlaceFaults = map[string]func(p *PlaceCluster){
 	"nothing":       func(*PlaceCluster) {},
 	"killed stores": func(p *PlaceCluster) { p.randomStore().kill() },
 	"frozen stores": func(p *PlaceCluster) { p.randomStore().freeze() },
-	"no majority": func(p *PlaceCluster) { // two of three are down for seconds, and the third goes on alone
+	"no majority": func(p *PlaceCluster) { // two of three stores are down for seconds; the third keeps running
 		if i := p.Rand.IntN(3); p.isHealthy() {
 			p.stores[(i+1)%3].kill()
 			p.stores[(i+2)%3].kill()
@@ -26,7 +26,7 @@
 			s.runPending()
 		}
 	},
-	"handed over unheard": func(p *PlaceCluster) { // the old owner hears nothing of its successor
+	"handed over unheard": func(p *PlaceCluster) { // the old owner receives no messages from its successor
 		for _, s := range p.stores {
 			if s.isUp && p.now >= s.frozenUntil && s.host.IsOwner() {
 				for _, other := range p.stores {
@@ -39,7 +39,7 @@
 			}
 		}
 	},
-	"taken for gone": func(p *PlaceCluster) { // its links refuse, so the others take its process for ended
+	"taken for gone": func(p *PlaceCluster) { // its connections are refused, so the other stores consider its process ended
 		gone := p.randomStore()
 		if !gone.isUp {
 			return
@@ -74,7 +74,7 @@
 		p.randomStore().diskFullUntil = p.now + time.Duration(p.Rand.IntN(4000))*time.Millisecond
 	},
 	"lost cells": func(p *PlaceCluster) {
-		if i := p.Rand.IntN(3); p.now-p.degradedAt > 2*time.Second { // an adapter, its agent and its zone's store at once
+		if i := p.Rand.IntN(3); p.now-p.degradedAt > 2*time.Second { // adapter, agent and store of one zone
 			p.adapters[i].loseMachine()
 			p.stores[i].kill()
 		}
@@ -85,13 +85,13 @@
 		p.After(50*time.Millisecond, a.start)
 	},
 	"lost for good": func(p *PlaceCluster) {
-		if a := p.adapters[0]; !a.isRemoved { // one only: the others must serve
+		if a := p.adapters[0]; !a.isRemoved { // at most one adapter, so that the others can still serve
 			a.isRemoved = true
 			a.kill()
 		}
 	},
-	// The newest configuration's bound is not the one that runs were begun with. Each is
-	// over a tenth of the longest stall: a worker is not waited for any longer.
+	// The newest configuration's time-out differs from the one with which runs were started. Each is over a
+	// tenth of the longest stall, since a worker is not waited for any longer than that.
 	"changed bounds": func(p *PlaceCluster) {
 		p.rules = compileRules([]time.Duration{defaultRunTimeout / 2, defaultRunTimeout, 2 * defaultRunTimeout}[p.Rand.IntN(3)], p.retention)
 	},
@@ -106,7 +106,7 @@
 	"stores cut off":   func(p *PlaceCluster) { p.isolate(p.randomStore().name, true) },
 	"stores apart": func(p *PlaceCluster) {
 		name := p.randomStore().name
-		for _, other := range p.stores { // callers and adapters still reach it
+		for _, other := range p.stores { // callers and adapters still reach the store
 			p.CutLink(name, other.name)
 			p.CutLink(other.name, name)
 		}
@@ -117,8 +117,9 @@
 func (p *PlaceCluster) randomStore() *simStore     { return p.stores[p.Rand.IntN(len(p.stores))] }
 func (p *PlaceCluster) randomAdapter() *simAdapter { return p.adapters[p.Rand.IntN(len(p.adapters))] }
 
-// isHealthy: one zone can be lost at a time, and only from a place that has had an
-// owner and sound links for a while; beyond that nobody may know of a result.
+// isHealthy reports whether all stores are up, the links are good and the place has an owner. A place
+// tolerates the loss of one zone at a time, and only if it has been healthy for a while; beyond that no
+// surviving daemon may have a run's result.
 func (p *PlaceCluster) isHealthy() bool {
 	isOwned, isUp := false, len(p.cuts)+p.LostMessages+p.StuckMessages == 0 && p.MaxDelay < 10*time.Millisecond
 	for _, s := range p.stores {
@@ -140,21 +141,21 @@
 	p.After(time.Duration(500+p.Rand.IntN(6000))*time.Millisecond, p.HealLinks)
 }
 
-// RunPlaceCluster hurts a place for a while and checks all that was recorded.
+// RunPlaceCluster runs a place under faults and checks the recorded history.
 func RunPlaceCluster(seed uint64, faults ...func(*PlaceCluster)) (*PlaceCluster, []check.Breach) {
 	return RunPlaceClusterMutant(NoMutant, seed, faults...)
 }
 
-// RunPlaceClusterMutant does the same with a guard taken out.
+// RunPlaceClusterMutant is RunPlaceCluster with one safeguard removed.
 func RunPlaceClusterMutant(mutant Mutant, seed uint64, faults ...func(*PlaceCluster)) (*PlaceCluster, []check.Breach) {
 	p := NewPlaceCluster(NewWorld(seed), 3, mutant)
 	p.runTraffic(faults)
 	return p, p.Finish()
 }
 
-// runTraffic has callers call for a while under the chosen faults.
+// runTraffic simulates callers for 40 s and injects the given faults meanwhile.
 func (p *PlaceCluster) runTraffic(faults []func(*PlaceCluster)) {
-	for k := range 4 { // one caller a key: the next message follows the answer
+	for k := range 4 { // one caller for each ordering key: it sends its next message after the reply
 		var next func()
 		next = func() {
 			if p.now < 40*time.Second {
--- a/internal/sim/places_test.go
+++ b/internal/sim/places_test.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/check"
 )
 
-// runParallel runs a simulation for each fault, as many at once as there are: each has
-// a world of its own. The assertions come one after another.
+// runParallel runs one simulation for each fault, all in parallel; each has a World of its own. The
+// assertions follow one after another.
 func runParallel[F, T any](faults map[string]F, run func(fault F) T) map[string]T {
 	var mu sync.Mutex
 	var group sync.WaitGroup
@@ -57,12 +57,12 @@
 	})
 }
 
-// maxPlaceMutantSeeds is how many seeds a place's mutant may need to be found.
+// maxPlaceMutantSeeds is the upper bound on the number of seeds needed to detect a place's mutant.
 const maxPlaceMutantSeeds = 60
 
-// TestPlaceTimeAcrossOwners: a replica once kept its own count of the place's time where
-// that was ahead of the owner's. Delays, and the patience of messages, ended early once it
-// became the owner, by up to seconds.
+// TestPlaceTimeAcrossOwners guards against delays and deadlines that end early: a replica kept its own count
+// of the place's group time when that was ahead of the owner's. After it became the owner, delays and
+// message time-outs ended up to seconds early.
 func TestPlaceTimeAcrossOwners(t *testing.T) {
 	faultNames := []string{"no majority", "handed over", "power loss of all"}
 	seeds := map[string]uint64{"13": 13, "31": 31, "36": 36}
@@ -75,35 +75,37 @@
 		_, breaches := RunPlaceClusterMutant(LocalGroupTime, seed, selectFaults(PlaceFaults, faultNames[:2]...)...)
 		mutant = fmt.Sprint(breaches)
 	}
-	Convey("No span in place time ends early in seed", t, func() {
+	Convey("No delay or deadline in group time ends early, in seed", t, func() {
 		for name, breaches := range runs {
 			Convey(name, func() { So(breaches, ShouldBeEmpty) })
 		}
 	})
-	Convey("With the old rule a run begins before its delay, and the places' time is seen to be ahead", t, func() {
+	Convey("With a replica's own count of group time a run starts before its delay, and group time is ahead of real time", t, func() {
 		So(mutant, ShouldContainSubstring, "more than real time")
 		So(mutant, ShouldContainSubstring, "before its delay of")
 	})
 }
 
-// TestRunsOutliveTheConfiguration: an owner once waited for a lost run by the newest
-// configuration's bound, and the next of its key began beside it.
+// TestRunsOutliveTheConfiguration guards against two concurrent runs of one ordering key: an owner waited
+// for a lost run for as long as the newest configuration's time-out required instead of the run's own, and
+// started the next message of the key meanwhile.
 func TestRunsOutliveTheConfiguration(t *testing.T) {
 	faults := selectFaults(PlaceFaults, "changed bounds", "stalled workers", "quick restarts")
 	runs := runParallel(map[string]uint64{"2": 2, "44": 44, "80": 80, "298": 298}, func(seed uint64) []check.Breach {
 		_, breaches := RunPlaceCluster(seed, faults...)
 		return breaches
 	})
-	Convey("No two messages of a key are at workers at once while bounds change, in seed", t, func() {
+	Convey("No two messages of an ordering key run at once while time-outs change, in seed", t, func() {
 		for name, breaches := range runs {
 			Convey(name, func() { So(breaches, ShouldBeEmpty) })
 		}
 	})
 }
 
-// TestReplacedOwnerTellsNothingOld: an owner once answered questions for a while after
-// its last confirmation, though a successor that it had called, or that took it for
-// gone, had become owner at once: a message just taken was not known to it.
+// TestReplacedOwnerTellsNothingOld guards against stale answers from a replaced owner: it answered queries
+// for a while after its last confirmation, although a successor had become owner at once, either called by
+// the old owner itself or because it took the old owner for stopped. The old owner did not have a message
+// that had just been accepted.
 func TestReplacedOwnerTellsNothingOld(t *testing.T) {
 	type seeds struct {
 		hurt string
@@ -118,7 +120,7 @@
 		}
 		return out
 	})
-	Convey("What is told of a message never goes back when the owner is", t, func() {
+	Convey("The reported state of a message never regresses when its owner is replaced, under", t, func() {
 		for name, breaches := range runs {
 			Convey(name, func() { So(breaches, ShouldBeEmpty) })
 		}
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -11,8 +11,8 @@
 	"caperwheel/internal/wire"
 )
 
-// process is what every daemon of a deployment has: a view, a membership and a
-// session with whoever tells it the news.
+// process is the part common to all daemons of a deployment: a view, a membership, and a session with the
+// daemon that it polls for changes.
 type process struct {
 	lifecycle
 	d              *Deployment
@@ -21,7 +21,7 @@
 	addr           string
 	zone           string
 	boot           string
-	machine        *machine // nil for a follower
+	machine        *machine // nil for a subscriber
 	view           *feed.View
 	membership     *session.Membership
 	configs        *config.Cache
@@ -31,10 +31,10 @@
 	heardAt        time.Duration
 	isPolling      bool
 	startedAt      time.Duration
-	newestRevision int64 // the highest revision its view has had in this life
+	newestRevision int64 // highest revision that its view has had since the last start
 }
 
-// startOperations starts a new life.
+// begin starts the process with an empty view and a new boot id.
 func (p *process) begin(boot string) {
 	p.isUp, p.generation, p.frozenUntil = true, p.generation+1, 0
 	p.boot, p.startedAt = boot, p.d.now
@@ -44,7 +44,7 @@
 	p.d.Tracef("start %s as %s", p.name, boot)
 }
 
-// now is the daemon's own clock, which begins with its life.
+// now is the daemon's own clock, which starts at zero with each start of the process.
 func (p *process) now() time.Duration { return p.d.now - p.startedAt }
 
 func (p *process) end() {
@@ -54,7 +54,7 @@
 	}
 }
 
-// every does work after each pause for as long as this life lasts.
+// every runs work after each pause until the process stops; it skips the work while the process is frozen.
 func (p *process) every(pause func() time.Duration, work func()) {
 	generation := p.generation
 	var tick func()
@@ -75,11 +75,12 @@
 	return wire.Who{Name: p.name, Kind: p.kind, Boot: p.boot, Zone: p.zone, Addr: p.addr}
 }
 
+// isFresh reports whether the view is recent enough to act on.
 func (p *process) isFresh() bool {
 	return p.view.IsFresh(p.now(), timing.Default.Of(timing.ViewAgeLimit))
 }
 
-// managerAddrs are the seeds, and those that the membership names besides.
+// managerAddrs returns the seed addresses and those of the other managers in the membership.
 func (p *process) managerAddrs() []string {
 	out := append([]string{}, p.seedAddrs...)
 	for _, who := range p.membership.OfKind("manager") {
@@ -94,9 +95,9 @@
 	return out
 }
 
-// poll renews the session and takes news in, as session.Client does.
+// poll renews the session and applies the changes in the reply, as session.Client does.
 func (p *process) poll(targets []string, owns []wire.Owned) {
-	if p.d.now-p.heardAt > p.d.bound(timing.AnswerTimeout) { // silent: turn to the next
+	if p.d.now-p.heardAt > p.d.bound(timing.AnswerTimeout) { // no reply: try the next target
 		p.targetIndex, p.heardAt, p.isPolling = p.targetIndex+1, p.d.now, false
 	}
 	if p.isPolling {
@@ -128,12 +129,13 @@
 	})
 }
 
-// subscriber is an agent or an adapter: it acts on what it is told.
+// subscriber is an agent or an adapter. It holds a view only and has no part in a group.
 type subscriber struct {
 	process
-	targets func(*process) []string // whom it may ask
+	targets func(*process) []string // addresses that it may poll
 }
 
+// addSubscriber adds and starts an agent or an adapter.
 func (d *Deployment) addSubscriber(kind string, targets func(*process) []string) *subscriber {
 	f := &subscriber{process{d: d, kind: kind, name: kind, addr: kind, zone: "c1"}, targets}
 	f.seedAddrs = d.seedAddrs()
@@ -155,8 +157,8 @@
 	f.every(f.pause, func() { f.poll(f.targets(&f.process), nil) })
 }
 
-// seedAddrs are the addresses that all daemons are told of at their start: those
-// of the first managers, wherever those have gone since.
+// seedAddrs returns the seed addresses that every daemon is started with: those of the first managers, even
+// if their machines have been removed since.
 func (d *Deployment) seedAddrs() []string {
 	out := []string{}
 	for _, m := range d.machines[:replicaCount] {
--- a/internal/sim/resultdelivery.go
+++ b/internal/sim/resultdelivery.go
@@ -9,11 +9,11 @@
 	"caperwheel/internal/wire"
 )
 
-// retryInterval is how often internal/reach tries another store for an owner.
+// retryInterval is the interval at which internal/ownerclient tries another store to find an owner.
 var retryInterval = timing.Default.Of(timing.Poll) / 2
 
-// deliverResults delivers kept results to their owners, from whoever keeps them as long as it is
-// there.
+// deliverResults sends the due results of a buffer to all stores until the owner of each acknowledges it.
+// buffer returns nil while the process that holds it is down or frozen.
 func (p *PlaceCluster) deliverResults(from string, buffer func() *repair.ResultBuffer) {
 	var tick func()
 	tick = func() {
@@ -33,12 +33,12 @@
 	tick()
 }
 
-// resetAgent has a blank agent beside the adapter.
+// resetAgent replaces the agent beside the adapter by one without results.
 func (a *simAdapter) resetAgent() {
 	a.agent = repair.NewResultBuffer(1000, timing.Default.Of(timing.AnswerTimeout), retryInterval)
 }
 
-// loseMachine takes the adapter and its agent at once.
+// loseMachine kills the adapter and its agent at the same moment.
 func (a *simAdapter) loseMachine() {
 	if a.isUp {
 		a.w.History.AddKill(check.KillWindow{Adapter: a.name, From: a.w.now - 10*time.Millisecond, Until: a.w.now})
@@ -47,15 +47,16 @@
 	}
 }
 
-// deliverToOwner sends the result at intervals, to one store after another, until an owner
-// has made it durable.
+// deliverToOwner sends a result to one store after another at intervals, until the owner acknowledges it as
+// durable. Copies are kept by the agent and by a store of another zone meanwhile, if the run may have
+// started.
 func (a *simAdapter) deliverToOwner(m *wire.Run, o *wire.Outcome) {
 	generation, next, isDone := a.generation, a.w.Rand.IntN(3), false
 	if o.MayHaveStarted {
 		a.w.After(200*time.Microsecond, func() { a.agent.Add(o, a.w.now) })
 	}
 	remoteStore := a.w.randomStore()
-	for remoteStore.name[1:] == a.name[1:] { // of another zone
+	for remoteStore.name[1:] == a.name[1:] { // a store of another zone
 		remoteStore = a.w.randomStore()
 	}
 	sendToBuffer := func(work func(k *repair.ResultBuffer)) {
@@ -79,7 +80,7 @@
 			a.w.sendToStore(a.name, s, func(p placeOwner, answer func(any)) { p.Outcome(o, answer) }, func(reply any) {
 				if ack, isAck := reply.(*wire.OutcomeAck); isAck && ack.Kind == "" && !isDone && a.generation == generation {
 					isDone = true
-					a.w.Tracef("home %s/%d from %s at %s", m.Id, m.Attempt, a.boot(), s.name)
+					a.w.Tracef("result of %s/%d from %s is acknowledged by %s", m.Id, m.Attempt, a.boot(), s.name)
 					a.runs.Remove(m)
 					a.agent.Forget(m.Id, m.Attempt)
 					sendToBuffer(func(k *repair.ResultBuffer) { k.Forget(m.Id, m.Attempt) })
--- a/internal/sim/rundeployment.go
+++ b/internal/sim/rundeployment.go
@@ -12,27 +12,27 @@
 	"caperwheel/internal/timing"
 )
 
-// Retirements is the name of the machines' planned leaving among the troubles.
+// Retirements is the name under which planned retirements of machines are selected among the faults.
 const Retirements = "retirements"
 
-// faultTime is how long a deployment is troubled, and healTime how long it has
-// then to be whole again everywhere.
+// faultTime is how long faults are injected, and healTime how long the healed deployment then has to
+// replicate every group fully.
 const (
 	faultTime = 60 * time.Second
 	healTime  = 20 * time.Second
-	// settleTime is the longest that what was begun may take to its end.
+	// settleTime is the longest that faults under way may take to end.
 	settleTime = 40 * time.Second
 )
 
-// DeploymentOptions say how a deployment is troubled.
+// DeploymentOptions select the faults of a run.
 type DeploymentOptions struct {
 	Seed       uint64
 	Mutant     Mutant
-	FaultNames []string      // troubles by name: of Losses, Herds, Retirements and Evacuations; empty for all
-	FaultTime  time.Duration // 0 for the usual one
+	FaultNames []string      // names from MachineFaults and ClusterFaults, Retirements, Evacuations; empty for all
+	FaultTime  time.Duration // 0 for the default
 }
 
-// RunDeployment troubles a deployment for a while and judges it throughout.
+// RunDeployment runs a deployment under faults and checks it throughout.
 func RunDeployment(o DeploymentOptions) *Deployment {
 	d, names := NewDeployment(NewWorld(o.Seed), o.Mutant), o.FaultNames
 	defer d.stopTasks()
@@ -63,7 +63,7 @@
 	return d
 }
 
-// checkActs looks at all daemons that may act now.
+// checkActs checks the views of all daemons that may act now.
 func (d *Deployment) checkActs() {
 	for _, p := range d.processes() {
 		if p.isUp && d.now >= p.frozenUntil && (p.isFresh() || d.mutant == UncheckedViewAge) {
@@ -73,11 +73,12 @@
 	}
 }
 
-// finish heals everything. Then every group must stand whole on machines that
-// are here, nothing acknowledged may be missing, and all must know the newest.
+// healAndCheck ends all faults and checks the deployment: every group must be fully replicated on the
+// present machines, nothing acknowledged may be missing, and every daemon must have the newest
+// configuration.
 func (d *Deployment) healAndCheck() {
 	for settled := d.now + settleTime; d.now < settled && (d.faults.lost != nil || d.faults.retiring != nil); {
-		d.Run(d.now + 100*time.Millisecond) // what has begun comes to its end
+		d.Run(d.now + 100*time.Millisecond) // lets losses and retirements under way complete
 	}
 	d.EndFaults()
 	d.net.refusingAddrs, d.LostReplies = nil, 0
@@ -92,23 +93,23 @@
 			commits[id] = owner.hosts[id].View().Commit
 		}
 	}
-	d.Run(d.now + d.bound(timing.Heartbeat)) // owners commit their time: what is newest takes a moment to be told
+	d.Run(d.now + d.bound(timing.Heartbeat)) // owners commit their time periodically; replicas learn of a commit by heartbeat
 	for _, id := range groupIds() {
 		d.checkGroup(id, commits[id])
 	}
 	d.checkEvacuationsKept()
 	if revision := d.ownerConfigRevision(); revision < d.oracle.newestAcked {
-		d.recordBreach("the configuration ends at %d, %d was acknowledged", revision, d.oracle.newestAcked)
+		d.recordBreach("the configuration ends at revision %d at its owner, but revision %d was acknowledged", revision, d.oracle.newestAcked)
 	}
 	for _, p := range d.processes() {
 		if c := p.configRevision(); p.isUp && c < d.oracle.newestAcked {
-			d.recordBreach("%s ends with the configuration of %d, %d was acknowledged", p.name, c, d.oracle.newestAcked)
+			d.recordBreach("%s ends with revision %d of the configuration, but revision %d was acknowledged", p.name, c, d.oracle.newestAcked)
 		}
 	}
 	d.oracle.checkOperations()
 }
 
-// configRevision is the revision of the configuration that a daemon knows.
+// configRevision returns the revision of the configuration in the daemon's view.
 func (p *process) configRevision() int64 {
 	if p.view == nil {
 		return 0
@@ -117,34 +118,34 @@
 	return c.Revision
 }
 
-// checkGroup judges that a group stands on the machines that are here, and that each
-// member has what was committed a moment ago.
+// checkGroup checks that a group's roster names present machines only, that each member has reached the
+// given commit index, and that no acknowledged key is missing.
 func (d *Deployment) checkGroup(id, commit int64) {
 	owner, members := d.ownerAndRoster(id)
 	if owner == nil {
-		d.recordBreach("group %d has no owner %v after all was healed", id, healTime)
+		d.recordBreach("group %d has no owner %v after all faults ended", id, healTime)
 		return
 	}
 	here := []string{}
 	for _, m := range d.presentMachines() {
 		here = append(here, m.store.memberId())
 		if h := m.store.hosts[id]; slices.Contains(members, m.store.memberId()) && (h == nil || h.View().Commit < commit) {
-			d.recordBreach("%s has not caught up with group %d", m.name, id)
+			d.recordBreach("%s lacks committed entries of group %d", m.name, id)
 		}
 	}
 	hasRemoved := slices.ContainsFunc(members, func(m string) bool { return !slices.Contains(here, m) })
 	if hasRemoved || len(group.Voters(members)) != replicaCount {
-		d.recordBreach("group %d ends with %v; here are %v", id, members, here)
+		d.recordBreach("group %d ends with roster %v; present stores are %v", id, members, here)
 	}
 	for key := range d.oracle.ackedKeys[id] {
 		if _, exists := d.keyRevision(id, key); !exists {
-			d.recordBreach("group %d has lost %s, which was acknowledged", id, key)
+			d.recordBreach("group %d has lost key %s, which was acknowledged", id, key)
 			break
 		}
 	}
 }
 
-// Summary reports what a run had, in a line.
+// Summary describes a run in one line.
 func (d *Deployment) Summary() string {
 	return fmt.Sprintf("%d orders confirmed, %d refused, %d losses, %d retirements, %d machines", d.Confirmed, d.Refused, d.faults.lossCount,
 		d.Retired, len(d.machines))
--- a/internal/sim/storedisk.go
+++ b/internal/sim/storedisk.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/wire"
 )
 
-// groupDisk lets a host go on whenever its disk has answered.
+// groupDisk is the disk of one group. It runs the host's pending work after each completed write.
 type groupDisk struct {
 	*Disk
 	s  *storeProcess
@@ -30,7 +30,7 @@
 	}
 }
 
-// Persist, After and SaveSlot are host.Disk.
+// Persist, AfterWrites and SaveSlot implement host.Disk.
 func (d *groupDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
 }
@@ -39,13 +39,13 @@
 	d.Disk.SaveSlot(id, hard, image, e, d.wrap(then))
 }
 
-// storeEnvironment is what a part needs of its store; a part needs no more.
+// storeEnvironment is the environment of a part, with the methods that a part uses.
 type storeEnvironment struct {
 	store.Environment
 	s *storeProcess
 }
 
-// Now, After, Bounds and Fail are store.Around.
+// Now, After, Bounds and Fail implement store.Environment.
 func (a *storeEnvironment) Now() time.Duration    { return a.s.now() }
 func (a *storeEnvironment) Bounds() timing.Bounds { return timing.Default }
 func (a *storeEnvironment) Fail(err error)        { panic(err) }
@@ -65,7 +65,7 @@
 	})
 }
 
-// recordingPart tells the book of every edit that a replica applies.
+// recordingPart reports every edit that a replica applies to the oracle.
 type recordingPart struct {
 	*store.PartHost
 	s        *storeProcess
@@ -74,11 +74,11 @@
 	timeLead *timeLead
 }
 
-// Apply notes what an edit came to.
+// Apply records the edit's result, and checks that group time has not advanced more than real time.
 func (x *recordingPart) Apply(data []byte, isOwn bool) any {
 	if groupTime := timeOfEdit(data); groupTime > 0 {
 		if more := x.timeLead.growth(data, groupTime); more > 0 {
-			x.s.d.recordBreach("the time of part %d has advanced by %d ms more than real time", x.id, more)
+			x.s.d.recordBreach("the group time of part %d has advanced by %d ms more than real time", x.id, more)
 		}
 	}
 	verdict := x.PartHost.Apply(data, isOwn || x.s.d.mutant == LocalGroupTime)
@@ -89,7 +89,7 @@
 	return verdict
 }
 
-// Image gives the state; the mutant's is the one before.
+// Snapshot returns the state. Under the mutant StaleSnapshot it returns the previous snapshot.
 func (x *recordingPart) Snapshot() []byte {
 	was := x.snapshot
 	x.snapshot = x.PartHost.Snapshot()
@@ -99,8 +99,8 @@
 	return x.snapshot
 }
 
-// wrapGroup is the group below a part; the mutant takes an owner's word for its
-// ownership without a majority.
+// wrapGroup returns the group that a part is attached to. Under the mutant UnconfirmedReads an owner takes
+// itself for the owner without confirmation by a majority.
 func wrapGroup(m Mutant, h store.Group) store.Group {
 	if m == UnconfirmedReads {
 		return &unconfirmedGroup{Group: h}
@@ -108,18 +108,19 @@
 	return h
 }
 
+// unconfirmedGroup is the group of the mutant UnconfirmedReads.
 type unconfirmedGroup struct {
 	store.Group
 	wasOwner bool
 }
 
-// IsOwner never becomes false again.
+// IsOwner stays true once it has been true.
 func (u *unconfirmedGroup) IsOwner() bool {
 	u.wasOwner = u.wasOwner || u.Group.IsOwner()
 	return u.wasOwner
 }
 
-// View is sure of itself, always.
+// View always reports ownership as confirmed.
 func (u *unconfirmedGroup) View() group.View {
 	v := u.Group.View()
 	v.IsConfirmed, v.ConfirmedAt = true, maxTime
--- a/internal/sim/storeprocess.go
+++ b/internal/sim/storeprocess.go
@@ -13,18 +13,18 @@
 	"caperwheel/internal/wire"
 )
 
-// storeProcess is a store: a replica of each group that it holds, each with a
-// real part above it. Places stand as parts too: what matters here is that
-// nothing taken is lost.
+// storeProcess is a simulated store: one replica for each group that it hosts, each with a real part host
+// above it. The groups of places have part hosts too, since this simulation only checks that acknowledged
+// writes are not lost.
 type storeProcess struct {
 	process
 	incarnation   int
-	initialRoster []string // nil for a store that joined
+	initialRoster []string // members at bootstrap; nil for a store that joined later
 	disks         map[int64]*Disk
 	hosts         map[int64]*host.Host
 	parts         map[int64]*store.PartHost
 	rosterPlanner *store.RosterPlanner
-	hasJoined     bool // it belongs to the deployment, as it knows
+	hasJoined     bool // the store has joined the deployment
 }
 
 func newStoreProcess(d *Deployment, m *machine) *storeProcess {
@@ -36,7 +36,7 @@
 	return s
 }
 
-// memberId is the id under which the store is a member of groups.
+// memberId returns the id under which the store is a member of groups.
 func (s *storeProcess) memberId() string { return fmt.Sprintf("%s/%d", s.name, s.incarnation) }
 
 func (s *storeProcess) start() {
@@ -57,8 +57,8 @@
 	s.every(s.pause, func() { s.noteMembers(); s.poll(s.managerAddrs(), s.owned()) })
 }
 
-// wipe puts a blank disk in: the store is another incarnation, as Store's
-// identity has it. The mutant keeps its identity.
+// wipe replaces the disk by a blank one, which makes the store a new incarnation, as the real store's
+// identity does. Under the mutant KeptIdentity the incarnation stays the same.
 func (s *storeProcess) wipe() {
 	s.disks = map[int64]*Disk{}
 	if s.d.mutant == KeptIdentity {
@@ -66,7 +66,7 @@
 	}
 	s.d.serial++
 	s.incarnation, s.initialRoster = s.d.serial, nil
-	s.d.Tracef("the disk of %s is blank: it is %s now", s.name, s.memberId())
+	s.d.Tracef("the disk of %s is replaced by a blank one; its member id is %s now", s.name, s.memberId())
 }
 
 func (s *storeProcess) openDisks() []*Disk {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// open starts the replica of a group, as Store does.
+// openReplica starts the replica of a group, as store.Store does.
 func (s *storeProcess) openReplica(id int64) *host.Host {
 	disk := s.disks[id]
 	if disk == nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// schedule does work of a group once a time has passed, in this life and when thawed.
+// schedule runs work of a group after a delay, once the store is not frozen; not after a restart.
 func (s *storeProcess) schedule(id int64, span time.Duration, work func()) {
 	generation := s.generation
 	s.d.After(span, func() {
@@ -121,7 +121,8 @@
 	})
 }
 
-// do has work done on a group's host, unless the store is frozen.
+// runOnHost queues work on a group's host and, unless the store is frozen, runs it. It reports whether the
+// work was accepted.
 func (s *storeProcess) runOnHost(id int64, work func()) bool {
 	h := s.hosts[id]
 	if h == nil {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// preferredOwner spreads ownership over the members that are here and stay.
+// preferredOwner spreads ownership over the members that are present and not retired, by rendezvous hashing.
 func (s *storeProcess) preferredOwner(id int64, roster []string) string {
 	compiled, names, members := s.configs.Current(), []string{}, map[string]string{}
 	for _, m := range group.Voters(roster) {
@@ -148,7 +149,7 @@
 	return members[duty.HighestRanked(fmt.Sprint(id), names)]
 }
 
-// send brings a group's message to whatever store lives under the name.
+// sendGroupMessage sends a group message to the store that is registered under the member's name.
 func (s *storeProcess) sendGroupMessage(m wire.GroupMsg) {
 	who, isMember := s.membership.Find(group.Name(m.To))
 	to, isKnown := s.d.processAt(who.Addr)
@@ -166,7 +167,7 @@
 	})
 }
 
-// missing tells all groups, later, that nobody listens where a store was.
+// reportStoreDown notifies all groups after 1 ms that connections to a store are refused.
 func (s *storeProcess) reportStoreDown(name string) {
 	generation := s.generation
 	s.d.After(time.Millisecond, func() {
@@ -181,6 +182,8 @@
 	})
 }
 
+// receive passes a group message to its replica. It creates the replica if the message appends entries or
+// carries a snapshot; a store that has not joined drops all messages.
 func (s *storeProcess) receive(m wire.GroupMsg) {
 	h := s.hosts[m.Group]
 	if !s.hasJoined {
@@ -198,7 +201,7 @@
 	}
 }
 
-// handleRequest serves managers, as Store.onPart does.
+// handleRequest answers requests of managers, as store.Store does.
 func (s *storeProcess) handleRequest(request any, answer func(any)) {
 	now := s.now()
 	switch m := request.(type) {
--- a/internal/sim/storerepair.go
+++ b/internal/sim/storerepair.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
-// join takes a blank store into the deployment once it sees another store.
+// join marks a blank store as joined once its membership contains another store.
 func (s *storeProcess) join() {
 	isOther := func(who wire.Who) bool { return who.Name != s.name }
 	if !s.hasJoined && slices.ContainsFunc(s.membership.OfKind("store"), isOther) {
@@ -19,14 +19,14 @@
 	}
 }
 
-// noteMembers tells the planner of rosters which stores are members, as Store does.
+// noteMembers passes the present stores to the roster planner, as store.Store does.
 func (s *storeProcess) noteMembers() {
 	if s.isFresh() {
 		s.rosterPlanner.NoteMembers(s.membership.OfKind("store"), s.configs.Current().RetiredStores, s.now())
 	}
 }
 
-// planRoster is Store's, over what this store knows.
+// planRoster plans roster changes from this store's view, as store.Store does.
 func (s *storeProcess) planRoster(id int64, silence repair.Silence) (map[string]string, []string) {
 	if !s.isFresh() {
 		return map[string]string{}, nil
@@ -35,7 +35,7 @@
 	return s.rosterPlanner.Plan(id, s.hosts[id].View().Roster, s.changingGroupCount(), silence, s.now())
 }
 
-// changingGroupCount counts the groups owned here whose roster is being changed.
+// changingGroupCount counts the groups owned by this store whose roster change is under way.
 func (s *storeProcess) changingGroupCount() int {
 	out := 0
 	for _, h := range s.hosts {
@@ -46,8 +46,8 @@
 	return out
 }
 
-// reportStandings is Store's answer to how groups stand without a store: it waits
-// for a majority's word on each group that it owns.
+// reportStandings answers whether the groups owned here can do without a store, as store.Store does. It
+// waits until a majority has confirmed each ownership after the request.
 func (s *storeProcess) reportStandings(without string, requestedAt time.Duration, answer func(any)) {
 	generation, until := s.generation, requestedAt+s.d.bound(timing.AnswerTimeout)
 	var check func()
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// SweepKinds lists what can be swept.
+// SweepKinds lists the kinds of sweep.
 func SweepKinds() []string {
 	return []string{"group", "moves", "place", "control", "delivery", "delays", "stops", "keys", "ceiling"}
 }
 
-// Sweep says how each seed of a sweep is run.
+// Sweep selects the simulation and the faults that each seed of a sweep is run with.
 type Sweep struct {
 	Kind       string
-	FaultNames []string      // faults to mix, by name; empty for all of the kind
-	FaultTime  time.Duration // for how long a whole deployment is troubled; 0 for the usual time
+	FaultNames []string      // faults to select from, by name; empty for all of the kind
+	FaultTime  time.Duration // how long faults are injected into a deployment; 0 for the default
 }
 
-// RunSeed runs one seed and returns what was broken, with the trace.
+// RunSeed runs one seed and returns the breaches found and the trace.
 func (s Sweep) RunSeed(seed uint64) (broken, trace []string) {
 	names := s.FaultNames
 	switch s.Kind {
@@ -64,11 +64,11 @@
 		}
 		return broken, d.Trace
 	}
-	return []string{"no such kind"}, nil
+	return []string{"unknown kind of sweep"}, nil
 }
 
-// runControl runs a seed of both worlds of the control side, where they have the
-// troubles that are asked for.
+// runControl runs one seed of both simulations of the control side, each only if it has any of the selected
+// faults.
 func (s Sweep) runControl(seed uint64) (broken, trace []string) {
 	names := s.FaultNames
 	if faults := selectFaults(ControlFaults, names...); len(faults) > 0 {
@@ -82,6 +82,7 @@
 	return broken, trace
 }
 
+// selectFaults returns the selected faults in the order of their names; all if none are selected.
 func selectFaults[F any](faults map[string]F, selected ...string) []F {
 	out := []F{}
 	for _, name := range slices.Sorted(maps.Keys(faults)) {
--- a/internal/sim/task.go
+++ b/internal/sim/task.go
@@ -8,27 +8,27 @@
 	"caperwheel/internal/timing"
 )
 
-// task runs blocking code, such as the operators' own, in the simulation: a
-// coroutine that gives the world its turn whenever it waits. Only one of world
-// and tasks ever runs, so a seed replays exactly.
+// task runs blocking code, such as the operators' interface, in the simulation. It is a coroutine that
+// yields to the event loop whenever it blocks. Either the event loop or exactly one task runs at any time,
+// so a seed replays exactly.
 //
-// Invariant: a step is taken only by the world's queue, never inside another.
+// Invariant: a task is resumed by the event loop only, never from within another task.
 type task struct {
 	w          *World
-	owner      *lifecycle // whose work it is: it never goes on in another life; nil for a client's
+	owner      *lifecycle // process in one of whose starts the task runs; nil for an operator's task
 	generation int
 	next       func() (registerResume, bool)
 	stop       func()
 	yield      func(registerResume) bool
 }
 
-// wait has resume called once what is waited for has come.
+// registerResume arranges that resume is called once the awaited event has occurred.
 type registerResume func(resume func())
 
-// taskEnded unwinds a task whose daemon is no more.
+// taskEnded is the panic value that unwinds a task whose process has stopped.
 type taskEnded struct{}
 
-// Go starts a task. A frozen daemon's task goes on when it thaws.
+// Go starts a task. A task of a frozen process continues when the freeze ends.
 func (w *World) Go(owner *lifecycle, work func(ctx context.Context, t *task)) {
 	t := &task{w: w, owner: owner}
 	if owner != nil {
@@ -47,7 +47,7 @@
 	w.After(0, t.step)
 }
 
-// step lets the task go on until it waits again.
+// step runs the task until it blocks again.
 func (t *task) step() {
 	if t.owner != nil && (!t.owner.isUp || t.owner.generation != t.generation) {
 		t.stop()
@@ -70,14 +70,14 @@
 	})
 }
 
-// wait returns the world its turn.
+// suspend yields to the event loop until the registered callback is called.
 func (t *task) suspend(register registerResume) {
 	if !t.yield(register) {
 		panic(taskEnded{})
 	}
 }
 
-// sleep lets time pass.
+// sleep blocks the task for a span of simulated time.
 func (t *task) sleep(span time.Duration) {
 	t.suspend(func(resume func()) { t.w.After(span, resume) })
 }
@@ -90,9 +90,10 @@
 	w.tasks = nil
 }
 
+// maxTime is later than any time of a run.
 const maxTime = time.Duration(1 << 62)
 
-// taskContext ends by simulated time.
+// taskContext is a context whose deadline is in simulated time.
 type taskContext struct {
 	context.Context
 	t          *task
@@ -100,7 +101,7 @@
 	isCanceled bool
 }
 
-// Err reports whether the context has ended.
+// Err returns the reason for which the context has ended, or nil.
 func (c *taskContext) Err() error {
 	switch {
 	case c.isCanceled:
@@ -111,18 +112,19 @@
 	return c.Context.Err()
 }
 
-// simulatedContext gives the innermost simulated context of a task's context.
+// simulatedContext returns the innermost taskContext of a task's context.
 func simulatedContext(ctx context.Context) *taskContext {
 	c, isOurs := ctx.Value(simulatedContextKey{}).(*taskContext)
 	if !isOurs {
-		panic("not a context of the simulation")
+		panic("the context does not belong to a simulated task")
 	}
 	return c
 }
 
+// simulatedContextKey is the key under which a taskContext returns itself.
 type simulatedContextKey struct{}
 
-// Value gives the context itself to simulated.
+// Value returns the context itself for the key that simulatedContext looks up.
 func (c *taskContext) Value(key any) any {
 	if key == (simulatedContextKey{}) {
 		return c
@@ -130,16 +132,16 @@
 	return c.Context.Value(key)
 }
 
-// taskClock is a task's timing.Clock.
+// taskClock implements timing.Clock for a task.
 type taskClock struct{ t *task }
 
-// Within returns a context that ends by simulated time.
+// Within returns a context with a deadline in simulated time.
 func (c *taskClock) Within(ctx context.Context, span time.Duration) (context.Context, context.CancelFunc) {
 	out := &taskContext{Context: ctx, t: c.t, deadline: min(simulatedContext(ctx).deadline, c.t.w.now+span)}
 	return out, func() { out.isCanceled = true }
 }
 
-// Wait lets simulated time pass, at most until the context ends.
+// Wait blocks for a span of simulated time, at most until the context's deadline.
 func (c *taskClock) Wait(ctx context.Context, span time.Duration) {
 	c.t.sleep(max(0, min(span, simulatedContext(ctx).deadline-c.t.w.now)))
 }
--- a/internal/sim/wakingdisk.go
+++ b/internal/sim/wakingdisk.go
@@ -2,7 +2,7 @@
 
 import "caperwheel/internal/group"
 
-// wakingDisk lets the host go on whenever its disk has answered.
+// wakingDisk runs the store's pending work after each completed write.
 type wakingDisk struct {
 	*Disk
 	s *simStore
--- a/internal/sim/workerrun.go
+++ b/internal/sim/workerrun.go
@@ -10,13 +10,13 @@
 	"caperwheel/internal/wire"
 )
 
-// defaultRunTimeout is the pool's bound in the simulation, until that is changed.
+// defaultRunTimeout is the run time-out of the pool until a fault changes it.
 const defaultRunTimeout = 2 * time.Second
 
-// workerRun is one run at a worker. It ends by itself, or, once its connection has
-// broken under it, no later than a worker is bound to leave it.
+// workerRun is one run at a worker. It ends by itself or, once its connection has broken, no later than the
+// limit for orphaned runs.
 //
-// Invariant: run.End is set once, when the worker has really ended.
+// Invariant: run.End is set once, when the worker has really ended the run.
 type workerRun struct {
 	adapter     *simAdapter
 	generation  int
@@ -24,24 +24,25 @@
 	run         *check.Run
 	runTimeout  time.Duration
 	isFailed    bool
-	isTruncated bool // the answer does not come whole
-	hasEnded    bool // at the worker
-	isReported  bool // the adapter has delivered a result to its owner, or begun to
+	isTruncated bool // the reply is incomplete
+	hasEnded    bool // the worker has ended the run
+	isReported  bool // the adapter has started to send a result to the owner
 }
 
 func (x *workerRun) end() {
 	if !x.hasEnded {
 		x.hasEnded, x.run.End = true, x.adapter.w.now
-		x.adapter.w.Tracef("worker ends %s/%d of %s.%d", x.message.Id, x.message.Attempt, x.adapter.name, x.generation)
+		x.adapter.w.Tracef("worker ended run %s/%d of %s.%d", x.message.Id, x.message.Attempt, x.adapter.name, x.generation)
 	}
 }
 
-// hangUp: the connection has broken; the worker goes on, but not for ever.
+// disconnect handles a broken connection: the worker continues the run, but only up to
+// place.OrphanedRunLimit.
 func (x *workerRun) disconnect() {
 	x.adapter.w.After(max(0, x.run.Start+place.OrphanedRunLimit(x.runTimeout)-x.adapter.w.now), x.end)
 }
 
-// startRun runs the message on the adapter's worker and delivers the result to its owner.
+// startRun runs the message on the adapter's worker and sends the result to its owner.
 func (a *simAdapter) startRun(m *wire.Run) {
 	w := a.w
 	runTimeout := time.Duration(w.rules.RunTimeoutMs(m.Lane, m.Pool)) * time.Millisecond
@@ -63,9 +64,9 @@
 	if x.isFailed {
 		run.Status = 500
 	}
-	w.Tracef("run %s/%d at %s, term %d, takes %v", m.Id, m.Attempt, a.boot(), m.Term, duration)
+	w.Tracef("run %s/%d starts at %s, term %d, duration %v", m.Id, m.Attempt, a.boot(), m.Term, duration)
 	w.runs = append(w.runs, run)
-	w.After(duration, func() { x.end(); x.reportOutcome("") }) // whatever becomes of the adapter
+	w.After(duration, func() { x.end(); x.reportOutcome("") }) // also if the adapter has been killed meanwhile
 	w.After(place.AnswerTimeout(m.Key != "", runTimeout), func() { x.reportOutcome(errs.DeadlineExceeded) })
 	if w.Rand.IntN(1000) < w.BrokenConnections {
 		w.After(time.Duration(w.Rand.Int64N(int64(duration))), func() { x.reportOutcome(errs.Lost) })
@@ -73,8 +74,8 @@
 	a.onKill = append(a.onKill, x.disconnect)
 }
 
-// answer is what the adapter learns of its run: the worker's answer, if it was
-// whole, or why there is none.
+// reportOutcome handles the end of a run at the adapter: the worker's reply, if it was complete, or the
+// reason why there is none.
 func (x *workerRun) reportOutcome(kind errs.Kind) {
 	a := x.adapter
 	if x.isReported || !a.isUp || a.generation != x.generation {
@@ -86,12 +87,12 @@
 		}
 		x.isReported = true
 		if kind == errs.DeadlineExceeded && x.hasEnded {
-			kind = "" // it came while the adapter stood still
+			kind = "" // the reply arrived while the adapter was frozen
 		}
 		o := &wire.Outcome{Id: x.message.Id, Boot: a.boot(), MayHaveStarted: true,
 			Proof: wire.Proof{Attempt: x.message.Attempt, Worker: x.message.Worker, Answer: []byte{}}}
 		switch {
-		case kind == errs.DeadlineExceeded: // whoever is merely waited for no longer does not notice
+		case kind == errs.DeadlineExceeded: // the adapter has only stopped waiting; the worker does not notice
 		case kind != "":
 			x.disconnect()
 		case x.isFailed:
@@ -99,12 +100,12 @@
 		case x.isTruncated:
 			kind = errs.Truncated
 		default:
-			x.run.IsAnswerComplete = true // only now has it been read
+			x.run.IsAnswerComplete = true // the reply counts only now that the adapter has read it
 			o.Proof.Status, o.Proof.Checksum = 200, x.run.AnswerSum
 		}
 		o.Kind = string(kind)
 		o.Wait = int64(place.RemainingRunTime(kind, x.message.Key != "", x.runTimeout, a.w.now-x.run.Start) / time.Millisecond)
-		a.w.Tracef("read %s/%d at %s: %q", x.message.Id, x.message.Attempt, a.boot(), o.Kind)
+		a.w.Tracef("result of run %s/%d at %s: kind %q", x.message.Id, x.message.Attempt, a.boot(), o.Kind)
 		a.deliverToOwner(x.message, o)
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,5 +1,7 @@
-// Package sim runs the real state machines on a simulated clock, network and
-// disk. One seed decides everything: the same seed gives the same run.
+// Package sim runs the production state machines on a simulated clock, network and disk. It holds
+// simulations of a replica group, a place, the control plane, deliveries and a whole deployment, each with
+// fault injectors and checks of what clients and daemons were told. One seed determines a run completely.
+// The tests of this package and the sweep command of cmd/fleet call it.
 package sim
 
 import (
@@ -9,12 +11,15 @@
 	"time"
 )
 
+// event is work that is due at a simulated time; events of the same time run in the order of their sequence
+// numbers.
 type event struct {
 	at       time.Duration
 	sequence int64
 	work     func()
 }
 
+// eventQueue is a heap of events in the order in which they run.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -30,7 +35,7 @@
 	return e
 }
 
-// World is the clock, the dice and the trace of one run.
+// World is the simulated clock, network, random source and trace of one run.
 type World struct {
 	Seed     uint64
 	Rand     *rand.Rand
@@ -40,17 +45,18 @@
 	queue    eventQueue
 	tasks    []*task
 	cuts     map[[2]string]bool
-	// hasEndedFaults: no more faults are caused.
+	// hasEndedFaults is set once no more faults may be injected.
 	hasEndedFaults bool
-	// Loss is the share of messages lost, in thousandths. Slow is the longest
-	// delay of a message. Stuck is the share that comes only after seconds.
+	// LostMessages is the share of messages that are lost, in thousandths. MaxDelay is the longest normal
+	// delay of a message. StuckMessages is the share of messages that arrive up to 10 s late, in
+	// thousandths.
 	LostMessages  int
 	MaxDelay      time.Duration
 	StuckMessages int
 	stuckMessages []*stuckMessage // under way
 }
 
-// stuckMessage comes only after seconds, or once the faults have ended.
+// stuckMessage is a message that arrives seconds late, or as soon as all faults have ended.
 type stuckMessage struct {
 	deliver func()
 	isOver  bool
@@ -63,21 +69,21 @@
 	}
 }
 
-// NewWorld starts a run.
+// NewWorld creates the world of one run.
 func NewWorld(seed uint64) *World {
 	return &World{Seed: seed, Rand: rand.New(rand.NewPCG(seed, 17)), cuts: map[[2]string]bool{}, MaxDelay: 5 * time.Millisecond}
 }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (w *World) Now() time.Duration { return w.now }
 
-// After does work once delay has passed.
+// After runs work after a delay.
 func (w *World) After(delay time.Duration, work func()) {
 	w.sequence++
 	heap.Push(&w.queue, event{w.now + delay, w.sequence, work})
 }
 
-// Run lets time pass until the given moment.
+// Run processes events until the given time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
@@ -87,7 +93,7 @@
 	w.now = until
 }
 
-// Tracef adds a line to the trace that a failing seed prints.
+// Tracef adds a line to the trace, which is printed for a failing seed.
 func (w *World) Tracef(format string, args ...any) {
 	line := fmt.Sprintf("%8.3fs ", w.now.Seconds()) + fmt.Sprintf(format, args...)
 	if len(w.Trace) > 20000 {
@@ -96,10 +102,10 @@
 	w.Trace = append(w.Trace, line)
 }
 
-// Cut stops messages from one name to another; one way only.
+// CutLink drops all messages from one name to another, in this direction only.
 func (w *World) CutLink(from, to string) { w.cuts[[2]string{from, to}] = true }
 
-// EndFaults ends all faults for good: what was stuck comes now, as on links that are well again.
+// EndFaults ends all faults permanently and delivers stuck messages now, as recovered links would.
 func (w *World) EndFaults() {
 	w.hasEndedFaults, w.LostMessages, w.StuckMessages, w.MaxDelay = true, 0, 0, 5*time.Millisecond
 	w.HealLinks()
@@ -109,11 +115,11 @@
 	w.stuckMessages = nil
 }
 
-// HealLinks ends all cuts.
+// HealLinks removes all cuts of links.
 func (w *World) HealLinks() { w.cuts = map[[2]string]bool{} }
 
-// Send delivers a message after a random delay, unless it is cut or lost.
-// Messages of one pair may overtake each other.
+// Send delivers a message after a random delay, unless the link is cut or the message is lost. Messages
+// between the same two names may be reordered.
 func (w *World) Send(from, to string, deliver func()) {
 	if w.cuts[[2]string{from, to}] || w.Rand.IntN(1000) < w.LostMessages {
 		return
@@ -127,8 +133,8 @@
 	w.After(delay, deliver)
 }
 
-// syncTime is how long a sync takes: mostly short, now and then long, so that a
-// power cut finds something unsynced.
+// syncTime draws the duration of a sync: usually short, sometimes long, so that a power loss finds unsynced
+// writes.
 func (w *World) syncTime() time.Duration {
 	if w.Rand.IntN(10) == 0 {
 		return time.Duration(w.Rand.IntN(80)) * time.Millisecond
@@ -136,8 +142,7 @@
 	return time.Duration(500+w.Rand.IntN(2000)) * time.Microsecond
 }
 
-// scheduleFault does work at a random moment of the next tenth of a second, unless the
-// run has come to its calm end by then.
+// scheduleFault runs work at a random time within the next 100 ms, unless all faults have ended by then.
 func (w *World) scheduleFault(work func()) {
 	w.After(time.Duration(w.Rand.Int64N(int64(100*time.Millisecond))), func() {
 		if !w.hasEndedFaults {
