--- a/internal/sim/clusterfaults.go
+++ b/internal/sim/clusterfaults.go
@@ -109,27 +109,27 @@
 	return "n" + string(rune('a'+d.serial%26)) + string(rune('a'+d.serial/26%26)) + string(rune('a'+d.serial/676%26))
 }
 
-// retireMachine requests a retirement until a manager accepts it, then polls its progress. It reports
-// whether the retirement was reported done.
+// retireMachine requests a retirement until a manager accepts it, then polls its progress, at most 400 times
+// each. It returns whether the retirement was reported done.
 func (d *Deployment) retireMachine(ctx context.Context, t *task, m *machine) bool {
 	for range 400 {
 		if m.isRemoved || d.hasEndedFaults {
 			return false
 		}
-		err, isAnswered := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
+		reply, isAnswered := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
 			_, err := o.RetireStore(ctx, "operator", m.name, time.Minute)
 			return &operationReply{err}
 		}).(*operationReply)
-		if isAnswered && errs.Is(err.err, errs.Rejected) || isAnswered && errs.Is(err.err, errs.Unknown) {
-			d.recordBreach("the retirement of %s was refused: %v", m.name, err.err)
+		if isAnswered && errs.Is(reply.err, errs.Rejected) || isAnswered && errs.Is(reply.err, errs.Unknown) {
+			d.recordBreach("the retirement of %s was refused: %v", m.name, reply.err)
 			return false
 		}
-		if isAnswered && err.err == nil {
+		if isAnswered && reply.err == nil {
 			break
 		}
 		t.sleep(100 * time.Millisecond)
 	}
-	d.Tracef("the retirement of %s is accepted", m.name)
+	d.Tracef("%s is to be retired", m.name)
 	for range 400 {
 		if d.hasEndedFaults {
 			return false
--- a/internal/sim/lifecycle.go
+++ b/internal/sim/lifecycle.go
@@ -6,7 +6,7 @@
 // and until when it is frozen.
 type lifecycle struct {
 	isUp        bool
-	generation  int
+	generation  int           // incremented at each start and stop; work of an earlier generation is dropped
 	frozenUntil time.Duration // the process does no work before this time
 }
 
--- a/internal/sim/machinefaults.go
+++ b/internal/sim/machinefaults.go
@@ -13,11 +13,11 @@
 // begins exactly CatchUpTime after the previous machine is back or its replacement has started. Cluster
 // faults occur independently.
 type faultState struct {
-	clusterFaultsUntil time.Duration // end of the last cluster fault's effect on links and machines
-	retiring           *machine      // the machine that is being retired
-	lost               *machine
-	cutNewMachine      func(other string) // cuts a newly added machine off from the isolated one; nil if none is isolated
-	lossCount          int
+	clusterFaultsUntil time.Duration      // end of the last cluster fault's effect on links and machines
+	retiring           *machine           // the machine that is being retired; nil for none
+	lost               *machine           // the machine that is lost; nil for none
+	cutNewMachine      func(other string) // cuts links between a new machine and the isolated one; nil for none
+	lossCount          int                // losses that have ended
 }
 
 // MachineFaults are the ways in which one machine is lost, by name. Each function returns when the machine
--- a/internal/sim/managerprocess.go
+++ b/internal/sim/managerprocess.go
@@ -38,11 +38,11 @@
 	p.seedAddrs = p.d.seedAddrs()
 	p.begin(fmt.Sprint(p.name, ".", p.generation+1))
 	p.registry = session.NewRegistry(p.d.bound(timing.SessionTimeout))
-	about := &daemon.Daemon{Kind: "manager", Bounds: timing.Default, Who: p.who(), View: p.view, Membership: p.membership,
+	daemonConfig := &daemon.Daemon{Kind: "manager", Bounds: timing.Default, Who: p.who(), View: p.view, Membership: p.membership,
 		Settings: settings.Settings{Parts: extraParts, Places: placeCount, Founders: replicaCount, Copies: replicaCount, IsFirstStart: p.d.now == 0},
 		Clock:    p.now}
 	p.ownerClient = &ownerclient.Client{Membership: p.membership, Bounds: timing.Default, SendFunc: p.callAndWait}
-	p.operators = manager.NewOperators(about, p.ownerClient, p.registry, &manager.Source{})
+	p.operators = manager.NewOperators(daemonConfig, p.ownerClient, p.registry, &manager.Source{})
 	p.every(p.pause, func() { p.pollParts(); p.exchangeSessions() })
 	p.every(func() time.Duration { return p.d.bound(timing.Poll) }, p.operators.ObserveStores)
 }
--- a/internal/sim/operators.go
+++ b/internal/sim/operators.go
@@ -19,7 +19,7 @@
 // order is one change of the configuration, resent unchanged until a manager confirms or refuses it.
 type order struct {
 	digest        string
-	version, base int64
+	version, base int64 // the version that it creates, and the version that it is based on
 }
 
 func (o *order) doc([]byte) ([]byte, error) {
--- a/internal/sim/placefaults.go
+++ b/internal/sim/placefaults.go
@@ -40,15 +40,15 @@
 		}
 	},
 	"taken for gone": func(p *PlaceCluster) { // its connections are refused, so the other stores consider its process ended
-		gone := p.randomStore()
-		if !gone.isUp {
+		isolated := p.randomStore()
+		if !isolated.isUp {
 			return
 		}
 		for _, s := range p.stores {
-			if s != gone && s.isUp {
-				p.CutLink(gone.name, s.name)
-				p.CutLink(s.name, gone.name)
-				s.host.ReportStoreDown(gone.name)
+			if s != isolated && s.isUp {
+				p.CutLink(isolated.name, s.name)
+				p.CutLink(s.name, isolated.name)
+				s.host.ReportStoreDown(isolated.name)
 				s.runPending()
 			}
 		}
--- a/internal/sim/places_test.go
+++ b/internal/sim/places_test.go
@@ -31,19 +31,21 @@
 	return out
 }
 
+// printTrace prints the trace of a run that broke a rule.
 func printTrace[B any](name string, broken []B, trace []string) {
 	if len(broken) > 0 {
 		fmt.Println(name, strings.Join(trace, "\n"))
 	}
 }
 
+// TestPlaceUnderFaults runs a place under each of PlaceFaults alone.
 func TestPlaceUnderFaults(t *testing.T) {
 	type result struct {
 		p        *PlaceCluster
 		breaches []check.Breach
 	}
-	runs := runParallel(PlaceFaults, func(hurt func(*PlaceCluster)) result {
-		p, breaches := RunPlaceCluster(1, hurt)
+	runs := runParallel(PlaceFaults, func(fault func(*PlaceCluster)) result {
+		p, breaches := RunPlaceCluster(1, fault)
 		return result{p, breaches}
 	})
 	Convey("A place with its stores and adapters", t, func() {
@@ -108,14 +110,14 @@
 // that had just been accepted.
 func TestReplacedOwnerTellsNothingOld(t *testing.T) {
 	type seeds struct {
-		hurt string
-		list []uint64
+		fault string
+		list  []uint64
 	}
 	unheard, gone := "handed over unheard", "taken for gone"
 	runs := runParallel(map[string]seeds{unheard: {unheard, []uint64{1, 2, 3}}, gone: {gone, []uint64{1, 3, 9}}}, func(s seeds) []check.Breach {
 		out := []check.Breach{}
 		for _, seed := range s.list {
-			_, breaches := RunPlaceCluster(seed, selectFaults(PlaceFaults, s.hurt)...)
+			_, breaches := RunPlaceCluster(seed, selectFaults(PlaceFaults, s.fault)...)
 			out = append(out, breaches...)
 		}
 		return out
@@ -127,6 +129,8 @@
 	})
 }
 
+// TestSeedsReplayExactly guards against runs that a seed does not determine: two parallel runs of one seed
+// must give the same trace.
 func TestSeedsReplayExactly(t *testing.T) {
 	Convey("The same seed gives the same trace", t, func() {
 		traces := runParallel(map[string]bool{"once": true, "again": true}, func(bool) []string {
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -25,13 +25,13 @@
 	view           *feed.View
 	membership     *session.Membership
 	configs        *config.Cache
-	handler        func(ask any, answer func(any))
-	seedAddrs      []string
-	targetIndex    int
-	heardAt        time.Duration
-	isPolling      bool
-	startedAt      time.Duration
-	newestRevision int64 // highest revision that its view has had since the last start
+	handler        func(request any, answer func(any))
+	seedAddrs      []string      // managers that it can poll without a membership
+	targetIndex    int           // index of the polled target
+	heardAt        time.Duration // time of the last reply to a poll, or of the last change of target
+	isPolling      bool          // a poll is under way
+	startedAt      time.Duration // start of its own clock
+	newestRevision int64         // highest revision that its view has had since the last start
 }
 
 // begin starts the process with an empty view and a new boot id.
@@ -139,8 +139,8 @@
 func (d *Deployment) addSubscriber(kind string, targets func(*process) []string) *subscriber {
 	f := &subscriber{process{d: d, kind: kind, name: kind, addr: kind, zone: "c1"}, targets}
 	f.seedAddrs = d.seedAddrs()
-	f.handler = func(ask any, answer func(any)) {
-		if poll, isPoll := ask.(*wire.Poll); isPoll {
+	f.handler = func(request any, answer func(any)) {
+		if poll, isPoll := request.(*wire.Poll); isPoll {
 			answer(session.NewsFor(poll, f.view, f.now(), f.membership))
 		}
 	}
--- a/internal/sim/resultdelivery.go
+++ b/internal/sim/resultdelivery.go
@@ -69,8 +69,8 @@
 	if o.MayHaveStarted {
 		sendToBuffer(func(k *repair.ResultBuffer) { k.Add(o, a.w.now) })
 	}
-	var try func()
-	try = func() {
+	var attempt func()
+	attempt = func() {
 		if isDone || !a.isUp || a.generation != generation {
 			return
 		}
@@ -87,7 +87,7 @@
 				}
 			})
 		}
-		a.w.After(retryInterval, try)
+		a.w.After(retryInterval, attempt)
 	}
-	try()
+	attempt()
 }
--- a/internal/sim/storeprocess.go
+++ b/internal/sim/storeprocess.go
@@ -18,7 +18,7 @@
 // writes are not lost.
 type storeProcess struct {
 	process
-	incarnation   int
+	incarnation   int      // identifies the disk; changes when it is wiped
 	initialRoster []string // members at bootstrap; nil for a store that joined later
 	disks         map[int64]*Disk
 	hosts         map[int64]*host.Host
--- a/internal/sim/wakingdisk.go
+++ b/internal/sim/wakingdisk.go
@@ -11,6 +11,8 @@
 func (d *wakingDisk) wrap(then func(error)) func(error) {
 	return func(err error) { then(err); d.s.runPending() }
 }
+
+// Persist, AfterWrites and SaveSlot implement host.Disk.
 func (d *wakingDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
 }
--- a/internal/sim/workerrun.go
+++ b/internal/sim/workerrun.go
@@ -19,7 +19,7 @@
 // Invariant: run.End is set once, when the worker has really ended the run.
 type workerRun struct {
 	adapter     *simAdapter
-	generation  int
+	generation  int // of the adapter, when it started the run
 	message     *wire.Run
 	run         *check.Run
 	runTimeout  time.Duration
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -22,6 +22,7 @@
 // eventQueue is a heap of events in the order in which they run.
 type eventQueue []event
 
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
@@ -41,10 +42,10 @@
 	Rand     *rand.Rand
 	Trace    []string
 	now      time.Duration
-	sequence int64
+	sequence int64 // of the newest event
 	queue    eventQueue
 	tasks    []*task
-	cuts     map[[2]string]bool
+	cuts     map[[2]string]bool // links, from and to, that drop all messages
 	// hasEndedFaults is set once no more faults may be injected.
 	hasEndedFaults bool
 	// LostMessages is the share of messages that are lost, in thousandths. MaxDelay is the longest normal
