--- a/internal/sim/machinefaults.go
+++ b/internal/sim/machinefaults.go
@@ -85,6 +85,7 @@
 	d.HealLinks()
 }
 
+// restartMachine stops a machine, on a power cut with the loss of unsynced writes, and starts it up to 6 s later.
 func (d *Deployment) restartMachine(t *task, m *machine, isPowerCut bool) {
 	m.stop(isPowerCut)
 	t.sleep(time.Duration(d.Rand.IntN(6000)) * time.Millisecond)
--- a/internal/sim/node.go
+++ b/internal/sim/node.go
@@ -11,6 +11,7 @@
 	"caperwheel/internal/wire"
 )
 
+// boot returns the boot id, which changes with each start.
 func (n *node) boot() string { return fmt.Sprint(n.name, ".", n.generation) }
 
 func (n *node) start() {
--- a/internal/sim/operators.go
+++ b/internal/sim/operators.go
@@ -22,6 +22,7 @@
 	version, base int64 // the version that it creates, and the version that it is based on
 }
 
+// doc builds the configuration of the order; the previous document is not used.
 func (o *order) doc([]byte) ([]byte, error) {
 	return fmt.Appendf(nil, `{"note":"%s","version":%d}`, o.digest, o.version), nil
 }
@@ -86,6 +87,7 @@
 	return c.work
 }
 
+// cancel cancels the request, also one that has not begun.
 func (c *callerContext) cancel() {
 	c.isCanceled = true
 	if c.work != nil {
@@ -100,6 +102,8 @@
 	err      error
 }
 
+// readVersion reads the version of the configuration, checks that the read is not stale, and records it for the
+// linearizability check.
 func (d *Deployment) readVersion(ctx context.Context, number int) (int64, bool) {
 	since, began := d.oracle.newestAcked, d.now
 	got, isRead := d.callManager(ctx, func(ctx context.Context, o *manager.Operators) any {
--- a/internal/sim/place.go
+++ b/internal/sim/place.go
@@ -181,11 +181,13 @@
 	}
 }
 
+// freeze suspends all work of the store for up to 6 s.
 func (s *simStore) freeze() {
 	s.frozenUntil = s.w.now + time.Duration(s.w.Rand.IntN(6000))*time.Millisecond
 	s.w.Tracef("freeze %s until %v", s.name, s.frozenUntil)
 }
 
+// kill stops the store as a power loss does: writes that are not synced may be lost.
 func (s *simStore) kill() {
 	if s.isUp {
 		s.isUp, s.generation = false, s.generation+1
--- a/internal/sim/placefaults.go
+++ b/internal/sim/placefaults.go
@@ -129,6 +129,7 @@
 	return isUp && isOwned
 }
 
+// isolate drops all messages from a daemon, and with isBothWays also those to it, for 0.5 s to 6.5 s.
 func (p *PlaceCluster) isolate(name string, isBothWays bool) {
 	for _, other := range []string{"s1", "s2", "s3", "a1", "a2", "a3", "ctl", "caller"} {
 		if other != name {
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -47,6 +47,7 @@
 // now is the daemon's own clock, which starts at zero with each start of the process.
 func (p *process) now() time.Duration { return p.d.now - p.startedAt }
 
+// end stops the process.
 func (p *process) end() {
 	if p.isUp {
 		p.isUp, p.generation = false, p.generation+1
@@ -69,6 +70,7 @@
 	p.d.After(time.Duration(p.d.Rand.IntN(30))*time.Millisecond, tick)
 }
 
+// pause returns the interval until the next poll.
 func (p *process) pause() time.Duration { return session.PollInterval(p.view, p.now(), timing.Default) }
 
 func (p *process) who() wire.Who {
--- a/internal/sim/storedisk.go
+++ b/internal/sim/storedisk.go
@@ -17,6 +17,7 @@
 	id int64
 }
 
+// wrap returns a callback that calls then and runs the pending work; it does nothing once the store has stopped.
 func (d *groupDisk) wrap(then func(error)) func(error) {
 	h, generation := d.s.hosts[d.id], d.s.generation
 	return func(err error) {
--- a/internal/sim/storeprocess.go
+++ b/internal/sim/storeprocess.go
@@ -69,6 +69,7 @@
 	s.d.Tracef("the disk of %s is replaced by a blank one; its member id is %s now", s.name, s.memberId())
 }
 
+// openDisks returns the disks of the groups that the store holds, ordered by group.
 func (s *storeProcess) openDisks() []*Disk {
 	out := []*Disk{}
 	for _, id := range groupIds() {
@@ -102,6 +103,7 @@
 	return h
 }
 
+// tick ticks the hosts of all groups and runs their pending work.
 func (s *storeProcess) tick() {
 	for _, id := range groupIds() {
 		if h := s.hosts[id]; h != nil {
--- a/internal/sim/task.go
+++ b/internal/sim/task.go
@@ -15,8 +15,8 @@
 // Invariant: a task is resumed by the event loop only, never from within another task.
 type task struct {
 	w          *World
-	owner      *lifecycle // process in one of whose starts the task runs; nil for an operator's task
-	generation int
+	owner      *lifecycle // process that the task runs in; nil for an operator's task
+	generation int        // of the owner, when the task was started; the task ends with it
 	next       func() (registerResume, bool)
 	stop       func()
 	yield      func(registerResume) bool
@@ -47,7 +47,8 @@
 	w.After(0, t.step)
 }
 
-// step runs the task until it blocks again.
+// step runs the task until it blocks again. It ends a task whose process has stopped, and defers one whose
+// process is frozen.
 func (t *task) step() {
 	if t.owner != nil && (!t.owner.isUp || t.owner.generation != t.generation) {
 		t.stop()
--- a/internal/sim/wakingdisk.go
+++ b/internal/sim/wakingdisk.go
@@ -8,6 +8,7 @@
 	s *simStore
 }
 
+// wrap returns a callback that calls then and runs the pending work.
 func (d *wakingDisk) wrap(then func(error)) func(error) {
 	return func(err error) { then(err); d.s.runPending() }
 }
--- a/internal/sim/workerrun.go
+++ b/internal/sim/workerrun.go
@@ -23,12 +23,13 @@
 	message     *wire.Run
 	run         *check.Run
 	runTimeout  time.Duration
-	isFailed    bool
+	isFailed    bool // the worker answers with status 500
 	isTruncated bool // the reply is incomplete
 	hasEnded    bool // the worker has ended the run
 	isReported  bool // the adapter has started to send a result to the owner
 }
 
+// end records that the worker has ended the run.
 func (x *workerRun) end() {
 	if !x.hasEnded {
 		x.hasEnded, x.run.End = true, x.adapter.w.now
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,7 +1,7 @@
 // Package sim runs the production state machines on a simulated clock, network and disk. It holds
 // simulations of a replica group, a place, the control plane, deliveries and a whole deployment, each with
-// fault injectors and checks of what clients and daemons were told. One seed determines a run completely.
-// The tests of this package and the sweep command of cmd/fleet call it.
+// fault injectors and with checks of what daemons do and of the replies that clients receive. One seed
+// determines a run completely. The tests of this package and the sweep command of cmd/fleet call it.
 package sim
 
 import (
