--- a/internal/sim/placefaults.go
+++ b/internal/sim/placefaults.go
@@ -39,7 +39,7 @@
 			}
 		}
 	},
-	"taken for gone": func(p *PlaceCluster) { // its connections are refused, so the other stores consider its process ended
+	"taken for gone": func(p *PlaceCluster) { // its connections are refused: the others consider it stopped
 		isolated := p.randomStore()
 		if !isolated.isUp {
 			return
--- a/internal/sim/rundeployment.go
+++ b/internal/sim/rundeployment.go
@@ -93,7 +93,7 @@
 			commits[id] = owner.hosts[id].View().Commit
 		}
 	}
-	d.Run(d.now + d.bound(timing.Heartbeat)) // owners commit their time periodically; replicas learn of a commit by heartbeat
+	d.Run(d.now + d.bound(timing.Heartbeat)) // owners commit their time; the commit reaches replicas by heartbeat
 	for _, id := range groupIds() {
 		d.checkGroup(id, commits[id])
 	}
