--- a/internal/sim/wakingdisk.go
+++ b/internal/sim/wakingdisk.go
@@ -2,15 +2,18 @@
 
 import "caperwheel/internal/group"
 
-// wakingDisk lets the host go on whenever its disk has answered.
+// wakingDisk runs the store's pending work after each completed write.
 type wakingDisk struct {
 	*Disk
 	s *simStore
 }
 
+// wrap returns a callback that calls then and runs the pending work.
 func (d *wakingDisk) wrap(then func(error)) func(error) {
 	return func(err error) { then(err); d.s.runPending() }
 }
+
+// Persist, AfterWrites and SaveSlot implement host.Disk.
 func (d *wakingDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
 }
