--- a/internal/check/answers.go
+++ b/internal/check/answers.go
@@ -8,38 +8,41 @@
 	"time"
 )
 
-// checkAnswer holds an answer against the request that it answers.
+// checkAnswer checks that an answer belongs to its request: body checksum, proof token and message id must match,
+// and the answer must be complete. ids maps each message id to the token that it was first given for.
 func (c *checker) checkAnswer(s Sent, ids map[string]string) {
 	if s.AnsweredBodySum != "" && s.AnsweredBodySum != s.BodySum {
-		c.addBreach(RuleMixedAnswer, "the answer for %s tells the checksum of other bytes", s.Token)
+		c.addBreach(RuleMixedAnswer, "the answer for %s has the checksum of another body", s.Token)
 	}
 	if s.ProofToken != "" && s.ProofToken != AnswerOf(s.Token) {
-		c.addBreach(RuleMixedAnswer, "the answer for %s proves a run of %s", s.Token, s.ProofToken)
+		c.addBreach(RuleMixedAnswer, "the answer for %s holds the proof of a run of %s", s.Token, s.ProofToken)
 	}
 	if s.IsTruncated {
-		c.addBreach(RuleTruncatedAnswer, "an answer for %s was read without a failure and is not whole", s.Token)
+		c.addBreach(RuleTruncatedAnswer, "an answer for %s was read without an error but is truncated", s.Token)
 	}
 	if s.Id == "" {
 		return
 	}
 	if other, isKnown := ids[s.Id]; isKnown && other != s.Token {
-		c.addBreach(RuleMixedAnswer, "%s and %s were both told the id %s", s.Token, other, s.Id)
+		c.addBreach(RuleMixedAnswer, "%s and %s were both given the message id %s", s.Token, other, s.Id)
 	}
 	ids[s.Id] = s.Token
 }
 
-// AnswerOf is the token of the answer that a back end gives for a message, and
-// so of the call-back that carries it.
+// AnswerOf returns the token of the answer that a back end gives for a message. The call-back that delivers the
+// answer has the same token.
 func AnswerOf(token string) string { return token + answerSuffix }
 
+// answerSuffix is appended to the token of a message to form the token of its answer.
 const answerSuffix = "/answer"
 
+// isFinal reports whether a message in this state never changes state again.
 func isFinal(state string) bool {
 	return state == "ended" || state == "failed" || state == "expired" || state == "rejected"
 }
 
-// checkStatusReads: whoever asks for a taken message, whenever, is told of it, with its
-// own bytes, and never that it went back.
+// checkStatusReads checks all status reads of taken messages: the message must be found, with its own body, and
+// neither its state nor its attempt count may go backwards.
 func (c *checker) checkStatusReads() {
 	byId := map[string]Sent{}
 	for _, s := range c.sentByToken {
@@ -49,7 +52,7 @@
 	}
 	list := slices.Clone(c.h.Reads)
 	slices.SortStableFunc(list, func(a, b StatusRead) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
-	newest := map[string]StatusRead{} // by id, of those already answered when the next was asked
+	newest := map[string]StatusRead{} // by message id; only reads that were answered before the next one was sent
 	for _, x := range list {
 		s, isTaken := byId[x.Id]
 		if !isTaken || x.RequestedAt < s.AnsweredAt {
@@ -57,13 +60,13 @@
 		}
 		switch {
 		case x.State == "unknown" || x.State == "rejected" || x.State == "":
-			c.addBreach(RuleTakenLost, "%s (%s) was told taken and was %q at %v", s.Token, s.Id, x.State, x.AnsweredAt)
+			c.addBreach(RuleTakenLost, "%s (%s) was acknowledged as taken and was reported as %q at %v", s.Token, s.Id, x.State, x.AnsweredAt)
 		case x.BodySum != "" && x.BodySum != s.BodySum:
-			c.addBreach(RuleAlteredBody, "%s: other bytes were read at %v", s.Id, x.AnsweredAt)
+			c.addBreach(RuleAlteredBody, "%s: another body was read at %v", s.Id, x.AnsweredAt)
 		}
 		was, isKnown := newest[x.Id]
 		if isKnown && was.AnsweredAt <= x.RequestedAt && (isFinal(was.State) && x.State != was.State || x.Attempts < was.Attempts) {
-			c.addBreach(RuleStateRegression, "%s was %s/%d at %v and %s/%d at %v", x.Id, was.State, was.Attempts, was.AnsweredAt, x.State, x.Attempts, x.AnsweredAt)
+			c.addBreach(RuleStateRegression, "%s was %s after %d attempts at %v and %s after %d attempts at %v", x.Id, was.State, was.Attempts, was.AnsweredAt, x.State, x.Attempts, x.AnsweredAt)
 		}
 		if !isKnown || was.AnsweredAt <= x.RequestedAt {
 			newest[x.Id] = x
@@ -71,9 +74,9 @@
 	}
 }
 
-// The ramp that cold workers are held against: starts a second double
-// rampDoublings times from rampInitialRate on while they ease in. Twice that is
-// allowed: a duty that moves meanwhile has two holders until the first hears.
+// Slow-start ramp of a cold worker: its starts per second begin at rampInitialRate and double rampDoublings times
+// within the slow-start period. Up to rampTolerance times the ramp is allowed, because a worker whose duty moves
+// meanwhile has two holders until the first one learns of the move.
 const (
 	rampInitialRate = 2.0
 	rampDoublings   = 8.0
@@ -81,13 +84,13 @@
 	rampExtraStarts = 6
 )
 
-// maxStarts is how many starts a worker that came cold may have had by then.
+// maxStarts returns how many starts a cold worker may have had this long after it joined.
 func maxStarts(since, ease time.Duration) float64 {
 	growth := rampDoublings * math.Ln2 / ease.Seconds()
 	return rampTolerance*rampInitialRate*(math.Exp(growth*since.Seconds())-1)/growth + rampExtraStarts
 }
 
-// checkSlowStart: a worker that comes cold is eased in.
+// checkSlowStart checks that each cold worker gets no more starts than its slow-start ramp allows.
 func (c *checker) checkSlowStart() {
 	for _, x := range c.h.Colds {
 		count := 0
@@ -97,21 +100,23 @@
 				continue
 			}
 			if count++; float64(count) > maxStarts(since, x.SlowStart) {
-				c.addBreach(RuleSlowStart, "%s/%s came cold at %v and had %d starts %v later", x.Pool, x.Worker, x.From, count, since)
+				c.addBreach(RuleSlowStart, "%s/%s joined cold at %v and had %d starts %v later", x.Pool, x.Worker, x.From, count, since)
 				break
 			}
 		}
 	}
 }
 
-// Recovery: in the last third of RecoveryTimeout after an outage, a quarter of what
-// callers send of each kind is run.
+// Bounds on recovery. In the last third of RecoveryTimeout after an outage (recoveryWindow), the runs of each kind of
+// traffic must succeed for at least a quarter of the messages that callers send in that window.
 const (
 	RecoveryTimeout  = 12 * time.Second
 	recoveryWindow   = 4 * time.Second
-	minRecoverySends = 8 // fewer sends say nothing
+	minRecoverySends = 8 // fewer messages are too small a sample to judge
 )
 
+// checkRecovery checks that every kind of traffic is served again in time after each outage. The kind of a lane is its
+// name up to the first dot.
 func (c *checker) checkRecovery() {
 	kind := func(lane string) string { first, _, _ := strings.Cut(lane, "."); return first }
 	for _, o := range c.h.Outages {
@@ -133,14 +138,14 @@
 			}
 			c.h.CheckedRecoveries++
 			if 4*served[lane] < n {
-				c.addBreach(RuleRecovery, "%s: %d of %d messages of %s were served from %v to %v", o.Description, served[lane], n, lane, from, until)
+				c.addBreach(RuleRecovery, "%s: only %d of %d messages of %s were served from %v to %v", o.Description, served[lane], n, lane, from, until)
 			}
 		}
 	}
 }
 
-// checkCallbacks: a success on a lane with call-backs has exactly one, which carries
-// its answer, to a pool that may have it.
+// checkCallbacks checks that each message that ended on a lane with call-backs has a call-back with its answer, that it
+// runs only in pools that the call-back lane allows, and that no other message is called back.
 func (c *checker) checkCallbacks() {
 	for token, runs := range c.runsByToken {
 		parent, isChild := strings.CutSuffix(token, answerSuffix)
@@ -156,7 +161,7 @@
 			case end.State != "" && end.State != "ended":
 				c.addBreach(RuleCallback, "%s is %s and was called back", parent, end.State)
 			case end.State == "ended" && (r.BodySum != end.AnswerSum || r.Id != end.CallbackId):
-				c.addBreach(RuleCallback, "the call-back of %s does not carry the answer that its proof has", parent)
+				c.addBreach(RuleCallback, "the call-back of %s does not carry the answer in its proof", parent)
 			}
 		}
 	}
@@ -167,7 +172,7 @@
 		}
 		child, isAsked := c.h.Finals[end.CallbackId]
 		if end.CallbackId == "" || isAsked && (child.State == "unknown" || child.State == "rejected") {
-			c.addBreach(RuleCallback, "%s is ended and its call-back %q is lost", s.Token, end.CallbackId)
+			c.addBreach(RuleCallback, "%s has ended and its call-back %q is lost", s.Token, end.CallbackId)
 		}
 	}
 }
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Breach is one broken rule.
+// Breach is one broken rule, and a text that names the messages and times concerned.
 type Breach struct {
 	Rule string
 	Text string
 }
 
-// Rules that a history is held against.
+// Rules that Check checks. The values are the names of the rules in reports.
 const (
 	RuleTakenLost       = "taken and lost"
 	RuleRejectedRun     = "not taken and run"
@@ -36,19 +36,22 @@
 	RuleEarlyExpiry     = "expired before its time"
 )
 
+// checker holds the state of one Check.
 type checker struct {
 	h           *History
 	breaches    []Breach
-	runsByToken map[string][]Run // by token, in order of start
+	runsByToken map[string][]Run // by message token, ordered by start
 	sentByToken map[string]Sent
 	runsById    map[string][]Run
 }
 
+// addBreach records a breach of a rule.
 func (c *checker) addBreach(rule, form string, args ...any) {
 	c.breaches = append(c.breaches, Breach{rule, fmt.Sprintf(form, args...)})
 }
 
-// Check gives every broken rule.
+// Check returns all breaches in a history. It sorts h.Runs by start and resets h.ExcusedRepeats and
+// h.CheckedRecoveries.
 func Check(h *History) []Breach {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -89,11 +92,13 @@
 	return c.breaches
 }
 
-// checkOutcome holds what a caller was told against what happened.
+// checkOutcome compares the outcome that a caller was given with the runs and the final state of the message: a taken
+// message is not lost and keeps its body, a message that was not taken is never run, and an undecided one can be
+// settled.
 func (c *checker) checkOutcome(s Sent) {
 	runs := c.runsByToken[s.Token]
 	if s.Outcome == NotTaken && len(runs) > 0 {
-		c.addBreach(RuleRejectedRun, "%s was told not taken and was run by %s", s.Token, runs[0].Worker)
+		c.addBreach(RuleRejectedRun, "%s was answered as not taken and was run by %s", s.Token, runs[0].Worker)
 	}
 	end, isKnown := c.h.Finals[s.Id]
 	if isKnown && end.State == "rejected" && len(runs) > 0 {
@@ -103,14 +108,15 @@
 		c.addBreach(RuleUnsettled, "%s was undecided and cannot be settled", s.Id)
 	}
 	if s.Outcome == Taken && (!isKnown || end.State == "unknown" || end.State == "rejected" || end.State == "") {
-		c.addBreach(RuleTakenLost, "%s (%s) was told taken and is %q", s.Token, s.Id, end.State)
+		c.addBreach(RuleTakenLost, "%s (%s) was acknowledged as taken and its final state is %q", s.Token, s.Id, end.State)
 	}
 	if s.Outcome == Taken && end.BodySum != "" && end.BodySum != s.BodySum {
-		c.addBreach(RuleAlteredBody, "%s: the bytes read back differ", s.Id)
+		c.addBreach(RuleAlteredBody, "%s: the body read back differs from the one sent", s.Id)
 	}
 }
 
-// checkRepeats: what was answered with a success and read is never run again.
+// checkRepeats checks that a message is not run again after a run that succeeded and whose answer was read. Repeats
+// that the kill of an adapter explains are counted and not reported.
 func (c *checker) checkRepeats(token string, runs []Run) {
 	for i, r := range runs {
 		if !r.isSuccess() || !r.IsAnswerComplete || i+1 == len(runs) {
@@ -120,15 +126,14 @@
 			c.h.ExcusedRepeats++
 			continue
 		}
-		c.addBreach(RuleRepeatedSuccess, "%s succeeded at %s in attempt %d, and attempt %d came %v later", token, r.Worker,
+		c.addBreach(RuleRepeatedSuccess, "%s succeeded at %s in attempt %d, and attempt %d started %v later", token, r.Worker,
 			r.Attempt, runs[i+1].Attempt, runs[i+1].Start-r.End)
 		return
 	}
 }
 
-// isExcusedByKill reports whether the adapter that sent the run was killed about when
-// its answer was read, before anybody else had it: the window that
-// docs/delivery.md describes.
+// isExcusedByKill reports whether the adapter that sent the run was killed at about the time at which it read the
+// answer, so that the success may not have been recorded anywhere else. docs/delivery.md describes this window.
 func (c *checker) isExcusedByKill(r Run) bool {
 	for _, w := range c.h.Kills {
 		if r.End >= w.From && r.End <= w.Until && (w.Adapter == "" || r.Adapter == "" || w.Adapter == r.Adapter) {
@@ -138,20 +143,20 @@
 	return false
 }
 
-// checkProof: an end carries the run that succeeded, and that run's answer.
+// checkProof checks that the proof of an ended message names a run that succeeded and holds the answer of that run.
 func (c *checker) checkProof(id string, end FinalState) {
 	runs := c.runsById[id]
 	if len(runs) == 0 {
-		c.addBreach(RuleEndedWithoutRun, "%s is ended and no back end saw it", id)
+		c.addBreach(RuleEndedWithoutRun, "%s has ended and no back end ran it", id)
 		return
 	}
 	for _, r := range runs {
 		if r.Attempt == end.Attempt && r.Worker == end.Worker && r.isSuccess() {
 			if r.AnswerSum != end.AnswerSum {
-				c.addBreach(RuleMixedAnswer, "%s: the proof holds another answer than attempt %d gave", id, r.Attempt)
+				c.addBreach(RuleMixedAnswer, "%s: the proof holds another answer than that of attempt %d", id, r.Attempt)
 			}
 			return
 		}
 	}
-	c.addBreach(RuleWrongProof, "%s: attempt %d at %s did not succeed there", id, end.Attempt, end.Worker)
+	c.addBreach(RuleWrongProof, "%s: its proof names attempt %d at %s, which did not succeed there", id, end.Attempt, end.Worker)
 }
--- a/internal/check/check_test.go
+++ b/internal/check/check_test.go
@@ -9,7 +9,7 @@
 
 const s = time.Second
 
-// cleanHistory is a history in which nothing is wrong.
+// cleanHistory returns a history without breaches.
 func cleanHistory() *History {
 	h := NewHistory()
 	h.LanePools["l"], h.LanePools["o"], h.RateCaps["p"], h.OrderedLanes["o"] = []string{"p"}, []string{"p"}, 1, true
@@ -37,8 +37,8 @@
 	return h
 }
 
-// addConfigEdits adds two configurations: the second was acknowledged at 1 s, moves lane o
-// to another pool and lowers a cap.
+// addConfigEdits adds two configurations. The second one was acknowledged at 3 s; it moves lane o to another pool and
+// lowers the rate cap of p2.
 func addConfigEdits(h *History) {
 	pools := func(o string) map[string][]string {
 		return map[string][]string{"l": {"p"}, "o": {o}, "m": {"p"}, "back": {"p2"}}
@@ -48,14 +48,15 @@
 	h.AddEdit(Edit{SentAt: s / 2, AcknowledgedAt: 3 * s, Revision: 2, Pools: pools("q"), RateCaps: map[string]float64{"p": 9, "p2": 1}})
 }
 
-// addTenSends has ten messages sent in the seconds in which traffic must be back.
+// addTenSends adds ten messages that are sent in the window in which recovery is checked.
 func addTenSends(h *History) {
 	for i := range 10 {
 		h.AddSent(Sent{Token: string(rune('A' + i)), Lane: "l", BodySum: "n", SentAt: 39*s + time.Duration(i), Outcome: NotTaken})
 	}
 }
 
-// TestCheckerIsNotBlind breaks each rule on purpose.
+// TestCheckerIsNotBlind breaks each rule in a history that is otherwise clean and requires Check to report that rule.
+// It guards against a checker that accepts everything.
 func TestCheckerIsNotBlind(t *testing.T) {
 	cases := []struct {
 		rule string
@@ -88,7 +89,7 @@
 		{RuleMixedAnswer, func(h *History) { h.Sent[4].Id = "1" }},
 		{RuleTruncatedAnswer, func(h *History) { h.Sent[4].IsTruncated = true }},
 		{RuleKeyOverlap, func(h *History) { h.Sent[2].Outcome, h.Runs[2].End = Undecided, 0 }},
-		{RuleRepeatedSuccess, func(h *History) { // another adapter's death excuses nothing
+		{RuleRepeatedSuccess, func(h *History) { // the kill of another adapter excuses nothing
 			h.Runs[0].Status, h.Runs[0].Adapter = 200, "a1"
 			h.AddKill(KillWindow{Adapter: "a2", From: 0, Until: 3 * s})
 		}},
@@ -118,7 +119,7 @@
 		{RuleWrongPool, addConfigEdits},
 		{RuleRateExceeded, func(h *History) {
 			addConfigEdits(h)
-			for i := range 12 { // no more than the first cap allows, and the second is in force
+			for i := range 12 { // allowed under the first cap, but the second one is in force
 				h.AddRun(Run{Token: "?", Pool: "p2", Worker: "w", Start: 30*s + time.Duration(i)})
 			}
 		}},
@@ -143,7 +144,7 @@
 		{RuleRunAfterDrain, func(h *History) { h.AddDrain(Drain{Zone: "c", From: 1 * s, Until: 8 * s, Grace: 5 * s}) }},
 	}
 	Convey("A clean history has no breach", t, func() { So(Check(cleanHistory()), ShouldBeEmpty) })
-	Convey("A history is flagged that breaks", t, func() {
+	Convey("A history is reported that breaks", t, func() {
 		for i, c := range cases {
 			Convey(c.rule+" "+string(rune('a'+i)), func() {
 				h := cleanHistory()
@@ -156,14 +157,14 @@
 			})
 		}
 	})
-	Convey("What is allowed is not flagged:", t, func() {
+	Convey("What is allowed is not reported:", t, func() {
 		Convey("a run repeated because its adapter was killed", func() {
 			h := cleanHistory()
 			h.Runs[0].Status = 200
 			h.AddKill(KillWindow{From: 0, Until: 3 * s})
 			So(Check(h), ShouldBeEmpty)
 		})
-		Convey("work under an older charter within the bound, or under one sent and never acknowledged", func() {
+		Convey("runs under an older configuration within the timeout, or under one that was never acknowledged", func() {
 			h := cleanHistory()
 			addConfigEdits(h)
 			h.Edits[1].AcknowledgedAt = 6 * s
@@ -172,7 +173,7 @@
 			h.Edits[1].AcknowledgedAt = 0
 			So(Check(h), ShouldBeEmpty)
 		})
-		Convey("a cold worker's ramp, and a kind of traffic that is served again", func() {
+		Convey("a cold worker within its ramp, and a kind of traffic that is served again", func() {
 			h := cleanHistory()
 			h.AddCold(ColdStart{Pool: "p", Worker: "w", From: 20 * s, SlowStart: 10 * s})
 			addTenSends(h)
@@ -186,12 +187,12 @@
 			So(Check(h), ShouldBeEmpty)
 			So(h.CheckedRecoveries, ShouldEqual, 1)
 		})
-		Convey("work within the bound of a mark, or after its end", func() {
+		Convey("runs within the grace period of a drain, or after its end", func() {
 			h := cleanHistory()
 			h.AddDrain(Drain{Zone: "c", From: 3 * s, Until: 7 * s, Grace: 3 * s})
 			So(Check(h), ShouldBeEmpty)
 		})
-		Convey("any order of messages sent at once", func() {
+		Convey("any order of messages that were sent concurrently", func() {
 			h := cleanHistory()
 			h.Sent[3].SentAt, h.Runs[3].Start, h.Runs[3].End = 1*s, 3*s, 4*s
 			So(Check(h), ShouldBeEmpty)
--- a/internal/check/configs.go
+++ b/internal/check/configs.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// configTimeout is how long after its acknowledgement a configuration may not yet
-// hold everywhere.
+// configTimeout is how long after its acknowledgement a configuration may still not be in force everywhere.
 const configTimeout = 3 * time.Second
 
+// inForce is InForce over the configurations of the checked history.
 func (c *checker) inForce(first, last time.Duration) []Edit { return InForce(c.h.Edits, first, last) }
 
-// InForce lists the configurations that may have been acted on at some moment from
-// first to last: sent by then, and not behind one that was acknowledged more
-// than the bound before first.
+// InForce returns the configurations that may have been in force at some time between first and last: those that were
+// sent by last and are not older than one that was acknowledged more than configTimeout before first.
 func InForce(edits []Edit, first, last time.Duration) []Edit {
 	newest := int64(0)
 	for _, e := range edits {
@@ -26,7 +25,7 @@
 	})
 }
 
-// isPoolAllowed: some configuration that may be in force lets the lane use the run's pool.
+// isPoolAllowed reports whether some configuration that may have been in force allows the lane to use the run's pool.
 func (c *checker) isPoolAllowed(lane string, r Run) bool {
 	if len(c.h.Edits) == 0 {
 		return slices.Contains(c.h.LanePools[lane], r.Pool)
@@ -34,7 +33,7 @@
 	return slices.ContainsFunc(c.inForce(r.Start, r.Start), func(e Edit) bool { return slices.Contains(e.Pools[lane], r.Pool) })
 }
 
-// maxRateCap gives the largest cap of a pool in the window before a moment.
+// maxRateCap returns the largest rate cap of a pool that may have been in force in the rateWindow before at.
 func (c *checker) maxRateCap(pool string, at time.Duration) float64 {
 	if len(c.h.Edits) == 0 {
 		return c.h.RateCaps[pool]
@@ -46,14 +45,14 @@
 	return maxCap
 }
 
-// checkConfigs: the bound after an acknowledgement, nothing is done under an older
-// configuration, and no adapter slips back.
+// checkConfigs checks that, configTimeout after a configuration was acknowledged, no run is started and no message is
+// answered under an older one.
 func (c *checker) checkConfigs() {
 	acked := slices.DeleteFunc(slices.Clone(c.h.Edits), func(e Edit) bool { return e.AcknowledgedAt == 0 })
 	checkRevision := func(at time.Duration, revision int64, form string, args ...any) {
 		for _, e := range acked {
 			if revision > 0 && e.AcknowledgedAt+configTimeout < at && revision < e.Revision {
-				c.addBreach(RuleStaleConfig, form+" at %v under charter %d, though %d was acknowledged at %v", append(args, at, revision, e.Revision, e.AcknowledgedAt)...)
+				c.addBreach(RuleStaleConfig, form+" at %v under configuration %d, although %d was acknowledged at %v", append(args, at, revision, e.Revision, e.AcknowledgedAt)...)
 				return
 			}
 		}
@@ -66,14 +65,14 @@
 	}
 }
 
-// checkDrains holds leaving workers and emptied zones against their bounds.
+// checkDrains checks that draining workers and evacuated zones get no new run once their grace period is over.
 func (c *checker) checkDrains() {
 	for _, m := range c.h.Drains {
 		for _, r := range c.h.Runs {
 			isHit := m.Worker != "" && r.Pool == m.Pool && r.Worker == m.Worker ||
 				m.Worker == "" && c.h.Zones[r.Pool+"/"+r.Worker] == m.Zone
 			if isHit && r.Start > m.From+m.Grace && (m.Until == 0 || r.Start < m.Until) {
-				c.addBreach(RuleRunAfterDrain, "%s/%s got %s %v after it was to get no more", r.Pool, r.Worker, r.Token, r.Start-m.From)
+				c.addBreach(RuleRunAfterDrain, "%s/%s got a run of %s %v after it was drained", r.Pool, r.Worker, r.Token, r.Start-m.From)
 			}
 		}
 	}
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -1,6 +1,7 @@
-// Package check holds a recorded history of callers, back ends and the system
-// against the rules that must never be broken. The simulation and the fleet
-// both use it.
+// Package check records the history of a test run (messages that callers sent, runs that back ends saw, statuses that
+// the system reported) and checks it against the system's guarantees: no taken message is lost, no message that was not
+// taken is run, ordering keys and rate caps hold, and so on. The simulation (internal/sim), the fleet (internal/fleet)
+// and the stand-ins (internal/standin) record histories and call Check after each run.
 package check
 
 import (
@@ -10,41 +11,40 @@
 	"time"
 )
 
-// Outcome is what a caller was told of one message that it sent.
+// Outcome is what the answer to a caller said about the message that it sent.
 type Outcome string
 
-// What a caller may be told.
+// Outcomes of sending a message.
 const (
 	Taken     Outcome = "taken"
 	NotTaken  Outcome = "not taken"
-	Undecided Outcome = "undecided" // also: no answer at all
+	Undecided Outcome = "undecided" // also when there was no answer at all
 )
 
-// Sent is one message of a caller. Token is unique and within the body, so
-// that back ends can tell messages apart whatever the system says.
+// Sent is one message that a caller sent. Token is unique and part of the body, so that back ends can identify the
+// message independently of the headers that the system sets.
 type Sent struct {
 	Token   string
 	Lane    string
 	Key     string
 	BodySum string
 	SentAt  time.Duration // when it was sent
-	// It must not run before Delay, nor be expired before Patience has passed since it
-	// was sent; 0: it may.
+	// The message must not run before Delay, and must not expire before Patience, has passed since SentAt. 0 means no
+	// such limit.
 	Delay      time.Duration
 	Patience   time.Duration
 	AnsweredAt time.Duration
 	Outcome    Outcome
 	Id         string
-	// What else the answer said, when it said it: the checksum of the message's
-	// bytes, the token within the proof's answer, and whether an answer that
-	// looked whole was not.
+	// Further content of the answer, empty if absent: the checksum of the body, the token inside the answer of the
+	// proof, and whether the answer was truncated although it was read without an error.
 	AnsweredBodySum string
 	ProofToken      string
 	IsTruncated     bool
-	Revision        int64 // of the configuration under which it was answered; 0 if not told
+	Revision        int64 // of the configuration under which it was answered; 0 if not given
 }
 
-// Run is one run that a back end saw.
+// Run is one execution of a message at a back end, as the back end recorded it.
 type Run struct {
 	Token            string
 	Id               string
@@ -55,125 +55,128 @@
 	Start            time.Duration
 	End              time.Duration
 	Status           int
-	AnswerSum        string // checksum of the answer
-	IsAnswerComplete bool   // the answer was written whole, as far as the back end could tell
-	Adapter          string // who sent it; empty if it did not say
-	Revision         int64  // of the configuration under which it was sent; 0 if it did not say
+	AnswerSum        string // checksum of the answer's body
+	IsAnswerComplete bool   // the answer was written completely, as far as the back end could observe
+	Adapter          string // name of the adapter that sent the run; empty if not given
+	Revision         int64  // of the configuration under which it was sent; 0 if not given
 }
 
-// FinalState is what the system says of a message at last.
+// FinalState is the last status that the system reported for a message.
 type FinalState struct {
 	State      string
 	Attempt    int64
 	Worker     string
 	AnswerSum  string // of the answer in the proof
-	BodySum    string // of the bytes as asked for; empty if not asked
+	BodySum    string // of the body as read back; empty if it was not read
 	CallbackId string // id of the call-back, if there is one
 }
 
-// Drain is a moment from which a worker, or all of a zone, must get no new run.
+// Drain is a period in which a worker, or every worker of a zone, must get no new run once Grace has passed since From.
 type Drain struct {
-	Pool, Worker string // empty Worker: all of the zone
+	Pool, Worker string // if Worker is empty, all workers of Zone
 	Zone         string
-	From, Until  time.Duration // Until 0: to the end
+	From, Until  time.Duration // Until 0: to the end of the history
 	Grace        time.Duration
 }
 
-// StatusRead is what somebody was told who asked for a message while things failed.
-// Answers that say no more than "cannot be reached" are not sights.
+// StatusRead is the answer to a request for the status of a message while faults are in effect. Answers that report
+// only that the message cannot be reached are not recorded.
 type StatusRead struct {
 	Id          string
-	RequestedAt time.Duration // when it was asked
+	RequestedAt time.Duration // when the request was sent
 	AnsweredAt  time.Duration
 	State       string
 	Attempts    int64
-	BodySum     string // empty if the bytes were not asked for
+	BodySum     string // empty if the body was not read
 }
 
-// Edit is a configuration as an operator sent it, and what it allows.
+// Edit is a configuration as an operator sent it: when it was sent and acknowledged, which pools it allows each
+// lane, and the rate cap of each pool.
 type Edit struct {
 	SentAt         time.Duration // when it was sent
-	AcknowledgedAt time.Duration // when it was acknowledged; 0 for never
+	AcknowledgedAt time.Duration // when it was acknowledged; 0 if it never was
 	Revision       int64         // as acknowledged
 	Pools          map[string][]string
 	RateCaps       map[string]float64
 }
 
-// ColdStart is a worker that came, or came back, cold at a moment.
+// ColdStart is a worker that joined, or rejoined, without warm caches at time From and must be ramped up over the
+// SlowStart period.
 type ColdStart struct {
 	Pool, Worker    string
 	From, SlowStart time.Duration
 }
 
-// Outage is a moment from which a quarter of each kind of traffic must be
-// served again within the bound.
+// Outage is a time from which traffic must recover: within RecoveryTimeout, a quarter of each kind of traffic must be
+// served again.
 type Outage struct {
 	Description string
 	At          time.Duration
 }
 
-// History is all that was recorded of one run.
+// History holds everything that was recorded in one test run. Its methods are safe for concurrent use; its fields are
+// not.
 type History struct {
 	mu            sync.Mutex
 	Sent          []Sent
 	Runs          []Run
-	Finals        map[string]FinalState // by id
+	Finals        map[string]FinalState // by message id
 	Drains        []Drain
 	LanePools     map[string][]string // lane -> allowed pools
 	RateCaps      map[string]float64  // pool -> runs a second
 	Zones         map[string]string   // pool/worker -> zone
 	OrderedLanes  map[string]bool     // lanes that are ordered
-	Kills         []KillWindow        // times at which an adapter was killed: its open runs may be run again
+	Kills         []KillWindow        // times at which an adapter was killed; runs in progress then may be repeated
 	CallbackLanes map[string]string   // lane -> lane of its call-backs
 
 	Reads             []StatusRead
 	Edits             []Edit
 	Colds             []ColdStart
 	Outages           []Outage
-	ExcusedRepeats    int // doubled runs that a killed adapter excuses, as the last Check counted
-	CheckedRecoveries int // lanes after outages that were judged
+	ExcusedRepeats    int // repeated runs in the last Check that the kill of an adapter explains
+	CheckedRecoveries int // recoveries of a kind of traffic that the last Check had enough messages to check
 }
 
-// KillWindow is a span of time around the end of an adapter's life.
+// KillWindow is the span of time around the kill of an adapter in which runs of that adapter may be repeated.
 type KillWindow struct {
-	Adapter     string // empty: any
+	Adapter     string // empty: any adapter
 	From, Until time.Duration
 }
 
-// NewHistory gives an empty one.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{Finals: map[string]FinalState{}, LanePools: map[string][]string{}, RateCaps: map[string]float64{},
 		Zones: map[string]string{}, OrderedLanes: map[string]bool{}, CallbackLanes: map[string]string{}}
 }
 
-// AddSent records a message.
+// AddSent records a message that a caller sent.
 func (h *History) AddSent(s Sent) { h.mu.Lock(); h.Sent = append(h.Sent, s); h.mu.Unlock() }
 
-// AddRun records a run.
+// AddRun records a run at a back end.
 func (h *History) AddRun(r Run) { h.mu.Lock(); h.Runs = append(h.Runs, r); h.mu.Unlock() }
 
-// AddDrain records a mark.
+// AddDrain records that a worker or a zone is drained.
 func (h *History) AddDrain(m Drain) { h.mu.Lock(); h.Drains = append(h.Drains, m); h.mu.Unlock() }
 
-// AddKill records when an adapter was killed.
+// AddKill records the kill of an adapter.
 func (h *History) AddKill(w KillWindow) { h.mu.Lock(); h.Kills = append(h.Kills, w); h.mu.Unlock() }
 
-// AddFinal records what the system says of a message.
+// AddFinal records the last status that the system reported for a message, in place of an earlier one.
 func (h *History) AddFinal(id string, e FinalState) { h.mu.Lock(); h.Finals[id] = e; h.mu.Unlock() }
 
-// AddRead records what a question was answered.
+// AddRead records a status read.
 func (h *History) AddRead(s StatusRead) { h.mu.Lock(); h.Reads = append(h.Reads, s); h.mu.Unlock() }
 
-// AddEdit records a configuration as sent.
+// AddEdit records a configuration that an operator sent.
 func (h *History) AddEdit(e Edit) { h.mu.Lock(); h.Edits = append(h.Edits, e); h.mu.Unlock() }
 
-// AddCold records a worker that came cold.
+// AddCold records a worker that joined cold.
 func (h *History) AddCold(c ColdStart) { h.mu.Lock(); h.Colds = append(h.Colds, c); h.mu.Unlock() }
 
-// AddOutage records a moment to recover from.
+// AddOutage records an outage that traffic must recover from.
 func (h *History) AddOutage(o Outage) { h.mu.Lock(); h.Outages = append(h.Outages, o); h.mu.Unlock() }
 
-// EndDrains ends the marks that are meant.
+// EndDrains sets the end of all drains for which isMatch returns true.
 func (h *History) EndDrains(isMatch func(Drain) bool, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -184,7 +187,7 @@
 	}
 }
 
-// Snapshot gives what was recorded so far; back ends may still be recording.
+// Snapshot returns copies of what was recorded so far; back ends may still be recording.
 func (h *History) Snapshot() (sent []Sent, runs []Run, ends map[string]FinalState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/check/proof_test.go
+++ b/internal/check/proof_test.go
@@ -9,10 +9,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestProofNames: docs/proof.md, docs/control.md and docs/platform.md name only tests, schedules
-// and simulated faults that exist.
+// TestProofNames checks that every test, schedule and simulated fault that docs/proof.md, docs/control.md,
+// docs/control-check.md and docs/platform.md name exists.
 func TestProofNames(t *testing.T) {
-	Convey("Everything that the proof names exists", t, func() {
+	Convey("Every test, schedule and fault that the pages name exists", t, func() {
 		page, err := os.ReadFile("../../docs/proof.md")
 		So(err, ShouldBeNil)
 		for _, other := range []string{"control", "control-check", "platform"} {
--- a/internal/check/runs.go
+++ b/internal/check/runs.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
+// Bounds on the rate of a pool: in any rateWindow it may get rateTolerance times its rate cap, and rateExtraRuns more.
 const (
 	rateWindow    = 5 * time.Second
 	rateTolerance = 1.15 // "not much more" than the agreed rate
 	rateExtraRuns = 2
 )
 
+// isSuccess reports whether the run was answered with a 2xx status.
 func (r Run) isSuccess() bool { return r.Status >= 200 && r.Status < 300 }
 
-// checkRun holds one run against what its message may do.
+// checkRun checks one run against its message: allowed pool, unaltered body, and not before the delay.
 func (c *checker) checkRun(r Run) {
 	s, isKnown := c.sentByToken[r.Token]
 	if !isKnown {
-		return // a call-back: its bytes are an answer, not a caller's
+		return // a call-back: its body is an answer, which no caller sent
 	}
 	if !c.isPoolAllowed(s.Lane, r) {
 		c.addBreach(RuleWrongPool, "%s of lane %s ran in pool %s", r.Token, s.Lane, r.Pool)
 	}
 	if r.BodySum != s.BodySum {
-		c.addBreach(RuleAlteredBody, "%s arrived altered at %s", r.Token, r.Worker)
+		c.addBreach(RuleAlteredBody, "the body of %s arrived altered at %s", r.Token, r.Worker)
 	}
 	if s.Delay > 0 && r.Start < s.SentAt+s.Delay-millisecondRounding {
-		c.addBreach(RuleEarly, "%s began %v before its delay of %v was over", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
+		c.addBreach(RuleEarly, "%s started %v before its delay of %v was over", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
 	}
 }
 
-// millisecondRounding is by how much a span that is told in milliseconds may end early.
+// millisecondRounding is by how much a period given in whole milliseconds may end early.
 const millisecondRounding = 2 * time.Millisecond
 
-// checkExpiries: nobody may say that a message has expired before it may have.
+// checkExpiries checks that no status read reports a message as expired before its patience has passed.
 func (c *checker) checkExpiries() {
 	byId := map[string]Sent{}
 	for _, s := range c.h.Sent {
@@ -43,13 +45,14 @@
 	for _, x := range c.h.Reads {
 		s, isKnown := byId[x.Id]
 		if isKnown && s.Patience > 0 && x.State == "expired" && x.AnsweredAt < s.SentAt+s.Patience-millisecondRounding {
-			c.addBreach(RuleEarlyExpiry, "%s was expired %v before its patience of %v was over", s.Token, s.SentAt+s.Patience-x.AnsweredAt, s.Patience)
+			c.addBreach(RuleEarlyExpiry, "%s was reported as expired %v before the end of its patience of %v", s.Token, s.SentAt+s.Patience-x.AnsweredAt, s.Patience)
 		}
 	}
 }
 
-// checkKeyOrder holds each key's runs against the order in which its messages were
-// taken, as far as the callers know it.
+// checkKeyOrder checks that the messages of each ordering key run one after another in the order in which they were
+// taken. Only the callers' view of that order counts: messages that were in flight at the same time may run in any
+// order.
 func (c *checker) checkKeyOrder() {
 	keys := map[string][]Sent{}
 	for _, s := range c.h.Sent {
@@ -62,7 +65,7 @@
 		busy, by := time.Duration(0), ""
 		for i, s := range list {
 			if i > 0 && s.SentAt < list[i-1].AnsweredAt {
-				busy = 0 // sent before the other was told taken: their order is open
+				busy = 0 // sent before the previous message was acknowledged: either order is valid
 			}
 			for _, r := range c.runsByToken[s.Token] {
 				if r.Start < busy {
@@ -78,11 +81,11 @@
 	}
 }
 
-// checkKeyOverlap: whatever their callers were told, no two messages of one key are at
-// back ends at the same time.
+// checkKeyOverlap checks that two messages of one ordering key are never at back ends at the same time, whatever
+// outcome their callers were given.
 func (c *checker) checkKeyOverlap() {
 	busy := map[string][]Run{}
-	for _, r := range c.h.Runs { // by start
+	for _, r := range c.h.Runs { // sorted by start
 		s, isKnown := c.sentByToken[r.Token]
 		if !isKnown || !c.h.OrderedLanes[s.Lane] {
 			continue
@@ -100,8 +103,8 @@
 	}
 }
 
-// checkRates holds each capped pool against its rate over any window. Where the cap
-// was edited, the largest one counts that was in force within the window.
+// checkRates checks each pool with a rate cap in every rateWindow. If the cap was changed, the largest cap that may
+// have been in force within the window applies.
 func (c *checker) checkRates() {
 	starts := map[string][]time.Duration{}
 	for _, r := range c.h.Runs {
@@ -117,7 +120,7 @@
 			}
 			maxRuns := int(c.maxRateCap(pool, at)*rateWindow.Seconds()*rateTolerance) + rateExtraRuns
 			if i-first+1 > maxRuns {
-				c.addBreach(RuleRateExceeded, "%s got %d runs in the %v before %v, allowed are %d", pool, i-first+1, rateWindow, at, maxRuns)
+				c.addBreach(RuleRateExceeded, "%s got %d runs in the %v before %v, at most %d are allowed", pool, i-first+1, rateWindow, at, maxRuns)
 				break
 			}
 		}
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -12,12 +12,12 @@
 	"caperwheel/internal/wire"
 )
 
-// Digest stands for a state. States that differ only in which founding member
-// is which have the same one, unless the members stand too alike to be told
-// apart cheaply; two states of one digest only differ so.
+// Digest identifies a state up to symmetry: two states with the same digest differ at most by a permutation of the
+// founding members. The reverse does not hold in all cases: states that are equal up to a permutation may have
+// different digests if the signatures of some members are equal, because a full comparison would be too expensive.
 type Digest [16]byte
 
-// Digest of this world.
+// Digest returns the digest of this state.
 func (w *World) Digest() Digest {
 	order, rename := w.canonicalOrder()
 	raw := make([]byte, 0, 2048)
@@ -46,7 +46,8 @@
 	return Digest(sum[:16])
 }
 
-// canonicalOrder orders the replicas by how they stand, and names them by that order.
+// canonicalOrder sorts the replicas by signature. It returns their indices in that order, and a function that renames
+// members accordingly.
 func (w *World) canonicalOrder() ([]int, func(string) string) {
 	signatures := make([][]byte, len(w.replicas))
 	order := make([]int, len(w.replicas))
@@ -74,8 +75,8 @@
 	}
 }
 
-// signature reports how a replica stands without a name. A spare is never taken for a
-// founder.
+// signature returns the encoded state of a replica without any member names. The signature of a spare machine always
+// differs from that of a founding member.
 func (r *replica) signature(isSpare bool) []byte {
 	if r.cachedSignature == nil {
 		first := byte(0)
@@ -87,6 +88,7 @@
 	return r.cachedSignature
 }
 
+// canonical appends the encoded state of a replica, with members renamed.
 func (r *replica) canonical(raw []byte, rename func(string) string) []byte {
 	raw = r.machine.Canonical(append(raw, 0), r.now, rename)
 	for _, m := range r.commitMarks {
@@ -119,6 +121,7 @@
 	return raw
 }
 
+// canonical appends the encoded content of a disk, with members renamed.
 func (d disk) canonical(raw []byte, rename func(string) string) []byte {
 	raw = append(append(raw, 3, byte(d.hardState.Term), byte(d.hardState.Commit)), rename(d.hardState.Vote)...)
 	if d.snapshot != nil {
@@ -128,6 +131,7 @@
 	return appendLog(raw, d.log, rename)
 }
 
+// appendLog appends log entries, and the renamed members of roster entries.
 func appendLog(raw []byte, log []wire.Entry, rename func(string) string) []byte {
 	raw = group.AppendEntries(raw, log)
 	for _, e := range log {
@@ -138,6 +142,7 @@
 	return raw
 }
 
+// appendSet appends the renamed members in sorted order.
 func appendSet(raw []byte, members []string, rename func(string) string) []byte {
 	list := []string{}
 	for _, m := range members {
@@ -147,7 +152,7 @@
 	return append(append(raw, strings.Join(list, ",")...), 0)
 }
 
-// appendMessages appends messages as a set.
+// appendMessages appends messages in an order that does not depend on when they were sent.
 func appendMessages(raw []byte, messages []*wire.GroupMsg, rename func(string) string) []byte {
 	list := make([]string, 0, len(messages))
 	for _, m := range messages {
@@ -161,6 +166,7 @@
 	return raw
 }
 
+// appendMessage appends one message, with members renamed.
 func appendMessage(raw []byte, m *wire.GroupMsg, rename func(string) string) []byte {
 	raw = append(raw, byte(m.Kind))
 	for _, n := range []int64{m.Term, m.Index, m.LogTerm, m.Commit, m.Round} {
--- a/internal/explore/elections.go
+++ b/internal/explore/elections.go
@@ -9,9 +9,9 @@
 	"caperwheel/internal/wire"
 )
 
-// checkElections holds in every state: a replica that lacks a committed entry
-// finds no majority of its roster whose logs are no newer than its own, so that
-// it can never own the group. What its voters have not synced does not count.
+// checkElections checks an invariant of every state: a replica that lacks a committed entry cannot become owner,
+// because no majority of its roster has logs that are at most as up to date as its own. Of the voters, only synced
+// entries count.
 func (w *World) checkElections() {
 	for _, r := range w.replicas {
 		_, log := r.machine.DurableState()
@@ -23,7 +23,7 @@
 		own := disk{snapshot: r.snapshot, log: log}
 		granting := []string{}
 		for _, m := range voters {
-			at := w.replicaIndex(m) // a disk that is gone gives no vote, nor does one that is blank
+			at := w.replicaIndex(m) // a replaced disk and a blank replica grant no vote
 			if m == r.id || at >= 0 && w.replicas[at].id == m && len(w.replicas[at].machine.View().Roster) > 0 &&
 				own.isUpToDate(w.replicas[at].disk) {
 				granting = append(granting, m)
@@ -35,13 +35,15 @@
 	}
 }
 
-// isUpToDate compares logs as a vote does.
+// isUpToDate reports whether the log is at least as up to date as the other one, by the rule for granting a vote.
 func (d disk) isUpToDate(other disk) bool {
 	return d.lastTerm() > other.lastTerm() || d.lastTerm() == other.lastTerm() && d.last() >= other.last()
 }
 
+// last returns the index of the last entry.
 func (d disk) last() int64 { return d.base() + int64(len(d.log)) }
 
+// lastTerm returns the term of the last entry, 0 if there is none.
 func (d disk) lastTerm() int64 {
 	if n := len(d.log); n > 0 {
 		return d.log[n-1].Term
@@ -52,9 +54,9 @@
 	return 0
 }
 
-// checkPromote: who becomes a voter has synced all that its owner knew to be
-// committed when its last round began; the majority by which the new roster is
-// committed must have all. A disk that was replaced since counts with what it held.
+// checkPromote checks that a learner which is made a voter has synced all entries that the owner knew to be committed
+// when its last heartbeat round began, because the majority that commits the new roster must hold all committed
+// entries. A disk that was replaced since counts with its former content.
 func (w *World) checkPromote(r *replica, c group.Change) {
 	if c.Promote == "" {
 		return
@@ -68,10 +70,10 @@
 	}
 }
 
-// rosterCache keeps what rosterOf has read.
+// rosterCache caches the results of rosterOf by the data of the entry.
 var rosterCache sync.Map
 
-// rosterOf reads the members from a roster entry.
+// rosterOf decodes the members from a roster entry.
 func rosterOf(e wire.Entry) []string {
 	if held, isHeld := rosterCache.Load(string(e.Data)); isHeld {
 		return held.([]string)
--- a/internal/explore/enabled.go
+++ b/internal/explore/enabled.go
@@ -7,22 +7,22 @@
 	"caperwheel/internal/group"
 )
 
-// Options bound a search.
+// Options define the group that is explored, and bound the events that may happen to it.
 type Options struct {
 	Members       int                 // founding members
-	SpareMachines int                 // blank machines that may be learned
-	MaxEvents     [kindCount]int      // how often an event of each kind may happen; Deliver and Sync always may
-	PaddingBytes  int                 // bytes of a command beyond its word; logs of many bytes give way to images
-	MaxInFlight   int                 // messages under way at once; the oldest are lost beyond it. 0 is no limit
-	Setup         func(*World) *World // brings the first state about; nil starts as founded
+	SpareMachines int                 // blank machines that may be added as learners
+	MaxEvents     [kindCount]int      // how often an event of each kind may happen; Deliver and Sync are unlimited
+	PaddingBytes  int                 // bytes added to each command; a log that gets too large is replaced by a snapshot
+	MaxInFlight   int                 // messages in flight at once, beyond which the oldest are lost; 0 is no limit
+	Setup         func(*World) *World // produces the first state from a new group; nil starts with the new group
 }
 
-// hasBudget reports whether the budget has room for another event.
+// hasBudget reports whether another event of a kind may happen.
 func (w *World) hasBudget(k Kind) bool {
 	return k == Deliver || k == Sync || w.eventCounts[k] < w.options.MaxEvents[k]
 }
 
-// Enabled gives all events that may come next, in a fixed order.
+// Enabled returns all events that may happen next, in a fixed order.
 func (w *World) Enabled() []Event {
 	out := []Event{}
 	for _, m := range w.inFlight {
@@ -56,7 +56,8 @@
 	return out
 }
 
-// canChange leaves out events that could not change anything.
+// canChange reports whether an event of a kind could change anything at a replica. It excludes events without effect,
+// and a disk replacement that the group need not survive.
 func (w *World) canChange(k Kind, r *replica, v group.View) bool {
 	switch k {
 	case Timeout:
@@ -71,14 +72,14 @@
 	return false
 }
 
-// logLength is the length of a replica's log.
+// logLength returns the number of entries in a replica's log.
 func (r *replica) logLength() int {
 	_, log := r.machine.DurableState()
 	return len(log)
 }
 
-// isFullyReplicated reports whether every disk of the committed roster is there and has
-// all that was committed: only then may another be lost.
+// isFullyReplicated reports whether every voter of the committed roster has its disk with all committed entries. Only
+// then may another disk be replaced.
 func (w *World) isFullyReplicated() bool {
 	for _, m := range group.Voters(w.ghost.roster) {
 		at := w.replicaIndex(m)
@@ -89,7 +90,7 @@
 	return true
 }
 
-// ownerEvents adds what only an owner may be asked for.
+// ownerEvents appends the events that only an owner can carry out: ownership transfers and roster changes.
 func (w *World) ownerEvents(out []Event, at int, r *replica, v group.View) []Event {
 	for _, other := range w.replicas {
 		isIn, isLearner := slices.Contains(v.Roster, other.id), slices.Contains(v.Roster, "~"+other.id)
--- a/internal/explore/event.go
+++ b/internal/explore/event.go
@@ -10,46 +10,47 @@
 	"caperwheel/internal/wire"
 )
 
-// Kind of event.
+// Kind is the kind of an event.
 type Kind int
 
-// Kinds of event. Loss and delay have none: a message that is under way may be
-// delivered at any later time, or never.
+// Kinds of events. There are none for loss and delay of messages: a message in flight may be delivered at any later
+// time, or never.
 const (
 	Deliver           Kind = iota // a message arrives
-	Duplicate                     // a message arrives and stays under way to come again
+	Duplicate                     // a message arrives and stays in flight, so that it can arrive again
 	Sync                          // the oldest unsynced write of a replica becomes durable
-	Timeout                       // a replica has heard no owner for the longest silence
+	Timeout                       // the longest election timeout of a replica passes without a message from an owner
 	HeartbeatTick                 // an owner's clock reaches its next heartbeat
-	ClockJump                     // an owner's clock passes all bounds at once, as after a freeze
-	Restart                       // the process ends; some of the unsynced writes are kept
-	ReplaceDisk                   // the disk is replaced; the replica comes back blank as another member
-	Propose                       // an owner is given a command
-	Read                          // an owner is asked for what is committed
-	Compact                       // a replica puts its log into an image
-	TransferOwnership             // an owner gives ownership to a member
+	ClockJump                     // an owner's clock passes all timeouts at once, as after a freeze of the process
+	Restart                       // the process restarts; some of the unsynced writes survive
+	ReplaceDisk                   // the disk is replaced; the replica restarts blank as another member
+	Propose                       // a command is proposed to an owner
+	Read                          // an owner serves a read; not generated, as checkReads checks every state
+	Compact                       // a replica compacts its log into a snapshot
+	TransferOwnership             // an owner transfers ownership to a member
 	AddLearner                    // an owner adds a learner
 	Promote                       // an owner makes a learner a voter
-	RemoveMember                  // an owner drops a member
+	RemoveMember                  // an owner removes a member
 	kindCount
 )
 
-var kindNames = [kindCount]string{"deliver", "repeat", "sync", "timeout", "pulse", "lapse", "restart", "wipe", "propose",
-	"compact", "hand over", "learn", "promote", "drop"}
+// kindNames are the names of the kinds in traces.
+var kindNames = [kindCount]string{"deliver", "duplicate", "sync", "timeout", "heartbeat", "clock jump", "restart", "replace disk",
+	"propose", "compact", "transfer", "add learner", "promote", "remove member"}
 
-// String gives an event kind's name.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Event is one step of a world.
+// Event is one transition from a state to the next.
 type Event struct {
 	Kind         Kind
-	Replica      int            // the replica, by its place in the world
-	Message      *wire.GroupMsg // Deliver and Repeat
-	SyncedWrites int            // Restart: unsynced writes that reached the disk
-	Member       string         // TransferOwnership, Learn, Promote and Drop
+	Replica      int            // index of the replica
+	Message      *wire.GroupMsg // Deliver and Duplicate
+	SyncedWrites int            // Restart: number of unsynced writes that survive
+	Member       string         // TransferOwnership, AddLearner, Promote and RemoveMember
 }
 
-// String tells an event in a trace.
+// String describes the event in one line of a trace.
 func (e Event) String() string {
 	text := fmt.Sprintf("%-9s %s", e.Kind, names[e.Replica])
 	switch e.Kind {
@@ -71,18 +72,19 @@
 	return text
 }
 
-var messageNames = map[int32]string{group.MsgPreVote: "ask", group.MsgPreVoteReply: "ask reply", group.MsgVote: "vote",
+// messageNames are the names of the kinds of messages in traces.
+var messageNames = map[int32]string{group.MsgPreVote: "pre-vote", group.MsgPreVoteReply: "pre-vote reply", group.MsgVote: "vote",
 	group.MsgVoteReply: "vote reply", group.MsgAppend: "append", group.MsgAppendReply: "append reply",
-	group.MsgSnapshot: "image", group.MsgCampaign: "stand", group.MsgWrongIncarnation: "not me"}
+	group.MsgSnapshot: "snapshot", group.MsgCampaign: "campaign", group.MsgWrongIncarnation: "wrong incarnation"}
 
-// Spans by which a clock moves: time is only ever passed in these few steps.
+// Steps by which the clock of a replica advances. Other steps are not used, which keeps the number of states small.
 var (
 	heartbeatStep       = timing.Default.Of(timing.Heartbeat)
 	electionTimeoutStep = timing.Default.Of(timing.ElectionTimeout) + timing.Default.Of(timing.ElectionSpread) + time.Millisecond
 	clockJumpStep       = timing.Default.Of(timing.AnswerTimeout)*2 + time.Millisecond
 )
 
-// Next returns the world after one event. A panic breaks it, too.
+// Next returns the state after one event and leaves w unchanged. A panic in the group's code is a breach.
 func (w *World) Next(e Event) (next *World) {
 	w = w.clone()
 	defer func() {
@@ -126,10 +128,10 @@
 	return w
 }
 
-// commandCache keeps what was made before: states share it.
+// commandCache caches padded commands, which all states share.
 var commandCache sync.Map
 
-// command makes the next command, with as many bytes as the options ask for.
+// command returns the next command, padded as the options say.
 func (w *World) command() []byte {
 	word := fmt.Sprintf("x%d", w.eventCounts[Propose])
 	if w.options.PaddingBytes == 0 {
@@ -139,12 +141,13 @@
 	return data.([]byte)
 }
 
+// tick advances the clock of a replica.
 func (w *World) tick(r *replica, span time.Duration) {
 	r.now += span
 	w.applyOutput(r, r.machine.Tick(r.now))
 }
 
-// removeMessage removes a message from those under way.
+// removeMessage removes a message from those in flight.
 func (w *World) removeMessage(m *wire.GroupMsg) {
 	for i, other := range w.inFlight {
 		if isSame(m, other) {
@@ -154,6 +157,7 @@
 	}
 }
 
+// changeRoster proposes a roster change to an owner. A change that the owner rejects has no effect.
 func (w *World) changeRoster(r *replica, e Event) {
 	change := group.Change{}
 	switch e.Kind {
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -7,26 +7,26 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Bounds of the test; `fleet check` goes further.
+// Bounds of the tests; `fleet check` has larger ones.
 const (
 	testStates = 250
 	testWalks  = 16
 	testSteps  = 300
 )
 
-// TestGroupExplored looks at the nearest states of every search.
+// TestGroupExplored checks that the first states of every scenario satisfy the invariants.
 func TestGroupExplored(t *testing.T) {
 	type search struct {
 		name string
 		Result
 	}
-	results := []search{} // outside of Convey, which begins anew for each leaf
+	results := []search{} // outside of Convey, which runs its body again for each leaf
 	for _, members := range []int{3, 4} {
 		for _, s := range Scenarios(members) {
 			results = append(results, search{fmt.Sprintf("%s, %d members", s.Name, members), Search(&s.Options, s.Depth, testStates)})
 		}
 	}
-	Convey("No state of a group breaks an invariant", t, func() {
+	Convey("No state of a group violates an invariant", t, func() {
 		for _, r := range results {
 			Println(r.name, r.Result.String())
 			So(r.Breach, ShouldBeEmpty)
@@ -35,9 +35,9 @@
 	})
 }
 
-// TestGroupWalked goes further, on few ways.
+// TestGroupWalked checks the invariants on a few random walks, which reach deeper states than the searches.
 func TestGroupWalked(t *testing.T) {
-	Convey("On random ways", t, func() {
+	Convey("On random walks", t, func() {
 		for seed := range uint64(testWalks) {
 			r := Walk(UnrestrictedOptions(3+int(seed%2), 1, seed), seed, testSteps)
 			So(r.Breach, ShouldBeEmpty)
@@ -46,7 +46,7 @@
 	})
 }
 
-// TestSameSeed: a broken walk must be there again when it is looked at.
+// TestSameSeed checks that searches are deterministic. A breach could not be reproduced otherwise.
 func TestSameSeed(t *testing.T) {
 	Convey("The same search twice finds the same number of states", t, func() {
 		for _, s := range Scenarios(3) {
--- a/internal/explore/ghost.go
+++ b/internal/explore/ghost.go
@@ -9,35 +9,37 @@
 	"caperwheel/internal/wire"
 )
 
-// ghost records what no replica can see: all that was ever committed, who
-// owned which term, and the disks that are gone.
+// ghost holds the ghost variables of a state, which only the invariants use: all entries ever committed, the owner of
+// each term, and the content of replaced disks.
 type ghost struct {
-	committed     []wire.Entry     // chosen[i] was committed at index i+1
-	roster        []string         // the newest committed one
-	commitRoster  []string         // the roster by which the newest commit was counted
-	termOwners    map[int64]string // term -> the replica, with its life
-	replacedDisks map[string]disk  // member -> what its disk held when it was replaced
+	committed     []wire.Entry     // committed[i] was committed at index i+1
+	roster        []string         // the newest committed roster
+	commitRoster  []string         // the roster whose majority committed the newest entry
+	termOwners    map[int64]string // term -> replica and start of its process
+	replacedDisks map[string]disk  // member -> content of its disk when it was replaced
 	replacedCount int              // disks replaced so far
 }
 
+// recordBreach records the breach of an invariant. Only the first one of a state is kept.
 func (w *World) recordBreach(form string, args ...any) {
 	if w.firstBreach == "" {
 		w.firstBreach = fmt.Sprintf(form, args...)
 	}
 }
 
-// Breach tells which invariant does not hold; empty if all do.
+// Breach describes the invariant that does not hold; empty if all hold.
 func (w *World) Breach() string { return w.firstBreach }
 
-// apply compares what a replica applies with what was committed before.
+// apply applies committed entries at a replica. They must follow the applied index without a gap and be the same
+// entries that other replicas have applied.
 func (w *World) apply(r *replica, entries []wire.Entry) {
 	for _, e := range entries {
 		at := int(e.Index) - 1
 		switch {
 		case e.Index != r.applied+1:
-			w.recordBreach("%s applies index %d after %d", r.id, e.Index, r.applied)
+			w.recordBreach("%s applies index %d after index %d", r.id, e.Index, r.applied)
 		case at < len(w.ghost.committed) && !isEqual(w.ghost.committed[at], e):
-			w.recordBreach("%s applies %d/%d %s where %d %s was committed", r.id, e.Index, e.Term, commandText(e),
+			w.recordBreach("%s applies index %d of term %d, %s, but term %d, %s was committed there", r.id, e.Index, e.Term, commandText(e),
 				w.ghost.committed[at].Term, commandText(w.ghost.committed[at]))
 		case at == len(w.ghost.committed):
 			w.recordCommit(r, e)
@@ -46,17 +48,18 @@
 	}
 }
 
-// commandText tells a command without its padding.
+// commandText returns the command of an entry without its padding.
 func commandText(e wire.Entry) string {
 	text, _, _ := strings.Cut(string(e.Data), "\x00")
 	return text
 }
 
+// isEqual compares entries without their index.
 func isEqual(a, b wire.Entry) bool {
 	return a.Term == b.Term && a.Kind == b.Kind && string(a.Data) == string(b.Data)
 }
 
-// recordCommit records a commit. Every owner of a later term must hold it already.
+// recordCommit records a newly committed entry. Every owner of a later term must hold it already.
 func (w *World) recordCommit(r *replica, e wire.Entry) {
 	w.ghost.committed = append(w.ghost.committed, e)
 	w.ghost.commitRoster = r.machine.View().Roster
@@ -71,46 +74,47 @@
 	}
 }
 
-// install checks that an image stands for what was committed up to it.
+// install checks that a snapshot that a replica installs ends at a committed entry and is not older than the applied
+// index.
 func (w *World) install(r *replica, snapshot *group.Snapshot) {
 	at := int(snapshot.Index) - 1
 	if at >= len(w.ghost.committed) || w.ghost.committed[at].Term != snapshot.Term {
-		w.recordBreach("%s installs an image at %d/%d that was never committed", r.id, snapshot.Index, snapshot.Term)
+		w.recordBreach("%s installs a snapshot at index %d of term %d, which was never committed", r.id, snapshot.Index, snapshot.Term)
 	}
 	if snapshot.Index < r.applied {
-		w.recordBreach("%s goes back from %d to an image at %d", r.id, r.applied, snapshot.Index)
+		w.recordBreach("%s goes back from index %d to a snapshot at index %d", r.id, r.applied, snapshot.Index)
 	}
 	r.applied = snapshot.Index
 }
 
-// recordOwner holds that a term has one owner, in one life of its process, and
-// that a new one has all that was committed. What its disk does not know and
-// nobody was told may happen again after a restart.
+// recordOwner checks that a term has a single owner, within a single run of its process, and that a new owner holds all
+// committed entries. An owner whose disk does not hold the term yet, and which has sent nothing as owner, is not
+// recorded: after a restart it may win the same term again.
 func (w *World) recordOwner(r *replica, v group.View) {
 	if v.Role != group.Owner || r.disk.hardState.Term < v.Term && !w.hasSentAsOwner(r, v.Term) {
 		return
 	}
-	life := fmt.Sprintf("%s in life %d", r.id, r.startCount)
+	life := fmt.Sprintf("%s in start %d", r.id, r.startCount)
 	was := w.ghost.termOwners[v.Term]
 	if was == life {
 		return
 	}
 	if was != "" {
-		w.recordBreach("term %d is owned by %s and by %s", v.Term, was, life)
+		w.recordBreach("term %d has two owners: %s and %s", v.Term, was, life)
 	}
 	w.ghost.termOwners[v.Term] = life
 	w.checkComplete(r)
 	w.checkRoster(r)
 }
 
-// hasSentAsOwner reports whether a replica has sent anything as the owner of a term.
+// hasSentAsOwner reports whether a message that a replica sent as the owner of a term is in flight.
 func (w *World) hasSentAsOwner(r *replica, term int64) bool {
 	return slices.ContainsFunc(w.inFlight, func(m *wire.GroupMsg) bool {
 		return m.From == r.id && m.Term == term && (m.Kind == group.MsgAppend || m.Kind == group.MsgSnapshot)
 	})
 }
 
-// checkComplete: an owner holds every entry that was committed.
+// checkComplete checks leader completeness: an owner holds every committed entry.
 func (w *World) checkComplete(r *replica) {
 	hard, log := r.machine.DurableState()
 	if base := r.machine.View().Last - int64(len(log)); !w.holdsCommitted(base, log) {
@@ -118,7 +122,7 @@
 	}
 }
 
-// holdsCommitted reports whether a log above an image has all that was committed.
+// holdsCommitted reports whether a snapshot at index base and the log after it hold all committed entries.
 func (w *World) holdsCommitted(base int64, log []wire.Entry) bool {
 	if base+int64(len(log)) < int64(len(w.ghost.committed)) {
 		return false
@@ -131,25 +135,24 @@
 	return true
 }
 
-// checkDurability holds in every state: of the voters by whom the newest commit was
-// counted, a majority have synced all that was committed, and no majority of
-// the committed roster is without one who has. A disk that was replaced counts
-// with what it held: its loss was a fault's doing, not the system's.
+// checkDurability checks invariants of every state: a majority of the roster that committed the newest entry has synced
+// all committed entries, and every majority of the committed roster has a member that has. A disk that was replaced
+// counts with its former content: its loss is an injected fault, not an error of the group.
 func (w *World) checkDurability() {
 	if len(w.ghost.committed) == 0 {
 		return
 	}
 	counted, voters := group.Voters(w.ghost.commitRoster), group.Voters(w.ghost.roster)
 	if whole := w.countComplete(counted); whole <= len(counted)/2 {
-		w.recordBreach("%d committed entries are synced by %d of the voters %v", len(w.ghost.committed), whole, counted)
+		w.recordBreach("all %d committed entries are synced by only %d of the voters %v", len(w.ghost.committed), whole, counted)
 	}
 	if whole := w.countComplete(voters); len(voters)-whole > len(voters)/2 {
-		w.recordBreach("of the voters %v only %d have synced all %d committed entries", voters, whole, len(w.ghost.committed))
+		w.recordBreach("of the voters %v, only %d have synced all %d committed entries", voters, whole, len(w.ghost.committed))
 	}
 	w.checkElections()
 }
 
-// countComplete counts the members whose disks have all that was committed.
+// countComplete counts the members whose disks hold all committed entries.
 func (w *World) countComplete(members []string) int {
 	count := 0
 	for _, m := range members {
@@ -164,9 +167,9 @@
 	return count
 }
 
-// checkReads: an owner answers a read once it is confirmed as of a time that is
-// no earlier than the question, and its followers go by that time, too. So all
-// that was committed by then must have been applied.
+// checkReads checks that reads are linearizable. An owner answers a read once its ownership is confirmed as of a time
+// not before the read, and reads at followers depend on the same time. So the owner must have applied everything that
+// was committed at the time of its confirmation.
 func (w *World) checkReads(r *replica, v group.View) {
 	if v.Role != group.Owner {
 		r.commitMarks, r.heartbeatCommit = nil, 0
@@ -179,12 +182,12 @@
 		r.commitMarks = r.commitMarks[1:]
 	}
 	if first := r.commitMarks[0]; r.isOwner && v.IsConfirmed && first.at == v.ConfirmedAt && r.applied < int64(first.committed) {
-		w.recordBreach("%s answers a read from %d, though %d were committed when it was asked", r.id, r.applied, first.committed)
+		w.recordBreach("%s answers a read at applied index %d, although %d entries were committed when the read began", r.id, r.applied, first.committed)
 	}
 }
 
-// checkRoster: the roster of the newest owner differs from the committed one in
-// one voter at most, so that any two majorities meet.
+// checkRoster checks that the roster of the newest owner differs from the committed one by one voter at most, so that
+// any two majorities intersect.
 func (w *World) checkRoster(r *replica) {
 	v := r.machine.View()
 	for term := range w.ghost.termOwners {
@@ -206,6 +209,6 @@
 		}
 	}
 	if apart > 1 {
-		w.recordBreach("%s owns term %d under %v while %v is committed", r.id, v.Term, v.Roster, w.ghost.roster)
+		w.recordBreach("%s owns term %d with roster %v while roster %v is committed", r.id, v.Term, v.Roster, w.ghost.roster)
 	}
 }
--- a/internal/explore/host.go
+++ b/internal/explore/host.go
@@ -7,8 +7,8 @@
 	"caperwheel/internal/wire"
 )
 
-// applyOutput carries out what one step of a replica wants, in the order in which the
-// host does: what may leave now, the write, the new state.
+// applyOutput carries out the output of one step of a replica in the same order as the host of a group: messages that
+// may be sent at once, the write, a snapshot, and the entries to apply.
 func (w *World) applyOutput(r *replica, out group.Output) {
 	w.send(r, out.SendNow)
 	switch {
@@ -27,7 +27,7 @@
 	w.updateOwnership(r)
 }
 
-// updateOwnership does what the host does when ownership begins or ends.
+// updateOwnership follows the beginning and end of ownership as the host of a group does, and checks the owner.
 func (w *World) updateOwnership(r *replica) {
 	v := r.machine.View()
 	r.isOwner = v.Role == group.Owner && (v.IsConfirmed || r.isOwner)
@@ -35,8 +35,8 @@
 	w.checkReads(r, v)
 }
 
-// send puts messages under way. One that is under way already, to the letter,
-// is the same: what may come twice is tried by its own event.
+// send puts messages in flight. A message that is equal to one in flight is dropped, as duplicate deliveries have their
+// own kind of event. Beyond the limit of the options, the oldest messages are lost.
 func (w *World) send(r *replica, messages []wire.GroupMsg) {
 	for _, m := range messages {
 		if m.Kind == group.MsgSnapshot && (r.snapshot == nil || r.snapshot.Index != m.Index) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// isSame compares messages by all that a group reads of them.
+// isSame compares the fields of messages that a group reads.
 func isSame(a, b *wire.GroupMsg) bool {
 	return a.Kind == b.Kind && a.From == b.From && a.To == b.To && a.Term == b.Term && a.Index == b.Index &&
 		a.LogTerm == b.LogTerm && a.Commit == b.Commit && a.Round == b.Round && a.Reject == b.Reject &&
@@ -59,7 +59,7 @@
 		slices.EqualFunc(a.Entries, b.Entries, func(x, y wire.Entry) bool { return x.Index == y.Index && isEqual(x, y) })
 }
 
-// sync makes the oldest write durable and tells the replica.
+// sync makes the oldest unsynced write durable, sends the messages that depend on it, and reports it to the replica.
 func (w *World) sync(r *replica) {
 	first := r.unsynced[0]
 	r.unsynced = r.unsynced[1:]
@@ -71,7 +71,7 @@
 	}
 }
 
-// afterWrite gives the disk after one more write.
+// afterWrite returns the content of the disk after one more write.
 func (d disk) afterWrite(first write) disk {
 	if first.fullState != nil {
 		return *first.fullState
@@ -93,6 +93,7 @@
 	return d
 }
 
+// base returns the index of the snapshot, 0 if there is none.
 func (d disk) base() int64 {
 	if d.snapshot == nil {
 		return 0
@@ -100,8 +101,8 @@
 	return d.snapshot.Index
 }
 
-// restart loses the process and all writes but the first few that are not
-// synced, as a loss of power would.
+// restart restarts the process of a replica as after a power failure: of the unsynced writes, only the first keptWrites
+// survive.
 func (w *World) restart(r *replica, keptWrites int) {
 	for _, first := range r.unsynced[:keptWrites] {
 		r.disk = r.disk.afterWrite(first)
@@ -110,7 +111,7 @@
 	w.start(r)
 }
 
-// wipe replaces a machine's disk; it comes back blank as another member.
+// wipe replaces the disk of a machine and restarts it blank, under the id of a new member.
 func (w *World) wipe(r *replica) {
 	w.ghost.replacedDisks[r.id] = r.disk
 	w.ghost.replacedCount++
@@ -118,7 +119,7 @@
 	w.start(r)
 }
 
-// compact puts a replica's log into an image.
+// compact replaces the applied entries of a replica's log by a snapshot.
 func (w *World) compact(r *replica) {
 	snapshot := r.machine.Compact(r.applied, nil)
 	if snapshot == nil {
--- a/internal/explore/mutants_run_test.go
+++ b/internal/explore/mutants_run_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// Bounds of the hunt for one mutant.
+// Bounds of the search for one mutant.
 const (
 	mutantMaxStates = 60_000
 	mutantWalks     = 60
 	mutantWalkSteps = 400
 )
 
-// searchMutant looks for a broken invariant: by the named search, or by random walks
-// from a seed on.
+// searchMutant looks for a breach, either with the scenario of that name or, for "walk SEED" or an empty string, with
+// random walks from a first seed. It returns the breach and how it was found.
 func searchMutant(search string) (broken, how string) {
 	for _, s := range Scenarios(3) {
 		if s.Name == search {
@@ -34,7 +34,8 @@
 	return "", ""
 }
 
-// TestMutants takes each guard out and holds that the search notices.
+// TestMutants removes each guard of the group's code and requires its search to find a breach. Without equivalent
+// mutants and without any mutant, it requires that no breach is found.
 func TestMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds and runs children")
--- a/internal/explore/overlay_test.go
+++ b/internal/explore/overlay_test.go
@@ -11,10 +11,10 @@
 	"testing"
 )
 
-// mutantEnv names the guard that a child goes without.
+// mutantEnv is the environment variable that names the mutant to a child process.
 const mutantEnv = "CAPERWHEEL_MUTANT"
 
-// mutantSource is added to the package group of a child.
+// mutantSource is the file that the overlay adds to the package group.
 const mutantSource = `package group
 
 import (
@@ -24,7 +24,7 @@
 
 var isMutant = os.Getenv("` + mutantEnv + `")
 
-// IsMutant reports whether a guard is taken out.
+// IsMutant reports whether a guard is removed.
 func IsMutant(name string) bool { return isMutant == name }
 
 func countedIn(name string, roster []string) []string {
@@ -39,7 +39,8 @@
 }
 `
 
-// buildMutants builds this test with all guards made optional.
+// buildMutants builds the tests of this package with an overlay in which all guards are optional. It returns the path
+// of the test binary.
 func buildMutants(t *testing.T, all []mutant) string {
 	dir := t.TempDir()
 	root, err := filepath.Abs("..")
@@ -56,7 +57,7 @@
 			texts[m.file] = string(raw)
 		}
 		if n := strings.Count(texts[m.file], m.old); n != 1 {
-			t.Fatalf("%s: the guard's text is %d times in %s; the table must follow the sources", m.name, n, m.file)
+			t.Fatalf("%s: the source of the guard was found %d times in %s, expected once; update the table of mutants", m.name, n, m.file)
 		}
 		texts[m.file] = strings.Replace(texts[m.file], m.old, strings.ReplaceAll(m.new, "NAME", strconv.Quote(m.name)), 1)
 	}
@@ -82,7 +83,7 @@
 	return binary
 }
 
-// runMutant runs one mutant's search in a child and tells what it found, and how.
+// runMutant runs the search for one mutant in a child process. It returns the breach, if any, and how it was found.
 func runMutant(t *testing.T, binary string, m mutant) (broken, how string) {
 	child := exec.Command(binary, "-test.run", "^TestMutantChild$", "-test.v")
 	child.Env = append(os.Environ(), mutantEnv+"="+m.name, searchEnv+"="+m.search)
@@ -104,7 +105,7 @@
 	verdictPrefix = "VERDICT "
 )
 
-// TestMutantChild is the search in a child; by itself it does nothing.
+// TestMutantChild runs the search of a child process of TestMutants; otherwise it is skipped.
 func TestMutantChild(t *testing.T) {
 	if os.Getenv(mutantEnv) == "" {
 		t.Skip("runs in the children of TestMutants")
--- a/internal/explore/scenario.go
+++ b/internal/explore/scenario.go
@@ -1,7 +1,6 @@
 package explore
 
-// Scenario is a first state with the events that may follow it, and how far
-// the search for it goes by default.
+// Scenario is a first state, the events that may follow it, and the default depth of its search.
 type Scenario struct {
 	Name  string
 	About string
@@ -9,9 +8,10 @@
 	Depth int
 }
 
-// limits names how often events of each kind may happen.
+// limits gives how often events of each kind may happen; kinds that are absent never do.
 type limits map[Kind]int
 
+// all returns the limits of all kinds.
 func (l limits) all() (out [kindCount]int) {
 	for k, n := range l {
 		out[k] = n
@@ -19,9 +19,8 @@
 	return out
 }
 
-// Scenarios gives the searches of `fleet check`, for a number of founding
-// members. Each begins where its kind of trouble is near, so that a short
-// search comes to what a long one from the founding on would have to find.
+// Scenarios returns the searches of `fleet check` for a number of founding members. Each one starts a few events away
+// from a known kind of failure, so that a short search reaches states that are too deep for a search from a new group.
 func Scenarios(members int) []Scenario {
 	plain := func(set func(*World) *World, l limits) Options {
 		return Options{Members: members, MaxEvents: l.all(), Setup: set}
@@ -33,34 +32,34 @@
 	old := spare(plain(reusedName, limits{Timeout: 3, HeartbeatTick: 1, Propose: 1}), 1)
 	old.Members = 2
 	rosters := spare(plain(rivalOwners, limits{Timeout: 1, RemoveMember: 1, Promote: 1}), 1)
-	rosters.Members = 4 // with three, any majorities of two rosters meet
+	rosters.Members = 4 // with three founding members, any majorities of the two rosters intersect
 	return []Scenario{
-		{"founding", "nothing has happened yet; two may stand",
+		{"founding", "a new group; two members may be candidates",
 			plain(nil, limits{Timeout: 2, Restart: 1, Duplicate: 1}), 14},
-		{"split", "two stand in one term",
+		{"split", "two candidates in one term",
 			plain(splitVote, limits{Timeout: 1, Restart: 1}), 14},
-		{"owner", "an owner, commands, a rival, a restart",
+		{"owner", "an owner, commands, a rival candidate, a restart",
 			plain(withOwner, limits{Timeout: 1, Propose: 2, HeartbeatTick: 1, Restart: 1}), 12},
-		{"deposed", "an owner was replaced unheard; what it sent is still under way",
+		{"deposed", "an owner was replaced without noticing; its messages are still in flight",
 			plain(deposed, limits{Timeout: 1, HeartbeatTick: 1, Restart: 1}), 12},
-		{"contested", "two owners have each left a command that they alone hold, and the first owns again",
+		{"contested", "two owners each hold a command that nobody else has, and the first is owner again",
 			padded(plain(contested, limits{Timeout: 1, HeartbeatTick: 1})), 12},
-		{"restarted", "an owner of two terms with a restart between was replaced unheard; an answer from its first is under way",
+		{"restarted", "an owner of two terms with a restart in between was replaced without noticing; a reply to its first term is in flight",
 			plain(restarted, limits{HeartbeatTick: 2}), 12},
-		{"moves", "a seat goes to a blank machine",
+		{"moves", "a blank machine takes the place of a member",
 			spare(plain(withOwner, limits{Timeout: 1, Propose: 1, HeartbeatTick: 1, AddLearner: 1, Promote: 1, RemoveMember: 1, Restart: 1}), 1), 11},
-		{"rosters", "one owner left a roster that few know, and the next has just begun",
+		{"rosters", "an owner left a roster change that few members have, and the next owner has just been elected",
 			rosters, 12},
-		{"images", "a member is sent the image while the entries in it are still under way",
+		{"images", "a member is sent a snapshot while the entries in it are still in flight",
 			padded(plain(compacted, limits{Duplicate: 1, Restart: 1})), 13},
-		{"disks", "a disk is replaced while a command is under way",
+		{"disks", "a disk is replaced while a command is in flight",
 			plain(withOwner, limits{Timeout: 2, Propose: 1, HeartbeatTick: 1, ReplaceDisk: 1}), 12},
-		{"hand-over", "the owner gives ownership away with commands under way",
+		{"hand-over", "the owner transfers ownership with commands in flight",
 			plain(withOwner, limits{Timeout: 1, Propose: 1, HeartbeatTick: 1, TransferOwnership: 1, Restart: 1}), 12},
-		{"old name", "a disk came back blank under its old name, and only who lacks a commit is there beside it", old, 14},
-		{"one", "a group of one with a learner", one, 14},
+		{"old name", "a member restarted with a blank disk under its old name, and the only other member up lacks a committed entry", old, 14},
+		{"one", "a group of one voter with a learner", one, 14},
 	}
 }
 
-// hugeCommandBytes is a command that no log keeps beside its image.
+// hugeCommandBytes is the size of a command that is so large that a log never keeps it after compaction.
 const hugeCommandBytes = 200 << 10
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Result of a search.
+// Result is the result of a search or a random walk.
 type Result struct {
-	States       int  // that differ
-	Events       int  // tried
-	Depth        int  // steps from the first state up to which all states were looked at
-	IsExhaustive bool // no state was left at the end
+	States       int  // distinct states visited
+	Events       int  // events tried
+	Depth        int  // number of events up to which all reachable states were visited
+	IsExhaustive bool // all reachable states were visited
 	Breach       string
-	Trace        []Event // from the first state to the broken one
+	Trace        []Event // events from the first state to the breach
 	Elapsed      time.Duration
 }
 
-// String tells a result, and the way to what is broken.
+// String describes the result, with the trace of a breach.
 func (r Result) String() string {
 	text := fmt.Sprintf("%d states, %d events tried, depth %d, %v", r.States, r.Events, r.Depth, r.Elapsed.Round(time.Millisecond))
 	if r.IsExhaustive {
-		text += ", all there are"
+		text += ", exhaustive"
 	}
 	if r.Breach == "" {
-		return text + ", sound"
+		return text + ", no breach"
 	}
 	for _, e := range r.Trace {
 		text += "\n  " + e.String()
@@ -32,19 +32,20 @@
 	return text + "\nBROKEN " + r.Breach
 }
 
-// node is a state that is still to be gone on from, and how it was reached.
+// node is a visited state whose successors are still to be visited.
 type node struct {
 	world *World
-	step  int // its place in the trails
+	step  int // index of the path step that led to it
 }
 
-// trail keeps how a state was reached.
+// pathStep is the event by which a state was first reached, and the path step of the state before (-1: the first
+// state).
 type pathStep struct {
 	parent int
 	event  Event
 }
 
-// First gives the state that a search starts from.
+// First returns the state that a search starts from. The events of its setup do not count towards the limits.
 func (o *Options) First() *World {
 	w := NewWorld(o)
 	if o.Setup != nil {
@@ -54,9 +55,8 @@
 	return w
 }
 
-// Search looks at every state that can be reached, breadth first, up to a depth
-// and a number of states, and ends at the first that is broken: no shorter way
-// leads to one.
+// Search visits all reachable states in breadth-first order, up to a depth and a number of states. It stops at the
+// first breach, which therefore has a shortest possible trace.
 func Search(o *Options, depth, states int) Result {
 	began, out := time.Now(), Result{States: 1}
 	first := o.First()
@@ -94,7 +94,7 @@
 	return out
 }
 
-// traceOf follows the trails back to the first state.
+// traceOf returns the events from the first state to the state of a path step.
 func traceOf(steps []pathStep, at int) []Event {
 	out := []Event{}
 	for ; steps[at].parent >= 0; at = steps[at].parent {
--- a/internal/explore/setup.go
+++ b/internal/explore/setup.go
@@ -7,8 +7,8 @@
 	"caperwheel/internal/wire"
 )
 
-// deliverAll delivers and syncs all that waits, oldest first. Messages from or to
-// the machines that are cut off stay under way.
+// deliverAll syncs all unsynced writes and delivers all messages in flight, oldest first. Messages from or to the
+// machines in cut stay in flight.
 func (w *World) deliverAll(cut ...string) *World {
 	for {
 		next, isFound := w.nextPending(cut)
@@ -19,6 +19,7 @@
 	}
 }
 
+// nextPending returns the next event of deliverAll. Syncs come before deliveries.
 func (w *World) nextPending(cut []string) (next Event, isFound bool) {
 	for _, e := range w.Enabled() {
 		isCut := e.Kind == Deliver && (slices.Contains(cut, group.Name(e.Message.From)) || slices.Contains(cut, group.Name(e.Message.To)))
@@ -32,21 +33,22 @@
 	return next, isFound
 }
 
-// keepIf drops all that is under way but what is kept.
+// keepIf drops all messages in flight for which isKept returns false.
 func (w *World) keepIf(isKept func(m *wire.GroupMsg) bool) *World {
 	w = w.clone()
 	w.inFlight = slices.DeleteFunc(slices.Clone(w.inFlight), func(m *wire.GroupMsg) bool { return !isKept(m) })
 	return w
 }
 
+// dropAll drops all messages in flight.
 func (w *World) dropAll() *World { return w.keepIf(func(*wire.GroupMsg) bool { return false }) }
 
-// trigger lets one thing happen to a machine.
+// trigger applies an event of a kind that concerns one replica only.
 func (w *World) trigger(kind Kind, at int) *World { return w.Next(Event{Kind: kind, Replica: at}) }
 
-// elect has a machine stand until it owns the group, among those that are not
-// cut off; they have not heard of an owner lately, and what they say of that
-// themselves is lost. What was under way stays so.
+// elect makes a machine campaign until it owns the group; the machines in cut do not take part. First the election
+// timeouts of the others pass, so that they grant votes; the messages that this sends are dropped. Messages that were
+// in flight before stay so.
 func (w *World) elect(at int, cut ...string) *World {
 	before := w.inFlight
 	for i, r := range w.replicas {
@@ -75,7 +77,7 @@
 	return w
 }
 
-// splitVote: the first two machines stand in one term, and ask for votes.
+// splitVote makes the first two machines candidates in one term, with their vote requests in flight.
 func splitVote(w *World) *World {
 	for at := range 2 {
 		w = w.trigger(Timeout, at)
@@ -87,31 +89,30 @@
 	return w.keepIf(func(m *wire.GroupMsg) bool { return m.Kind == group.MsgVote })
 }
 
-// withOwner: the first machine owns the group and all know.
+// withOwner makes the first machine the owner, which all members follow.
 func withOwner(w *World) *World {
 	w = w.trigger(Timeout, 0).deliverAll()
 	return w.trigger(HeartbeatTick, 0).deliverAll()
 }
 
-// deposed: the first machine lost its newest command in a restart, though it is
-// still under way to the others; the second owns with its vote.
+// deposed makes the second machine the owner with the vote of the first, which lost its newest command in a restart.
+// The command is still in flight to the third machine.
 func deposed(w *World) *World {
 	w = withOwner(w).trigger(Propose, 0)
 	w = w.trigger(Restart, 0).keepIf(func(m *wire.GroupMsg) bool { return m.To == w.replicas[2].id })
 	return w.elect(1, names[2])
 }
 
-// contested: two owners have each left a command that they alone hold, and the
-// first owns again; what it sends is under way.
+// contested makes the first machine the owner again after it and the second machine have each, as owner, written a
+// command that no other machine has. Its messages are in flight.
 func contested(w *World) *World {
 	w = withOwner(w).trigger(Propose, 0).deliverAll(names...).dropAll()
 	w = w.elect(1, names[0]).deliverAll(names...).dropAll()
 	return w.elect(0, names[1])
 }
 
-// restarted: the first machine owned two terms with a restart between, and the
-// second owns the third without its knowing. An answer to a late round of the
-// first term is under way.
+// restarted makes the second machine the owner of a third term. The first machine owned the two terms before, with a
+// restart in between, and does not know of the third. A reply to a late round of the first term is in flight.
 func restarted(w *World) *World {
 	w = withOwner(w)
 	last := len(w.replicas) - 1
@@ -130,8 +131,8 @@
 	return w
 }
 
-// rivalOwners: the owner has made the spare a voter, which no other knows, and the
-// second machine has just been elected without them.
+// rivalOwners makes the second machine the owner without the votes of the first one and the spare. The first one, as
+// owner, has made the spare a voter, and no other machine has that roster entry.
 func rivalOwners(w *World) *World {
 	w = withLearners(w)
 	spare := len(w.replicas) - 1
@@ -139,8 +140,8 @@
 	return w.elect(1, names[0], names[spare])
 }
 
-// compacted: two commands are under way to the last machine, and the others
-// have the first, which the owner has put into its image.
+// compacted puts two commands in flight to the last machine. The other machines have the first command, and the owner
+// has compacted it into its snapshot.
 func compacted(w *World) *World {
 	last := w.options.Members - 1
 	w = withOwner(w).trigger(Propose, 0).trigger(Propose, 0)
@@ -149,8 +150,8 @@
 	return w.keepIf(func(m *wire.GroupMsg) bool { return group.Name(m.To) == names[last] })
 }
 
-// reusedName: a machine that votes lost its disk and came back under its old
-// name, which a store never does, while another was cut off. The owner is down.
+// reusedName blanks the disk of a voter that restarts under its old id, which a store never does, while another voter
+// missed a committed entry. The owner is stopped.
 func reusedName(w *World) *World {
 	w = withLearners(w)
 	spare := len(w.replicas) - 1
@@ -166,7 +167,7 @@
 	return w
 }
 
-// withLearners: the spares are learners and have caught up.
+// withLearners makes the spare machines learners that have caught up.
 func withLearners(w *World) *World {
 	w = withOwner(w)
 	for i := w.options.Members; i < len(w.replicas); i++ {
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -2,13 +2,13 @@
 
 import "math/rand/v2"
 
-// weights of the kinds of event in a random walk: most of what happens is that
-// messages come and writes are synced, so that a group gets somewhere.
+// weights of the kinds of events in a random walk. Most events are deliveries and syncs, so that the group makes
+// progress.
 var weights = [kindCount]int{Deliver: 60, Duplicate: 4, Sync: 40, Timeout: 2, HeartbeatTick: 4, ClockJump: 1, Restart: 2, ReplaceDisk: 1,
 	Propose: 5, Compact: 2, TransferOwnership: 1, AddLearner: 2, Promote: 4, RemoveMember: 1}
 
-// Walk takes one random way of so many steps from the first state. The same
-// seed takes the same way.
+// Walk takes a random walk of up to steps events from the first state and stops at the first breach. The same seed
+// takes the same walk.
 func Walk(o *Options, seed uint64, steps int) Result {
 	draw := rand.New(rand.NewPCG(seed, 0))
 	w, out := o.First(), Result{}
@@ -28,7 +28,7 @@
 	return out
 }
 
-// drawEvent picks a kind by weight and one of its events.
+// drawEvent draws a kind of enabled events by weight, and one of its events. It returns false if no event is enabled.
 func (w *World) drawEvent(draw *rand.Rand) (Event, bool) {
 	byKind := [kindCount][]Event{}
 	total := 0
@@ -53,11 +53,11 @@
 	return Event{}, false
 }
 
-// largeCommandBytes is a command of which few fit into a log beside its image.
+// largeCommandBytes is the size of a command of which a log keeps only a few after compaction.
 const largeCommandBytes = 96 << 10
 
-// UnrestrictedOptions gives the options of a walk that may do everything, as often as it will.
-// Every other seed has large commands.
+// UnrestrictedOptions returns the options of a walk in which every kind of event may happen any number of times. Odd
+// seeds use large commands.
 func UnrestrictedOptions(members, spares int, seed uint64) *Options {
 	o := &Options{Members: members, SpareMachines: spares, MaxInFlight: 24, PaddingBytes: int(seed%2) * largeCommandBytes}
 	for k := range o.MaxEvents {
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -1,8 +1,9 @@
-// Package explore is a model checker over the real code of internal/group. A
-// world holds the replicas of one group, their disks and all messages under
-// way; every event that may come next is tried, from each state that can be
-// reached, and the invariants are looked at in each. Nothing here stands in
-// for the group's own rules: its state machine runs as it is.
+// Package explore is a model checker for the consensus code of internal/group. A World is one state: the replicas of a
+// group, their disks, and all messages in flight. From each reachable state, Search tries every event that may happen
+// next and checks the invariants in every new state; Walk takes random walks. The state machine of internal/group runs
+// unchanged; only the network, the disks, the clocks and the host around it are modelled.
+//
+// `fleet check` and the tests of this package call it.
 package explore
 
 import (
@@ -16,65 +17,66 @@
 	"caperwheel/internal/wire"
 )
 
-// disk is what a replica would find after a loss of power.
+// disk is the durable state of a replica: what it would find after a power failure.
 type disk struct {
 	hardState group.HardState
 	snapshot  *group.Snapshot
 	log       []wire.Entry
 }
 
-// write is one write that is not synced yet, and what may leave once it is.
+// write is one write that is not synced yet, and the messages that may be sent once it is.
 type write struct {
 	persist   *group.DurableUpdate
-	fullState *disk // a whole state in the place of a log record
+	fullState *disk // a complete state written instead of a log record
 	sendAfter []wire.GroupMsg
 }
 
-// commitMark tells how much was committed at a time of a replica's clock.
+// commitMark is the number of entries that were committed at a time of a replica's clock.
 type commitMark struct {
 	at        time.Duration
 	committed int
 }
 
-// replica is one member with its disk and its own clock. Invariant: replicas
-// are shared between worlds, so one that changes is copied first.
+// replica is one member of the group with its disk and its own clock.
+//
+// Invariant: replicas are shared between worlds and never changed in place; see ownReplica.
 type replica struct {
 	name            string // the machine's name
-	id              string // with its disk's incarnation
-	startCount      int    // counts starts of the process
+	id              string // member id: the name with the incarnation of the disk
+	startCount      int    // starts of the process so far
 	machine         *group.Group
 	now             time.Duration
 	disk            disk
 	unsynced        []write
-	snapshot        *group.Snapshot // the newest that the host holds
+	snapshot        *group.Snapshot // the newest snapshot that the host holds
 	applied         int64
-	isOwner         bool         // as the host tells the machine above it
-	heartbeatCommit int64        // an owner's commit when its last round began
-	commitMarks     []commitMark // of an owner, from its newest confirmation on
-	cachedSignature []byte       // kept for the digest
+	isOwner         bool         // as the host reports it to the replicated state machine
+	heartbeatCommit int64        // commit index of an owner when its last heartbeat round began
+	commitMarks     []commitMark // of an owner, since its newest confirmation
+	cachedSignature []byte       // cache of signature; nil if not computed
 }
 
-// World is one state of the search.
+// World is one state of a group and its environment. It is immutable: Next returns a new one.
 type World struct {
 	options        *Options
 	replicas       []*replica
-	inFlight       []*wire.GroupMsg // under way, never changed; a message that is never delivered is lost
+	inFlight       []*wire.GroupMsg // never changed in place; a message that is never delivered is lost
 	ghost          *ghost
 	eventCounts    [kindCount]int
-	stoppedMachine string // a machine that is off from now on
-	firstBreach    string // the first invariant found broken
+	stoppedMachine string // a machine that is off from now on; empty for none
+	firstBreach    string // the first breach found; empty for none
 }
 
-// names of the machines, in the order in which they are used.
+// names of the machines: first those of the founding members, then the spares.
 var names = []string{"a", "b", "c", "d", "e", "f"}
 
-// MaxMembers found a group at most; two names are left for spares.
+// MaxMembers is the largest number of founding members; it leaves two names for spares.
 const MaxMembers = 4
 
-// idOf names a machine's replica with a given disk.
+// idOf returns the member id of a machine with its disk-th disk.
 func idOf(name string, disk int) string { return fmt.Sprintf("%s/%d", name, disk) }
 
-// NewWorld founds a group.
+// NewWorld returns the state of a new group in which all processes have started.
 func NewWorld(o *Options) *World {
 	w := &World{options: o, ghost: &ghost{termOwners: map[int64]string{}, replacedDisks: map[string]disk{}}}
 	for i := range o.Members + o.SpareMachines {
@@ -88,6 +90,7 @@
 	return w
 }
 
+// founders returns the ids of the founding members.
 func (w *World) founders() []string {
 	out := []string{}
 	for i := range w.options.Members {
@@ -96,7 +99,7 @@
 	return out
 }
 
-// start brings a replica's process up from its disk.
+// start starts the process of a replica from its disk.
 func (w *World) start(r *replica) {
 	roster := []string(nil)
 	if slices.Contains(w.founders(), r.id) {
@@ -112,7 +115,7 @@
 	w.apply(r, r.machine.Committed())
 }
 
-// clone gives a world that may change; it shares what does not.
+// clone returns a copy that may be changed. It shares replicas and messages with w; see ownReplica.
 func (w *World) clone() *World {
 	c := *w
 	c.replicas = slices.Clone(w.replicas)
@@ -125,18 +128,19 @@
 	return &c
 }
 
-// ownReplica gives a replica of this world that may change.
+// ownReplica replaces a replica of this world by a copy that may be changed, and returns it.
 func (w *World) ownReplica(at int) *replica {
 	r := *w.replicas[at]
 	r.machine = r.machine.Clone()
 	r.unsynced = slices.Clone(r.unsynced)
 	r.cachedSignature = nil
-	r.now++ // no two events of a replica have the same time
+	r.now++ // so that no two events of a replica have the same time
 	w.replicas[at] = &r
 	return &r
 }
 
-// replicaIndex finds the replica that answers at a member's address.
+// replicaIndex returns the index of the replica on a member's machine; -1 if there is none. The replica may have
+// another id, if the disk was replaced.
 func (w *World) replicaIndex(member string) int {
 	for i, r := range w.replicas {
 		if r.name == group.Name(member) {
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -1,6 +1,8 @@
-// Package fleet runs whole deployments on one machine as separate processes,
-// with stand-in callers and back ends, and causes faults. It is the proof
-// tool: no product program uses it.
+// Package fleet runs complete deployments on one machine: real daemons as separate processes, with callers that
+// generate load and stand-in back ends. It injects faults by a schedule, and records a history that internal/check
+// checks.
+//
+// The fleet command (cmd/fleet), internal/standin and tests use it; no program of the product does.
 package fleet
 
 import (
@@ -21,28 +23,29 @@
 	"caperwheel/internal/check"
 )
 
-// FaultMode is how a stand-in back end behaves.
+// FaultMode is the fault that a stand-in back end simulates.
 type FaultMode int32
 
-// The modes.
+// Fault modes of a back end.
 const (
 	ModeHealthy    FaultMode = iota
 	ModeFail                 // answers 500
-	ModeSlow                 // takes twenty times as long
-	ModeTruncate             // cuts its answers short
-	ModeDropAnswer           // does the job and loses its answer
-	ModeStall                // answers only long after a run's bound
+	ModeSlow                 // runs take twenty times as long
+	ModeTruncate             // answers are truncated
+	ModeDropAnswer           // does the work and closes the connection without an answer
+	ModeStall                // answers only after stallDelay, long after the timeout of a run
 )
 
+// stallDelay is added to the duration of each run in ModeStall.
 const stallDelay = 4 * time.Second
 
-// Backend is a stand-in worker or endpoint.
+// Backend is a stand-in for a worker or an endpoint: an HTTP server that records each run.
 type Backend struct {
 	Pool, Name, Zone string
 	Addr             string
 	MeanRunTime      time.Duration
 	mode             atomic.Int32
-	faultyRuns       atomic.Int64 // runs that met a mode other than Well
+	faultyRuns       atomic.Int64 // runs in a mode other than ModeHealthy
 	history          *check.History
 	now              func() time.Duration
 	mu               sync.Mutex
@@ -50,22 +53,22 @@
 	inUse, maxInUse  int
 }
 
-// NewBackend starts a stand-in at a free port.
+// NewBackend starts a stand-in at a free port. work is the mean duration of a run.
 func NewBackend(pool, name, zone string, work time.Duration, h *check.History, now func() time.Duration) (*Backend, error) {
 	b := &Backend{Pool: pool, Name: name, Zone: zone, MeanRunTime: work, history: h, now: now}
 	return b, b.Start("127.0.0.1:0")
 }
 
-// RecordTo tells where to write runs down, and by which clock.
+// RecordTo sets the history to which runs are recorded, and the clock for their times.
 func (b *Backend) RecordTo(h *check.History, now func() time.Duration) { b.history, b.now = h, now }
 
-// Start listens; also after a stop, at the same address.
+// Start starts the server at addr, also again after Stop. It does nothing if the server is running.
 func (b *Backend) Start(addr string) error {
 	b.mu.Lock()
 	isUp := b.server != nil
 	b.mu.Unlock()
 	if isUp {
-		return nil // another fault's end has started it
+		return nil // the end of another fault has started it
 	}
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -80,7 +83,7 @@
 	return nil
 }
 
-// Stop vanishes: connections break.
+// Stop closes the server and breaks all connections.
 func (b *Backend) Stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,21 +93,22 @@
 	b.server = nil
 }
 
-// SetMode changes the mode.
+// SetMode sets the fault mode of runs that begin from now on.
 func (b *Backend) SetMode(m FaultMode) { b.mode.Store(int32(m)) }
 
-// Checksum is a checksum as the system gives it.
+// Checksum returns the SHA-256 checksum of raw in hex, as the system reports checksums.
 func Checksum(raw []byte) string {
 	sum := sha256.Sum256(raw)
 	return hex.EncodeToString(sum[:])
 }
 
+// payload is the part of a message's body, and of an answer, that the stand-ins read. A poison message always fails.
 type payload struct {
 	Token  string `json:"token"`
 	Poison bool   `json:"poison,omitempty"`
 }
 
-// ServeHTTP does one run and records it.
+// ServeHTTP carries out one run as the fault mode says and records it.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	start := b.now()
 	body, err := io.ReadAll(r.Body)
@@ -124,7 +128,7 @@
 	b.inUse++
 	b.maxInUse = max(b.maxInUse, b.inUse)
 	b.mu.Unlock()
-	for _, field := range []string{"X-Message-Id", "X-Attempt"} { // so that the answer tells whose it is
+	for _, field := range []string{"X-Message-Id", "X-Attempt"} { // so that the answer identifies its run
 		if value := r.Header.Get(field); value != "" {
 			w.Header().Set(field, value)
 		}
@@ -139,7 +143,7 @@
 	if mode != ModeHealthy {
 		b.faultyRuns.Add(1)
 	}
-	time.Sleep(work) // the work itself
+	time.Sleep(work) // simulates the work
 	answer, _ := json.Marshal(map[string]any{"token": check.AnswerOf(p.Token), "by": b.Name, "attempt": attempt})
 	run.Status, run.AnswerSum = 200, Checksum(answer)
 	switch {
@@ -176,8 +180,8 @@
 	run.IsAnswerComplete = err == nil && r.Context().Err() == nil
 }
 
-// Backends is a set that can be found by name.
+// Backends holds back ends by Key.
 type Backends map[string]*Backend
 
-// Key of a back end.
+// Key returns the key of the back end in Backends: pool/name.
 func (b *Backend) Key() string { return fmt.Sprintf("%s/%s", b.Pool, b.Name) }
--- a/internal/fleet/callers.go
+++ b/internal/fleet/callers.go
@@ -19,26 +19,26 @@
 	"caperwheel/internal/intake"
 )
 
-// Callers send the plan's load until their context ends.
+// Callers generate the load of the plan and record each message that they send.
 type Callers struct {
 	f               *Fleet
 	client          *http.Client
 	serial          atomic.Int64
 	mu              sync.Mutex
-	IntakeLatencies []time.Duration // of requests that were answered taken
-	takenIds        []string        // ids
+	IntakeLatencies []time.Duration // of messages that were acknowledged as taken
+	takenIds        []string        // of messages that were acknowledged as taken
 	StatusCodes     map[int]int
 	wg              sync.WaitGroup
 }
 
-// NewCallers readies them.
+// NewCallers returns the callers of a fleet; Run starts them.
 func NewCallers(f *Fleet) *Callers {
 	f.callers = &Callers{f: f, StatusCodes: map[int]int{}, client: &http.Client{Timeout: 10 * time.Second,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 5 * time.Second}}}
 	return f.callers
 }
 
-// Run sends all loads; it returns when ctx has ended and all are answered.
+// Run generates all loads of the plan. It returns once ctx has ended and all requests have returned.
 func (c *Callers) Run(ctx context.Context) {
 	for _, load := range c.f.Plan.Load {
 		lanes := []string{}
@@ -58,6 +58,7 @@
 	c.wg.Wait()
 }
 
+// runUnordered sends messages without ordering keys at the rate of the load, each concurrently, to the lanes by turns.
 func (c *Callers) runUnordered(ctx context.Context, load PlanLoad, lanes []string) {
 	c.wg.Add(1)
 	go func() {
@@ -79,8 +80,8 @@
 	}()
 }
 
-// runOrdered: each key has one caller, which sends the next message when the
-// one before has been answered.
+// runOrdered runs one caller for each ordering key. It sends the next message once the previous one has been answered,
+// so that the order of a key's messages is defined.
 func (c *Callers) runOrdered(ctx context.Context, load PlanLoad, lanes []string) {
 	gap := time.Duration(float64(time.Second) * float64(load.Keys) / load.Rate)
 	for k := range load.Keys {
@@ -97,7 +98,8 @@
 	}
 }
 
-// Send sends one message to some adapter and records what was told.
+// Send sends one message to a random adapter and records the outcome. Lane and key say where it goes, size bounds the
+// bytes of padding, and a poison message always fails at the back end.
 func (c *Callers) Send(lane, key string, size int, isPoison bool) check.Sent {
 	token := fmt.Sprintf("%s-%d", lane, c.serial.Add(1))
 	body, _ := json.Marshal(map[string]any{"token": token, "poison": isPoison, "fill": strings.Repeat("x", rand.IntN(size+1))})
@@ -116,8 +118,9 @@
 	return s
 }
 
-// ask sends the request and reads the answer. One in ten waits for the end, so
-// that whole proofs come back over connections that others use too.
+// post sends the request and reads the answer into s. It returns the status code, 0 if there was no complete answer.
+// One request in ten waits for the end of its message, so that answers with proofs are sent over connections that other
+// requests share.
 func (c *Callers) post(s *check.Sent, body []byte) (code int) {
 	url := "http://" + c.f.Adapters[rand.IntN(len(c.f.Adapters))].Http + "/v1/lanes/" + s.Lane + "/messages"
 	if rand.IntN(10) == 0 {
@@ -138,7 +141,7 @@
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0 // it broke, and looks so
+		return 0 // an incomplete answer that was detected as such
 	}
 	var reply struct {
 		Id    string        `json:"id"`
@@ -166,7 +169,7 @@
 	return resp.StatusCode
 }
 
-// RandomTakenId gives the id of some message that was told taken, or none.
+// RandomTakenId returns the id of a random message that was acknowledged as taken, or an empty string if there is none.
 func (c *Callers) RandomTakenId() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +179,7 @@
 	return c.takenIds[rand.IntN(len(c.takenIds))]
 }
 
-// Percentile of a list of times.
+// Percentile returns the p-quantile (p from 0 to 1) of a list of times, 0 if it is empty.
 func Percentile(times []time.Duration, p float64) time.Duration {
 	if len(times) == 0 {
 		return 0
--- a/internal/fleet/counts.go
+++ b/internal/fleet/counts.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Counts sums the counters of links and disks over all daemons that answer. A
-// daemon counts from its start, so the sums say little of runs with kills.
+// SumCounters sums the product's metrics counters without labels over all daemons that answer. A daemon's counters
+// begin at its start, so the sums are too low in runs in which daemons are killed.
 func (f *Fleet) SumCounters(ctx context.Context) map[string]float64 {
 	out := map[string]float64{}
 	for _, p := range f.All() {
--- a/internal/fleet/crashes.go
+++ b/internal/fleet/crashes.go
@@ -6,11 +6,11 @@
 	"path/filepath"
 )
 
-// Crashes finds what a panic or the race detector has left in the daemons' logs:
-// a daemon that crashes and comes back may break no rule that anybody sees.
+// Crashes returns the reports of panics, fatal errors and the race detector in the daemons' logs. A daemon that crashes
+// and is restarted may otherwise go unnoticed, as it need not violate any rule of internal/check.
 func (f *Fleet) Crashes() []string { return CrashesIn(filepath.Join(f.Dir, "log")) }
 
-// CrashesIn looks through a folder of logs.
+// CrashesIn returns the crash reports in a folder of log files, up to 2000 bytes of each.
 func CrashesIn(dir string) []string {
 	out := []string{}
 	logs, _ := filepath.Glob(filepath.Join(dir, "*.log"))
--- a/internal/fleet/deploy.go
+++ b/internal/fleet/deploy.go
@@ -15,7 +15,7 @@
 	"caperwheel/internal/settings"
 )
 
-// Plan is a deployment to run: how many daemons, which back ends, what load.
+// Plan describes a deployment to run: the number of daemons, the back ends, and the load.
 type Plan struct {
 	Name     string                 `json:"name"`
 	Zones    []string               `json:"cells"`
@@ -24,26 +24,26 @@
 	Managers int                    `json:"managers"`
 	Workers  map[string]PlanWorkers `json:"workers"`
 	Load     []PlanLoad             `json:"load"`
-	Places   int                    `json:"places,omitempty"` // the settings' own, if not given
-	IsDirect bool                   `json:"direct,omitempty"` // no relays: no zone can be cut off
+	Places   int                    `json:"places,omitempty"` // the default of the settings, if not given
+	IsDirect bool                   `json:"direct,omitempty"` // connect daemons without relays; no zone can be cut off then
 }
 
-// PlanWorkers are the stand-ins of a pool.
+// PlanWorkers describes the stand-ins of a pool.
 type PlanWorkers struct {
 	Count  int    `json:"count"`
 	WorkMs int    `json:"work_ms"`
 	Kind   string `json:"kind,omitempty"`
 }
 
-// PlanLoad is what callers send to a lane, and to its children by turns.
+// PlanLoad is the load that callers send to a lane and its child lanes by turns.
 type PlanLoad struct {
 	Lane string  `json:"lane"`
 	Rate float64 `json:"rate"` // messages a second
 	Keys int     `json:"keys"` // ordering keys; 0 for an unordered lane
-	Size int     `json:"size"` // bytes of a body, about
+	Size int     `json:"size"` // approximate bytes of a body
 }
 
-// Fleet is a deployment that runs.
+// Fleet is a running deployment with its daemons, back ends and callers, and the history of its run.
 type Fleet struct {
 	Plan             Plan
 	Dir              string
@@ -60,39 +60,39 @@
 	callers          *Callers
 	configEdits      configEdits
 	relays           *relays
-	BinDir           string // programs of this build
-	OldBinDir        string // programs of an older build, which the daemons start from if it is given
+	BinDir           string // folder of the programs of this build
+	OldBinDir        string // folder of the programs of an older build; if set, daemons start with these
 	failuresMu       sync.Mutex
 	IsRandomSchedule bool     // the schedule was drawn by seed
 	FailedSteps      []string // steps of the schedule that were not carried out
 }
 
-// recordFailure notes that a run proves less than its schedule says.
+// recordFailure records a step that was not carried out, so that the run tests less than its schedule says.
 func (f *Fleet) recordFailure(form string, args ...any) {
 	f.failuresMu.Lock()
 	defer f.failuresMu.Unlock()
 	f.FailedSteps = append(f.FailedSteps, fmt.Sprintf(form, args...))
 }
 
-// Now is the fleet's clock, which every record uses.
+// Now returns the time since the fleet was created. All records of the history use this clock.
 func (f *Fleet) Now() time.Duration { return time.Since(f.startedAt) }
 
-// ReadPlan reads a configuration and the plan beside it.
+// ReadPlan reads a configuration NAME.json and the plan NAME.fleet.json in the same folder.
 func ReadPlan(configFile string) (Plan, []byte, error) {
 	var plan Plan
 	doc, err := os.ReadFile(configFile)
 	if err != nil {
-		return plan, nil, errs.Wrap(err, errs.Invalid, "charter file")
+		return plan, nil, errs.Wrap(err, errs.Invalid, "read configuration file")
 	}
 	raw, err := os.ReadFile(strings.TrimSuffix(configFile, ".json") + ".fleet.json")
 	if err != nil {
-		return plan, nil, errs.Wrap(err, errs.Invalid, "plan beside the configuration")
+		return plan, nil, errs.Wrap(err, errs.Invalid, "read plan of the configuration")
 	}
-	return plan, doc, errs.Wrap(json.Unmarshal(raw, &plan), errs.Invalid, "plan")
+	return plan, doc, errs.Wrap(json.Unmarshal(raw, &plan), errs.Invalid, "decode plan")
 }
 
-// New lays a deployment out: processes and back ends, nothing started yet but
-// the back ends.
+// New creates a deployment of a plan and the configuration doc. It starts the back ends, but no daemons yet. The
+// daemons run programs from bin (from oldBin first, if that is set) and keep their files in dir.
 func New(plan Plan, doc []byte, bin, oldBin, dir string) (*Fleet, error) {
 	f := &Fleet{Plan: plan, Dir: dir, History: check.NewHistory(), Backends: Backends{}, startedAt: time.Now(), relays: newRelays(), BinDir: bin, OldBinDir: oldBin}
 	if oldBin != "" {
@@ -104,10 +104,12 @@
 	return f, f.createDaemons(bin)
 }
 
+// createBackends starts the stand-ins of all pools of the configuration, and puts the addresses of the stand-in
+// endpoints into it.
 func (f *Fleet) createBackends(doc []byte) error {
 	rules, faults := config.Compile(doc)
 	if len(faults) > 0 {
-		return errs.New(errs.Invalid, "charter: %v", faults)
+		return errs.New(errs.Invalid, "configuration is invalid: %v", faults)
 	}
 	for pool, p := range rules.Pools {
 		spec := f.Plan.Workers[pool]
@@ -125,11 +127,11 @@
 			}
 			b, err := NewBackend(pool, name, zone, time.Duration(spec.WorkMs)*time.Millisecond, f.History, f.Now)
 			if err != nil {
-				return errs.Wrap(err, errs.Internal, "back end")
+				return errs.Wrap(err, errs.Internal, "start back end")
 			}
 			f.Backends[b.Key()] = b
 			f.History.Zones[b.Key()] = zone
-			if p.IsEndpoint { // the stand-in's address takes the place of the example's
+			if p.IsEndpoint { // replace the address in the configuration by the stand-in's
 				doc = []byte(strings.ReplaceAll(string(doc), `"`+p.Address+`"`, `"`+b.Addr+`"`))
 			}
 		}
@@ -146,9 +148,10 @@
 	return nil
 }
 
+// createDaemons creates the processes of all daemons, with relays before them, and writes their settings files.
 func (f *Fleet) createDaemons(bin string) error {
 	if err := os.MkdirAll(filepath.Join(f.Dir, "log"), 0o755); err != nil {
-		return errs.Wrap(err, errs.Internal, "log folder")
+		return errs.Wrap(err, errs.Internal, "create log folder")
 	}
 	newProcess := func(kind, name, zone string) (*Process, error) {
 		addr, err := FreePort()
@@ -204,14 +207,14 @@
 		}
 		p.settingsFile = filepath.Join(f.Dir, p.Name+".json")
 		if err := os.WriteFile(p.settingsFile, set.NonDefaultJson(), 0o644); err != nil {
-			return errs.Wrap(err, errs.Internal, "settings of %s", p.Name)
+			return errs.Wrap(err, errs.Internal, "write settings of %s", p.Name)
 		}
 	}
 	f.api = &Api{f: f}
 	return nil
 }
 
-// All lists every daemon.
+// All returns all daemons: managers, stores, agents and adapters.
 func (f *Fleet) All() []*Process {
 	out := append([]*Process{}, f.Managers...)
 	out = append(out, f.Stores...)
--- a/internal/fleet/edits.go
+++ b/internal/fleet/edits.go
@@ -15,7 +15,7 @@
 	"caperwheel/internal/errs"
 )
 
-// configEdits remembers the newest configuration that was acknowledged.
+// configEdits holds the newest configuration that was acknowledged, and breaches found in configuration changes.
 type configEdits struct {
 	mu       sync.Mutex
 	revision int64
@@ -23,45 +23,48 @@
 	Breaches []string
 }
 
+// patchWorkers changes workers in the list of a pool. It retries until a manager accepts it.
 func (a *Api) patchWorkers(ctx context.Context, pool string, patch config.Workers) error {
 	path := "/v1/pools/" + pool + "/workers"
 	return a.retryManagers(ctx, func(manager string) error {
 		code, head, _, err := SendRequest(ctx, "GET", manager+path, "", nil)
 		if err != nil || code != 200 {
-			return errs.New(errs.Unhealthy, "GET %s: %d %v", path, code, err)
+			return errs.New(errs.Unhealthy, "GET %s: status %d, error %v", path, code, err)
 		}
 		code, _, raw, err := SendRequest(ctx, "PATCH", manager+path, head.Get("ETag"), patch.Encode())
 		if err == nil && code != 200 {
-			err = errs.New(errs.Unhealthy, "PATCH %s: %d %s", path, code, raw)
+			err = errs.New(errs.Unhealthy, "PATCH %s: status %d: %s", path, code, raw)
 		}
 		return err
 	})
 }
 
+// addBreach records a breach.
 func (e *configEdits) addBreach(form string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Breaches = append(e.Breaches, fmt.Sprintf(form, args...))
 }
 
-// revisionOf reads the revision out of an ETag; 0 for none.
+// revisionOf returns the revision in an ETag, 0 if there is none.
 func revisionOf(etag string) int64 {
 	revision, _ := strconv.ParseInt(strings.Trim(etag, `"`), 10, 64)
 	return revision
 }
 
+// configUrl returns the URL of the configuration at the i-th manager.
 func (f *Fleet) configUrl(i int) string {
 	return "http://" + f.Managers[i%len(f.Managers)].Http + "/v1/charter"
 }
 
-// readConfig returns the configuration and its revision from whichever manager answers.
+// readConfig returns the configuration and its ETag from the first manager that answers, within 12 s.
 func (f *Fleet) readConfig(ctx context.Context) (etag string, doc []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 12*time.Second)
 	defer cancel()
 	err = f.api.retryManagers(ctx, func(manager string) error {
 		code, head, raw, err := SendRequest(ctx, "GET", manager+"/v1/charter", "", nil)
 		if err == nil && code != 200 {
-			err = errs.New(errs.Unhealthy, "GET configuration: %d", code)
+			err = errs.New(errs.Unhealthy, "GET configuration: status %d", code)
 		}
 		etag, doc = head.Get("ETag"), raw
 		return err
@@ -69,7 +72,8 @@
 	return etag, doc, err
 }
 
-// newConfigEdit records what a configuration lets lanes and pools do, from when it was sent.
+// newConfigEdit returns the record of a configuration that is sent at a time: the pools that it allows each lane, and
+// the rate cap of each pool.
 func newConfigEdit(doc []byte, at time.Duration) check.Edit {
 	out := check.Edit{SentAt: at, Pools: map[string][]string{}, RateCaps: map[string]float64{}}
 	rules, _ := config.Compile(doc)
@@ -82,7 +86,8 @@
 	return out
 }
 
-// patchConfig sends one edit through one manager and records what came of it.
+// patchConfig sends a patch of the configuration to one manager and records the edit, with its revision if it is
+// acknowledged. It returns the status code, 0 if there was no answer.
 func (f *Fleet) patchConfig(ctx context.Context, manager int, etag string, base []byte, patch map[string]any) int {
 	body, _ := json.Marshal(patch)
 	merged, err := config.Merge(base, body)
@@ -105,7 +110,7 @@
 	return code
 }
 
-// treePatch gives the patch that changes one lane or pool of a tree.
+// treePatch returns the patch that changes one lane or pool, given by its dotted name, in a tree of the configuration.
 func treePatch(tree, name string, change map[string]any) map[string]any {
 	parts := strings.Split(name, ".")
 	for i := len(parts) - 1; i >= 0; i-- {
@@ -117,8 +122,8 @@
 	return map[string]any{tree: change}
 }
 
-// editConfig does one kind of edit: good, race, invalid, stale, "move LANE
-// POOL" or "cap POOL RATE". Each is held against what must come of it.
+// editConfig makes one kind of configuration change: good, race, invalid, stale, "move LANE POOL" or "cap POOL RATE".
+// It records a breach if the change is accepted although it must be refused.
 func (f *Fleet) editConfig(ctx context.Context, what string) {
 	etag, base, err := f.readConfig(ctx)
 	if err != nil {
@@ -144,7 +149,7 @@
 	case "stale":
 		if revision := revisionOf(etag); revision > 1 {
 			if f.patchConfig(ctx, 2, `"1"`, base, note(0)) == 200 {
-				f.configEdits.addBreach("an edit on a stale base was accepted")
+				f.configEdits.addBreach("an edit based on a stale revision was accepted")
 			}
 		}
 	case "race":
@@ -162,14 +167,15 @@
 			}
 		}
 		if won > 1 {
-			f.configEdits.addBreach("%d edits on one base were accepted: %v", won, codes)
+			f.configEdits.addBreach("%d concurrent edits based on one revision were accepted, status codes %v", won, codes)
 		}
 	default:
-		f.recordFailure("no edit is called %q", what)
+		f.recordFailure("unknown kind of edit %q", what)
 	}
 }
 
-// patchUntilAcknowledged repeats an edit until one is acknowledged.
+// patchUntilAcknowledged repeats an edit, with the newest configuration as its base, until it is acknowledged. After 20
+// s it records a failed step.
 func (f *Fleet) patchUntilAcknowledged(ctx context.Context, patch map[string]any) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
@@ -180,11 +186,11 @@
 		}
 		sleep(ctx, 100*time.Millisecond)
 	}
-	f.recordFailure("edit %v was never acknowledged", patch)
+	f.recordFailure("edit %v was not acknowledged within 20 s", patch)
 }
 
-// CheckConfig reads the configuration back from every manager: it must be the
-// newest that was acknowledged, or one that came after it without an answer.
+// CheckConfig reads the configuration back from every manager. It must be the newest one that was acknowledged, or a
+// later one whose edit got no answer. It returns all breaches found in configuration changes.
 func (f *Fleet) CheckConfig(ctx context.Context) []string {
 	e := &f.configEdits
 	for _, p := range f.Managers {
@@ -201,7 +207,7 @@
 			revision := revisionOf(head.Get("ETag"))
 			e.mu.Lock()
 			if revision < e.revision || revision == e.revision && e.note != "" && got.Note != e.note {
-				e.Breaches = append(e.Breaches, fmt.Sprintf("%s gives configuration %d %q, acknowledged was %d %q", p.Name, revision, got.Note, e.revision, e.note))
+				e.Breaches = append(e.Breaches, fmt.Sprintf("%s returns configuration %d %q, but configuration %d %q was acknowledged", p.Name, revision, got.Note, e.revision, e.note))
 			}
 			e.mu.Unlock()
 			break
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -13,50 +13,51 @@
 	"caperwheel/internal/errs"
 )
 
-// Step is one fault of a schedule, or its end.
+// Step is one fault of a schedule: when it begins, what it does, what it hits and how long it lasts.
 type Step struct {
-	At       string `json:"at"`  // since the load began
-	Action   string `json:"do"`  // see actions
-	Target   string `json:"who"` // a daemon, a zone, or pool/worker; a trailing * takes all that start so
-	Duration string `json:"for"` // how long until it is undone; empty for not at all
+	At       string `json:"at"`  // since the start of the load
+	Action   string `json:"do"`  // a key of actions
+	Target   string `json:"who"` // a daemon, a zone, or pool/worker; a trailing * matches all with that prefix
+	Duration string `json:"for"` // time until it is undone; empty if it is not undone
 }
 
-// Schedule is a named list of faults, kept in the repo.
+// Schedule is a list of faults, such as the files in examples/faults.
 type Schedule struct {
 	Note     string `json:"note"`
 	Duration string `json:"for"` // how long callers send
 	Steps    []Step `json:"steps"`
 }
 
-// ReadSchedule reads and checks a schedule.
+// ReadSchedule reads and validates a schedule of the faults in actions.
 func ReadSchedule(file string) (Schedule, error) {
 	return ReadScheduleOf(file, func(do string) bool { return actions[do] != nil })
 }
 
-// ReadScheduleOf reads a schedule of faults that somebody else causes.
+// ReadScheduleOf reads and validates a schedule of faults that the caller carries out; isKnown reports which ones there
+// are.
 func ReadScheduleOf(file string, isKnown func(do string) bool) (Schedule, error) {
 	var out Schedule
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return out, errs.Wrap(err, errs.Invalid, "schedule")
+		return out, errs.Wrap(err, errs.Invalid, "read schedule")
 	}
 	if err := json.Unmarshal(raw, &out); err != nil {
-		return out, errs.Wrap(err, errs.Invalid, "schedule")
+		return out, errs.Wrap(err, errs.Invalid, "decode schedule")
 	}
 	for i, s := range out.Steps {
 		for _, text := range []string{s.At, s.Duration} {
 			if _, err := time.ParseDuration(text); text != "" && err != nil {
-				return out, errs.Wrap(err, errs.Invalid, "step %d", i)
+				return out, errs.Wrap(err, errs.Invalid, "schedule step %d: parse duration", i)
 			}
 		}
 		if !isKnown(s.Action) {
-			return out, errs.New(errs.Invalid, "step %d: no fault is called %q", i, s.Action)
+			return out, errs.New(errs.Invalid, "schedule step %d: unknown fault %q", i, s.Action)
 		}
 	}
 	return out, nil
 }
 
-// actions cause a fault and give back what undoes it.
+// actions are the faults by name. Each one injects the fault and returns a function that undoes it.
 var actions = map[string]func(ctx context.Context, f *Fleet, who string) (undo func()){
 	"kill": killAll,
 	"stop": func(_ context.Context, f *Fleet, who string) func() { return f.forEach(who, (*Process).Stop, restart) },
@@ -106,26 +107,28 @@
 	"flood":     floodLane,
 }
 
-// changeBuild restarts daemons, one after another, as programs of another build.
+// changeBuild restarts daemons one after another with the programs of another build.
 func (f *Fleet) changeBuild(who, bin string) func() {
 	if bin == "" {
-		f.recordFailure("there is no older build to run %s from", who)
+		f.recordFailure("no older build is set to run %s", who)
 		return func() {}
 	}
 	for _, p := range f.matchProcesses(who) {
 		p.Stop()
 		p.binDir = bin
 		if err := p.Start(); err != nil {
-			f.recordFailure("%s: %v", p.Name, err)
+			f.recordFailure("start %s with another build: %v", p.Name, err)
 		}
 		sleep(context.Background(), time.Second)
 	}
 	return func() {}
 }
 
+// restart starts a process again.
 func restart(p *Process) { _ = p.Start() }
 
-// matchProcesses lists the daemons that who names: one, all of a prefix, all of a zone.
+// matchProcesses returns the daemons that a target names: one by name, all with a prefix (PREFIX*), or all of a zone
+// ("cell ZONE").
 func (f *Fleet) matchProcesses(who string) []*Process {
 	out := []*Process{}
 	for _, p := range f.All() {
@@ -138,6 +141,8 @@
 	return out
 }
 
+// forEach applies do to all daemons that a target names, concurrently. It returns a function that applies undo to
+// them, one after another.
 func (f *Fleet) forEach(who string, do, undo func(*Process)) func() {
 	all := f.matchProcesses(who)
 	done := make(chan struct{})
@@ -154,6 +159,7 @@
 	}
 }
 
+// killAll kills daemons, and records when adapters were killed.
 func killAll(_ context.Context, f *Fleet, who string) func() {
 	from := f.Now()
 	undo := f.forEach(who, (*Process).Kill, restart)
@@ -165,19 +171,20 @@
 	return undo
 }
 
-// killWindow: a run that ended so shortly before or after its adapter was
-// killed may be known to nobody; see docs/delivery.md.
+// killWindow is the time before and after the kill of an adapter in which the success of a run may be recorded nowhere,
+// so that the run may be repeated; see docs/delivery.md.
 const killWindow = 50 * time.Millisecond
 
-// postOrFail has an operator's call count as failed if no manager carries it out.
+// postOrFail posts an operator's request, and records a failed step if no manager accepts it within 20 s.
 func (f *Fleet) postOrFail(ctx context.Context, path string) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	if err := f.api.Post(ctx, path); err != nil {
-		f.recordFailure("%s: %v", path, err)
+		f.recordFailure("POST %s: %v", path, err)
 	}
 }
 
+// stopBackends stops stand-ins; undone, they restart cold.
 func stopBackends(_ context.Context, f *Fleet, who string) func() {
 	all := f.matchBackends(who)
 	for _, b := range all {
@@ -190,16 +197,17 @@
 	}
 }
 
-// restartBackend has a stand-in come back where it was, cold.
+// restartBackend restarts a stand-in at its address and records a cold start.
 func (f *Fleet) restartBackend(b *Backend) {
 	from := f.Now()
 	if err := b.Start(b.Addr); err != nil {
-		f.recordFailure("%s does not come back: %v", b.Key(), err)
+		f.recordFailure("restart back end %s: %v", b.Key(), err)
 		return
 	}
 	f.recordColdStart(b, from)
 }
 
+// matchBackends returns the back ends that a target names: one by key, or all with a prefix (PREFIX*).
 func (f *Fleet) matchBackends(who string) []*Backend {
 	out := []*Backend{}
 	prefix, isPrefix := strings.CutSuffix(who, "*")
@@ -211,6 +219,8 @@
 	return out
 }
 
+// setMode returns a fault that sets the mode of stand-ins; undone, they are healthy again. A fault that no run met is
+// recorded as a failed step.
 func setMode(m FaultMode) func(context.Context, *Fleet, string) func() {
 	return func(_ context.Context, f *Fleet, who string) func() {
 		all := f.matchBackends(who)
@@ -224,8 +234,8 @@
 				b.SetMode(ModeHealthy)
 				met += b.faultyRuns.Load()
 			}
-			if met == 0 && !f.IsRandomSchedule { // a drawn schedule may hurt a worker that another fault keeps idle
-				f.recordFailure("no run met %s while it behaved oddly", who)
+			if met == 0 && !f.IsRandomSchedule { // a random schedule may hit a worker that another fault keeps idle
+				f.recordFailure("no run reached %s during its fault", who)
 			}
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,15 +18,18 @@
 	"caperwheel/internal/cli"
 )
 
+// smallConfig is the configuration of smallPlan: an unordered, an ordered, a rate-capped lane and one with call-backs.
 const smallConfig = `{"pools":{"work":{"concurrency":4,"ease":"1s"},"out":{"kind":"endpoint","address":"127.0.0.1:9","rate":50,"ease":"0s"}},
  "lanes":{"free":{"pools":["work"],"size":5000},"seq":{"pools":["work"],"ordering":"key","attempts":0},"capped":{"pools":["out"]},
  "quote":{"pools":["work"],"callback":"capped"}}}`
 
+// smallPlan is the deployment of TestWholePath.
 var smallPlan = Plan{Name: "small", Zones: []string{"a", "b", "c"}, Fronts: 2, Stores: 3, Managers: 2,
 	Workers: map[string]PlanWorkers{"work": {Count: 4, WorkMs: 2}, "out": {Count: 1, WorkMs: 2}}}
 
-// TestWholePath runs a small fleet of real processes, built with the race
-// detector, through the loss of a store and of an adapter. Only counts judge.
+// TestWholePath runs a small fleet of real processes, built with the race detector, and kills a store and an adapter.
+// It guards against messages that are lost, altered or run wrongly on the way through the real daemons. It judges only
+// by counts and breaches, not by times.
 func TestWholePath(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds and runs processes")
@@ -41,7 +44,7 @@
 		defer f.Stop()
 		So(f.Start(ctx), ShouldBeNil)
 		callers := NewCallers(f)
-		Convey("messages are taken, run and proved, also while a store and an adapter are lost", func() {
+		Convey("messages are taken, run and proved, also while a store and an adapter are down", func() {
 			sendAll(ctx, callers, 40)
 			f.Stores[0].Kill()
 			sendAll(ctx, callers, 40)
@@ -59,15 +62,15 @@
 			So(report.Ends["ended"]+report.Ends["rejected"], ShouldEqual, len(ends))
 			So(f.CheckConfig(ctx), ShouldBeEmpty)
 			So(f.Crashes(), ShouldBeEmpty)
-			So(f.api.WaitReady(ctx), ShouldBeNil) // a busy machine may have left a daemon stale
+			So(f.api.WaitReady(ctx), ShouldBeNil) // on a busy machine, a daemon may still have an old view
 			checkRejects(ctx, f)
 			checkCli(f)
 		})
 	})
 }
 
-// sendAll has so many messages taken on each lane. How many are rejected before
-// that, while something is down, is a matter of the machine's speed.
+// sendAll sends messages to each lane until the given number is taken. How many are rejected meanwhile, while a daemon
+// is down, depends on the speed of the machine and is not checked.
 func sendAll(ctx context.Context, c *Callers, each int) {
 	var wg sync.WaitGroup
 	for _, lane := range []string{"free", "seq", "capped", "quote"} {
@@ -88,7 +91,7 @@
 	wg.Wait()
 }
 
-// checkRejects is the table of what a caller or an operator may get wrong.
+// checkRejects checks the status code and error kind of invalid requests from callers and operators.
 func checkRejects(ctx context.Context, f *Fleet) {
 	adapter, manager := "http://"+f.Adapters[1].Http, "http://"+f.Managers[0].Http
 	cases := []struct {
@@ -122,7 +125,7 @@
 	}
 	for _, c := range cases {
 		code, text := sendTestRequest(ctx, c.method, c.url, c.body, c.head)
-		for code == http.StatusGatewayTimeout && ctx.Err() == nil { // undecided, as on a busy machine: whoever hears that asks again
+		for code == http.StatusGatewayTimeout && ctx.Err() == nil { // undecided, as on a busy machine: retry as a caller would
 			sleep(ctx, 20*time.Millisecond)
 			code, text = sendTestRequest(ctx, c.method, c.url, c.body, c.head)
 		}
@@ -133,7 +136,7 @@
 	}
 }
 
-// ask sends one request and returns its whole answer.
+// sendTestRequest sends one HTTP request and returns the status code and body of the answer.
 func sendTestRequest(ctx context.Context, method, url, body string, fields map[string]string) (code int, text string) {
 	req, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	So(err, ShouldBeNil)
@@ -149,7 +152,7 @@
 	return resp.StatusCode, raw.String()
 }
 
-// checkCli uses the command line as an operator would.
+// checkCli checks the exit codes and output of the command-line client against the running fleet.
 func checkCli(f *Fleet) {
 	run := func(args ...string) (int, string) {
 		var out, errOut bytes.Buffer
--- a/internal/fleet/lifecycle.go
+++ b/internal/fleet/lifecycle.go
@@ -8,8 +8,7 @@
 	"caperwheel/internal/config"
 )
 
-// Start starts everything and waits until the configuration is accepted, the workers
-// are listed and all adapters are ready.
+// Start starts all daemons, sends the configuration and the worker lists, and waits until all adapters are ready.
 func (f *Fleet) Start(ctx context.Context) error {
 	for _, p := range f.All() {
 		if err := p.Start(); err != nil {
@@ -37,14 +36,15 @@
 	return f.api.WaitReady(ctx)
 }
 
-// recordColdStart has a worker's starts held against the ramp from now on.
+// recordColdStart records that a worker joined cold at a time, so that its starts are checked against the slow-start
+// ramp of its pool. Endpoints and pools without slow start are not recorded.
 func (f *Fleet) recordColdStart(b *Backend, from time.Duration) {
 	if ease := f.Rules.Pools[b.Pool].SlowStart; ease > 0 && b.Name != config.EndpointWorker {
 		f.History.AddCold(check.ColdStart{Pool: b.Pool, Worker: b.Name, From: from, SlowStart: ease})
 	}
 }
 
-// Stop stops everything, asking first.
+// Stop continues frozen daemons, kills all daemons and stops all back ends.
 func (f *Fleet) Stop() {
 	done := make(chan struct{})
 	all := f.All()
--- a/internal/fleet/operatorfaults.go
+++ b/internal/fleet/operatorfaults.go
@@ -10,13 +10,13 @@
 	"caperwheel/internal/config"
 )
 
-// drainWorkers marks a worker as leaving in the live list; undone, it is live again.
+// drainWorkers sets workers to leaving in the worker list of their pool; undone, they are live again.
 func drainWorkers(ctx context.Context, f *Fleet, who string) func() {
 	set := func(state string) {
 		for _, b := range f.matchBackends(who) {
 			patch := config.Workers{Workers: []config.Worker{{Name: b.Name, Address: b.Addr, Zone: b.Zone, State: state}}}
 			if err := f.api.patchWorkers(ctx, b.Pool, patch); err != nil {
-				f.recordFailure("%s is not set to %s: %v", b.Key(), state, err)
+				f.recordFailure("set worker %s to %s: %v", b.Key(), state, err)
 			}
 		}
 	}
@@ -37,6 +37,7 @@
 	}
 }
 
+// evacuateZone evacuates a zone through the managers' API; undone, the evacuation is ended.
 func evacuateZone(ctx context.Context, f *Fleet, who string) func() {
 	f.postOrFail(ctx, "/v1/cells/"+who+"/empty")
 	at := f.Now()
@@ -47,7 +48,7 @@
 	}
 }
 
-// floodLane sends messages that can never succeed to a lane, until undone.
+// floodLane sends poison messages, which never succeed, to a lane until it is undone.
 func floodLane(ctx context.Context, f *Fleet, who string) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	callers := f.callers
@@ -62,22 +63,22 @@
 	return cancel
 }
 
-// corruptSettings breaks daemons' settings files under them, each in another way;
-// undone, they are as they were.
+// corruptSettings damages the settings files of running daemons: it truncates, replaces or removes them by turns.
+// Undone, the files have their former content.
 func corruptSettings(_ context.Context, f *Fleet, who string) func() {
 	undo := []func(){}
 	note := func(p *Process, err error) {
 		if err != nil {
-			f.recordFailure("settings of %s: %v", p.Name, err)
+			f.recordFailure("change settings file of %s: %v", p.Name, err)
 		}
 	}
 	for i, p := range f.matchProcesses(who) {
 		raw, err := os.ReadFile(p.settingsFile)
 		note(p, err)
 		switch i % 3 {
-		case 0: // half written
+		case 0: // truncated
 			note(p, os.WriteFile(p.settingsFile, raw[:len(raw)/2], 0o644))
-		case 1: // swapped for another daemon's
+		case 1: // replaced by the settings of another daemon
 			other := strings.Replace(string(raw), `"name":"`+p.Name+`"`, `"name":"other"`, 1)
 			note(p, os.WriteFile(p.settingsFile+".new", []byte(other), 0o644))
 			note(p, os.Rename(p.settingsFile+".new", p.settingsFile))
--- a/internal/fleet/prober.go
+++ b/internal/fleet/prober.go
@@ -10,11 +10,11 @@
 	"caperwheel/internal/intake"
 )
 
-// probePeriod is how often a taken message is asked for while things fail.
+// probePeriod is the interval between two status reads.
 const probePeriod = 10 * time.Millisecond
 
-// Probe asks any adapter for any message that was told taken, its state and
-// now and then its bytes, until ctx ends.
+// Probe reads the status, and one time in three the body, of random taken messages from random adapters until ctx ends,
+// and records the answers.
 func (f *Fleet) Probe(ctx context.Context, c *Callers) {
 	ticker := time.NewTicker(probePeriod)
 	defer ticker.Stop()
@@ -26,6 +26,7 @@
 	}
 }
 
+// readStatus reads and records the status of one message. Answers that say only that it cannot be reached are ignored.
 func (f *Fleet) readStatus(ctx context.Context, id string) {
 	url := "http://" + f.Adapters[rand.IntN(len(f.Adapters))].Http + "/v1/messages/" + id
 	at := f.Now()
@@ -37,7 +38,7 @@
 	if code == 200 {
 		var m intake.Message
 		if json.Unmarshal(raw, &m) != nil {
-			m.State = "not a whole answer"
+			m.State = "incomplete answer"
 		}
 		s.State, s.Attempts = m.State, m.Attempts
 	}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -15,13 +15,13 @@
 	"caperwheel/internal/errs"
 )
 
-// Process is one daemon of the fleet.
+// Process is one daemon of the fleet. It can be started again after it has ended.
 type Process struct {
 	Kind, Name, Zone string
 	Addr, Http       string
-	settingsFile     string   // its settings
-	env              []string // what it is told besides
-	args             []string // if it takes others than a settings file
+	settingsFile     string   // path of its settings
+	env              []string // additional environment variables
+	args             []string // arguments; nil for --settings with the settings file
 	binDir, log      string
 
 	mu   sync.Mutex
@@ -29,20 +29,20 @@
 	done chan struct{}
 }
 
-// NewProcess lays out a daemon that takes its settings from file, or, without
-// one, from what env names.
+// NewProcess returns a daemon that takes its settings from file or, if that is empty, from the environment variables in
+// env. It does not start the daemon.
 func NewProcess(kind, name, zone, bin, log, file string, env ...string) *Process {
 	return &Process{Kind: kind, Name: name, Zone: zone, binDir: bin, log: log, settingsFile: file, env: env}
 }
 
+// ports holds the ports that FreePort has returned.
 var ports struct {
 	sync.Mutex
 	given map[int]bool
 }
 
-// FreePort returns an address that is free and was not given before. It lies
-// below the range that the system draws outgoing ports from, so that no
-// connection takes it before its daemon listens.
+// FreePort returns a local address whose port is free and was not returned before. The port is below the range of
+// ephemeral ports, so that no outgoing connection takes it before its daemon listens.
 func FreePort() (string, error) {
 	ports.Lock()
 	defer ports.Unlock()
@@ -61,10 +61,10 @@
 			return addr, nil
 		}
 	}
-	return "", errs.New(errs.Internal, "no free port")
+	return "", errs.New(errs.Internal, "found no free port in 1000 attempts")
 }
 
-// Build compiles the product's programs into a folder, from their sources.
+// Build compiles the programs of the product from the sources in root into the folder bin.
 func Build(ctx context.Context, root, bin string, isRace bool) error {
 	args := []string{"build", "-o", bin + "/"}
 	if isRace {
@@ -79,16 +79,16 @@
 	return errs.Wrap(err, errs.Internal, "go build: %s", out)
 }
 
-// Start begins the process, again if it has ended.
+// Start starts the process, also again after it has ended. It does nothing if the process is running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isUp() {
-		return nil // another fault's end has started it
+		return nil // the end of another fault has started it
 	}
 	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "log of %s", p.Name)
+		return errs.Wrap(err, errs.Internal, "open log file of %s", p.Name)
 	}
 	defer log.Close()
 	args := p.args
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// ExitStatus tells how the process that ran last has ended; empty while it runs.
+// ExitStatus describes how the last process ended; empty while it runs or if it never ran.
 func (p *Process) ExitStatus() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +120,7 @@
 	return p.cmd.ProcessState.String()
 }
 
-// Pid is the number of the process while it runs.
+// Pid returns the process id, 0 if the process is not running.
 func (p *Process) Pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,12 +130,12 @@
 	return p.cmd.Process.Pid
 }
 
-// NewToolProcess lays a process of the fleet tool's own beside the daemons.
+// NewToolProcess returns a process for a program of the fleet tool itself. Its log is among those of the daemons.
 func (f *Fleet) NewToolProcess(bin, program, name string, args ...string) *Process {
 	return &Process{Kind: program, Name: name, binDir: bin, args: args, log: filepath.Join(f.Dir, "log", name+".log")}
 }
 
-// Signal sends a signal to this process alone.
+// Signal sends a signal to the process, but not to its children.
 func (p *Process) Signal(sig syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,18 +144,21 @@
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process with SIGKILL and waits until it has ended.
 func (p *Process) Kill() { p.signalAndWait(syscall.SIGKILL) }
 
-// Stop asks the process to leave and waits, up to a bound.
+// Stop terminates the process with SIGTERM and kills it if it has not ended after 20 s.
 func (p *Process) Stop() { p.signalAndWait(syscall.SIGTERM) }
 
-// StopWithin asks the process to leave and ends it after a time of grace; true
-// if it went by itself.
+// StopWithin terminates the process with SIGTERM and kills it if it has not ended after grace. It reports whether the
+// process ended without being killed.
 func (p *Process) StopWithin(grace time.Duration) bool { return p.endWithin(syscall.SIGTERM, grace) }
 
+// signalAndWait is endWithin with a grace period of 20 s.
 func (p *Process) signalAndWait(sig syscall.Signal) { p.endWithin(sig, 20*time.Second) }
 
+// endWithin sends a signal and waits until the process has ended. After grace it kills the process and returns
+// false.
 func (p *Process) endWithin(sig syscall.Signal, grace time.Duration) bool {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
@@ -174,13 +177,14 @@
 	}
 }
 
-// IsUp reports whether the process runs.
+// IsUp reports whether the process is running.
 func (p *Process) IsUp() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.isUp()
 }
 
+// isUp is IsUp for callers that hold p.mu.
 func (p *Process) isUp() bool {
 	if p.cmd == nil {
 		return false
--- a/internal/fleet/random.go
+++ b/internal/fleet/random.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// planDraw is one kind of fault of a random schedule, with how often it is drawn
-// against others, whom it may hit and how long it lasts at most.
+// planDraw is one kind of fault of a random schedule: its weight, a function that draws what it hits in the deployment
+// of a plan, and its maximum duration.
 type planDraw struct {
 	weight      int
 	action      string
@@ -16,6 +16,7 @@
 	maxDuration time.Duration // 0: it is not undone
 }
 
+// randomDaemon draws a daemon of one of the kinds.
 func randomDaemon(kinds ...string) func(*rand.Rand, Plan) string {
 	return func(r *rand.Rand, plan Plan) string {
 		kind := kinds[r.IntN(len(kinds))]
@@ -27,14 +28,17 @@
 	}
 }
 
+// randomOf draws one of the targets given.
 func randomOf(names ...string) func(*rand.Rand, Plan) string {
 	return func(r *rand.Rand, _ Plan) string { return names[r.IntN(len(names))] }
 }
 
+// randomZone draws a zone.
 func randomZone(r *rand.Rand, plan Plan) string {
 	return plan.Zones[r.IntN(len(plan.Zones))]
 }
 
+// randomPool draws a pool with more than one worker.
 func randomPool(r *rand.Rand, plan Plan) string {
 	names := []string{}
 	for name, w := range plan.Workers {
@@ -46,15 +50,18 @@
 	return names[r.IntN(len(names))]
 }
 
+// randomWorker draws a worker of a pool that randomPool draws.
 func randomWorker(r *rand.Rand, plan Plan) string {
 	pool := randomPool(r, plan)
 	return fmt.Sprintf("%s/%s-%02d", pool, pool, 1+r.IntN(plan.Workers[pool].Count))
 }
 
+// randomPoolWorkers draws a pool with more than one worker and targets all its workers.
 func randomPoolWorkers(r *rand.Rand, plan Plan) string {
 	return randomPool(r, plan) + "/*"
 }
 
+// planDraws are the faults of RandomSchedule.
 var planDraws = []planDraw{
 	{4, "kill", randomDaemon("store", "manager", "agent", "adapter"), 8 * time.Second},
 	{4, "freeze", randomDaemon("store", "manager", "agent", "adapter"), 8 * time.Second},
@@ -77,9 +84,7 @@
 	{1, "leave", randomWorker, 8 * time.Second},
 }
 
-// RandomSchedule draws a schedule for a deployment: the same seed draws the
-// same one. Faults overlap as they come, but no disk is lost while another
-// store is away or has not had time to catch up: that much nobody rides out.
+// RandomSchedule draws a schedule for the deployment of a plan; see DrawSchedule.
 func RandomSchedule(plan Plan, seed uint64, length time.Duration) Schedule {
 	list := []FaultDraw{}
 	for _, d := range planDraws {
@@ -88,15 +93,17 @@
 	return DrawSchedule(list, seed, length)
 }
 
-// FaultDraw is one kind of fault that a schedule may be drawn from.
+// FaultDraw is one kind of fault from which a schedule is drawn.
 type FaultDraw struct {
-	Weight      int // how often it is drawn against others
+	Weight      int // frequency relative to the other kinds
 	Action      string
 	Target      func(r *rand.Rand) string
-	MaxDuration time.Duration // longest; 0: it is not undone
+	MaxDuration time.Duration // 0: it is not undone
 }
 
-// DrawSchedule draws by seed from any faults.
+// DrawSchedule draws a schedule of the given length from kinds of faults. The same seed draws the same schedule. Faults
+// may overlap, with one exception: a disk is wiped only once, and only while no other store is down or still catching
+// up, because the loss of a second copy is more than the system is designed to survive.
 func DrawSchedule(draws []FaultDraw, seed uint64, length time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, 29))
 	out := Schedule{Note: fmt.Sprintf("drawn by seed %d", seed), Duration: length.String()}
@@ -125,7 +132,7 @@
 			step.Duration = lasts.String()
 		}
 		out.Steps = append(out.Steps, step)
-		if d.Action == "wipe" { // leave the others alone until it has been brought up to date
+		if d.Action == "wipe" { // no other faults until the wiped store has caught up
 			isWiped = true
 			at += lasts + 15*time.Second
 		} else {
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -11,20 +11,21 @@
 	"caperwheel/internal/wire"
 )
 
-// relays carry all daemon-to-daemon connections of the fleet, so that a zone
-// can be cut off without touching the machine. A cut connection stands still,
-// as one would whose packets are lost; it is not closed.
+// relays holds the state of all relays. They carry all connections between daemons of the fleet, so that a zone can be
+// isolated without changing the network of the machine. A connection to or from an isolated zone stalls as if its
+// packets were lost; it is not closed.
 //
-// Invariant: a connection moves only while neither of its two zones is cut off
-// from the other.
+// Invariant: no data is relayed between two different zones while one of them is isolated.
 type relays struct {
 	mu       sync.Mutex
 	isolated map[string]bool
 	healed   chan struct{}
 }
 
+// newRelays returns relays in which no zone is isolated.
 func newRelays() *relays { return &relays{isolated: map[string]bool{}, healed: make(chan struct{})} }
 
+// setIsolated isolates a zone or ends its isolation.
 func (r *relays) setIsolated(zone string, isCut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,7 +34,7 @@
 	r.healed = make(chan struct{})
 }
 
-// waitConnected returns once the two zones can hear each other.
+// waitConnected waits until the two zones are connected.
 func (r *relays) waitConnected(from, to string) {
 	for {
 		r.mu.Lock()
@@ -46,9 +47,10 @@
 	}
 }
 
+// helloCodec decodes the handshake of a connection.
 var helloCodec = wire.NewRecordCodec(&wire.Hello{})
 
-// lay opens a relay before a daemon and gives the address to advertise.
+// open starts a relay to a daemon at target in a zone and returns the address that the daemon advertises.
 func (r *relays) open(target, zone string) (string, error) {
 	addr, err := FreePort()
 	if err != nil {
@@ -56,7 +58,7 @@
 	}
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return "", errs.Wrap(err, errs.Internal, "relay")
+		return "", errs.Wrap(err, errs.Internal, "listen for relayed connections")
 	}
 	go func() {
 		for {
@@ -70,7 +72,7 @@
 	return addr, nil
 }
 
-// relayConnection reads who is calling out of the handshake and passes all on.
+// relayConnection reads the zone of the client from the handshake and relays the connection in both directions.
 func (r *relays) relayConnection(from net.Conn, target, zone string) {
 	defer from.Close()
 	var head [8]byte
@@ -97,9 +99,10 @@
 	done := make(chan struct{}, 2)
 	go func() { r.copyBytes(to, from, hello.Who.Zone, zone); done <- struct{}{} }()
 	go func() { r.copyBytes(from, to, hello.Who.Zone, zone); done <- struct{}{} }()
-	<-done // one side is gone: close both
+	<-done // one side has closed: close both
 }
 
+// copyBytes relays one direction of a connection between zones a and b until one side closes.
 func (r *relays) copyBytes(to, from net.Conn, a, b string) {
 	buffer := make([]byte, 64<<10)
 	for {
--- a/internal/fleet/schedule.go
+++ b/internal/fleet/schedule.go
@@ -10,17 +10,17 @@
 	"caperwheel/internal/check"
 )
 
-// interval is the time for which a step of a schedule lasts, since the load began.
+// interval is the time in which a step of a schedule is in effect, since the start of the load.
 type interval struct{ from, until time.Duration }
 
+// interval returns when the step begins and ends.
 func (s Step) interval() interval {
 	from, _ := time.ParseDuration(s.At)
 	length, _ := time.ParseDuration(s.Duration)
 	return interval{from, from + length}
 }
 
-// requiresRecovery tells steps after whose end traffic must come back, and isSurvivable
-// those through which it must go on.
+// requiresRecovery reports whether traffic must recover after the end of the step.
 func (s Step) requiresRecovery() bool {
 	switch s.Action {
 	case "edit", "leave", "flood", "retire", "empty":
@@ -29,6 +29,7 @@
 	return s.Duration != ""
 }
 
+// isSurvivable reports whether traffic must recover while the step is still in effect.
 func (s Step) isSurvivable() bool {
 	switch s.Action {
 	case "kill cell", "cut cell":
@@ -39,8 +40,8 @@
 	return false
 }
 
-// Outages lists the moments from which recovery is judged: those after which
-// no other step stands in the way, and callers still send.
+// Outages returns the times from which recovery is checked: the ends of steps that require recovery and the beginnings
+// of survivable ones, if callers still send for check.RecoveryTimeout and no other step is in effect meanwhile.
 func (s Schedule) Outages() []check.Outage {
 	end, _ := time.ParseDuration(s.Duration)
 	out := []check.Outage{}
@@ -67,8 +68,8 @@
 	return out
 }
 
-// RunSchedule carries a schedule out, from now on, until ctx ends. What is not undone
-// by then is undone at the end.
+// RunSchedule runs a schedule from now on and returns once all steps are done. When ctx ends, steps in effect are
+// undone at once. It records the outages of the schedule in the history.
 func (f *Fleet) RunSchedule(ctx context.Context, s Schedule) {
 	beganAt := f.Now()
 	for _, o := range s.Outages() {
@@ -78,7 +79,8 @@
 	s.Run(ctx, func(ctx context.Context, step Step) func() { return actions[step.Action](ctx, f, step.Target) }, f.recordFailure)
 }
 
-// Run has do cause each step at its time, and undoes it.
+// Run applies each step at its time, undoes it after its duration, and returns once all steps are done. When ctx ends,
+// steps in effect are undone at once, and steps that have not begun are reported to recordFailure.
 func (s Schedule) Run(ctx context.Context, apply func(context.Context, Step) (undo func()), recordFailure func(string, ...any)) {
 	began := time.Now()
 	done := make(chan struct{})
@@ -87,7 +89,7 @@
 			defer func() { done <- struct{}{} }()
 			sleep(ctx, step.interval().from-time.Since(began))
 			if ctx.Err() != nil {
-				recordFailure("%s %s was not begun", step.Action, step.Target)
+				recordFailure("step %s %s was not started before the end of the run", step.Action, step.Target)
 				return
 			}
 			fmt.Fprintf(os.Stderr, "fleet: %6.1fs %s %s.\n", time.Since(began).Seconds(), step.Action, step.Target)
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -9,6 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// newTestFleet returns a fleet of an example, with back ends but without running daemons.
 func newTestFleet(t *testing.T, name string) *Fleet {
 	plan, doc, err := ReadPlan("../../examples/" + name + ".json")
 	So(err, ShouldBeNil)
@@ -18,11 +19,11 @@
 	return f
 }
 
-// TestSchedules: every schedule of the repo can be read and hits somebody, and
-// a drawn one is the same for the same seed.
+// TestSchedules checks that every schedule in examples/faults can be read and that its targets exist, and that a random
+// schedule is the same for the same seed. It guards against faults that silently hit nothing.
 func TestSchedules(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/faults/*.json")
-	Convey("Given the schedules of the repo", t, func() {
+	Convey("Given the schedules in examples/faults", t, func() {
 		So(len(files), ShouldBeGreaterThan, 8)
 		f, other := newTestFleet(t, "nakhla"), newTestFleet(t, "esquadrias")
 		plan := f.Plan
@@ -59,7 +60,7 @@
 			So(RandomSchedule(plan, seed, time.Minute), ShouldResemble, s)
 		}
 	})
-	Convey("A schedule that names no fault is refused", t, func() {
+	Convey("A schedule with an unknown fault is rejected", t, func() {
 		file := filepath.Join(t.TempDir(), "s.json")
 		So(os.WriteFile(file, []byte(`{"steps":[{"at":"1s","do":"tickle","who":"store-1"}]}`), 0o644), ShouldBeNil)
 		_, err := ReadSchedule(file)
--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/intake"
 )
 
-// Settle asks for every message that was told taken, or whose fate is open,
-// until all are over or ctx ends, and records the ends.
+// Settle reads the status of every message that was taken or whose outcome is undecided, until all have a final status
+// or ctx ends, and records these. With isWithBody it also reads the bodies back.
 func (f *Fleet) Settle(ctx context.Context, isWithBody bool) error {
 	open := []check.Sent{}
 	all, _, _ := f.History.Snapshot()
@@ -46,17 +46,18 @@
 		}
 	}
 	if len(open) > 0 {
-		return errs.New(errs.DeadlineExceeded, "%d messages are not over, such as %s", len(open), open[0].Id)
+		return errs.New(errs.DeadlineExceeded, "%d messages have no final status, for example %s", len(open), open[0].Id)
 	}
 	return nil
 }
 
-// readFinalStatus asks any adapter for a message; true when it is over or unknown.
+// readFinalStatus reads and records the status of a message, and of its call-back, from the adapter selected by turn.
+// It reports whether the message is final or unknown; false also if it could not be read.
 func (f *Fleet) readFinalStatus(ctx context.Context, s check.Sent, turn int, isWithBody bool) bool {
 	base := "http://" + f.Adapters[turn%len(f.Adapters)].Http + "/v1/messages/" + s.Id
 	query := ""
 	if s.Outcome == check.Undecided {
-		query = "?settle=true" // its fate must come out definite
+		query = "?settle=true" // settles the outcome, so that it becomes definite
 	}
 	code, _, raw, err := SendRequest(ctx, "GET", base+query, "", nil)
 	if err != nil || code != 200 && code != 404 {
@@ -86,7 +87,7 @@
 	return m.Callback == "" || f.readFinalStatus(ctx, check.Sent{Id: m.Callback, Outcome: check.Taken}, turn, false)
 }
 
-// Report is what a run of a fleet came to.
+// Report is the result of a run of a fleet, as the fleet command prints it in JSON.
 type Report struct {
 	Sent              int                `json:"sent"`
 	Taken             int                `json:"taken"`
@@ -111,7 +112,7 @@
 	PerSecond         []int              `json:"runs_ended_per_second"`
 }
 
-// Report sums the run up and checks it.
+// Report checks the history of the run and returns its figures. unsettled is the error of Settle.
 func (f *Fleet) Report(c *Callers, unsettled error) Report {
 	sent, runs, ends := f.History.Snapshot()
 	out := Report{Sent: len(sent), Runs: len(runs), Codes: map[string]int{}, Ends: map[string]int{},
--- a/internal/linearize/explain.go
+++ b/internal/linearize/explain.go
@@ -6,9 +6,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// explain names what speaks against a history that no order of its calls
-// explains: two calls that contradict each other, if any do, or the first call
-// that has no place behind the longest order that was found.
+// explain explains why a part of a history is not linearizable. It names two calls that contradict each other, if there
+// are such, or the first call that does not fit into the longest partial linearization that was found.
 func explain(part []Operation, info porcupine.LinearizationInfo) string {
 	for i, a := range part {
 		for _, b := range part[i+1:] {
@@ -22,10 +21,10 @@
 	}
 	for _, o := range part {
 		if o.IsInvalid && o.Outcome == Confirmed {
-			return "an invalid order was confirmed: " + o.String()
+			return "an invalid change was confirmed: " + o.String()
 		}
 		if o.Zone != "" && o.Outcome == Refused {
-			return "an order about a zone was refused: " + o.String()
+			return "a zone call was refused: " + o.String()
 		}
 	}
 	placed, longest := map[int]bool{}, 0
@@ -42,33 +41,34 @@
 	}
 	for i, o := range part {
 		if !placed[i] && o.Outcome != Indeterminate {
-			return fmt.Sprintf("%d of %d calls have an order, and then there is no place for %v", longest, len(part), o)
+			return fmt.Sprintf("the longest linearization has %d of %d calls and has no place for %v", longest, len(part), o)
 		}
 	}
-	return fmt.Sprintf("no order of %d calls explains their answers", len(part))
+	return fmt.Sprintf("no linearization of %d calls explains their answers", len(part))
 }
 
-// contradiction reports how a contradicts b, where two calls are enough for it.
+// contradiction explains how the two calls contradict each other without regard to any others. It returns an empty
+// string if they do not.
 func contradiction(a, b Operation) string {
 	isOther := a.Digest != b.Digest
 	switch {
 	case !a.isChange() || a.Outcome != Confirmed:
 		return ""
 	case b.isChange() && b.Outcome == Confirmed && isOther && a.Version == b.Version:
-		return fmt.Sprintf("two confirmed under one number: %v and %v", a, b)
+		return fmt.Sprintf("two changes confirmed with one version: %v and %v", a, b)
 	case b.isChange() && b.Outcome == Confirmed && isOther && a.Base == b.Base:
-		return fmt.Sprintf("two confirmed on one base: %v and %v", a, b)
+		return fmt.Sprintf("two changes confirmed on one base version: %v and %v", a, b)
 	case b.isChange() && b.Outcome == Refused && !isOther && a.CalledAt <= b.ReturnedAt:
-		return fmt.Sprintf("an order that was taken was refused: %v and %v", a, b)
+		return fmt.Sprintf("a confirmed change was refused when sent again: %v and %v", a, b)
 	case b.Kind == Read && b.CalledAt > a.ReturnedAt && b.ReadVersion < a.Version:
 		return fmt.Sprintf("a stale read: %v after %v", b, a)
 	case b.Kind == Read && b.ReadVersion == a.Version && b.ReadDigest != "" && b.ReadDigest != a.Digest:
-		return fmt.Sprintf("a read of another order under a confirmed number: %v and %v", b, a)
+		return fmt.Sprintf("a read of another change with a confirmed version: %v and %v", b, a)
 	}
 	return ""
 }
 
-// String gives a call in one line.
+// String describes the call in one line.
 func (o Operation) String() string {
 	what := fmt.Sprintf("%s %d on %d (%s)", o.Kind, o.Version, o.Base, o.Digest)
 	switch {
--- a/internal/linearize/linearize_test.go
+++ b/internal/linearize/linearize_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// at builds a call that lasts from one moment to another.
+// at returns a call that starts at from and returns at to.
 func at(from, to int, o Operation) Operation {
 	o.CalledAt, o.ReturnedAt = time.Duration(from), time.Duration(to)
 	return o
@@ -38,53 +38,53 @@
 		says    string // empty: linearizable
 		history []Operation
 	}{
-		{"nothing", "", nil},
-		{"one after another", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")), at(2, 3, replace(Confirmed, 3, 5, "b")),
+		{"empty history", "", nil},
+		{"sequential changes", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")), at(2, 3, replace(Confirmed, 3, 5, "b")),
 			at(4, 5, read(5, "b"))}},
-		{"a loser is refused", "", []Operation{at(0, 9, replace(Confirmed, 0, 3, "a")), at(0, 9, replace(Refused, 0, 3, "b"))}},
-		{"a taken order is acknowledged again under a newer one", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
+		{"one of two concurrent changes is refused", "", []Operation{at(0, 9, replace(Confirmed, 0, 3, "a")), at(0, 9, replace(Refused, 0, 3, "b"))}},
+		{"a confirmed change is confirmed again after a newer one", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 3, 5, "b")), at(4, 5, replace(Confirmed, 0, 3, "a")), at(6, 7, read(5, "b"))}},
-		{"one without a clear answer holds later", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")), at(2, 3, read(0, "")),
+		{"an indeterminate change takes effect later", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")), at(2, 3, read(0, "")),
 			at(4, 5, read(3, "a"))}},
-		{"one without a clear answer never holds", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
+		{"an indeterminate change never takes effect", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 0, 4, "b")), at(4, 5, read(4, "b"))}},
-		{"one without a clear answer is in the way", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
+		{"an indeterminate change conflicts with another", "", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Refused, 0, 4, "b"))}},
-		{"one that was refused is sent anew on what it builds on", "", []Operation{at(0, 1, replace(Refused, 3, 5, "b")),
+		{"a refused change is sent again once its base exists", "", []Operation{at(0, 1, replace(Refused, 3, 5, "b")),
 			at(2, 3, replace(Confirmed, 0, 3, "a")), at(4, 5, replace(Confirmed, 3, 5, "b"))}},
-		{"two confirmed under one number", "two confirmed under one number",
+		{"two confirmed with one version", "two changes confirmed with one version",
 			[]Operation{at(0, 9, replace(Confirmed, 0, 3, "a")), at(0, 9, replace(Confirmed, 0, 3, "b"))}},
-		{"two confirmed on one base", "two confirmed on one base",
+		{"two confirmed on one base version", "two changes confirmed on one base version",
 			[]Operation{at(0, 9, replace(Confirmed, 0, 3, "a")), at(0, 9, replace(Confirmed, 0, 4, "b"))}},
-		{"a re-send is refused", "an order that was taken was refused",
+		{"a re-send is refused", "a confirmed change was refused when sent again",
 			[]Operation{at(0, 1, replace(Confirmed, 0, 3, "a")), at(2, 3, replace(Refused, 0, 3, "a"))}},
-		{"a re-send is refused under many newer ones", "an order that was taken was refused",
+		{"a re-send is refused after many newer changes", "a confirmed change was refused when sent again",
 			append(changeChain(20), at(900, 901, replace(Refused, 2, 3, "3")))},
-		{"one without a clear answer was taken and then refused", "no place for",
+		{"an indeterminate change was read and then refused", "no place for",
 			[]Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")), at(2, 3, read(3, "a")), at(4, 5, replace(Refused, 0, 3, "a"))}},
-		{"what was refused comes in force", "no place for",
+		{"a refused change takes effect", "no place for",
 			[]Operation{at(0, 1, replace(Refused, 0, 3, "a")), at(2, 3, read(3, "a"))}},
-		{"a first try holds after its re-send was refused", "no place for", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
+		{"a first attempt takes effect after its re-send was refused", "no place for", []Operation{at(0, 1, replace(Indeterminate, 0, 3, "a")),
 			at(2, 3, replace(Refused, 0, 3, "a")), at(4, 5, read(3, "a"))}},
-		{"a stale read after a newer acknowledgement", "a stale read", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
+		{"a stale read after a newer confirmation", "a stale read", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 3, replace(Confirmed, 3, 5, "b")), at(4, 5, read(3, "a"))}},
-		{"a read beside a change may tell either", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
+		{"a read concurrent with a change returns either version", "", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 9, replace(Confirmed, 3, 5, "b")), at(4, 5, read(3, "a")), at(6, 7, read(5, "b"))}},
-		{"reads go back", "no place for", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
+		{"a later read returns an older version", "no place for", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(2, 9, replace(Confirmed, 3, 5, "b")), at(4, 5, read(5, "b")), at(6, 7, read(3, "a"))}},
-		{"a read under a number of what lost", "a read of another order", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
+		{"a read of the losing change with the winner's version", "a read of another change", []Operation{at(0, 1, replace(Confirmed, 0, 3, "a")),
 			at(0, 1, replace(Indeterminate, 0, 3, "b")), at(4, 5, read(3, "b"))}},
-		{"an invalid one is confirmed", "an invalid order", []Operation{at(0, 1,
+		{"an invalid change is confirmed", "an invalid change", []Operation{at(0, 1,
 			Operation{Kind: Replace, Outcome: Confirmed, Version: 3, Digest: "a", IsInvalid: true})}},
-		{"a proper one is refused", "no place for", []Operation{at(0, 1, replace(Refused, 0, 3, "a"))}},
-		{"an evacuation stands", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(true)),
+		{"a valid change is refused", "no place for", []Operation{at(0, 1, replace(Refused, 0, 3, "a"))}},
+		{"an evacuation is in force until it is ended", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(true)),
 			at(4, 5, zoneCall(Finish, Confirmed)), at(6, 7, readZone(false))}},
-		{"an evacuation is forgotten", "no place for", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(false))}},
-		{"one evacuation of two is taken back", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, zoneCall(Evacuate, Confirmed)),
+		{"an evacuation is lost", "no place for", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, readZone(false))}},
+		{"one evacuation of two is ended", "", []Operation{at(0, 1, zoneCall(Evacuate, Confirmed)), at(2, 3, zoneCall(Evacuate, Confirmed)),
 			at(4, 5, zoneCall(Finish, Confirmed)), at(6, 7, readZone(true))}},
-		{"an evacuation is refused", "an order about a zone", []Operation{at(0, 1, zoneCall(Evacuate, Refused))}},
+		{"an evacuation is refused", "a zone call was refused", []Operation{at(0, 1, zoneCall(Evacuate, Refused))}},
 	}
-	Convey("Of histories of operators' calls,", t, func() {
+	Convey("Given a history of operators' calls:", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				ok, text := Check(c.history)
@@ -93,7 +93,7 @@
 				So(strings.Contains(text, "\n"), ShouldBeFalse)
 			})
 		}
-		Convey("a search that comes to no end says so", func() {
+		Convey("a search that exceeds its bound is reported as undecided", func() {
 			ok, text := CheckWithin(changeChain(20), 10)
 			So(ok, ShouldBeFalse)
 			So(text, ShouldContainSubstring, "undecided")
@@ -101,7 +101,7 @@
 	})
 }
 
-// changeChain is one confirmed change after another, each on the one before.
+// changeChain returns count confirmed changes, one after another, each based on the previous one.
 func changeChain(count int) (out []Operation) {
 	for i := range count {
 		out = append(out, at(10*i, 10*i+1, replace(Confirmed, int64(i), int64(i)+1, fmt.Sprint(i+1))))
@@ -109,10 +109,11 @@
 	return out
 }
 
-// TestLongHistories: hundreds of changes from eight operators, many answers
-// lost, are judged within the bound on steps, and one wrong answer is found.
+// TestLongHistories checks that histories of hundreds of changes from eight operators, a third of whose answers is
+// lost, are decided within the bound on steps, and that one wrong answer at the end is found. It guards against a
+// search that grows exponentially with the calls in flight.
 func TestLongHistories(t *testing.T) {
-	Convey("Of 500 changes with eight under way and answers lost,", t, func() {
+	Convey("Given 500 changes with eight in flight at a time and lost answers", t, func() {
 		for seed := range uint64(8) {
 			history := randomHistory(rand.New(rand.NewPCG(seed, 1)), 500)
 			ok, text := Check(history)
@@ -125,9 +126,9 @@
 	})
 }
 
-// randomHistory plays operators against one machine: each call takes effect somewhere
-// within its time, if it does. Some build on what is no longer the newest, some
-// are sent again, and a third of the answers is lost.
+// randomHistory generates a linearizable history of operators' calls. Each call takes effect, if it does, between its
+// start and its answer. Some changes are based on an old version, some are sent again, and a third of the answers is
+// lost.
 func randomHistory(draw *rand.Rand, count int) (out []Operation) {
 	version, taken, refused := int64(0), map[string]bool{}, map[string]bool{}
 	for i := range count {
--- a/internal/linearize/model.go
+++ b/internal/linearize/model.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// state is what one machine that answers one call after another would hold, and
-// which calls have had their turn. States that are the same are equal.
+// state is the state of a single server after some of the calls, and which calls those are. States are compared with
+// ==, so it holds no slices or maps.
 //
-// Invariant: each order taken has a higher version than the one before it.
+// Invariant: each accepted change has a higher version than the one before it.
 type state struct {
 	version     int64
-	digest      string // the order that made the version
-	accepted    bitset // a bit for each order
-	evacuations int    // evacuations that stand, and how many were taken back since any stood
+	digest      string // of the change that created the version
+	accepted    bitset // one bit for each change, as numbered in model
+	evacuations int    // evacuations since the zone last had none in force, and how many of them were ended
 	finished    int
-	applied     bitset // a bit for each call
-	clear       int    // calls with a clear answer that have had their turn
-	forced      int    // the call whose turn it is, -1 for any
+	applied     bitset // one bit for each call that was applied
+	clear       int    // applied calls with a definite outcome
+	forced      int    // the call that must be applied next; -1 if any may
 }
 
-// bitset is a set of small numbers, which is never changed in place.
+// bitset is an immutable set of small non-negative integers.
 type bitset string
 
 func (b bitset) has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
@@ -37,17 +37,17 @@
 
 func (s state) hash() uint64 { return maphash.String(hashSeed, string(s.applied)) }
 
-// hasSameContent reports whether the two differ in nothing but whose turn it was.
+// hasSameContent reports whether the server's data is the same in both states, whatever calls were applied.
 func (s state) hasSameContent(t state) bool {
 	return s.version == t.version && s.evacuations == t.evacuations && s.finished == t.finished
 }
 
-// model is the history that is judged.
+// model is the sequential model of one part of a history: the configuration, or one zone.
 type model struct {
-	calls          []Operation    // by the moment of the call
-	orders         map[string]int // by digest, numbered
-	isRefusedLater []bool         // the very order was refused at the call's end or later: it must never hold
-	clear          int            // calls with a clear answer
+	calls          []Operation    // sorted by start
+	orders         map[string]int // number of each change, by digest
+	isRefusedLater []bool         // the same change was refused after this call's start: it must never take effect
+	clear          int            // calls with a definite outcome
 }
 
 func newModel(calls []Operation) *model {
@@ -71,20 +71,20 @@
 	return m
 }
 
+// isChange reports whether the call changes the configuration.
 func (o Operation) isChange() bool { return o.Kind == Replace || o.Kind == Update }
 
-// initialState is the state before any call.
+// initialState returns the state before any call.
 func (m *model) initialState() state {
 	s := state{}
 	s.forced = m.nextForced(s)
 	return s
 }
 
-// step lets one call have its turn; false: it cannot have it now. Two things
-// make the search short and rule nothing out. A call with a clear answer that
-// fits now and changes nothing has its turn at once, since it could only come
-// into the way later; and one without a clear answer that changes nothing has
-// its turn behind all others.
+// step applies one call to a state. It returns false if the call cannot be applied now. Two rules shorten the search
+// without excluding any linearization: a call with a definite outcome that is possible now and changes nothing is
+// applied at once, since it can only become impossible later; and an indeterminate call that changes nothing is applied
+// after all calls with a definite outcome.
 func (m *model) step(s state, i int) (bool, state) {
 	if s.forced >= 0 && s.forced != i {
 		return false, s
@@ -101,7 +101,7 @@
 	return true, next
 }
 
-// apply reports what a call would make of a state.
+// apply returns the state after a call, and whether the call is possible in state s.
 func (m *model) apply(s state, i int) (next state, isFit bool) {
 	o := m.calls[i]
 	switch {
@@ -118,11 +118,11 @@
 	return next, isFit
 }
 
-// due gives the first call that may have its turn now, fits, has a clear answer
-// and changes nothing; -1 if there is none.
+// nextForced returns the first call with a definite outcome that is possible now and changes nothing; -1 if there is
+// none.
 func (m *model) nextForced(s state) int {
 	ends := time.Duration(math.MaxInt64)
-	for i, o := range m.calls { // in the order in which they were made
+	for i, o := range m.calls { // sorted by start
 		if s.applied.has(i) {
 			continue
 		}
@@ -140,7 +140,7 @@
 	return -1
 }
 
-// applyChange is a configuration's turn.
+// applyChange applies a configuration change. A change that was accepted before is confirmed again without effect.
 func (m *model) applyChange(s state, i int) (state, bool) {
 	o := m.calls[i]
 	order := m.orders[o.Digest]
@@ -158,15 +158,15 @@
 	return s, false
 }
 
-// applyZone is the turn of a call that is about a zone. Orders about a zone come
-// without a number, so where several evacuations stand and some are taken back,
-// a read may tell either; while none is taken back, and once all are, it may not.
+// applyZone applies a call about a zone. Evacuations have no numbers that would show which one a Finish ends. So while
+// several are in force and some were ended, a read may return either value; while none or all were ended, only one
+// value is correct.
 func applyZone(s state, o Operation) (state, bool) {
 	switch {
 	case o.Kind == ReadZone:
 		return s, s.finished > 0 || o.IsEvacuated == (s.evacuations > 0)
 	case o.Outcome == Refused:
-		return s, false // there is always a way to take it
+		return s, false // a zone call is always possible
 	case o.Kind == Evacuate:
 		s.evacuations++
 	case s.evacuations > 0:
