--- a/internal/check/answers.go
+++ b/internal/check/answers.go
@@ -53,23 +53,23 @@
 	list := slices.Clone(c.h.Reads)
 	slices.SortStableFunc(list, func(a, b StatusRead) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
 	newest := map[string]StatusRead{} // by message id; only reads that were answered before the next one was sent
-	for _, x := range list {
-		s, isTaken := byId[x.Id]
-		if !isTaken || x.RequestedAt < s.AnsweredAt {
+	for _, read := range list {
+		s, isTaken := byId[read.Id]
+		if !isTaken || read.RequestedAt < s.AnsweredAt {
 			continue
 		}
 		switch {
-		case x.State == "unknown" || x.State == "rejected" || x.State == "":
-			c.addBreach(RuleTakenLost, "%s (%s) was acknowledged as taken and was reported as %q at %v", s.Token, s.Id, x.State, x.AnsweredAt)
-		case x.BodySum != "" && x.BodySum != s.BodySum:
-			c.addBreach(RuleAlteredBody, "%s: another body was read at %v", s.Id, x.AnsweredAt)
+		case read.State == "unknown" || read.State == "rejected" || read.State == "":
+			c.addBreach(RuleTakenLost, "%s (%s) was acknowledged as taken and was reported as %q at %v", s.Token, s.Id, read.State, read.AnsweredAt)
+		case read.BodySum != "" && read.BodySum != s.BodySum:
+			c.addBreach(RuleAlteredBody, "%s: another body was read at %v", s.Id, read.AnsweredAt)
 		}
-		was, isKnown := newest[x.Id]
-		if isKnown && was.AnsweredAt <= x.RequestedAt && (isFinal(was.State) && x.State != was.State || x.Attempts < was.Attempts) {
-			c.addBreach(RuleStateRegression, "%s was %s after %d attempts at %v and %s after %d attempts at %v", x.Id, was.State, was.Attempts, was.AnsweredAt, x.State, x.Attempts, x.AnsweredAt)
+		previous, isKnown := newest[read.Id]
+		if isKnown && previous.AnsweredAt <= read.RequestedAt && (isFinal(previous.State) && read.State != previous.State || read.Attempts < previous.Attempts) {
+			c.addBreach(RuleStateRegression, "%s was %s after %d attempts at %v and %s after %d attempts at %v", read.Id, previous.State, previous.Attempts, previous.AnsweredAt, read.State, read.Attempts, read.AnsweredAt)
 		}
-		if !isKnown || was.AnsweredAt <= x.RequestedAt {
-			newest[x.Id] = x
+		if !isKnown || previous.AnsweredAt <= read.RequestedAt {
+			newest[read.Id] = read
 		}
 	}
 }
@@ -85,22 +85,22 @@
 )
 
 // maxStarts returns how many starts a cold worker may have had this long after it joined.
-func maxStarts(since, ease time.Duration) float64 {
-	growth := rampDoublings * math.Ln2 / ease.Seconds()
+func maxStarts(since, slowStart time.Duration) float64 {
+	growth := rampDoublings * math.Ln2 / slowStart.Seconds()
 	return rampTolerance*rampInitialRate*(math.Exp(growth*since.Seconds())-1)/growth + rampExtraStarts
 }
 
 // checkSlowStart checks that each cold worker gets no more starts than its slow-start ramp allows.
 func (c *checker) checkSlowStart() {
-	for _, x := range c.h.Colds {
+	for _, cold := range c.h.Colds {
 		count := 0
 		for _, r := range c.h.Runs {
-			since := r.Start - x.From
-			if r.Pool != x.Pool || r.Worker != x.Worker || since < 0 || since >= x.SlowStart {
+			since := r.Start - cold.From
+			if r.Pool != cold.Pool || r.Worker != cold.Worker || since < 0 || since >= cold.SlowStart {
 				continue
 			}
-			if count++; float64(count) > maxStarts(since, x.SlowStart) {
-				c.addBreach(RuleSlowStart, "%s/%s joined cold at %v and had %d starts %v later", x.Pool, x.Worker, x.From, count, since)
+			if count++; float64(count) > maxStarts(since, cold.SlowStart) {
+				c.addBreach(RuleSlowStart, "%s/%s joined cold at %v and had %d starts %v later", cold.Pool, cold.Worker, cold.From, count, since)
 				break
 			}
 		}
@@ -148,9 +148,9 @@
 // runs only in pools that the call-back lane allows, and that no other message is called back.
 func (c *checker) checkCallbacks() {
 	for token, runs := range c.runsByToken {
-		parent, isChild := strings.CutSuffix(token, answerSuffix)
+		parent, isCallback := strings.CutSuffix(token, answerSuffix)
 		s, isKnown := c.sentByToken[parent]
-		if !isChild || !isKnown {
+		if !isCallback || !isKnown {
 			continue
 		}
 		end := c.h.Finals[s.Id]
@@ -170,8 +170,8 @@
 		if c.h.CallbackLanes[s.Lane] == "" || end.State != "ended" {
 			continue
 		}
-		child, isAsked := c.h.Finals[end.CallbackId]
-		if end.CallbackId == "" || isAsked && (child.State == "unknown" || child.State == "rejected") {
+		callback, isRecorded := c.h.Finals[end.CallbackId]
+		if end.CallbackId == "" || isRecorded && (callback.State == "unknown" || callback.State == "rejected") {
 			c.addBreach(RuleCallback, "%s has ended and its call-back %q is lost", s.Token, end.CallbackId)
 		}
 	}
--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// Breach is one broken rule, and a text that names the messages and times concerned.
+// Breach is one breach of a rule.
 type Breach struct {
-	Rule string
-	Text string
+	Rule string // one of the Rule constants
+	Text string // what was found, with the messages and times concerned
 }
 
 // Rules that Check checks. The values are the names of the rules in reports.
 const (
-	RuleTakenLost       = "taken and lost"
-	RuleRejectedRun     = "not taken and run"
-	RuleKeyOverlap      = "ordered overlap"
-	RuleRepeatedSuccess = "answered success run again"
-	RuleWrongProof      = "proof of another run"
-	RuleWrongPool       = "wrong pool"
-	RuleAlteredBody     = "altered bytes"
-	RuleMixedAnswer     = "answer of another message"
-	RuleTruncatedAnswer = "short answer that looks whole"
-	RuleRateExceeded    = "endpoint over its rate"
-	RuleRunAfterDrain   = "new work after leaving"
-	RuleEndedWithoutRun = "ended without a run"
-	RuleUnsettled       = "undecided for good"
-	RuleStateRegression = "state went back"
-	RuleStaleConfig     = "older charter in use"
-	RuleSlowStart       = "cold worker flooded"
-	RuleRecovery        = "not served again in time"
-	RuleCallback        = "call-back"
-	RuleEarly           = "before its delay"
-	RuleEarlyExpiry     = "expired before its time"
+	RuleTakenLost       = "taken and lost"                // a message that was acknowledged as taken is lost
+	RuleRejectedRun     = "not taken and run"             // a message that was answered or settled as not taken ran
+	RuleKeyOverlap      = "ordered overlap"               // messages of one ordering key overlap or run out of order
+	RuleRepeatedSuccess = "answered success run again"    // a message runs again after its success was answered
+	RuleWrongProof      = "proof of another run"          // the proof names a run that did not succeed
+	RuleWrongPool       = "wrong pool"                    // a run in a pool that the lane may not use
+	RuleAlteredBody     = "altered bytes"                 // a body differs from the one that was sent
+	RuleMixedAnswer     = "answer of another message"     // an answer, id or proof belongs to another message
+	RuleTruncatedAnswer = "short answer that looks whole" // a truncated answer was read without an error
+	RuleRateExceeded    = "endpoint over its rate"        // a pool got more runs than its rate cap allows
+	RuleRunAfterDrain   = "new work after leaving"        // a draining worker or evacuated zone got a new run
+	RuleEndedWithoutRun = "ended without a run"           // a message ended that no back end ran
+	RuleUnsettled       = "undecided for good"            // an undecided message cannot be settled
+	RuleStateRegression = "state went back"               // a later read shows an earlier state or fewer attempts
+	RuleStaleConfig     = "older charter in use"          // an older configuration is used after a newer one is in force
+	RuleSlowStart       = "cold worker flooded"           // a cold worker got more starts than its ramp allows
+	RuleRecovery        = "not served again in time"      // too little traffic was served after an outage
+	RuleCallback        = "call-back"                     // a call-back is missing, unexpected or wrong
+	RuleEarly           = "before its delay"              // a message ran before its delay had passed
+	RuleEarlyExpiry     = "expired before its time"       // a message was reported expired before its patience had passed
 )
 
 // checker holds the state of one Check.
@@ -42,7 +42,7 @@
 	breaches    []Breach
 	runsByToken map[string][]Run // by message token, ordered by start
 	sentByToken map[string]Sent
-	runsById    map[string][]Run
+	runsById    map[string][]Run // by message id, ordered by start
 }
 
 // addBreach records a breach of a rule.
--- a/internal/check/configs.go
+++ b/internal/check/configs.go
@@ -48,9 +48,9 @@
 // checkConfigs checks that, configTimeout after a configuration was acknowledged, no run is started and no message is
 // answered under an older one.
 func (c *checker) checkConfigs() {
-	acked := slices.DeleteFunc(slices.Clone(c.h.Edits), func(e Edit) bool { return e.AcknowledgedAt == 0 })
+	acknowledged := slices.DeleteFunc(slices.Clone(c.h.Edits), func(e Edit) bool { return e.AcknowledgedAt == 0 })
 	checkRevision := func(at time.Duration, revision int64, form string, args ...any) {
-		for _, e := range acked {
+		for _, e := range acknowledged {
 			if revision > 0 && e.AcknowledgedAt+configTimeout < at && revision < e.Revision {
 				c.addBreach(RuleStaleConfig, form+" at %v under configuration %d, although %d was acknowledged at %v", append(args, at, revision, e.Revision, e.AcknowledgedAt)...)
 				return
@@ -67,12 +67,12 @@
 
 // checkDrains checks that draining workers and evacuated zones get no new run once their grace period is over.
 func (c *checker) checkDrains() {
-	for _, m := range c.h.Drains {
+	for _, drain := range c.h.Drains {
 		for _, r := range c.h.Runs {
-			isHit := m.Worker != "" && r.Pool == m.Pool && r.Worker == m.Worker ||
-				m.Worker == "" && c.h.Zones[r.Pool+"/"+r.Worker] == m.Zone
-			if isHit && r.Start > m.From+m.Grace && (m.Until == 0 || r.Start < m.Until) {
-				c.addBreach(RuleRunAfterDrain, "%s/%s got a run of %s %v after it was drained", r.Pool, r.Worker, r.Token, r.Start-m.From)
+			isDrained := drain.Worker != "" && r.Pool == drain.Pool && r.Worker == drain.Worker ||
+				drain.Worker == "" && c.h.Zones[r.Pool+"/"+r.Worker] == drain.Zone
+			if isDrained && r.Start > drain.From+drain.Grace && (drain.Until == 0 || r.Start < drain.Until) {
+				c.addBreach(RuleRunAfterDrain, "%s/%s got a run of %s %v after its drain began", r.Pool, r.Worker, r.Token, r.Start-drain.From)
 			}
 		}
 	}
--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -156,7 +156,7 @@
 func (h *History) AddRun(r Run) { h.mu.Lock(); h.Runs = append(h.Runs, r); h.mu.Unlock() }
 
 // AddDrain records that a worker or a zone is drained.
-func (h *History) AddDrain(m Drain) { h.mu.Lock(); h.Drains = append(h.Drains, m); h.mu.Unlock() }
+func (h *History) AddDrain(d Drain) { h.mu.Lock(); h.Drains = append(h.Drains, d); h.mu.Unlock() }
 
 // AddKill records the kill of an adapter.
 func (h *History) AddKill(w KillWindow) { h.mu.Lock(); h.Kills = append(h.Kills, w); h.mu.Unlock() }
@@ -180,8 +180,8 @@
 func (h *History) EndDrains(isMatch func(Drain) bool, at time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for i, m := range h.Drains {
-		if isMatch(m) {
+	for i, d := range h.Drains {
+		if isMatch(d) {
 			h.Drains[i].Until = at
 		}
 	}
--- a/internal/check/proof_test.go
+++ b/internal/check/proof_test.go
@@ -24,24 +24,24 @@
 		So(err, ShouldBeNil)
 		faults, err := exec.Command("grep", "-rhoE", `^	"[a-z -]+":`, "../sim").Output()
 		So(err, ShouldBeNil)
-		named := 0
+		nameCount := 0
 		for _, found := range regexp.MustCompile("`(?:[a-z]+/)?(Test[A-Za-z0-9]+)`").FindAllSubmatch(page, -1) {
-			named++
+			nameCount++
 			So(string(tests), ShouldContainSubstring, "func "+string(found[1])+"\n")
 		}
 		for _, list := range regexp.MustCompile("schedules? ((?:`[a-z]+`(?:, )?)+)").FindAllSubmatch(page, -1) {
 			for _, found := range regexp.MustCompile("`([a-z]+)`").FindAllSubmatch(list[1], -1) {
-				named++
+				nameCount++
 				_, err := os.Stat("../../examples/faults/" + string(found[1]) + ".json")
 				So(err, ShouldBeNil)
 			}
 		}
 		for _, list := range regexp.MustCompile(`sim (?:place|control) ("[a-z -]+"(?:, )?)+`).FindAll(page, -1) {
 			for _, found := range regexp.MustCompile(`"[a-z -]+"`).FindAll(list, -1) {
-				named++
+				nameCount++
 				So(string(faults), ShouldContainSubstring, string(found)+":")
 			}
 		}
-		So(named, ShouldBeGreaterThan, 60)
+		So(nameCount, ShouldBeGreaterThan, 60)
 	})
 }
--- a/internal/check/runs.go
+++ b/internal/check/runs.go
@@ -9,7 +9,7 @@
 // Bounds on the rate of a pool: in any rateWindow it may get rateTolerance times its rate cap, and rateExtraRuns more.
 const (
 	rateWindow    = 5 * time.Second
-	rateTolerance = 1.15 // "not much more" than the agreed rate
+	rateTolerance = 1.15 // the requirement allows "not much more" than the agreed rate
 	rateExtraRuns = 2
 )
 
@@ -42,10 +42,10 @@
 	for _, s := range c.h.Sent {
 		byId[s.Id] = s
 	}
-	for _, x := range c.h.Reads {
-		s, isKnown := byId[x.Id]
-		if isKnown && s.Patience > 0 && x.State == "expired" && x.AnsweredAt < s.SentAt+s.Patience-millisecondRounding {
-			c.addBreach(RuleEarlyExpiry, "%s was reported as expired %v before the end of its patience of %v", s.Token, s.SentAt+s.Patience-x.AnsweredAt, s.Patience)
+	for _, read := range c.h.Reads {
+		s, isKnown := byId[read.Id]
+		if isKnown && s.Patience > 0 && read.State == "expired" && read.AnsweredAt < s.SentAt+s.Patience-millisecondRounding {
+			c.addBreach(RuleEarlyExpiry, "%s was reported as expired %v before the end of its patience of %v", s.Token, s.SentAt+s.Patience-read.AnsweredAt, s.Patience)
 		}
 	}
 }
@@ -62,19 +62,19 @@
 	}
 	for _, list := range keys {
 		slices.SortFunc(list, func(a, b Sent) int { return cmp.Compare(a.AnsweredAt, b.AnsweredAt) })
-		busy, by := time.Duration(0), ""
+		busyUntil, busyToken := time.Duration(0), ""
 		for i, s := range list {
 			if i > 0 && s.SentAt < list[i-1].AnsweredAt {
-				busy = 0 // sent before the previous message was acknowledged: either order is valid
+				busyUntil = 0 // sent before the previous message was acknowledged: either order is valid
 			}
 			for _, r := range c.runsByToken[s.Token] {
-				if r.Start < busy {
-					c.addBreach(RuleKeyOverlap, "key %s: %s started at %v, before %s ended at %v", s.Key, s.Token, r.Start, by, busy)
+				if r.Start < busyUntil {
+					c.addBreach(RuleKeyOverlap, "key %s: %s started at %v, before %s ended at %v", s.Key, s.Token, r.Start, busyToken, busyUntil)
 				}
 			}
 			for _, r := range c.runsByToken[s.Token] {
-				if r.End > busy {
-					busy, by = r.End, s.Token
+				if r.End > busyUntil {
+					busyUntil, busyToken = r.End, s.Token
 				}
 			}
 		}
--- a/internal/explore/digest.go
+++ b/internal/explore/digest.go
@@ -34,8 +34,8 @@
 	for m, d := range w.ghost.replacedDisks {
 		lines = append(lines, string(d.canonical([]byte(rename(m)), rename)))
 	}
-	for term, life := range w.ghost.termOwners {
-		id, rest, _ := strings.Cut(life, " ")
+	for term, owner := range w.ghost.termOwners {
+		id, rest, _ := strings.Cut(owner, " ")
 		lines = append(lines, fmt.Sprint(term, rename(id), rest))
 	}
 	slices.Sort(lines)
@@ -67,11 +67,11 @@
 	}
 	return order, func(member string) string {
 		name, disk, _ := strings.Cut(strings.TrimPrefix(member, "~"), "/")
-		sign := ""
+		prefix := ""
 		if group.IsLearner(member) {
-			sign = "~"
+			prefix = "~"
 		}
-		return sign + renamed[name] + disk
+		return prefix + renamed[name] + disk
 	}
 }
 
@@ -90,7 +90,7 @@
 
 // canonical appends the encoded state of a replica, with members renamed.
 func (r *replica) canonical(raw []byte, rename func(string) string) []byte {
-	raw = r.machine.Canonical(append(raw, 0), r.now, rename)
+	raw = r.stateMachine.Canonical(append(raw, 0), r.now, rename)
 	for _, m := range r.commitMarks {
 		raw = binary.AppendVarint(raw, int64(m.committed))
 	}
@@ -103,19 +103,19 @@
 		raw = binary.AppendVarint(raw, r.snapshot.Index)
 	}
 	raw = r.disk.canonical(raw, rename)
-	for _, first := range r.unsynced {
+	for _, unsynced := range r.unsynced {
 		raw = append(raw, 2)
-		if first.fullState != nil {
-			raw = first.fullState.canonical(raw, rename)
+		if unsynced.fullState != nil {
+			raw = unsynced.fullState.canonical(raw, rename)
 		}
-		if p := first.persist; p != nil {
+		if p := unsynced.persist; p != nil {
 			raw = disk{snapshot: p.Snapshot, log: p.Entries}.canonical(raw, rename)
 			if p.Hard != nil {
 				raw = disk{hardState: *p.Hard}.canonical(raw, rename)
 			}
 		}
-		for i := range first.sendAfter {
-			raw = append(raw, appendMessage(nil, &first.sendAfter[i], rename)...)
+		for i := range unsynced.sendAfter {
+			raw = append(raw, appendMessage(nil, &unsynced.sendAfter[i], rename)...)
 		}
 	}
 	return raw
--- a/internal/explore/elections.go
+++ b/internal/explore/elections.go
@@ -14,18 +14,18 @@
 // entries count.
 func (w *World) checkElections() {
 	for _, r := range w.replicas {
-		_, log := r.machine.DurableState()
-		v := r.machine.View()
+		_, log := r.stateMachine.DurableState()
+		v := r.stateMachine.View()
 		voters := group.Voters(v.Roster)
 		if !slices.Contains(voters, r.id) || w.holdsCommitted(v.Last-int64(len(log)), log) {
 			continue
 		}
-		own := disk{snapshot: r.snapshot, log: log}
+		ownLog := disk{snapshot: r.snapshot, log: log}
 		granting := []string{}
 		for _, m := range voters {
 			at := w.replicaIndex(m) // a replaced disk and a blank replica grant no vote
-			if m == r.id || at >= 0 && w.replicas[at].id == m && len(w.replicas[at].machine.View().Roster) > 0 &&
-				own.isUpToDate(w.replicas[at].disk) {
+			if m == r.id || at >= 0 && w.replicas[at].id == m && len(w.replicas[at].stateMachine.View().Roster) > 0 &&
+				ownLog.isUpToDate(w.replicas[at].disk) {
 				granting = append(granting, m)
 			}
 		}
@@ -75,8 +75,8 @@
 
 // rosterOf decodes the members from a roster entry.
 func rosterOf(e wire.Entry) []string {
-	if held, isHeld := rosterCache.Load(string(e.Data)); isHeld {
-		return held.([]string)
+	if cached, isCached := rosterCache.Load(string(e.Data)); isCached {
+		return cached.([]string)
 	}
 	out := []string{}
 	for _, m := range strings.Split(strings.Trim(string(e.Data), "[]"), ",") {
--- a/internal/explore/enabled.go
+++ b/internal/explore/enabled.go
@@ -40,7 +40,7 @@
 		if len(r.unsynced) > 0 {
 			out = append(out, Event{Kind: Sync, Replica: at})
 		}
-		v := r.machine.View()
+		v := r.stateMachine.View()
 		for _, k := range []Kind{Timeout, HeartbeatTick, ClockJump, Propose, Compact, ReplaceDisk} {
 			if w.hasBudget(k) && w.canChange(k, r, v) {
 				out = append(out, Event{Kind: k, Replica: at})
@@ -74,7 +74,7 @@
 
 // logLength returns the number of entries in a replica's log.
 func (r *replica) logLength() int {
-	_, log := r.machine.DurableState()
+	_, log := r.stateMachine.DurableState()
 	return len(log)
 }
 
@@ -93,11 +93,11 @@
 // ownerEvents appends the events that only an owner can carry out: ownership transfers and roster changes.
 func (w *World) ownerEvents(out []Event, at int, r *replica, v group.View) []Event {
 	for _, other := range w.replicas {
-		isIn, isLearner := slices.Contains(v.Roster, other.id), slices.Contains(v.Roster, "~"+other.id)
-		if w.hasBudget(TransferOwnership) && isIn && other.id != r.id {
+		isMember, isLearner := slices.Contains(v.Roster, other.id), slices.Contains(v.Roster, "~"+other.id)
+		if w.hasBudget(TransferOwnership) && isMember && other.id != r.id {
 			out = append(out, Event{Kind: TransferOwnership, Replica: at, Member: other.id})
 		}
-		if w.hasBudget(AddLearner) && !isIn && !isLearner {
+		if w.hasBudget(AddLearner) && !isMember && !isLearner {
 			out = append(out, Event{Kind: AddLearner, Replica: at, Member: other.id})
 		}
 		if w.hasBudget(Promote) && isLearner {
--- a/internal/explore/event.go
+++ b/internal/explore/event.go
@@ -98,15 +98,15 @@
 	switch e.Kind {
 	case Deliver:
 		w.removeMessage(e.Message)
-		w.applyOutput(r, r.machine.Receive(*e.Message, r.now))
+		w.applyOutput(r, r.stateMachine.Receive(*e.Message, r.now))
 	case Duplicate:
-		w.applyOutput(r, r.machine.Receive(*e.Message, r.now))
+		w.applyOutput(r, r.stateMachine.Receive(*e.Message, r.now))
 	case Sync:
 		w.sync(r)
 	case Timeout:
 		w.tick(r, electionTimeoutStep)
 	case HeartbeatTick:
-		r.heartbeatCommit = r.machine.View().Commit
+		r.heartbeatCommit = r.stateMachine.View().Commit
 		w.tick(r, heartbeatStep)
 	case ClockJump:
 		w.tick(r, clockJumpStep)
@@ -115,12 +115,12 @@
 	case ReplaceDisk:
 		w.wipe(r)
 	case Propose:
-		_, _, out, _ := r.machine.Propose(w.command(), r.now)
+		_, _, out, _ := r.stateMachine.Propose(w.command(), r.now)
 		w.applyOutput(r, out)
 	case Compact:
 		w.compact(r)
 	case TransferOwnership:
-		w.applyOutput(r, r.machine.TransferOwnership(e.Member, r.now))
+		w.applyOutput(r, r.stateMachine.TransferOwnership(e.Member, r.now))
 	case AddLearner, Promote, RemoveMember:
 		w.changeRoster(r, e)
 	}
@@ -133,18 +133,18 @@
 
 // command returns the next command, padded as the options say.
 func (w *World) command() []byte {
-	word := fmt.Sprintf("x%d", w.eventCounts[Propose])
+	text := fmt.Sprintf("x%d", w.eventCounts[Propose])
 	if w.options.PaddingBytes == 0 {
-		return []byte(word)
+		return []byte(text)
 	}
-	data, _ := commandCache.LoadOrStore(word, append([]byte(word), make([]byte, w.options.PaddingBytes)...))
+	data, _ := commandCache.LoadOrStore(text, append([]byte(text), make([]byte, w.options.PaddingBytes)...))
 	return data.([]byte)
 }
 
 // tick advances the clock of a replica.
 func (w *World) tick(r *replica, span time.Duration) {
 	r.now += span
-	w.applyOutput(r, r.machine.Tick(r.now))
+	w.applyOutput(r, r.stateMachine.Tick(r.now))
 }
 
 // removeMessage removes a message from those in flight.
@@ -168,7 +168,7 @@
 	case RemoveMember:
 		change.Drop = e.Member
 	}
-	if out, err := r.machine.ChangeRoster(change, r.now); err == nil {
+	if out, err := r.stateMachine.ChangeRoster(change, r.now); err == nil {
 		w.checkPromote(r, change)
 		w.applyOutput(r, out)
 		w.checkRoster(r)
--- a/internal/explore/ghost.go
+++ b/internal/explore/ghost.go
@@ -62,13 +62,13 @@
 // recordCommit records a newly committed entry. Every owner of a later term must hold it already.
 func (w *World) recordCommit(r *replica, e wire.Entry) {
 	w.ghost.committed = append(w.ghost.committed, e)
-	w.ghost.commitRoster = r.machine.View().Roster
+	w.ghost.commitRoster = r.stateMachine.View().Roster
 	if e.Kind == group.EntryRoster {
 		w.ghost.roster = rosterOf(e)
 	}
-	term := r.machine.View().Term
+	term := r.stateMachine.View().Term
 	for _, other := range w.replicas {
-		if v := other.machine.View(); other.id != r.id && v.Role == group.Owner && v.Term > term {
+		if v := other.stateMachine.View(); other.id != r.id && v.Role == group.Owner && v.Term > term {
 			w.checkComplete(other)
 		}
 	}
@@ -94,15 +94,15 @@
 	if v.Role != group.Owner || r.disk.hardState.Term < v.Term && !w.hasSentAsOwner(r, v.Term) {
 		return
 	}
-	life := fmt.Sprintf("%s in start %d", r.id, r.startCount)
-	was := w.ghost.termOwners[v.Term]
-	if was == life {
+	owner := fmt.Sprintf("%s in start %d", r.id, r.startCount)
+	previous := w.ghost.termOwners[v.Term]
+	if previous == owner {
 		return
 	}
-	if was != "" {
-		w.recordBreach("term %d has two owners: %s and %s", v.Term, was, life)
+	if previous != "" {
+		w.recordBreach("term %d has two owners: %s and %s", v.Term, previous, owner)
 	}
-	w.ghost.termOwners[v.Term] = life
+	w.ghost.termOwners[v.Term] = owner
 	w.checkComplete(r)
 	w.checkRoster(r)
 }
@@ -116,8 +116,8 @@
 
 // checkComplete checks leader completeness: an owner holds every committed entry.
 func (w *World) checkComplete(r *replica) {
-	hard, log := r.machine.DurableState()
-	if base := r.machine.View().Last - int64(len(log)); !w.holdsCommitted(base, log) {
+	hard, log := r.stateMachine.DurableState()
+	if base := r.stateMachine.View().Last - int64(len(log)); !w.holdsCommitted(base, log) {
 		w.recordBreach("%s owns term %d and lacks a committed entry", r.id, hard.Term)
 	}
 }
@@ -142,29 +142,29 @@
 	if len(w.ghost.committed) == 0 {
 		return
 	}
-	counted, voters := group.Voters(w.ghost.commitRoster), group.Voters(w.ghost.roster)
-	if whole := w.countComplete(counted); whole <= len(counted)/2 {
-		w.recordBreach("all %d committed entries are synced by only %d of the voters %v", len(w.ghost.committed), whole, counted)
+	commitVoters, voters := group.Voters(w.ghost.commitRoster), group.Voters(w.ghost.roster)
+	if complete := w.countComplete(commitVoters); complete <= len(commitVoters)/2 {
+		w.recordBreach("all %d committed entries are synced by only %d of the voters %v", len(w.ghost.committed), complete, commitVoters)
 	}
-	if whole := w.countComplete(voters); len(voters)-whole > len(voters)/2 {
-		w.recordBreach("of the voters %v, only %d have synced all %d committed entries", voters, whole, len(w.ghost.committed))
+	if complete := w.countComplete(voters); len(voters)-complete > len(voters)/2 {
+		w.recordBreach("of the voters %v, only %d have synced all %d committed entries", voters, complete, len(w.ghost.committed))
 	}
 	w.checkElections()
 }
 
 // countComplete counts the members whose disks hold all committed entries.
 func (w *World) countComplete(members []string) int {
-	count := 0
+	complete := 0
 	for _, m := range members {
 		d, isGone := w.ghost.replacedDisks[m]
 		if at := w.replicaIndex(m); !isGone && at >= 0 && w.replicas[at].id == m {
 			d = w.replicas[at].disk
 		}
 		if w.holdsCommitted(d.base(), d.log) {
-			count++
+			complete++
 		}
 	}
-	return count
+	return complete
 }
 
 // checkReads checks that reads are linearizable. An owner answers a read once its ownership is confirmed as of a time
@@ -189,26 +189,26 @@
 // checkRoster checks that the roster of the newest owner differs from the committed one by one voter at most, so that
 // any two majorities intersect.
 func (w *World) checkRoster(r *replica) {
-	v := r.machine.View()
+	v := r.stateMachine.View()
 	for term := range w.ghost.termOwners {
 		if v.Role != group.Owner || term > v.Term {
 			return
 		}
 	}
-	count := map[string]int{}
+	difference := map[string]int{}
 	for _, m := range group.Voters(v.Roster) {
-		count[m]++
+		difference[m]++
 	}
 	for _, m := range group.Voters(w.ghost.roster) {
-		count[m]--
+		difference[m]--
 	}
-	apart := 0
-	for _, n := range count {
+	differing := 0
+	for _, n := range difference {
 		if n != 0 {
-			apart++
+			differing++
 		}
 	}
-	if apart > 1 {
+	if differing > 1 {
 		w.recordBreach("%s owns term %d with roster %v while roster %v is committed", r.id, v.Term, v.Roster, w.ghost.roster)
 	}
 }
--- a/internal/explore/host.go
+++ b/internal/explore/host.go
@@ -29,7 +29,7 @@
 
 // updateOwnership follows the beginning and end of ownership as the host of a group does, and checks the owner.
 func (w *World) updateOwnership(r *replica) {
-	v := r.machine.View()
+	v := r.stateMachine.View()
 	r.isOwner = v.Role == group.Owner && (v.IsConfirmed || r.isOwner)
 	w.recordOwner(r, v)
 	w.checkReads(r, v)
@@ -61,22 +61,22 @@
 
 // sync makes the oldest unsynced write durable, sends the messages that depend on it, and reports it to the replica.
 func (w *World) sync(r *replica) {
-	first := r.unsynced[0]
+	oldest := r.unsynced[0]
 	r.unsynced = r.unsynced[1:]
-	r.disk = r.disk.afterWrite(first)
-	w.send(r, first.sendAfter)
-	if p := first.persist; p != nil && len(p.Entries) > 0 {
+	r.disk = r.disk.afterWrite(oldest)
+	w.send(r, oldest.sendAfter)
+	if p := oldest.persist; p != nil && len(p.Entries) > 0 {
 		last := p.Entries[len(p.Entries)-1]
-		w.applyOutput(r, r.machine.Synced(last.Index, last.Term, r.now))
+		w.applyOutput(r, r.stateMachine.Synced(last.Index, last.Term, r.now))
 	}
 }
 
 // afterWrite returns the content of the disk after one more write.
-func (d disk) afterWrite(first write) disk {
-	if first.fullState != nil {
-		return *first.fullState
+func (d disk) afterWrite(w write) disk {
+	if w.fullState != nil {
+		return *w.fullState
 	}
-	p := first.persist
+	p := w.persist
 	if p == nil {
 		return d
 	}
@@ -104,8 +104,8 @@
 // restart restarts the process of a replica as after a power failure: of the unsynced writes, only the first keptWrites
 // survive.
 func (w *World) restart(r *replica, keptWrites int) {
-	for _, first := range r.unsynced[:keptWrites] {
-		r.disk = r.disk.afterWrite(first)
+	for _, unsynced := range r.unsynced[:keptWrites] {
+		r.disk = r.disk.afterWrite(unsynced)
 	}
 	r.unsynced = nil
 	w.start(r)
@@ -121,11 +121,11 @@
 
 // compact replaces the applied entries of a replica's log by a snapshot.
 func (w *World) compact(r *replica) {
-	snapshot := r.machine.Compact(r.applied, nil)
+	snapshot := r.stateMachine.Compact(r.applied, nil)
 	if snapshot == nil {
 		return
 	}
 	r.snapshot = snapshot
-	hard, log := r.machine.DurableState()
+	hard, log := r.stateMachine.DurableState()
 	r.unsynced = append(r.unsynced, write{fullState: &disk{hard, snapshot, log}})
 }
--- a/internal/explore/mutants_run_test.go
+++ b/internal/explore/mutants_run_test.go
@@ -42,11 +42,11 @@
 	}
 	binary := buildMutants(t, append(append([]mutant{}, mutants...), equivalentMutants...))
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 2)
+	slots := make(chan struct{}, 2)
 	run := func(m mutant, isHarmless bool) {
 		all.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			broken, how := runMutant(t, binary, m)
 			t.Logf("%s: %q by %s", m.name, broken, how)
 			if isHarmless != (broken == "") {
--- a/internal/explore/scenario.go
+++ b/internal/explore/scenario.go
@@ -27,10 +27,10 @@
 	}
 	spare := func(o Options, spares int) Options { o.SpareMachines = spares; return o }
 	padded := func(o Options) Options { o.PaddingBytes = hugeCommandBytes; return o }
-	one := spare(plain(withLearners, limits{Timeout: 2, Propose: 1, HeartbeatTick: 1, Restart: 2, Promote: 1}), 1)
-	one.Members = 1
-	old := spare(plain(reusedName, limits{Timeout: 3, HeartbeatTick: 1, Propose: 1}), 1)
-	old.Members = 2
+	single := spare(plain(withLearners, limits{Timeout: 2, Propose: 1, HeartbeatTick: 1, Restart: 2, Promote: 1}), 1)
+	single.Members = 1
+	oldName := spare(plain(reusedName, limits{Timeout: 3, HeartbeatTick: 1, Propose: 1}), 1)
+	oldName.Members = 2
 	rosters := spare(plain(rivalOwners, limits{Timeout: 1, RemoveMember: 1, Promote: 1}), 1)
 	rosters.Members = 4 // with three founding members, any majorities of the two rosters intersect
 	return []Scenario{
@@ -56,8 +56,8 @@
 			plain(withOwner, limits{Timeout: 2, Propose: 1, HeartbeatTick: 1, ReplaceDisk: 1}), 12},
 		{"hand-over", "the owner transfers ownership with commands in flight",
 			plain(withOwner, limits{Timeout: 1, Propose: 1, HeartbeatTick: 1, TransferOwnership: 1, Restart: 1}), 12},
-		{"old name", "a member restarted with a blank disk under its old name, and the only other member up lacks a committed entry", old, 14},
-		{"one", "a group of one voter with a learner", one, 14},
+		{"old name", "a member restarted with a blank disk under its old name, and the only other member up lacks a committed entry", oldName, 14},
+		{"one", "a group of one voter with a learner", single, 14},
 	}
 }
 
--- a/internal/explore/search.go
+++ b/internal/explore/search.go
@@ -8,11 +8,11 @@
 
 // Result is the result of a search or a random walk.
 type Result struct {
-	States       int  // distinct states visited
-	Events       int  // events tried
-	Depth        int  // number of events up to which all reachable states were visited
-	IsExhaustive bool // all reachable states were visited
-	Breach       string
+	States       int     // distinct states visited
+	Events       int     // events tried
+	Depth        int     // number of events up to which all reachable states were visited
+	IsExhaustive bool    // all reachable states were visited
+	Breach       string  // empty if none was found
 	Trace        []Event // events from the first state to the breach
 	Elapsed      time.Duration
 }
@@ -58,40 +58,40 @@
 // Search visits all reachable states in breadth-first order, up to a depth and a number of states. It stops at the
 // first breach, which therefore has a shortest possible trace.
 func Search(o *Options, depth, states int) Result {
-	began, out := time.Now(), Result{States: 1}
+	began, result := time.Now(), Result{States: 1}
 	first := o.First()
 	seen := map[Digest]bool{first.Digest(): true}
 	steps := []pathStep{{parent: -1}}
 	layer := []node{{first, 0}}
-	for ; out.Depth < depth && len(layer) > 0; out.Depth++ {
+	for ; result.Depth < depth && len(layer) > 0; result.Depth++ {
 		next := []node{}
 		for _, n := range layer {
 			for _, e := range n.world.Enabled() {
-				out.Events++
+				result.Events++
 				w := n.world.Next(e)
 				if w.firstBreach != "" {
-					out.Breach, out.Trace = w.firstBreach, append(traceOf(steps, n.step), e)
-					out.Elapsed = time.Since(began)
-					return out
+					result.Breach, result.Trace = w.firstBreach, append(traceOf(steps, n.step), e)
+					result.Elapsed = time.Since(began)
+					return result
 				}
 				digest := w.Digest()
 				if seen[digest] {
 					continue
 				}
 				seen[digest] = true
-				out.States++
+				result.States++
 				steps = append(steps, pathStep{n.step, e})
 				next = append(next, node{w, len(steps) - 1})
 			}
-			if out.States >= states {
-				out.Elapsed = time.Since(began)
-				return out
+			if result.States >= states {
+				result.Elapsed = time.Since(began)
+				return result
 			}
 		}
 		layer = next
 	}
-	out.IsExhaustive, out.Elapsed = len(layer) == 0, time.Since(began)
-	return out
+	result.IsExhaustive, result.Elapsed = len(layer) == 0, time.Since(began)
+	return result
 }
 
 // traceOf returns the events from the first state to the state of a path step.
--- a/internal/explore/setup.go
+++ b/internal/explore/setup.go
@@ -50,27 +50,27 @@
 // timeouts of the others pass, so that they grant votes; the messages that this sends are dropped. Messages that were
 // in flight before stay so.
 func (w *World) elect(at int, cut ...string) *World {
-	before := w.inFlight
+	inFlight := w.inFlight
 	for i, r := range w.replicas {
-		if v := r.machine.View(); i != at && !slices.Contains(cut, r.name) && v.Role != group.Owner {
+		if v := r.stateMachine.View(); i != at && !slices.Contains(cut, r.name) && v.Role != group.Owner {
 			w = w.trigger(Timeout, i)
 		}
 	}
-	if w.replicas[at].machine.View().Role == group.Owner {
+	if w.replicas[at].stateMachine.View().Role == group.Owner {
 		w = w.trigger(ClockJump, at)
 	}
 	w = w.clone()
-	w.inFlight = slices.Clone(before)
+	w.inFlight = slices.Clone(inFlight)
 	for range 3 {
 		w = w.trigger(Timeout, at)
-		for w.replicas[at].machine.View().Role != group.Owner {
+		for w.replicas[at].stateMachine.View().Role != group.Owner {
 			next, isFound := w.nextPending(cut)
 			if !isFound {
 				break
 			}
 			w = w.Next(next)
 		}
-		if w.replicas[at].machine.View().Role == group.Owner {
+		if w.replicas[at].stateMachine.View().Role == group.Owner {
 			break
 		}
 	}
@@ -81,7 +81,7 @@
 func splitVote(w *World) *World {
 	for at := range 2 {
 		w = w.trigger(Timeout, at)
-		for w.replicas[at].machine.View().Role == group.PreCandidate {
+		for w.replicas[at].stateMachine.View().Role == group.PreCandidate {
 			next, _ := w.nextPending([]string{names[1-at]})
 			w = w.Next(next)
 		}
@@ -123,11 +123,11 @@
 	for len(w.inFlight) > 0 && group.Name(w.inFlight[0].To) == names[last] {
 		w = w.Next(Event{Kind: Deliver, Replica: last, Message: w.inFlight[0]})
 	}
-	answer := w.inFlight
+	reply := w.inFlight
 	w = w.trigger(Restart, 0).dropAll().elect(0, names[last]).deliverAll(names[last]).dropAll()
 	w = w.elect(1, names[0]).deliverAll(names[0]).dropAll()
 	w = w.clone()
-	w.inFlight = slices.Clone(answer)
+	w.inFlight = slices.Clone(reply)
 	return w
 }
 
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -10,10 +10,10 @@
 // Walk takes a random walk of up to steps events from the first state and stops at the first breach. The same seed
 // takes the same walk.
 func Walk(o *Options, seed uint64, steps int) Result {
-	draw := rand.New(rand.NewPCG(seed, 0))
+	r := rand.New(rand.NewPCG(seed, 0))
 	w, out := o.First(), Result{}
 	for range steps {
-		e, isAny := w.drawEvent(draw)
+		e, isAny := w.drawEvent(r)
 		if !isAny {
 			break
 		}
@@ -29,7 +29,7 @@
 }
 
 // drawEvent draws a kind of enabled events by weight, and one of its events. It returns false if no event is enabled.
-func (w *World) drawEvent(draw *rand.Rand) (Event, bool) {
+func (w *World) drawEvent(r *rand.Rand) (Event, bool) {
 	byKind := [kindCount][]Event{}
 	total := 0
 	for _, e := range w.Enabled() {
@@ -41,13 +41,13 @@
 	if total == 0 {
 		return Event{}, false
 	}
-	at := draw.IntN(total)
+	at := r.IntN(total)
 	for k, list := range byKind {
 		if len(list) == 0 {
 			continue
 		}
 		if at -= weights[k]; at < 0 {
-			return list[draw.IntN(len(list))], true
+			return list[r.IntN(len(list))], true
 		}
 	}
 	return Event{}, false
--- a/internal/explore/world.go
+++ b/internal/explore/world.go
@@ -24,10 +24,10 @@
 	log       []wire.Entry
 }
 
-// write is one write that is not synced yet, and the messages that may be sent once it is.
+// write is one write that is not synced yet, and the messages that may be sent only after it is.
 type write struct {
-	persist   *group.DurableUpdate
-	fullState *disk // a complete state written instead of a log record
+	persist   *group.DurableUpdate // a log record; nil if there is none
+	fullState *disk                // a complete state written instead of a log record; nil if there is none
 	sendAfter []wire.GroupMsg
 }
 
@@ -44,16 +44,16 @@
 	name            string // the machine's name
 	id              string // member id: the name with the incarnation of the disk
 	startCount      int    // starts of the process so far
-	machine         *group.Group
-	now             time.Duration
-	disk            disk
-	unsynced        []write
+	stateMachine    *group.Group
+	now             time.Duration   // its clock
+	disk            disk            // synced content
+	unsynced        []write         // oldest first
 	snapshot        *group.Snapshot // the newest snapshot that the host holds
-	applied         int64
-	isOwner         bool         // as the host reports it to the replicated state machine
-	heartbeatCommit int64        // commit index of an owner when its last heartbeat round began
-	commitMarks     []commitMark // of an owner, since its newest confirmation
-	cachedSignature []byte       // cache of signature; nil if not computed
+	applied         int64           // index of the last applied entry
+	isOwner         bool            // as the host reports it to the replicated state machine
+	heartbeatCommit int64           // commit index of an owner when its last heartbeat round began
+	commitMarks     []commitMark    // of an owner, since its newest confirmation
+	cachedSignature []byte          // cache of signature; nil if not computed
 }
 
 // World is one state of a group and its environment. It is immutable: Next returns a new one.
@@ -101,18 +101,18 @@
 
 // start starts the process of a replica from its disk.
 func (w *World) start(r *replica) {
-	roster := []string(nil)
+	founders := []string(nil)
 	if slices.Contains(w.founders(), r.id) {
-		roster = w.founders()
+		founders = w.founders()
 	}
 	r.startCount++
-	r.machine = group.New(group.Options{Id: 1, Self: r.id, Roster: roster, Bounds: timing.Default, Seed: 1},
+	r.stateMachine = group.New(group.Options{Id: 1, Self: r.id, Roster: founders, Bounds: timing.Default, Seed: 1},
 		r.disk.hardState, r.disk.snapshot, slices.Clone(r.disk.log), r.now)
 	r.snapshot, r.applied, r.isOwner, r.commitMarks = r.disk.snapshot, 0, false, nil
 	if r.snapshot != nil {
 		w.install(r, r.snapshot)
 	}
-	w.apply(r, r.machine.Committed())
+	w.apply(r, r.stateMachine.Committed())
 }
 
 // clone returns a copy that may be changed. It shares replicas and messages with w; see ownReplica.
@@ -120,18 +120,18 @@
 	c := *w
 	c.replicas = slices.Clone(w.replicas)
 	c.inFlight = slices.Clone(w.inFlight)
-	own := *w.ghost
-	own.committed = slices.Clip(own.committed)
-	own.termOwners = maps.Clone(own.termOwners)
-	own.replacedDisks = maps.Clone(own.replacedDisks)
-	c.ghost = &own
+	ghostCopy := *w.ghost
+	ghostCopy.committed = slices.Clip(ghostCopy.committed)
+	ghostCopy.termOwners = maps.Clone(ghostCopy.termOwners)
+	ghostCopy.replacedDisks = maps.Clone(ghostCopy.replacedDisks)
+	c.ghost = &ghostCopy
 	return &c
 }
 
 // ownReplica replaces a replica of this world by a copy that may be changed, and returns it.
 func (w *World) ownReplica(at int) *replica {
 	r := *w.replicas[at]
-	r.machine = r.machine.Clone()
+	r.stateMachine = r.stateMachine.Clone()
 	r.unsynced = slices.Clone(r.unsynced)
 	r.cachedSignature = nil
 	r.now++ // so that no two events of a replica have the same time
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -121,14 +121,14 @@
 
 // WaitReady waits until all adapters are ready, every worker has a holder and every place has an owner.
 func (a *Api) WaitReady(ctx context.Context) error {
-	why := ""
+	reason := ""
 	for turn := 0; ctx.Err() == nil; turn++ {
-		if why = a.notReadyReason(ctx, turn); why == "" {
+		if reason = a.notReadyReason(ctx, turn); reason == "" {
 			return nil
 		}
 		sleep(ctx, 100*time.Millisecond)
 	}
-	return errs.New(errs.DeadlineExceeded, "wait for the fleet to be ready: %s", why)
+	return errs.New(errs.DeadlineExceeded, "wait for the fleet to be ready: %s", reason)
 }
 
 // notReadyReason returns why the fleet is not ready yet, or an empty string if it is.
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -54,8 +54,8 @@
 }
 
 // NewBackend starts a stand-in at a free port. work is the mean duration of a run.
-func NewBackend(pool, name, zone string, work time.Duration, h *check.History, now func() time.Duration) (*Backend, error) {
-	b := &Backend{Pool: pool, Name: name, Zone: zone, MeanRunTime: work, history: h, now: now}
+func NewBackend(pool, name, zone string, meanRunTime time.Duration, h *check.History, now func() time.Duration) (*Backend, error) {
+	b := &Backend{Pool: pool, Name: name, Zone: zone, MeanRunTime: meanRunTime, history: h, now: now}
 	return b, b.Start("127.0.0.1:0")
 }
 
@@ -133,17 +133,17 @@
 			w.Header().Set(field, value)
 		}
 	}
-	mode, work := FaultMode(b.mode.Load()), b.MeanRunTime/2+time.Duration(rand.Int64N(int64(b.MeanRunTime)+1))
+	mode, runTime := FaultMode(b.mode.Load()), b.MeanRunTime/2+time.Duration(rand.Int64N(int64(b.MeanRunTime)+1))
 	switch mode {
 	case ModeSlow:
-		work *= 20
+		runTime *= 20
 	case ModeStall:
-		work += stallDelay
+		runTime += stallDelay
 	}
 	if mode != ModeHealthy {
 		b.faultyRuns.Add(1)
 	}
-	time.Sleep(work) // simulates the work
+	time.Sleep(runTime) // simulates the work
 	answer, _ := json.Marshal(map[string]any{"token": check.AnswerOf(p.Token), "by": b.Name, "attempt": attempt})
 	run.Status, run.AnswerSum = 200, Checksum(answer)
 	switch {
--- a/internal/fleet/crashes.go
+++ b/internal/fleet/crashes.go
@@ -19,8 +19,8 @@
 		if err != nil {
 			continue
 		}
-		for _, bad := range []string{"DATA RACE", "panic:", "fatal error:"} {
-			if at := bytes.Index(raw, []byte(bad)); at >= 0 {
+		for _, marker := range []string{"DATA RACE", "panic:", "fatal error:"} {
+			if at := bytes.Index(raw, []byte(marker)); at >= 0 {
 				out = append(out, filepath.Base(file)+": "+string(raw[at:min(len(raw), at+2000)]))
 			}
 		}
--- a/internal/fleet/deploy.go
+++ b/internal/fleet/deploy.go
@@ -19,7 +19,7 @@
 type Plan struct {
 	Name     string                 `json:"name"`
 	Zones    []string               `json:"cells"`
-	Fronts   int                    `json:"fronts"`
+	Fronts   int                    `json:"fronts"` // number of agents, and of adapters
 	Stores   int                    `json:"stores"`
 	Managers int                    `json:"managers"`
 	Workers  map[string]PlanWorkers `json:"workers"`
@@ -31,7 +31,7 @@
 // PlanWorkers describes the stand-ins of a pool.
 type PlanWorkers struct {
 	Count  int    `json:"count"`
-	WorkMs int    `json:"work_ms"`
+	WorkMs int    `json:"work_ms"` // mean duration of a run
 	Kind   string `json:"kind,omitempty"`
 }
 
@@ -40,16 +40,16 @@
 	Lane string  `json:"lane"`
 	Rate float64 `json:"rate"` // messages a second
 	Keys int     `json:"keys"` // ordering keys; 0 for an unordered lane
-	Size int     `json:"size"` // approximate bytes of a body
+	Size int     `json:"size"` // maximum bytes of random padding in a body
 }
 
 // Fleet is a running deployment with its daemons, back ends and callers, and the history of its run.
 type Fleet struct {
 	Plan             Plan
-	Dir              string
-	Config           []byte
-	Rules            *config.Rules
-	History          *check.History
+	Dir              string         // folder of settings, logs and data
+	Config           []byte         // the configuration, with the addresses of the stand-in endpoints
+	Rules            *config.Rules  // Config, compiled
+	History          *check.History // records of the run
 	Managers         []*Process
 	Stores           []*Process
 	Agents           []*Process
--- a/internal/fleet/edits.go
+++ b/internal/fleet/edits.go
@@ -124,16 +124,16 @@
 
 // editConfig makes one kind of configuration change: good, race, invalid, stale, "move LANE POOL" or "cap POOL RATE".
 // It records a breach if the change is accepted although it must be refused.
-func (f *Fleet) editConfig(ctx context.Context, what string) {
+func (f *Fleet) editConfig(ctx context.Context, kind string) {
 	etag, base, err := f.readConfig(ctx)
 	if err != nil {
-		f.recordFailure("edit %s: %v", what, err)
+		f.recordFailure("edit %s: %v", kind, err)
 		return
 	}
 	note := func(i int) map[string]any {
-		return map[string]any{"note": fmt.Sprintf("%s %d at %v", what, i, f.Now())}
+		return map[string]any{"note": fmt.Sprintf("%s %d at %v", kind, i, f.Now())}
 	}
-	words := strings.Fields(what)
+	words := strings.Fields(kind)
 	switch words[0] {
 	case "good":
 		f.patchConfig(ctx, 0, etag, base, note(0))
@@ -160,17 +160,17 @@
 			go func() { defer wg.Done(); codes[i] = f.patchConfig(ctx, i, etag, base, note(i)) }()
 		}
 		wg.Wait()
-		won := 0
+		accepted := 0
 		for _, code := range codes {
 			if code == 200 {
-				won++
+				accepted++
 			}
 		}
-		if won > 1 {
-			f.configEdits.addBreach("%d concurrent edits based on one revision were accepted, status codes %v", won, codes)
+		if accepted > 1 {
+			f.configEdits.addBreach("%d concurrent edits based on one revision were accepted, status codes %v", accepted, codes)
 		}
 	default:
-		f.recordFailure("unknown kind of edit %q", what)
+		f.recordFailure("unknown kind of edit %q", kind)
 	}
 }
 
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -30,12 +30,12 @@
 
 // ReadSchedule reads and validates a schedule of the faults in actions.
 func ReadSchedule(file string) (Schedule, error) {
-	return ReadScheduleOf(file, func(do string) bool { return actions[do] != nil })
+	return ReadScheduleOf(file, func(action string) bool { return actions[action] != nil })
 }
 
 // ReadScheduleOf reads and validates a schedule of faults that the caller carries out; isKnown reports which ones there
 // are.
-func ReadScheduleOf(file string, isKnown func(do string) bool) (Schedule, error) {
+func ReadScheduleOf(file string, isKnown func(action string) bool) (Schedule, error) {
 	var out Schedule
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -58,22 +58,24 @@
 }
 
 // actions are the faults by name. Each one injects the fault and returns a function that undoes it.
-var actions = map[string]func(ctx context.Context, f *Fleet, who string) (undo func()){
+var actions = map[string]func(ctx context.Context, f *Fleet, target string) (undo func()){
 	"kill": killAll,
-	"stop": func(_ context.Context, f *Fleet, who string) func() { return f.forEach(who, (*Process).Stop, restart) },
-	"freeze": func(_ context.Context, f *Fleet, who string) func() {
-		return f.forEach(who, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
+	"stop": func(_ context.Context, f *Fleet, target string) func() {
+		return f.forEach(target, (*Process).Stop, restart)
 	},
-	"wipe": func(_ context.Context, f *Fleet, who string) func() {
-		return f.forEach(who, func(p *Process) {
+	"freeze": func(_ context.Context, f *Fleet, target string) func() {
+		return f.forEach(target, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
+	},
+	"wipe": func(_ context.Context, f *Fleet, target string) func() {
+		return f.forEach(target, func(p *Process) {
 			p.Kill()
 			_ = os.RemoveAll(filepath.Join(f.Dir, p.Name))
 		}, restart)
 	},
-	"kill cell": func(ctx context.Context, f *Fleet, who string) func() {
-		undo := []func(){killAll(ctx, f, "cell "+who)}
+	"kill cell": func(ctx context.Context, f *Fleet, target string) func() {
+		undo := []func(){killAll(ctx, f, "cell "+target)}
 		for _, b := range f.Backends {
-			if b.Zone == who {
+			if b.Zone == target {
 				b.Stop()
 				undo = append(undo, func() { f.restartBackend(b) })
 			}
@@ -84,9 +86,9 @@
 			}
 		}
 	},
-	"cut cell": func(_ context.Context, f *Fleet, who string) func() {
-		f.relays.setIsolated(who, true)
-		return func() { f.relays.setIsolated(who, false) }
+	"cut cell": func(_ context.Context, f *Fleet, target string) func() {
+		f.relays.setIsolated(target, true)
+		return func() { f.relays.setIsolated(target, false) }
 	},
 	"fail":   setMode(ModeFail),
 	"crawl":  setMode(ModeSlow),
@@ -96,24 +98,24 @@
 	"vanish": stopBackends,
 	"leave":  drainWorkers,
 	"empty":  evacuateZone,
-	"retire": func(ctx context.Context, f *Fleet, who string) func() {
-		f.postOrFail(ctx, "/v1/stores/"+who+"/retire")
-		return func() { f.postOrFail(ctx, "/v1/stores/"+who+"/restore") }
+	"retire": func(ctx context.Context, f *Fleet, target string) func() {
+		f.postOrFail(ctx, "/v1/stores/"+target+"/retire")
+		return func() { f.postOrFail(ctx, "/v1/stores/"+target+"/restore") }
 	},
-	"upgrade":   func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.BinDir) },
-	"downgrade": func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.OldBinDir) },
+	"upgrade":   func(_ context.Context, f *Fleet, target string) func() { return f.changeBuild(target, f.BinDir) },
+	"downgrade": func(_ context.Context, f *Fleet, target string) func() { return f.changeBuild(target, f.OldBinDir) },
 	"scribble":  corruptSettings,
-	"edit":      func(ctx context.Context, f *Fleet, who string) func() { f.editConfig(ctx, who); return func() {} },
+	"edit":      func(ctx context.Context, f *Fleet, target string) func() { f.editConfig(ctx, target); return func() {} },
 	"flood":     floodLane,
 }
 
 // changeBuild restarts daemons one after another with the programs of another build.
-func (f *Fleet) changeBuild(who, bin string) func() {
+func (f *Fleet) changeBuild(target, bin string) func() {
 	if bin == "" {
-		f.recordFailure("no older build is set to run %s", who)
+		f.recordFailure("no older build is set to run %s", target)
 		return func() {}
 	}
-	for _, p := range f.matchProcesses(who) {
+	for _, p := range f.matchProcesses(target) {
 		p.Stop()
 		p.binDir = bin
 		if err := p.Start(); err != nil {
@@ -129,12 +131,12 @@
 
 // matchProcesses returns the daemons that a target names: one by name, all with a prefix (PREFIX*), or all of a zone
 // ("cell ZONE").
-func (f *Fleet) matchProcesses(who string) []*Process {
+func (f *Fleet) matchProcesses(target string) []*Process {
 	out := []*Process{}
 	for _, p := range f.All() {
-		zone, isZone := strings.CutPrefix(who, "cell ")
-		prefix, isPrefix := strings.CutSuffix(who, "*")
-		if p.Name == who || isPrefix && strings.HasPrefix(p.Name, prefix) || isZone && p.Zone == zone {
+		zone, isZone := strings.CutPrefix(target, "cell ")
+		prefix, isPrefix := strings.CutSuffix(target, "*")
+		if p.Name == target || isPrefix && strings.HasPrefix(p.Name, prefix) || isZone && p.Zone == zone {
 			out = append(out, p)
 		}
 	}
@@ -143,8 +145,8 @@
 
 // forEach applies do to all daemons that a target names, concurrently. It returns a function that applies undo to
 // them, one after another.
-func (f *Fleet) forEach(who string, do, undo func(*Process)) func() {
-	all := f.matchProcesses(who)
+func (f *Fleet) forEach(target string, do, undo func(*Process)) func() {
+	all := f.matchProcesses(target)
 	done := make(chan struct{})
 	for _, p := range all {
 		go func() { do(p); done <- struct{}{} }()
@@ -160,10 +162,10 @@
 }
 
 // killAll kills daemons, and records when adapters were killed.
-func killAll(_ context.Context, f *Fleet, who string) func() {
+func killAll(_ context.Context, f *Fleet, target string) func() {
 	from := f.Now()
-	undo := f.forEach(who, (*Process).Kill, restart)
-	for _, p := range f.matchProcesses(who) {
+	undo := f.forEach(target, (*Process).Kill, restart)
+	for _, p := range f.matchProcesses(target) {
 		if p.Kind == "adapter" {
 			f.History.AddKill(check.KillWindow{Adapter: p.Name, From: from - killWindow, Until: f.Now() + killWindow})
 		}
@@ -185,8 +187,8 @@
 }
 
 // stopBackends stops stand-ins; undone, they restart cold.
-func stopBackends(_ context.Context, f *Fleet, who string) func() {
-	all := f.matchBackends(who)
+func stopBackends(_ context.Context, f *Fleet, target string) func() {
+	all := f.matchBackends(target)
 	for _, b := range all {
 		b.Stop()
 	}
@@ -208,11 +210,11 @@
 }
 
 // matchBackends returns the back ends that a target names: one by key, or all with a prefix (PREFIX*).
-func (f *Fleet) matchBackends(who string) []*Backend {
+func (f *Fleet) matchBackends(target string) []*Backend {
 	out := []*Backend{}
-	prefix, isPrefix := strings.CutSuffix(who, "*")
+	prefix, isPrefix := strings.CutSuffix(target, "*")
 	for key, b := range f.Backends {
-		if key == who || isPrefix && strings.HasPrefix(key, prefix) {
+		if key == target || isPrefix && strings.HasPrefix(key, prefix) {
 			out = append(out, b)
 		}
 	}
@@ -222,20 +224,20 @@
 // setMode returns a fault that sets the mode of stand-ins; undone, they are healthy again. A fault that no run met is
 // recorded as a failed step.
 func setMode(m FaultMode) func(context.Context, *Fleet, string) func() {
-	return func(_ context.Context, f *Fleet, who string) func() {
-		all := f.matchBackends(who)
-		met := int64(0)
+	return func(_ context.Context, f *Fleet, target string) func() {
+		all := f.matchBackends(target)
+		faultyRuns := int64(0)
 		for _, b := range all {
-			met -= b.faultyRuns.Load()
+			faultyRuns -= b.faultyRuns.Load()
 			b.SetMode(m)
 		}
 		return func() {
 			for _, b := range all {
 				b.SetMode(ModeHealthy)
-				met += b.faultyRuns.Load()
+				faultyRuns += b.faultyRuns.Load()
 			}
-			if met == 0 && !f.IsRandomSchedule { // a random schedule may hit a worker that another fault keeps idle
-				f.recordFailure("no run reached %s during its fault", who)
+			if faultyRuns == 0 && !f.IsRandomSchedule { // a random schedule may hit a worker that another fault keeps idle
+				f.recordFailure("no run reached %s during its fault", target)
 			}
 		}
 	}
--- a/internal/fleet/lifecycle.go
+++ b/internal/fleet/lifecycle.go
@@ -39,8 +39,8 @@
 // recordColdStart records that a worker joined cold at a time, so that its starts are checked against the slow-start
 // ramp of its pool. Endpoints and pools without slow start are not recorded.
 func (f *Fleet) recordColdStart(b *Backend, from time.Duration) {
-	if ease := f.Rules.Pools[b.Pool].SlowStart; ease > 0 && b.Name != config.EndpointWorker {
-		f.History.AddCold(check.ColdStart{Pool: b.Pool, Worker: b.Name, From: from, SlowStart: ease})
+	if slowStart := f.Rules.Pools[b.Pool].SlowStart; slowStart > 0 && b.Name != config.EndpointWorker {
+		f.History.AddCold(check.ColdStart{Pool: b.Pool, Worker: b.Name, From: from, SlowStart: slowStart})
 	}
 }
 
--- a/internal/fleet/random.go
+++ b/internal/fleet/random.go
@@ -95,10 +95,10 @@
 
 // FaultDraw is one kind of fault from which a schedule is drawn.
 type FaultDraw struct {
-	Weight      int // frequency relative to the other kinds
-	Action      string
-	Target      func(r *rand.Rand) string
-	MaxDuration time.Duration // 0: it is not undone
+	Weight      int                       // frequency relative to the other kinds
+	Action      string                    // see Step
+	Target      func(r *rand.Rand) string // draws what it hits
+	MaxDuration time.Duration             // 0: it is not undone
 }
 
 // DrawSchedule draws a schedule of the given length from kinds of faults. The same seed draws the same schedule. Faults
@@ -107,36 +107,36 @@
 func DrawSchedule(draws []FaultDraw, seed uint64, length time.Duration) Schedule {
 	r := rand.New(rand.NewPCG(seed, 29))
 	out := Schedule{Note: fmt.Sprintf("drawn by seed %d", seed), Duration: length.String()}
-	shares := 0
+	totalWeight := 0
 	for _, d := range draws {
-		shares += d.Weight
+		totalWeight += d.Weight
 	}
 	lastFaultEnd, isWiped := time.Duration(0), false
 	for at := 5 * time.Second; at < length-8*time.Second; at += time.Duration(1500+r.IntN(4000)) * time.Millisecond {
-		remaining, d := r.IntN(shares), FaultDraw{}
+		remaining, d := r.IntN(totalWeight), FaultDraw{}
 		for _, d = range draws {
 			if remaining -= d.Weight; remaining < 0 {
 				break
 			}
 		}
-		who, lasts := d.Target(r), time.Duration(0)
+		target, duration := d.Target(r), time.Duration(0)
 		if d.MaxDuration > 0 {
-			lasts = time.Duration(1+r.Int64N(int64(d.MaxDuration/time.Second))) * time.Second
+			duration = time.Duration(1+r.Int64N(int64(d.MaxDuration/time.Second))) * time.Second
 		}
-		lasts = min(lasts, length-at-2*time.Second)
+		duration = min(duration, length-at-2*time.Second)
 		if d.Action == "wipe" && (isWiped || at < lastFaultEnd+15*time.Second) {
 			continue
 		}
-		step := Step{At: at.String(), Action: d.Action, Target: who}
-		if lasts > 0 {
-			step.Duration = lasts.String()
+		step := Step{At: at.String(), Action: d.Action, Target: target}
+		if duration > 0 {
+			step.Duration = duration.String()
 		}
 		out.Steps = append(out.Steps, step)
 		if d.Action == "wipe" { // no other faults until the wiped store has caught up
 			isWiped = true
-			at += lasts + 15*time.Second
+			at += duration + 15*time.Second
 		} else {
-			lastFaultEnd = max(lastFaultEnd, at+lasts)
+			lastFaultEnd = max(lastFaultEnd, at+duration)
 		}
 	}
 	return out
--- a/internal/fleet/relay.go
+++ b/internal/fleet/relay.go
@@ -18,18 +18,18 @@
 // Invariant: no data is relayed between two different zones while one of them is isolated.
 type relays struct {
 	mu       sync.Mutex
-	isolated map[string]bool
-	healed   chan struct{}
+	isolated map[string]bool // by zone
+	healed   chan struct{}   // closed and replaced whenever isolated changes
 }
 
 // newRelays returns relays in which no zone is isolated.
 func newRelays() *relays { return &relays{isolated: map[string]bool{}, healed: make(chan struct{})} }
 
 // setIsolated isolates a zone or ends its isolation.
-func (r *relays) setIsolated(zone string, isCut bool) {
+func (r *relays) setIsolated(zone string, isIsolated bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.isolated[zone] = isCut
+	r.isolated[zone] = isIsolated
 	close(r.healed)
 	r.healed = make(chan struct{})
 }
@@ -38,9 +38,9 @@
 func (r *relays) waitConnected(from, to string) {
 	for {
 		r.mu.Lock()
-		isCut, healed := from != to && (r.isolated[from] || r.isolated[to]), r.healed
+		isIsolated, healed := from != to && (r.isolated[from] || r.isolated[to]), r.healed
 		r.mu.Unlock()
-		if !isCut {
+		if !isIsolated {
 			return
 		}
 		<-healed
@@ -102,13 +102,13 @@
 	<-done // one side has closed: close both
 }
 
-// copyBytes relays one direction of a connection between zones a and b until one side closes.
-func (r *relays) copyBytes(to, from net.Conn, a, b string) {
+// copyBytes relays one direction of a connection between two zones until one side closes.
+func (r *relays) copyBytes(to, from net.Conn, zoneA, zoneB string) {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			r.waitConnected(a, b)
+			r.waitConnected(zoneA, zoneB)
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
--- a/internal/fleet/schedule.go
+++ b/internal/fleet/schedule.go
@@ -46,14 +46,14 @@
 	end, _ := time.ParseDuration(s.Duration)
 	out := []check.Outage{}
 	for i, step := range s.Steps {
-		moments := map[string]time.Duration{}
+		times := map[string]time.Duration{}
 		if step.requiresRecovery() {
-			moments["end of "] = step.interval().until
+			times["end of "] = step.interval().until
 		}
 		if step.isSurvivable() {
-			moments[""] = step.interval().from
+			times[""] = step.interval().from
 		}
-		for prefix, at := range moments {
+		for prefix, at := range times {
 			isClear := at+check.RecoveryTimeout <= end
 			for j, other := range s.Steps {
 				o := other.interval()
@@ -92,7 +92,7 @@
 				recordFailure("step %s %s was not started before the end of the run", step.Action, step.Target)
 				return
 			}
-			fmt.Fprintf(os.Stderr, "fleet: %6.1fs %s %s.\n", time.Since(began).Seconds(), step.Action, step.Target)
+			fmt.Fprintf(os.Stderr, "fleet: %6.1fs start of %s %s.\n", time.Since(began).Seconds(), step.Action, step.Target)
 			undo := apply(context.WithoutCancel(ctx), step)
 			if step.Duration == "" {
 				return
--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -13,7 +13,7 @@
 	"caperwheel/internal/intake"
 )
 
-// Settle reads the status of every message that was taken or whose outcome is undecided, until all have a final status
+// Settle reads the status of every message that was taken or whose outcome is undecided, until all have a final state
 // or ctx ends, and records these. With isWithBody it also reads the bodies back.
 func (f *Fleet) Settle(ctx context.Context, isWithBody bool) error {
 	open := []check.Sent{}
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(open) > 0 {
-		return errs.New(errs.DeadlineExceeded, "%d messages have no final status, for example %s", len(open), open[0].Id)
+		return errs.New(errs.DeadlineExceeded, "%d messages have no final state, for example %s", len(open), open[0].Id)
 	}
 	return nil
 }
@@ -94,22 +94,22 @@
 	NotTaken          int                `json:"not_taken"`
 	Undecided         int                `json:"undecided"`
 	Runs              int                `json:"runs"`
-	Codes             map[string]int     `json:"codes"`
-	Ends              map[string]int     `json:"ends"`
+	Codes             map[string]int     `json:"codes"` // answers to callers, by HTTP status; "0" for none
+	Ends              map[string]int     `json:"ends"`  // messages by final state
 	IntakeP50         string             `json:"intake_p50"`
 	IntakeP99         string             `json:"intake_p99"`
-	CompletionP50     string             `json:"end_p50"`
+	CompletionP50     string             `json:"end_p50"` // from sending to the end of a successful run
 	CompletionP99     string             `json:"end_p99"`
 	Breaches          []check.Breach     `json:"breaches"`
-	Unsettled         string             `json:"unsettled,omitempty"`
-	Config            []string           `json:"charter,omitempty"`
-	FailedSteps       []string           `json:"not_carried_out,omitempty"`
-	Crashes           []string           `json:"crashes,omitempty"`
-	ExcusedRepeats    int                `json:"doubled_by_killed_adapters"`
-	StatusReads       int                `json:"asked_for_meanwhile"`
-	CheckedRecoveries int                `json:"recoveries_judged"`
-	Counters          map[string]float64 `json:"counts,omitempty"`
-	PerSecond         []int              `json:"runs_ended_per_second"`
+	Unsettled         string             `json:"unsettled,omitempty"`        // why messages have no final state
+	Config            []string           `json:"charter,omitempty"`          // breaches found in configuration changes
+	FailedSteps       []string           `json:"not_carried_out,omitempty"`  // see Fleet
+	Crashes           []string           `json:"crashes,omitempty"`          // crash reports in the daemons' logs
+	ExcusedRepeats    int                `json:"doubled_by_killed_adapters"` // see check.History
+	StatusReads       int                `json:"asked_for_meanwhile"`        // status reads during faults
+	CheckedRecoveries int                `json:"recoveries_judged"`          // see check.History
+	Counters          map[string]float64 `json:"counts,omitempty"`           // see Fleet.SumCounters
+	PerSecond         []int              `json:"runs_ended_per_second"`      // successful runs
 }
 
 // Report checks the history of the run and returns its figures. unsettled is the error of Settle.
@@ -136,14 +136,14 @@
 	for _, e := range ends {
 		out.Ends[e.State]++
 	}
-	whole := []time.Duration{}
+	completions := []time.Duration{}
 	for _, r := range runs {
 		if at, isSent := sentAt[r.Token]; isSent && r.Status == 200 {
-			whole = append(whole, r.End-at)
+			completions = append(completions, r.End-at)
 		}
 	}
 	out.IntakeP50, out.IntakeP99 = Percentile(c.IntakeLatencies, 0.5).String(), Percentile(c.IntakeLatencies, 0.99).String()
-	out.CompletionP50, out.CompletionP99 = Percentile(whole, 0.5).String(), Percentile(whole, 0.99).String()
+	out.CompletionP50, out.CompletionP99 = Percentile(completions, 0.5).String(), Percentile(completions, 0.99).String()
 	for _, r := range runs {
 		if r.Status != 200 {
 			continue
--- a/internal/linearize/explain.go
+++ b/internal/linearize/explain.go
@@ -11,11 +11,11 @@
 func explain(part []Operation, info porcupine.LinearizationInfo) string {
 	for i, a := range part {
 		for _, b := range part[i+1:] {
-			if text := contradiction(a, b); text != "" {
-				return text
+			if reason := contradiction(a, b); reason != "" {
+				return reason
 			}
-			if text := contradiction(b, a); text != "" {
-				return text
+			if reason := contradiction(b, a); reason != "" {
+				return reason
 			}
 		}
 	}
@@ -28,13 +28,13 @@
 		}
 	}
 	placed, longest := map[int]bool{}, 0
-	for _, orders := range info.PartialLinearizations() {
-		for _, found := range orders {
-			if len(found) <= longest {
+	for _, linearizations := range info.PartialLinearizations() {
+		for _, sequence := range linearizations {
+			if len(sequence) <= longest {
 				continue
 			}
-			placed, longest = map[int]bool{}, len(found)
-			for _, i := range found {
+			placed, longest = map[int]bool{}, len(sequence)
+			for _, i := range sequence {
 				placed[i] = true
 			}
 		}
@@ -70,14 +70,14 @@
 
 // String describes the call in one line.
 func (o Operation) String() string {
-	what := fmt.Sprintf("%s %d on %d (%s)", o.Kind, o.Version, o.Base, o.Digest)
+	description := fmt.Sprintf("%s %d on %d (%s)", o.Kind, o.Version, o.Base, o.Digest)
 	switch {
 	case o.Kind == Read:
-		what = fmt.Sprintf("read of %d (%s)", o.ReadVersion, o.ReadDigest)
+		description = fmt.Sprintf("read of %d (%s)", o.ReadVersion, o.ReadDigest)
 	case o.Kind == ReadZone:
-		what = fmt.Sprintf("read of %s (evacuated: %t)", o.Zone, o.IsEvacuated)
+		description = fmt.Sprintf("read of %s (evacuated: %t)", o.Zone, o.IsEvacuated)
 	case o.Zone != "":
-		what = fmt.Sprintf("%s of %s", o.Kind, o.Zone)
+		description = fmt.Sprintf("%s of %s", o.Kind, o.Zone)
 	}
-	return fmt.Sprintf("client %d: %s, %s, %v to %v", o.Client, what, o.Outcome, o.CalledAt, o.ReturnedAt)
+	return fmt.Sprintf("client %d: %s, %s, %v to %v", o.Client, description, o.Outcome, o.CalledAt, o.ReturnedAt)
 }
--- a/internal/linearize/linearize_test.go
+++ b/internal/linearize/linearize_test.go
@@ -129,13 +129,13 @@
 // randomHistory generates a linearizable history of operators' calls. Each call takes effect, if it does, between its
 // start and its answer. Some changes are based on an old version, some are sent again, and a third of the answers is
 // lost.
-func randomHistory(draw *rand.Rand, count int) (out []Operation) {
+func randomHistory(r *rand.Rand, count int) (out []Operation) {
 	version, taken, refused := int64(0), map[string]bool{}, map[string]bool{}
 	for i := range count {
-		o := replace("", version, version+1+draw.Int64N(3), fmt.Sprint(i))
-		if len(out) > 0 && draw.IntN(4) == 0 {
-			o = out[draw.IntN(len(out))]
-		} else if draw.IntN(4) == 0 {
+		o := replace("", version, version+1+r.Int64N(3), fmt.Sprint(i))
+		if len(out) > 0 && r.IntN(4) == 0 {
+			o = out[r.IntN(len(out))]
+		} else if r.IntN(4) == 0 {
 			o.Base--
 		}
 		switch {
@@ -148,12 +148,12 @@
 		default:
 			o.Outcome = Refused
 		}
-		if draw.IntN(3) == 0 {
+		if r.IntN(3) == 0 {
 			o.Outcome = Indeterminate
 		}
 		refused[o.Digest] = refused[o.Digest] || o.Outcome == Refused
 		o.Client = i % 8
-		out = append(out, at(10*i-draw.IntN(80), 10*i+draw.IntN(80), o))
+		out = append(out, at(10*i-r.IntN(80), 10*i+r.IntN(80), o))
 	}
 	return append(out, at(20*count, 20*count+1, Operation{Kind: Read, Outcome: Confirmed, ReadVersion: version, Base: version}))
 }
--- a/internal/linearize/model.go
+++ b/internal/linearize/model.go
@@ -45,20 +45,20 @@
 // model is the sequential model of one part of a history: the configuration, or one zone.
 type model struct {
 	calls          []Operation    // sorted by start
-	orders         map[string]int // number of each change, by digest
+	changeNumbers  map[string]int // number of each change, by digest
 	isRefusedLater []bool         // the same change was refused after this call's start: it must never take effect
 	clear          int            // calls with a definite outcome
 }
 
 func newModel(calls []Operation) *model {
-	m := &model{calls: calls, orders: map[string]int{}, isRefusedLater: make([]bool, len(calls))}
+	m := &model{calls: calls, changeNumbers: map[string]int{}, isRefusedLater: make([]bool, len(calls))}
 	refused := map[string]Operation{}
 	for _, o := range calls {
 		if o.Outcome != Indeterminate {
 			m.clear++
 		}
-		if _, isKnown := m.orders[o.Digest]; !isKnown {
-			m.orders[o.Digest] = len(m.orders)
+		if _, isKnown := m.changeNumbers[o.Digest]; !isKnown {
+			m.changeNumbers[o.Digest] = len(m.changeNumbers)
 		}
 		if last, isKnown := refused[o.Digest]; o.isChange() && o.Outcome == Refused && (!isKnown || o.ReturnedAt > last.ReturnedAt) {
 			refused[o.Digest] = o
@@ -121,12 +121,12 @@
 // nextForced returns the first call with a definite outcome that is possible now and changes nothing; -1 if there is
 // none.
 func (m *model) nextForced(s state) int {
-	ends := time.Duration(math.MaxInt64)
+	earliestReturn := time.Duration(math.MaxInt64)
 	for i, o := range m.calls { // sorted by start
 		if s.applied.has(i) {
 			continue
 		}
-		if o.CalledAt > ends {
+		if o.CalledAt > earliestReturn {
 			break
 		}
 		if o.Outcome == Indeterminate {
@@ -135,7 +135,7 @@
 		if next, isFit := m.apply(s, i); isFit && next.hasSameContent(s) {
 			return i
 		}
-		ends = min(ends, o.ReturnedAt)
+		earliestReturn = min(earliestReturn, o.ReturnedAt)
 	}
 	return -1
 }
@@ -143,16 +143,16 @@
 // applyChange applies a configuration change. A change that was accepted before is confirmed again without effect.
 func (m *model) applyChange(s state, i int) (state, bool) {
 	o := m.calls[i]
-	order := m.orders[o.Digest]
-	isKnown := s.accepted.has(order)
+	number := m.changeNumbers[o.Digest]
+	isAccepted := s.accepted.has(number)
 	isFit := !o.IsInvalid && o.Base == s.version && o.Version > s.version
 	switch {
 	case o.Outcome == Refused:
-		return s, !isKnown && !isFit
-	case isKnown:
+		return s, !isAccepted && !isFit
+	case isAccepted:
 		return s, true
 	case isFit && !m.isRefusedLater[i]:
-		s.version, s.digest, s.accepted = o.Version, o.Digest, s.accepted.with(order)
+		s.version, s.digest, s.accepted = o.Version, o.Digest, s.accepted.with(number)
 		return s, true
 	}
 	return s, false
