--- a/internal/check/history.go
+++ b/internal/check/history.go
@@ -26,16 +26,16 @@
 type Sent struct {
 	Token   string
 	Lane    string
-	Key     string
-	BodySum string
-	SentAt  time.Duration // when it was sent
+	Key     string        // ordering key; empty on an unordered lane
+	BodySum string        // checksum of the body
+	SentAt  time.Duration // this and all other times are on the clock of the test run
 	// The message must not run before Delay, and must not expire before Patience, has passed since SentAt. 0 means no
 	// such limit.
 	Delay      time.Duration
 	Patience   time.Duration
 	AnsweredAt time.Duration
 	Outcome    Outcome
-	Id         string
+	Id         string // message id; empty if the answer had none
 	// Further content of the answer, empty if absent: the checksum of the body, the token inside the answer of the
 	// proof, and whether the answer was truncated although it was read without an error.
 	AnsweredBodySum string
@@ -51,7 +51,7 @@
 	Attempt          int64
 	Pool             string
 	Worker           string
-	BodySum          string
+	BodySum          string // checksum of the body as it arrived
 	Start            time.Duration
 	End              time.Duration
 	Status           int
@@ -61,13 +61,13 @@
 	Revision         int64  // of the configuration under which it was sent; 0 if not given
 }
 
-// FinalState is the last status that the system reported for a message.
+// FinalState is the last status of a message that the system reported, with its proof if it has ended.
 type FinalState struct {
 	State      string
 	Attempt    int64
 	Worker     string
-	AnswerSum  string // of the answer in the proof
-	BodySum    string // of the body as read back; empty if it was not read
+	AnswerSum  string // checksum of the answer in the proof
+	BodySum    string // checksum of the body as read back; empty if it was not read
 	CallbackId string // id of the call-back, if there is one
 }
 
@@ -76,28 +76,28 @@
 	Pool, Worker string // if Worker is empty, all workers of Zone
 	Zone         string
 	From, Until  time.Duration // Until 0: to the end of the history
-	Grace        time.Duration
+	Grace        time.Duration // time until the drain must be effective
 }
 
 // StatusRead is the answer to a request for the status of a message while faults are in effect. Answers that report
 // only that the message cannot be reached are not recorded.
 type StatusRead struct {
 	Id          string
-	RequestedAt time.Duration // when the request was sent
+	RequestedAt time.Duration
 	AnsweredAt  time.Duration
-	State       string
+	State       string // as reported; "unknown" if the message was not found
 	Attempts    int64
-	BodySum     string // empty if the body was not read
+	BodySum     string // checksum of the body; empty if it was not read
 }
 
 // Edit is a configuration as an operator sent it: when it was sent and acknowledged, which pools it allows each
 // lane, and the rate cap of each pool.
 type Edit struct {
-	SentAt         time.Duration // when it was sent
-	AcknowledgedAt time.Duration // when it was acknowledged; 0 if it never was
-	Revision       int64         // as acknowledged
-	Pools          map[string][]string
-	RateCaps       map[string]float64
+	SentAt         time.Duration
+	AcknowledgedAt time.Duration       // 0 if it was never acknowledged
+	Revision       int64               // as acknowledged
+	Pools          map[string][]string // lane -> allowed pools
+	RateCaps       map[string]float64  // pool -> runs a second
 }
 
 // ColdStart is a worker that joined, or rejoined, without warm caches at time From and must be ramped up over the
@@ -125,7 +125,7 @@
 	LanePools     map[string][]string // lane -> allowed pools
 	RateCaps      map[string]float64  // pool -> runs a second
 	Zones         map[string]string   // pool/worker -> zone
-	OrderedLanes  map[string]bool     // lanes that are ordered
+	OrderedLanes  map[string]bool     // set of the lanes with ordering keys
 	Kills         []KillWindow        // times at which an adapter was killed; runs in progress then may be repeated
 	CallbackLanes map[string]string   // lane -> lane of its call-backs
 
--- a/internal/explore/overlay_test.go
+++ b/internal/explore/overlay_test.go
@@ -91,8 +91,8 @@
 	if err != nil {
 		t.Errorf("%s: %v\n%s", m.name, err, out)
 	}
-	_, verdict, isTold := strings.Cut(string(out), verdictPrefix)
-	if !isTold {
+	_, verdict, isFound := strings.Cut(string(out), verdictPrefix)
+	if !isFound {
 		t.Errorf("%s: no verdict\n%s", m.name, out)
 	}
 	verdict, _, _ = strings.Cut(verdict, "\n")
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -43,17 +43,17 @@
 type Backend struct {
 	Pool, Name, Zone string
 	Addr             string
-	MeanRunTime      time.Duration
-	mode             atomic.Int32
-	faultyRuns       atomic.Int64 // runs in a mode other than ModeHealthy
+	MeanRunTime      time.Duration // runs take from half of it to one and a half times as long
+	mode             atomic.Int32  // a FaultMode
+	faultyRuns       atomic.Int64  // runs in a mode other than ModeHealthy
 	history          *check.History
 	now              func() time.Duration
 	mu               sync.Mutex
 	server           *http.Server
-	inUse, maxInUse  int
+	inUse, maxInUse  int // runs in progress now, and at most so far
 }
 
-// NewBackend starts a stand-in at a free port. work is the mean duration of a run.
+// NewBackend starts a stand-in at a free port.
 func NewBackend(pool, name, zone string, meanRunTime time.Duration, h *check.History, now func() time.Duration) (*Backend, error) {
 	b := &Backend{Pool: pool, Name: name, Zone: zone, MeanRunTime: meanRunTime, history: h, now: now}
 	return b, b.Start("127.0.0.1:0")
--- a/internal/fleet/callers.go
+++ b/internal/fleet/callers.go
@@ -23,11 +23,11 @@
 type Callers struct {
 	f               *Fleet
 	client          *http.Client
-	serial          atomic.Int64
+	serial          atomic.Int64 // numbers the tokens
 	mu              sync.Mutex
 	IntakeLatencies []time.Duration // of messages that were acknowledged as taken
 	takenIds        []string        // of messages that were acknowledged as taken
-	StatusCodes     map[int]int
+	StatusCodes     map[int]int     // number of answers by HTTP status code; code 0 for requests without a complete answer
 	wg              sync.WaitGroup
 }
 
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -57,25 +57,24 @@
 	return out, nil
 }
 
-// actions are the faults by name. Each one injects the fault and returns a function that undoes it.
-var actions = map[string]func(ctx context.Context, f *Fleet, target string) (undo func()){
+// actions are the faults by name. Each one injects the fault into the target who and returns a function
+// that undoes it.
+var actions = map[string]func(ctx context.Context, f *Fleet, who string) (undo func()){
 	"kill": killAll,
-	"stop": func(_ context.Context, f *Fleet, target string) func() {
-		return f.forEach(target, (*Process).Stop, restart)
+	"stop": func(_ context.Context, f *Fleet, who string) func() { return f.forEach(who, (*Process).Stop, restart) },
+	"freeze": func(_ context.Context, f *Fleet, who string) func() {
+		return f.forEach(who, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
 	},
-	"freeze": func(_ context.Context, f *Fleet, target string) func() {
-		return f.forEach(target, func(p *Process) { p.Signal(syscall.SIGSTOP) }, func(p *Process) { p.Signal(syscall.SIGCONT) })
-	},
-	"wipe": func(_ context.Context, f *Fleet, target string) func() {
-		return f.forEach(target, func(p *Process) {
+	"wipe": func(_ context.Context, f *Fleet, who string) func() {
+		return f.forEach(who, func(p *Process) {
 			p.Kill()
 			_ = os.RemoveAll(filepath.Join(f.Dir, p.Name))
 		}, restart)
 	},
-	"kill cell": func(ctx context.Context, f *Fleet, target string) func() {
-		undo := []func(){killAll(ctx, f, "cell "+target)}
+	"kill cell": func(ctx context.Context, f *Fleet, who string) func() {
+		undo := []func(){killAll(ctx, f, "cell "+who)}
 		for _, b := range f.Backends {
-			if b.Zone == target {
+			if b.Zone == who {
 				b.Stop()
 				undo = append(undo, func() { f.restartBackend(b) })
 			}
@@ -86,9 +85,9 @@
 			}
 		}
 	},
-	"cut cell": func(_ context.Context, f *Fleet, target string) func() {
-		f.relays.setIsolated(target, true)
-		return func() { f.relays.setIsolated(target, false) }
+	"cut cell": func(_ context.Context, f *Fleet, who string) func() {
+		f.relays.setIsolated(who, true)
+		return func() { f.relays.setIsolated(who, false) }
 	},
 	"fail":   setMode(ModeFail),
 	"crawl":  setMode(ModeSlow),
@@ -98,14 +97,14 @@
 	"vanish": stopBackends,
 	"leave":  drainWorkers,
 	"empty":  evacuateZone,
-	"retire": func(ctx context.Context, f *Fleet, target string) func() {
-		f.postOrFail(ctx, "/v1/stores/"+target+"/retire")
-		return func() { f.postOrFail(ctx, "/v1/stores/"+target+"/restore") }
+	"retire": func(ctx context.Context, f *Fleet, who string) func() {
+		f.postOrFail(ctx, "/v1/stores/"+who+"/retire")
+		return func() { f.postOrFail(ctx, "/v1/stores/"+who+"/restore") }
 	},
-	"upgrade":   func(_ context.Context, f *Fleet, target string) func() { return f.changeBuild(target, f.BinDir) },
-	"downgrade": func(_ context.Context, f *Fleet, target string) func() { return f.changeBuild(target, f.OldBinDir) },
+	"upgrade":   func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.BinDir) },
+	"downgrade": func(_ context.Context, f *Fleet, who string) func() { return f.changeBuild(who, f.OldBinDir) },
 	"scribble":  corruptSettings,
-	"edit":      func(ctx context.Context, f *Fleet, target string) func() { f.editConfig(ctx, target); return func() {} },
+	"edit":      func(ctx context.Context, f *Fleet, who string) func() { f.editConfig(ctx, who); return func() {} },
 	"flood":     floodLane,
 }
 
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -22,7 +22,7 @@
 	settingsFile     string   // path of its settings
 	env              []string // additional environment variables
 	args             []string // arguments; nil for --settings with the settings file
-	binDir, log      string
+	binDir, log      string   // folder of the program, and path of the log file
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -38,7 +38,7 @@
 // ports holds the ports that FreePort has returned.
 var ports struct {
 	sync.Mutex
-	given map[int]bool
+	given map[int]bool // by port
 }
 
 // FreePort returns a local address whose port is free and was not returned before. The port is below the range of
--- a/internal/linearize/linearize.go
+++ b/internal/linearize/linearize.go
@@ -97,7 +97,7 @@
 // search looks for a linearization of the calls of one part. It returns an explanation, or an empty string if there is
 // a linearization.
 func search(part []Operation, steps int) string {
-	model, stepCount := newModel(part), 0
+	m, stepCount := newModel(part), 0
 	events := []porcupine.Operation{}
 	for i, o := range part {
 		end := int64(o.ReturnedAt)
@@ -107,12 +107,12 @@
 		events = append(events, porcupine.Operation{ClientId: i, Input: i, Call: int64(o.CalledAt), Return: end})
 	}
 	verdict, info := porcupine.CheckOperationsVerbose(porcupine.Model{
-		Init: func() any { return model.initialState() },
+		Init: func() any { return m.initialState() },
 		Step: func(s, input, _ any) (bool, any) {
 			if stepCount++; stepCount > steps {
 				return false, s
 			}
-			return model.step(s.(state), input.(int))
+			return m.step(s.(state), input.(int))
 		},
 		Hash: func(s any) uint64 { return s.(state).hash() },
 	}, events, 0)
--- a/internal/linearize/linearize_test.go
+++ b/internal/linearize/linearize_test.go
@@ -16,22 +16,27 @@
 	return o
 }
 
+// replace returns a call that replaces the configuration.
 func replace(outcome Outcome, base, version int64, digest string) Operation {
 	return Operation{Kind: Replace, Outcome: outcome, Base: base, Version: version, Digest: digest}
 }
 
+// read returns a confirmed read of the configuration.
 func read(version int64, digest string) Operation {
 	return Operation{Kind: Read, Outcome: Confirmed, ReadVersion: version, ReadDigest: digest}
 }
 
+// zoneCall returns a call that evacuates zone z or ends its evacuation.
 func zoneCall(kind Kind, outcome Outcome) Operation {
 	return Operation{Kind: kind, Outcome: outcome, Zone: "z"}
 }
 
+// readZone returns a confirmed read of whether zone z is evacuated.
 func readZone(isEvacuated bool) Operation {
 	return Operation{Kind: ReadZone, Outcome: Confirmed, Zone: "z", IsEvacuated: isEvacuated}
 }
 
+// TestHistories checks the verdict and explanation for small histories with one anomaly each, and for allowed ones.
 func TestHistories(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/linearize/model.go
+++ b/internal/linearize/model.go
@@ -11,11 +11,11 @@
 //
 // Invariant: each accepted change has a higher version than the one before it.
 type state struct {
-	version     int64
+	version     int64  // of the configuration; 0 if there is none
 	digest      string // of the change that created the version
 	accepted    bitset // one bit for each change, as numbered in model
-	evacuations int    // evacuations since the zone last had none in force, and how many of them were ended
-	finished    int
+	evacuations int    // evacuations since the zone last had none in force
+	finished    int    // how many of these evacuations were ended
 	applied     bitset // one bit for each call that was applied
 	clear       int    // applied calls with a definite outcome
 	forced      int    // the call that must be applied next; -1 if any may
@@ -24,8 +24,10 @@
 // bitset is an immutable set of small non-negative integers.
 type bitset string
 
+// has reports whether i is in the set.
 func (b bitset) has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
 
+// with returns the set with i added.
 func (b bitset) with(i int) bitset {
 	out := make([]byte, max(len(b), i/8+1))
 	copy(out, b)
@@ -33,8 +35,10 @@
 	return bitset(out)
 }
 
+// hashSeed is the seed of state.hash.
 var hashSeed = maphash.MakeSeed()
 
+// hash hashes the calls that were applied.
 func (s state) hash() uint64 { return maphash.String(hashSeed, string(s.applied)) }
 
 // hasSameContent reports whether the server's data is the same in both states, whatever calls were applied.
@@ -42,7 +46,7 @@
 	return s.version == t.version && s.evacuations == t.evacuations && s.finished == t.finished
 }
 
-// model is the sequential model of one part of a history: the configuration, or one zone.
+// m is the sequential model of one part of a history: the configuration, or one zone.
 type model struct {
 	calls          []Operation    // sorted by start
 	changeNumbers  map[string]int // number of each change, by digest
@@ -50,6 +54,7 @@
 	clear          int            // calls with a definite outcome
 }
 
+// newModel returns the model of calls that are sorted by start.
 func newModel(calls []Operation) *model {
 	m := &model{calls: calls, changeNumbers: map[string]int{}, isRefusedLater: make([]bool, len(calls))}
 	refused := map[string]Operation{}
