--- a/internal/explore/mutants_run_test.go
+++ b/internal/explore/mutants_run_test.go
@@ -15,7 +15,7 @@
 
 // searchMutant looks for a breach, either with the scenario of that name or, for "walk SEED" or an empty string, with
 // random walks from a first seed. It returns the breach and how it was found.
-func searchMutant(search string) (broken, how string) {
+func searchMutant(search string) (breach, how string) {
 	for _, s := range Scenarios(3) {
 		if s.Name == search {
 			r := Search(&s.Options, s.Depth, mutantMaxStates)
@@ -43,14 +43,14 @@
 	binary := buildMutants(t, append(append([]mutant{}, mutants...), equivalentMutants...))
 	var all sync.WaitGroup
 	slots := make(chan struct{}, 2)
-	run := func(m mutant, isHarmless bool) {
+	run := func(m mutant, isEquivalent bool) {
 		all.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			broken, how := runMutant(t, binary, m)
-			t.Logf("%s: %q by %s", m.name, broken, how)
-			if isHarmless != (broken == "") {
-				t.Errorf("%s: found %q by %s", m.name, broken, how)
+			breach, how := runMutant(t, binary, m)
+			t.Logf("%s: %q by %s", m.name, breach, how)
+			if isEquivalent != (breach == "") {
+				t.Errorf("%s: found %q by %s", m.name, breach, how)
 			}
 		})
 	}
--- a/internal/explore/overlay_test.go
+++ b/internal/explore/overlay_test.go
@@ -84,7 +84,7 @@
 }
 
 // runMutant runs the search for one mutant in a child process. It returns the breach, if any, and how it was found.
-func runMutant(t *testing.T, binary string, m mutant) (broken, how string) {
+func runMutant(t *testing.T, binary string, m mutant) (breach, how string) {
 	child := exec.Command(binary, "-test.run", "^TestMutantChild$", "-test.v")
 	child.Env = append(os.Environ(), mutantEnv+"="+m.name, searchEnv+"="+m.search)
 	out, err := child.CombinedOutput()
@@ -96,8 +96,8 @@
 		t.Errorf("%s: no verdict\n%s", m.name, out)
 	}
 	verdict, _, _ = strings.Cut(verdict, "\n")
-	broken, how, _ = strings.Cut(verdict, "|")
-	return broken, how
+	breach, how, _ = strings.Cut(verdict, "|")
+	return breach, how
 }
 
 const (
@@ -110,6 +110,6 @@
 	if os.Getenv(mutantEnv) == "" {
 		t.Skip("runs in the children of TestMutants")
 	}
-	broken, how := searchMutant(os.Getenv(searchEnv))
-	fmt.Printf("%s%s|%s\n", verdictPrefix, strings.ReplaceAll(broken, "\n", " "), how)
+	breach, how := searchMutant(os.Getenv(searchEnv))
+	fmt.Printf("%s%s|%s\n", verdictPrefix, strings.ReplaceAll(breach, "\n", " "), how)
 }
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -32,8 +32,8 @@
 		check := func(f *Fleet, s Schedule) {
 			length, _ := time.ParseDuration(s.Duration)
 			for _, step := range s.Steps {
-				span := step.interval()
-				So(span.until, ShouldBeLessThan, length)
+				period := step.interval()
+				So(period.until, ShouldBeLessThan, length)
 				switch step.Action {
 				case "kill", "freeze", "stop", "wipe", "upgrade", "downgrade":
 					So(len(f.matchProcesses(step.Target)), ShouldBeGreaterThan, 0)
