--- a/internal/explore/mutants_run_test.go
+++ b/internal/explore/mutants_run_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// Bounds of the hunt for one mutant.
+// Bounds of the search for one mutant.
 const (
 	mutantMaxStates = 60_000
 	mutantWalks     = 60
 	mutantWalkSteps = 400
 )
 
-// searchMutant looks for a broken invariant: by the named search, or by random walks
-// from a seed on.
-func searchMutant(search string) (broken, how string) {
+// searchMutant looks for a breach, either with the scenario of that name or, for "walk SEED" or an empty string, with
+// random walks from a first seed. It returns the breach and how it was found.
+func searchMutant(search string) (breach, how string) {
 	for _, s := range Scenarios(3) {
 		if s.Name == search {
 			r := Search(&s.Options, s.Depth, mutantMaxStates)
@@ -34,22 +34,23 @@
 	return "", ""
 }
 
-// TestMutants takes each guard out and holds that the search notices.
+// TestMutants removes each guard of the group's code and requires its search to find a breach. Without equivalent
+// mutants and without any mutant, it requires that no breach is found.
 func TestMutants(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds and runs children")
 	}
 	binary := buildMutants(t, append(append([]mutant{}, mutants...), equivalentMutants...))
 	var all sync.WaitGroup
-	turn := make(chan struct{}, 2)
-	run := func(m mutant, isHarmless bool) {
+	slots := make(chan struct{}, 2)
+	run := func(m mutant, isEquivalent bool) {
 		all.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
-			broken, how := runMutant(t, binary, m)
-			t.Logf("%s: %q by %s", m.name, broken, how)
-			if isHarmless != (broken == "") {
-				t.Errorf("%s: found %q by %s", m.name, broken, how)
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			breach, how := runMutant(t, binary, m)
+			t.Logf("%s: %q by %s", m.name, breach, how)
+			if isEquivalent != (breach == "") {
+				t.Errorf("%s: found %q by %s", m.name, breach, how)
 			}
 		})
 	}
--- a/internal/fleet/settle.go
+++ b/internal/fleet/settle.go
@@ -13,8 +13,8 @@
 	"caperwheel/internal/intake"
 )
 
-// Settle asks for every message that was told taken, or whose fate is open,
-// until all are over or ctx ends, and records the ends.
+// Settle reads the status of every message that was taken or whose outcome is undecided, until all have a final state
+// or ctx ends, and records these. With isWithBody it also reads the bodies back.
 func (f *Fleet) Settle(ctx context.Context, isWithBody bool) error {
 	open := []check.Sent{}
 	all, _, _ := f.History.Snapshot()
@@ -46,17 +46,18 @@
 		}
 	}
 	if len(open) > 0 {
-		return errs.New(errs.DeadlineExceeded, "%d messages are not over, such as %s", len(open), open[0].Id)
+		return errs.New(errs.DeadlineExceeded, "%d messages have no final state, for example %s", len(open), open[0].Id)
 	}
 	return nil
 }
 
-// readFinalStatus asks any adapter for a message; true when it is over or unknown.
+// readFinalStatus reads and records the status of a message, and of its call-back, from the adapter selected by turn.
+// It reports whether the message is final or unknown; false also if it could not be read.
 func (f *Fleet) readFinalStatus(ctx context.Context, s check.Sent, turn int, isWithBody bool) bool {
 	base := "http://" + f.Adapters[turn%len(f.Adapters)].Http + "/v1/messages/" + s.Id
 	query := ""
 	if s.Outcome == check.Undecided {
-		query = "?settle=true" // its fate must come out definite
+		query = "?settle=true" // settles the outcome, so that it becomes definite
 	}
 	code, _, raw, err := SendRequest(ctx, "GET", base+query, "", nil)
 	if err != nil || code != 200 && code != 404 {
@@ -86,32 +87,32 @@
 	return m.Callback == "" || f.readFinalStatus(ctx, check.Sent{Id: m.Callback, Outcome: check.Taken}, turn, false)
 }
 
-// Report is what a run of a fleet came to.
+// Report is the result of a run of a fleet, as the fleet command prints it in JSON.
 type Report struct {
 	Sent              int                `json:"sent"`
 	Taken             int                `json:"taken"`
 	NotTaken          int                `json:"not_taken"`
 	Undecided         int                `json:"undecided"`
 	Runs              int                `json:"runs"`
-	Codes             map[string]int     `json:"codes"`
-	Ends              map[string]int     `json:"ends"`
+	Codes             map[string]int     `json:"codes"` // answers to callers, by HTTP status; "0" for none
+	Ends              map[string]int     `json:"ends"`  // messages by final state
 	IntakeP50         string             `json:"intake_p50"`
 	IntakeP99         string             `json:"intake_p99"`
-	CompletionP50     string             `json:"end_p50"`
+	CompletionP50     string             `json:"end_p50"` // from sending to the end of a successful run
 	CompletionP99     string             `json:"end_p99"`
 	Breaches          []check.Breach     `json:"breaches"`
-	Unsettled         string             `json:"unsettled,omitempty"`
-	Config            []string           `json:"charter,omitempty"`
-	FailedSteps       []string           `json:"not_carried_out,omitempty"`
-	Crashes           []string           `json:"crashes,omitempty"`
-	ExcusedRepeats    int                `json:"doubled_by_killed_adapters"`
-	StatusReads       int                `json:"asked_for_meanwhile"`
-	CheckedRecoveries int                `json:"recoveries_judged"`
-	Counters          map[string]float64 `json:"counts,omitempty"`
-	PerSecond         []int              `json:"runs_ended_per_second"`
+	Unsettled         string             `json:"unsettled,omitempty"`        // why messages have no final state
+	Config            []string           `json:"charter,omitempty"`          // breaches found in configuration changes
+	FailedSteps       []string           `json:"not_carried_out,omitempty"`  // see Fleet
+	Crashes           []string           `json:"crashes,omitempty"`          // crash reports in the daemons' logs
+	ExcusedRepeats    int                `json:"doubled_by_killed_adapters"` // see check.History
+	StatusReads       int                `json:"asked_for_meanwhile"`        // status reads during faults
+	CheckedRecoveries int                `json:"recoveries_judged"`          // see check.History
+	Counters          map[string]float64 `json:"counts,omitempty"`           // see Fleet.SumCounters
+	PerSecond         []int              `json:"runs_ended_per_second"`      // successful runs
 }
 
-// Report sums the run up and checks it.
+// Report checks the history of the run and returns its figures. unsettled is the error of Settle.
 func (f *Fleet) Report(c *Callers, unsettled error) Report {
 	sent, runs, ends := f.History.Snapshot()
 	out := Report{Sent: len(sent), Runs: len(runs), Codes: map[string]int{}, Ends: map[string]int{},
@@ -135,14 +136,14 @@
 	for _, e := range ends {
 		out.Ends[e.State]++
 	}
-	whole := []time.Duration{}
+	completions := []time.Duration{}
 	for _, r := range runs {
 		if at, isSent := sentAt[r.Token]; isSent && r.Status == 200 {
-			whole = append(whole, r.End-at)
+			completions = append(completions, r.End-at)
 		}
 	}
 	out.IntakeP50, out.IntakeP99 = Percentile(c.IntakeLatencies, 0.5).String(), Percentile(c.IntakeLatencies, 0.99).String()
-	out.CompletionP50, out.CompletionP99 = Percentile(whole, 0.5).String(), Percentile(whole, 0.99).String()
+	out.CompletionP50, out.CompletionP99 = Percentile(completions, 0.5).String(), Percentile(completions, 0.99).String()
 	for _, r := range runs {
 		if r.Status != 200 {
 			continue
