--- a/internal/sim/adapter.go
+++ b/internal/sim/adapter.go
@@ -20,9 +20,9 @@
 	name       string
 	runs       *deliver.RunRegistry
 	groupTimes *groupclock.Cache
-	startedAt  time.Duration // start of its own clock
-	fresh      time.Duration
-	lastPermit int64
+	startedAt  time.Duration           // start of its own clock
+	fresh      time.Duration           // when the control plane last confirmed the view
+	lastPermit int64                   // number of the newest permit
 	grants     map[int64]time.Duration // unused permits and their deadlines
 	agent      *repair.ResultBuffer    // the co-located agent, which survives a kill of the adapter
 	isRemoved  bool                    // it never restarts
@@ -67,19 +67,21 @@
 	tick()
 }
 
-// kill ends the process and records the loss, so that runs cut off by it are judged as such.
+// kill ends the process. It records the loss, which the check of the history takes into account, and breaks the
+// runs in progress.
 func (a *simAdapter) kill() {
 	if a.isUp {
 		a.w.History.AddKill(check.KillWindow{Adapter: a.name, From: a.w.now - time.Millisecond, Until: a.w.now})
 		a.isUp, a.generation = false, a.generation+1
-		for _, hang := range a.onKill {
-			hang()
+		for _, breakRun := range a.onKill {
+			breakRun()
 		}
 		a.onKill = nil
 		a.w.Tracef("kill %s", a.name)
 	}
 }
 
+// isFresh reports whether the view is recent enough for the adapter to act.
 func (a *simAdapter) isFresh() bool { return a.w.now-a.fresh < timing.Default.Of(timing.ViewAgeLimit) }
 
 // grantPermit issues a permit. As in the slots of the real adapter, it can be used once, before its deadline, and
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// placeOwner is the part of a place that requests to a store use.
+// placeOwner is the interface of a place to requests from callers and adapters.
 type placeOwner interface {
 	Take(*wire.Take, func(any))
 	Settle(*wire.Settle, func(any))
--- a/internal/sim/control.go
+++ b/internal/sim/control.go
@@ -27,8 +27,8 @@
 	acked     []ackedEdit
 	drained   map[string]time.Duration // zone -> when its drain was acknowledged
 	Starts    []time.Duration          // start times of runs at the endpoint
-	Breaches  []string
-	rate      float64
+	Breaches  []string                 // broken rules found so far
+	rate      float64                  // of the endpoint, in runs per second
 	editCount int
 }
 
@@ -48,11 +48,11 @@
 	view        *feed.View
 	membership  *session.Membership
 	registry    *session.Registry
-	targets     []*node
+	targets     []*node // nodes to poll, one at a time
 	targetIndex int
-	heardAt     time.Duration
+	heardAt     time.Duration // when the current target last answered or was chosen
 	worker      *deliver.WorkerState
-	term        int64
+	term        int64 // of the duty that worker belongs to
 	holdDown    duty.HoldDown
 	proposals   *duty.Proposals
 	freshSince  time.Duration // since when its view has been fresh
--- a/internal/sim/controlfaults.go
+++ b/internal/sim/controlfaults.go
@@ -100,7 +100,7 @@
 
 // checkDrained checks that an adapter in a drained zone starts no run later than 5 s after the acknowledgement.
 func (c *Control) checkDrained(n *node) {
-	if at, isEmptied := c.drained[n.zone()]; isEmptied && c.now-at > 5*time.Second {
+	if at, isDrained := c.drained[n.zone()]; isDrained && c.now-at > 5*time.Second {
 		c.Breaches = append(c.Breaches, fmt.Sprintf("%s started a run %v after the drain of its zone was acknowledged", n.name, c.now-at))
 	}
 }
--- a/internal/sim/delivery.go
+++ b/internal/sim/delivery.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// peer is a daemon that serves requests.
+// peer is a daemon that can be sent requests.
 type peer interface {
 	address() string
 	lifecycleState() *lifecycle
@@ -190,10 +190,10 @@
 func (d *Deliveries) callAndWait(ctx context.Context, from string, caller *lifecycle, addr string, request any) (reply any, err error) {
 	c := simulatedContext(ctx)
 	c.t.suspend(func(resume func()) {
-		isOver := false
+		isDone := false
 		end := func(got any, cause error) {
-			if !isOver {
-				isOver, reply, err = true, got, cause
+			if !isDone {
+				isDone, reply, err = true, got, cause
 				resume()
 			}
 		}
--- a/internal/sim/deliveryadapter.go
+++ b/internal/sim/deliveryadapter.go
@@ -15,7 +15,7 @@
 // deliveryAdapter is an adapter with its co-located agent, through which it polls the manager.
 type deliveryAdapter struct {
 	deliveryDaemon
-	out       *deliver.Adapter
+	out       *deliver.Adapter // the production adapter
 	agent     *deliveryAgent
 	isRemoved bool // it never restarts
 	moveCount int
--- a/internal/sim/deliverycallers.go
+++ b/internal/sim/deliverycallers.go
@@ -13,7 +13,7 @@
 	"caperwheel/internal/wire"
 )
 
-// sendMessage sends one message to the owner of its place, as an intake does. One message in 40 makes its run fail
+// sendMessage sends one message to the owner of its place, as an intake does. The worker rejects one message in 40
 // for good.
 func (d *Deliveries) sendMessage(lane, key string) {
 	d.serial++
@@ -34,7 +34,7 @@
 	d.submit(s, take)
 }
 
-// sendDelayed sends a message with the given delay and returns its id; its run does not fail for good.
+// sendDelayed sends a message with the given delay and returns its id. The worker does not reject it.
 func (d *Deliveries) sendDelayed(lane string, delay time.Duration) (id string) {
 	d.serial++
 	token := fmt.Sprintf("%s-%d", lane, d.serial)
@@ -44,8 +44,8 @@
 	return s.Id
 }
 
-// submit has a caller send a message, on random terms as a forwarded HTTP request or with a notification URL, and
-// records the answer.
+// submit has a caller send a message and records the answer. The message is randomly a forwarded HTTP request, and
+// randomly has a notification URL.
 func (d *Deliveries) submit(s check.Sent, take *wire.Take) {
 	if d.Rand.IntN(2) == 0 { // a forwarded HTTP request
 		take.RequestHead = requesthead.Head{Method: "POST", Target: "/" + s.Lane, Host: "sim.example"}.Encode()
--- a/internal/sim/deliverycontrol.go
+++ b/internal/sim/deliverycontrol.go
@@ -36,7 +36,7 @@
 	c := &deliveryControl{d: d, view: feed.NewView(controlParts),
 		registry: session.NewRegistry(d.bound(timing.SessionTimeout)), membership: session.NewMembership(),
 		holdDown:  &duty.HoldDown{Period: 2 * timing.Default.ConfigApply},
-		proposals: &duty.Proposals{Timeout: d.bound(timing.ViewAgeLimit)}, settings: defaultDeliveryConfig()}
+		proposals: &duty.Proposals{Timeout: d.bound(timing.ViewAgeLimit)}, settings: defaultDeliveryDoc()}
 	c.configs = &config.Cache{View: c.view}
 	return c
 }
@@ -162,8 +162,8 @@
 	extraLanes      map[string]bool // extra lanes that exist
 }
 
-// defaultDeliveryConfig returns the settings before any fault.
-func defaultDeliveryConfig() deliveryDoc {
+// defaultDeliveryDoc returns the settings before any fault.
+func defaultDeliveryDoc() deliveryDoc {
 	return deliveryDoc{runTimeout: time.Second, concurrency: 2, rate: 40, isDeduplicating: true, maxAttempts: 5, extraLanes: map[string]bool{}}
 }
 
--- a/internal/sim/deliverydelays_test.go
+++ b/internal/sim/deliverydelays_test.go
@@ -196,7 +196,7 @@
 // TestDelaySweep simulates many random seeds.
 func TestDelaySweep(t *testing.T) {
 	out, err := sweepWith(t, t.TempDir(), "sweep", sourceMutant{kind: "delays"}, delaySeeds)
-	Convey("Messages start when their delays are over in "+delaySeeds+" worlds", t, func() {
+	Convey("Messages start when their delays are over in "+delaySeeds+" seeds", t, func() {
 		if err != nil {
 			t.Log(out)
 		}
--- a/internal/sim/deliveryfaults.go
+++ b/internal/sim/deliveryfaults.go
@@ -20,7 +20,7 @@
 			for _, h := range s.hosts {
 				h.TransferOwnership(func(string) bool { return false })
 			}
-			s.pump()
+			s.runPending()
 		}
 	},
 	"killed adapters":  func(d *Deliveries) { d.pickAdapter().kill() },
@@ -165,7 +165,7 @@
 func (d *Deliveries) pickStore() *deliveryStore     { return d.stores[d.Rand.IntN(len(d.stores))] }
 func (d *Deliveries) pickAdapter() *deliveryAdapter { return d.adapters[d.Rand.IntN(len(d.adapters))] }
 
-// randomSeconds returns a random time between 0.3 s and 0.3 s more than the limit, which is in seconds.
+// randomSeconds returns a random time from 0.3 s to 0.3 s above the limit in seconds.
 func (d *Deliveries) randomSeconds(limit int) time.Duration {
 	return time.Duration(300+d.Rand.IntN(1000*limit)) * time.Millisecond
 }
--- a/internal/sim/deliveryseeds_test.go
+++ b/internal/sim/deliveryseeds_test.go
@@ -135,7 +135,7 @@
 // TestDeliverySweep simulates many random seeds.
 func TestDeliverySweep(t *testing.T) {
 	out, err := sweepWith(t, t.TempDir(), "sweep", sourceMutant{}, deliverySeeds)
-	Convey("Nothing is stranded, and no rule is broken, in "+deliverySeeds+" worlds", t, func() {
+	Convey("Nothing is stranded, and no rule is broken, in "+deliverySeeds+" seeds", t, func() {
 		if err != nil {
 			t.Log(out)
 		}
--- a/internal/sim/deliverystops.go
+++ b/internal/sim/deliverystops.go
@@ -106,7 +106,7 @@
 			s.kill(false)
 			return
 		}
-		s.pump()
+		s.runPending()
 		s.d.After(s.d.bound(timing.StalePoll), step)
 	}
 	step()
--- a/internal/sim/deliverystore.go
+++ b/internal/sim/deliverystore.go
@@ -48,7 +48,7 @@
 		Post:   s.postTo,
 		Start: func(p *store.PlaceHost, lane string, g store.SlotGrant) error {
 			err := p.Do(func() { p.Start(lane, g) })
-			s.pump()
+			s.runPending()
 			return err
 		}})
 	s.d.every(&s.lifecycle, s.d.bound(timing.Tick), s.tick)
@@ -89,11 +89,11 @@
 	for _, h := range s.hosts {
 		h.Tick()
 	}
-	s.pump()
+	s.runPending()
 }
 
-// pump runs the pending work of the store's groups, unless the store is frozen.
-func (s *deliveryStore) pump() {
+// runPending runs the pending work of the store's groups, unless the store is frozen.
+func (s *deliveryStore) runPending() {
 	if s.isUp && s.d.now >= s.frozenUntil {
 		for _, h := range s.hosts {
 			h.RunPending()
@@ -104,7 +104,7 @@
 // schedule runs work after a time, if the store is still in the same generation.
 func (s *deliveryStore) schedule(span time.Duration, work func()) {
 	generation := s.generation
-	s.d.After(span, func() { s.d.runIfAlive(&s.lifecycle, generation, func() { work(); s.pump() }) })
+	s.d.After(span, func() { s.d.runIfAlive(&s.lifecycle, generation, func() { work(); s.runPending() }) })
 }
 
 // sendGroupMessage sends a message of a replicated group to the store of its addressee.
@@ -114,7 +114,7 @@
 			s.d.Send(s.addr, to.addr, func() {
 				if to.isUp && int(m.Group-wire.FirstPlaceGroup) < len(to.hosts) {
 					to.hosts[m.Group-wire.FirstPlaceGroup].Receive(m)
-					to.pump()
+					to.runPending()
 				}
 			})
 		}
@@ -126,7 +126,7 @@
 	s.d.sendRequest(s.addr, &s.lifecycle, who.Addr, request, func(reply any, err error) {
 		if answer != nil {
 			answer(reply, err)
-			s.pump()
+			s.runPending()
 		}
 	})
 	return nil
@@ -162,7 +162,7 @@
 	}
 	p := s.places[number]
 	_ = p.Do(func() { serve(p) })
-	s.pump()
+	s.runPending()
 }
 
 // deliveryDisk is a Disk that runs the store's pending work after each write.
@@ -172,7 +172,7 @@
 }
 
 func (d *deliveryDisk) wrap(then func(error)) func(error) {
-	return func(err error) { then(err); d.s.pump() }
+	return func(err error) { then(err); d.s.runPending() }
 }
 func (d *deliveryDisk) Persist(id int64, p *group.DurableUpdate, then func(error)) {
 	d.Disk.Persist(id, p, d.wrap(then))
--- a/internal/sim/deliveryworker.go
+++ b/internal/sim/deliveryworker.go
@@ -124,9 +124,9 @@
 
 // endSilence breaks the connections of all requests that came during the silence.
 func (w *deliveryWorker) endSilence() {
-	swallowed := w.unanswered
+	unanswered := w.unanswered
 	w.isSilent, w.unanswered = false, nil
-	for _, r := range swallowed {
+	for _, r := range unanswered {
 		r.breakConnection()
 	}
 }
--- a/internal/sim/groupfaults.go
+++ b/internal/sim/groupfaults.go
@@ -22,7 +22,7 @@
 	},
 	"loss": func(g *ReplicaGroup) { g.LostMessages = 100 },
 	"blank disk": func(g *ReplicaGroup) {
-		for _, id := range g.Names { // one disk at a time, and only while all other members can vote
+		for _, id := range g.Names { // one disk at a time: all other members must be able to vote
 			r := g.Replicas[id]
 			if !r.isUp || len(r.Applied) < len(g.longestApplied) || !slices.Equal(sortedCopy(r.machine.View().Roster), sortedCopy(g.Names)) {
 				return
--- a/internal/sim/grouptime.go
+++ b/internal/sim/grouptime.go
@@ -38,8 +38,8 @@
 	isIgnoringLevels bool
 }
 
-// View returns the view of the group. With the mutant, an owner assumes that every replica can apply commands of
-// every level.
+// View returns the view of the group. With the mutant UncheckedLevels, an owner assumes that every replica can
+// apply commands of every level.
 func (p *recordingGroup) View() group.View {
 	v := p.Group.View()
 	if p.isIgnoringLevels {
@@ -107,8 +107,8 @@
 	timeLead *timeLead
 }
 
-// Apply checks the time and level of a command and applies it. With the mutant, a replica regards every command as
-// its own, and so keeps its own count where that is ahead.
+// Apply checks the time and level of a command and applies it. With the mutant LocalGroupTime, a replica regards
+// every command as its own, and so keeps its own count where that is ahead.
 func (x *timedPlace) Apply(data []byte, isOwn bool) any {
 	if c, err := place.Decode(data); err == nil && c.Level > x.s.level {
 		x.s.w.breach(RuleLevel, "%s got a command of level %d, its build can apply level %d", x.s.name, c.Level, x.s.level)
--- a/internal/sim/oracle.go
+++ b/internal/sim/oracle.go
@@ -75,8 +75,8 @@
 
 // recordConfirmed records that a manager confirmed an order to its operator.
 func (b *oracle) recordConfirmed(o *order) {
-	revision, isTaken := b.committed[o.digest]
-	if !isTaken {
+	revision, isCommitted := b.committed[o.digest]
+	if !isCommitted {
 		b.recordBreach("order %s of version %d was confirmed but never committed", o.digest, o.version)
 		return
 	}
@@ -92,7 +92,7 @@
 // recordRefused records that a manager refused an order for good.
 func (b *oracle) recordRefused(o *order, err error) {
 	b.refused[o.digest] = true
-	if revision, isTaken := b.committed[o.digest]; isTaken {
+	if revision, isCommitted := b.committed[o.digest]; isCommitted {
 		b.recordBreach("order %s (version %d on base %d) was committed at revision %d and then refused on a retry: %v", o.digest, o.version, o.base, revision, err)
 	}
 }
