--- a/internal/standin/adminendpoints.go
+++ b/internal/standin/adminendpoints.go
@@ -10,23 +10,23 @@
 	"caperwheel/internal/errs"
 )
 
-// Of so many held callers one asks at doors that take no message in.
+// adminCallerEvery: one held caller in so many calls admin endpoints instead of submitting messages.
 const adminCallerEvery = 7
 
-// Ports of the product's own HTTP interface, counted from the first internal one.
+// Ports of the product's own HTTP interfaces, within the internal port range.
 const (
 	portHttp      = portFirst + 2
 	portAgentHttp = portFirst + 3
 )
 
-// adminEndpoint is a listener of a class of machines, and a path that is served there.
+// adminEndpoint is a path that the processes of a machine class serve on a port that accepts no messages.
 type adminEndpoint struct {
 	class string
 	port  int
 	path  string
 }
 
-// adminEndpoints are all but the one for messages.
+// adminEndpoints are the endpoints that held callers use beside message submission.
 var adminEndpoints = []adminEndpoint{
 	{classFront, portReady, "/v1/readiness"},
 	{classFront, portHttp, "/metrics"},
@@ -36,13 +36,13 @@
 	{classStore, portHttp, "/metrics"},
 }
 
-// runningMachines lists the machines of a class that are meant to run.
+// runningMachines lists the machines of a class whose processes should be running.
 func (s *Site) runningMachines(class string) []*Machine {
 	return slices.DeleteFunc(slices.Clone(s.Machines), func(m *Machine) bool { return m.Class != class || !m.isRunning() })
 }
 
-// isRunning reports whether the machine's processes are meant to run; one that is being
-// stopped counts.
+// isRunning reports whether the machine's processes should be running. A machine that is being stopped or started
+// holds its mutex and counts as running.
 func (m *Machine) isRunning() bool {
 	if !m.mu.TryLock() {
 		return true
@@ -51,7 +51,7 @@
 	return m.shouldRun
 }
 
-// chooseFront draws a front for messages, ready or not, on any route that there is.
+// chooseFront draws a running front, ready or not, as the target of message submissions on any route.
 func (s *Site) chooseFront(draws *rand.Rand) (target, bool) {
 	fronts := s.runningMachines(classFront)
 	if len(fronts) == 0 {
@@ -69,8 +69,8 @@
 		}}, true
 }
 
-// drawLoad draws one of the plan's loads by its rate, at times on a route that has
-// just been added.
+// drawLoad draws one of the plan's loads in proportion to its rate, and one time in trialRouteEvery a load for the
+// newest trial route, if there is one.
 func (s *Site) drawLoad(draws *rand.Rand) Load {
 	if trial, isThere := s.operator.newestTrial(); isThere && draws.IntN(trialRouteEvery) == 0 {
 		return Load{Route: trial.Name, Host: trial.Host, Prefix: trial.Prefix, Size: 300, DelayedShare: 0.5, MaxDelay: s.plan.Loads[0].MaxDelay}
@@ -88,10 +88,10 @@
 	return s.plan.Loads[0]
 }
 
-// Of so many messages of held callers one is on a route that comes and goes.
+// trialRouteEvery: one message of held callers in so many goes to a trial route, which faults add and remove.
 const trialRouteEvery = 12
 
-// chooseAdminEndpoint draws another door of any machine.
+// chooseAdminEndpoint draws an admin endpoint of a running machine as a target.
 func (s *Site) chooseAdminEndpoint(draws *rand.Rand) (target, bool) {
 	d := adminEndpoints[draws.IntN(len(adminEndpoints))]
 	machines := s.runningMachines(d.class)
--- a/internal/standin/answer_test.go
+++ b/internal/standin/answer_test.go
@@ -8,7 +8,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestAnswerForms guards against workers that answer all alike: a bound that a long answer passes was never met.
+// TestAnswerForms guards against workers whose responses all have the same size and framing: limits that only a long
+// response exceeds would never be exercised.
 func TestAnswerForms(t *testing.T) {
 	Convey("Of some hundred messages each form of answer comes, and a message's own is always the same", t, func() {
 		seen := map[responseShape]int{}
--- a/internal/standin/calls_test.go
+++ b/internal/standin/calls_test.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/linearize"
 )
 
-// TestCallsAreJudged: the operators' calls of a run are judged as a whole.
+// TestCallsAreJudged checks that Judge tests the operators' calls of a run for linearizability.
 func TestCallsAreJudged(t *testing.T) {
 	type op = linearize.Operation
 	first := op{CalledAt: 1 * s, ReturnedAt: 2 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 3, Digest: "a"}
@@ -27,7 +27,7 @@
 	}
 	rival := op{CalledAt: 30 * s, ReturnedAt: 31 * s, Kind: linearize.Replace, Outcome: linearize.Confirmed, Version: 5, Base: 3, Digest: "c"}
 	cases := []struct {
-		name, rule string // no rule: nothing is wrong
+		name, rule string // empty: no breach is expected
 		calls      []op
 	}{
 		{"a change and another, read back", "", []op{first, second, read(5, "b")}},
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -20,22 +20,23 @@
 	"caperwheel/internal/fleet"
 )
 
-// Load is what clients send on a route.
+// Load describes the messages that clients submit on a route.
 type Load struct {
 	Route, Host, Prefix         string
-	Rate                        float64 // messages a second
+	Rate                        float64 // messages per second
 	Keys, Size                  int
-	DelayedShare, PoisonedShare float64       // shares
-	MaxDelay                    time.Duration // the longest delay; 2 s if not given
-	FailingShare                float64       // share that fails once
+	DelayedShare, PoisonedShare float64       // fractions of the messages
+	MaxDelay                    time.Duration // longest delay; 0 means 2 s
+	FailingShare                float64       // fraction whose first run fails
 	IsNotified                  bool
-	IsPublic                    bool   // no key is needed
-	Tenant                      string // whose messages they are; drawn if not given
+	IsPublic                    bool   // the route needs no API key
+	Tenant                      string // tenant that submits the messages; drawn per message if empty
 }
 
 const maxRetries = 2
 
-// Client is one client, with a session that it keeps and new ones for tries.
+// Client is a client of the service. It submits each message first over pooled connections and retries over new
+// connections, which the entry may assign to other fronts.
 type Client struct {
 	site           *Site
 	zone           string
@@ -52,21 +53,21 @@
 	return c
 }
 
-// Message is one message, as tries have it in common.
+// Message is one message; all its submissions share these values.
 type Message struct {
 	Load
-	Key, PathSuffix, BodyPrefix string // Tail ends the path; Words stand in the body
+	Key, PathSuffix, BodyPrefix string // PathSuffix follows the route's prefix; BodyPrefix begins the body
 	Delay                       time.Duration
-	Operation                   string // key that all tries carry; none if empty
+	Operation                   string // operation key that all submissions carry; empty for none
 
-	hasOwner    bool          // its tenant and operation key are drawn
-	firstSentAt time.Duration // when it was first sent
-	body        []byte        // of all tries with one operation key
+	hasOwner    bool          // tenant and operation key have been drawn
+	firstSentAt time.Duration // time of the first submission
+	body        []byte        // shared by all submissions with one operation key
 }
 
 var lastSubmission atomic.Int64
 
-// Send sends a message until it is accepted or given up, and gives the last try.
+// Send submits a message until it is accepted or given up, and returns the last submission.
 func (c *Client) Send(ctx context.Context, m Message) Submission {
 	draws := newRand()
 	c.site.assignOwner(&m, draws)
@@ -77,7 +78,8 @@
 	return sent
 }
 
-// submitWithRetries sends a message until it is accepted or given up.
+// submitWithRetries submits a message until it is accepted, its state is unknown, the retries are used up or the
+// client's deadline has passed. It waits for the Retry-After time between submissions.
 func (c *Client) submitWithRetries(ctx context.Context, m Message, draws *rand.Rand) Submission {
 	by, via := time.Now().Add(c.deadline), c.firstTransport
 	for try := 0; ; try++ {
@@ -90,7 +92,7 @@
 	}
 }
 
-// request builds a try of a message, and the record of it.
+// request builds the HTTP request of one submission and the record of it.
 func (s *Site) request(ctx context.Context, m Message, left time.Duration, draws *rand.Rand) (*http.Request, Submission, error) {
 	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), draws.Uint64())
 	s.assignOwner(&m, draws)
@@ -100,7 +102,7 @@
 	}
 	reader := io.Reader(bytes.NewReader(body))
 	if draws.IntN(3) == 0 {
-		reader = struct{ io.Reader }{reader} // of no length that is known
+		reader = struct{ io.Reader }{reader} // hides the length, so that the body is sent chunked
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Host+m.Prefix+m.PathSuffix, reader)
 	if err != nil {
@@ -131,10 +133,10 @@
 		IsNotified: m.IsNotified, Tenant: m.Tenant, ApiKey: apiKey, Operation: m.Operation}, nil
 }
 
-// newRand gives a source of chance of its own to a goroutine.
+// newRand returns a random source for a single goroutine.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// submit makes one try and records it.
+// submit sends one request, records the submission and returns it with the Retry-After time of the response.
 func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, left time.Duration, draws *rand.Rand) (Submission, time.Duration) {
 	site := c.site
 	req, sent, err := site.request(ctx, m, left, draws)
@@ -189,7 +191,7 @@
 	}
 }
 
-// message draws one of a load's.
+// message draws a message of the load.
 func (l Load) message(draws *rand.Rand) Message {
 	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", draws.IntN(1000), draws.IntN(9))}
 	if l.Keys > 0 {
@@ -207,21 +209,21 @@
 	return m
 }
 
-// minDelay is the shortest delay of a message that has one.
+// minDelay is the shortest delay of a delayed message.
 const minDelay = 300 * time.Millisecond
 
-// drawDelay draws a delay: each span is as likely as the next one of twice its length.
+// drawDelay draws a delay from minDelay to most (0 means 2 s) by a log-uniform distribution.
 func drawDelay(most time.Duration, draws *rand.Rand) time.Duration {
 	return drawLogUniform(minDelay, cmp.Or(most, 2*time.Second), draws)
 }
 
-// drawLogUniform draws a span: each one is as likely as the next of twice its length.
+// drawLogUniform draws a duration by a log-uniform distribution: each octave between the bounds is equally likely.
 func drawLogUniform(shortest, longest time.Duration, draws *rand.Rand) time.Duration {
 	ratio := float64(longest) / float64(shortest)
 	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), draws.Float64()))
 }
 
-// RunTraffic has clients send loads until ctx ends.
+// RunTraffic submits the loads through a set of clients until ctx ends, and waits for the submissions under way.
 func (s *Site) RunTraffic(ctx context.Context, loads []Load, deadline time.Duration) {
 	clients := []*Client{}
 	for i := range 4 * len(s.Zones) {
--- a/internal/standin/commands_test.go
+++ b/internal/standin/commands_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestOrdersInCalm: an order was once judged only where nothing was hurt from its sending on, so one that stayed
-// without an answer for a minute after a trouble passed.
+// TestOrdersInCalm guards against a judge that looks at a command only if nothing is disrupted from its start on: a
+// command that stayed unacknowledged for a minute after a disruption then passed.
 func TestOrdersInCalm(t *testing.T) {
 	hurt := func(froms ...time.Duration) (out []Disruption) {
 		for _, from := range froms {
--- a/internal/standin/concurrentfaults.go
+++ b/internal/standin/concurrentfaults.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// Stops and changes that meet others of their kind.
+// Faults that combine several stops or configuration changes at the same time.
 
-// reload has machines read changed settings again and again while the configuration changes.
+// reload makes machines reload changed settings repeatedly while the configuration changes.
 func reload(ctx context.Context, s *Site, who string) func() {
 	var storming sync.WaitGroup
 	storming.Go(func() { reloadRepeatedly(ctx, s, who) })
@@ -17,14 +17,15 @@
 	return func() {}
 }
 
-// restartAgents stops the agents of fronts alone, and starts them again once they have ended. Their adapters
-// serve on, and stop only where their view grows too old.
+// restartAgents stops only the agents of front machines and starts each again once it has exited. The adapters on
+// these machines keep serving, and stop accepting only when their view of the system becomes too old.
 func restartAgents(_ context.Context, s *Site, who string) func() {
 	s.disruptEach(who, func(m *Machine) { m.restartProcess("agent") })
 	return func() {}
 }
 
-// stopTogether has machines of several kinds stop at the same moment, named with a + between them. Undone, they start again.
+// stopTogether stops machines of several kinds at the same moment; who joins their names with "+". They start again
+// when the fault ends.
 func stopTogether(_ context.Context, s *Site, who string) func() {
 	var stopping sync.WaitGroup
 	undo := []func(){}
--- a/internal/standin/configfaults.go
+++ b/internal/standin/configfaults.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// changeConfig changes the configuration in the way that who names.
+// changeConfig changes the configuration; who names the kind of change.
 func changeConfig(ctx context.Context, s *Site, who string) func() {
 	o := s.operator
 	switch who {
@@ -44,7 +44,7 @@
 	return func() {}
 }
 
-// trial is a route of a name and prefix that none had.
+// trial returns a new route whose name and prefix have not been used before.
 func (c siteConfig) trial() route {
 	r := c.Routes[0]
 	salt := rand.Uint32()
@@ -52,8 +52,8 @@
 	return r
 }
 
-// newestTrial returns the trial route that was added last of those in force; none
-// while an order is under way.
+// newestTrial returns the trial route added last among those in force. It finds none while the operator's mutex is
+// held, that is while a change is under way.
 func (o *operator) newestTrial() (newest route, isThere bool) {
 	if !o.mu.TryLock() {
 		return route{}, false
@@ -67,8 +67,8 @@
 	return newest, isThere
 }
 
-// SubmitToEachFront sends each front some messages on a route that was just added or
-// removed: now, and once every front must know.
+// SubmitToEachFront submits messages to each ready front on a route that was just added or removed: at once, and
+// until after the time by which every front must have applied the change.
 func (s *Site) SubmitToEachFront(ctx context.Context, r route) {
 	load := Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix, Size: 100}
 	draws := newRand()
@@ -86,7 +86,7 @@
 	}
 }
 
-// sendInvalid sends configurations that must not be taken.
+// sendInvalid sends each kind of invalid configuration, none of which may be acknowledged.
 func (o *operator) sendInvalid(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// sendRace has two operators build on one version.
+// sendRace sends two configurations with the same base version concurrently; one of them must be acknowledged.
 func (o *operator) sendRace(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,7 +112,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			codes[i] = o.send(ctx, false, o.current.Version, rivals[i], rivals[i].document(), false)
+			codes[i] = o.send(ctx, false, o.current.Version, rivals[i], rivals[i].body(), false)
 		}()
 	}
 	wg.Wait()
@@ -126,7 +126,8 @@
 	o.sync(ctx)
 }
 
-// sendRepeat sends a change and, once it was acknowledged, the same again.
+// sendRepeat sends a change and, once it has been acknowledged, the identical request again, which must be
+// acknowledged too.
 func (o *operator) sendRepeat(ctx context.Context) {
 	was, c, code := o.changeFrom(ctx, false, func(c *siteConfig) { c.Routes[0].Timeout++ })
 	if code != 200 {
@@ -135,7 +136,7 @@
 	order := Command{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
 	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.document(), false); code == 200 {
+	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.body(), false); code == 200 {
 		order.AckAt = o.site.Now()
 	}
 	o.site.History.WithLock(func() { o.site.History.Commands = append(o.site.History.Commands, order) })
--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -13,9 +13,10 @@
 	"caperwheel/internal/errs"
 )
 
-const maxFailedProbes = 2 // so many in a row take a daemon out
+const maxFailedProbes = 2 // consecutive failed probes that take a front out of rotation
 
-// entry passes clients' sessions to fronts that say they are ready.
+// entry stands in for the platform's load balancer: it assigns client connections to fronts whose readiness probes
+// succeed.
 type entry struct {
 	site         *Site
 	fronts       []*Machine
@@ -35,7 +36,7 @@
 	return e
 }
 
-// probe asks every front whether it is ready.
+// probe sends a readiness probe to every front and counts consecutive failures.
 func (e *entry) probe() {
 	var wg sync.WaitGroup
 	for _, m := range e.fronts {
@@ -69,8 +70,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(m *Machine) bool { return m.Zone != zone })
 }
 
-// chooseFrontFor gives a client's session a front: of its zone, or else of the next
-// zone that has any; by a hash, and another one for each further try.
+// chooseFrontFor chooses the front for a client's connection: one of the client's zone, or else of the next zone that
+// has a ready front. If less than half of the chosen zone's own fronts are ready, all fronts of that zone are
+// candidates, ready or not. A hash of the client's name selects the candidate; each retry selects the next one.
 func chooseFrontFor(zones []string, fronts, in []*Machine, zone, client string, try int) *Machine {
 	from := max(0, slices.Index(zones, zone))
 	list := []*Machine{}
@@ -90,7 +92,7 @@
 	return list[(int(sum.Sum32()%1000)+try)%len(list)]
 }
 
-// dialer opens sessions of one client, which are passed on.
+// dialer returns a dial function that connects one client to the front that the entry chooses for each try.
 func (e *entry) dialer(zone, client string, try func() int) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
 		m := chooseFrontFor(e.site.Zones, e.fronts, e.readyFronts(), zone, client, try())
@@ -101,14 +103,14 @@
 	}
 }
 
-// transportTo opens sessions with one front, past the choice.
+// transportTo returns a transport that connects to one given front, bypassing the load balancer.
 func (e *entry) transportTo(m *Machine) http.RoundTripper {
 	return &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, e.site.at(m.host, portFront))
 	}}
 }
 
-// machineAt reports whose address it is.
+// machineAt returns the machine that has an address; nil if there is none.
 func (s *Site) machineAt(addr net.Addr) *Machine {
 	host, _, _ := net.SplitHostPort(addr.String())
 	for _, m := range s.Machines {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,9 +10,9 @@
 	"caperwheel/internal/fleet"
 )
 
-// faultActions cause a fault and give back what undoes it. Who names machines
-// (store-1, core-*, "zone north-bank", *), or workers by their service's place
-// in the plan (pool-1/1, pool-1/*, pool-3/*).
+// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. who
+// names machines (store-1, core-*, "zone north-bank", *), or workers by the position of their service in the plan
+// (pool-1/1, pool-1/*, pool-3/*).
 var faultActions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
 	"kill": func(_ context.Context, s *Site, who string) func() {
 		return s.disruptEach(who, func(m *Machine) { m.stop(false) })
@@ -44,11 +44,11 @@
 	"fail": setMode, "crawl": setMode, "lose": setMode, "cut": setMode, "silent": setMode, "full": setMode,
 }
 
-// IsFault reports whether there is a fault of that name.
+// IsFault reports whether a fault of that name exists.
 func IsFault(do string) bool { return faultActions[do] != nil }
 
-// InjectFaults carries out a schedule. Recovery is judged from when a step was really
-// begun or undone: a busy machine takes its time.
+// InjectFaults carries out a schedule of faults. It records the time at which each step really began and ended, from
+// which recovery is judged: on a busy machine a step can take long.
 func (s *Site) InjectFaults(ctx context.Context, schedule fleet.Schedule) {
 	isJudged := map[string]bool{}
 	for _, o := range schedule.Outages() {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// disruptEach hurts machines at once; undone, they start again.
+// disruptEach applies a fault to all matching machines concurrently; when the fault ends, they start again.
 func (s *Site) disruptEach(who string, do func(*Machine)) func() {
 	all, done := s.machinesMatching(who), make(chan struct{})
 	for _, m := range all {
@@ -101,8 +101,8 @@
 	}
 }
 
-// wipeAndKill has machines lose their disks while all others are killed at the same
-// moment, those too whose loss does not count. Undone, all start again.
+// wipeAndKill deletes the disks of the matching machines while all machines are killed at the same moment, including
+// those that do not count as lost machines. All start again when the fault ends.
 func (s *Site) wipeAndKill(who string) func() {
 	isWiped := map[*Machine]bool{}
 	for _, m := range s.machinesMatching(who) {
@@ -117,7 +117,7 @@
 	})
 }
 
-// rollingRestart stops machines and starts them again one after another.
+// rollingRestart stops and restarts the matching machines one after another.
 func rollingRestart(ctx context.Context, s *Site, who string) func() {
 	for _, m := range s.machinesMatching(who) {
 		m.stop(true)
@@ -156,7 +156,7 @@
 	}
 }
 
-// evacuateZone evacuates a zone; undone, it is taken back.
+// evacuateZone starts the evacuation of a zone and finishes it when the fault ends.
 func evacuateZone(ctx context.Context, s *Site, zone string) func() {
 	if s.operator.evacuate(ctx, zone, "start") {
 		s.History.WithLock(func() {
@@ -176,7 +176,7 @@
 	}
 }
 
-// floodRoute sends what no worker can do, until undone.
+// floodRoute submits messages that no worker can process, at three times the load's rate, until the fault ends.
 func floodRoute(ctx context.Context, s *Site, route string) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	for _, load := range s.plan.Loads {
--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -20,41 +20,41 @@
 	queryTimeout         = 2 * time.Second
 	queryInterval        = 100 * time.Millisecond
 	maxConcurrentQueries = 64
-	maxQueryTries        = 3                // fronts that are asked for one message in a round
-	finalRoundTimeout    = 30 * time.Second // for the last word of all that is left
-	endedCheckInterval   = time.Second      // between two looks at which messages have ended
-	progressInterval     = 15 * time.Second // of how far the asking is
-	endedSampleSize      = 1000             // messages known to have ended that are asked after as well
+	maxQueryTries        = 3                // fronts that are queried for one message in a round
+	finalRoundTimeout    = 30 * time.Second // for the final round of queries
+	endedCheckInterval   = time.Second      // between two checks for messages that have ended
+	progressInterval     = 15 * time.Second // between two progress reports
+	endedSampleSize      = 1000             // messages known to have ended that are queried as well
 )
 
-// finalStateCollector is the asking after all that was accepted.
+// finalStateCollector queries the accepted messages until the final state of each is known.
 type finalStateCollector struct {
 	site        *Site
-	pending     []Submission // not asked to the end yet
+	pending     []Submission // submissions without a final state so far
 	resolved    int
 	round       int
-	idleTimeout time.Duration                  // after so long in which none has ended, the last word is asked for
-	report      func(form string, args ...any) // how far it is
-	// What workers have ended meanwhile is not asked after.
+	idleTimeout time.Duration                  // after so long without progress the final round begins
+	report      func(form string, args ...any) // reports progress
+	// Messages that have ended meanwhile, by the workers' records, are not queried.
 	isOpenOnly bool
 }
 
-// CollectFinalStates asks for all that was accepted until it has ended or ctx ends, and
-// records the last word of each, with the bytes of what has not ended.
+// CollectFinalStates queries all accepted messages until they have ended or ctx ends. It records the final state of
+// each, and the checksum of the body of each that is still queued.
 func (s *Site) CollectFinalStates(ctx context.Context) {
 	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: math.MaxInt64, report: func(string, ...any) {}}
 	a.run(ctx)
 }
 
-// CollectOpenFinalStates does the same for what is not known to have ended, as workers saw it, and for a
-// sample of the rest, for as long as any ends.
+// CollectOpenFinalStates does the same as CollectFinalStates for the messages that have not ended by the workers'
+// records, and for a sample of the others. It stops early when no message has ended for the duration quiet.
 func (s *Site) CollectOpenFinalStates(ctx context.Context, quiet time.Duration, tell func(form string, args ...any)) {
 	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: quiet, report: tell, isOpenOnly: true}
 	a.dropEnded(endedSampleSize)
 	a.run(ctx)
 }
 
-// accepted lists the messages that were accepted.
+// acceptedSubmissions lists the submissions that were accepted.
 func (s *Site) acceptedSubmissions() []Submission {
 	out := []Submission{}
 	s.History.WithLock(func() {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// run asks in rounds until nothing is left, nothing has ended for a while, or ctx ends, and then once
-// for the last word.
+// run queries in rounds until no message is pending, none has ended for idleTimeout, or ctx ends. A final round then
+// records the state of the messages that are still pending, whatever it is.
 func (a *finalStateCollector) run(ctx context.Context) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
@@ -103,7 +103,7 @@
 	}
 }
 
-// ask asks once for each open message, many at once, and keeps those that are to be asked again.
+// queryRound queries each pending message once, concurrently, and keeps those that must be queried again.
 func (a *finalStateCollector) queryRound(ctx context.Context, isFinalRound bool) {
 	a.round++
 	pool := pond.NewPool(min(maxConcurrentQueries, maxQueryTries*len(a.site.entry.fronts)))
@@ -126,7 +126,7 @@
 	a.resolved += before - len(a.pending)
 }
 
-// dropEnded leaves out what workers have ended since, but for so many.
+// dropEnded removes the messages that have ended by the workers' records, except for a sample of that size.
 func (a *finalStateCollector) dropEnded(sample int) {
 	a.site.History.WithLock(func() {
 		j, now := newJudge(a.site.History), a.site.Now()
@@ -140,13 +140,13 @@
 	})
 }
 
+// probePeriod is the interval between two observations by ObserveMessages.
 const probePeriod = 20 * time.Millisecond
 
-// productState are the product's words, which its own check knows.
+// productState maps the states of the product's API to those of package check.
 var productState = map[string]string{"queued": "held", "completed": "ended", "dead_letter": "failed"}
 
-// ObserveMessages asks any front for some message that was accepted, its state and its
-// bytes, until ctx ends.
+// ObserveMessages queries random fronts for the state and body of random recent messages until ctx ends.
 func (s *Site) ObserveMessages(ctx context.Context) {
 	for sleep(ctx, probePeriod) {
 		sent := Submission{}
@@ -162,12 +162,13 @@
 	}
 }
 
+// observe queries one random front for the state and body of a message and records the observation.
 func (s *Site) observe(sent Submission) {
 	addr := s.at(s.entry.fronts[rand.IntN(len(s.entry.fronts))].host, portFront)
 	seen := check.StatusRead{Id: sent.Id, RequestedAt: s.Now(), State: "unknown"}
 	code, raw := s.query(addr, sent, "/v1/message/")
 	if code != 200 && code != 404 {
-		return // it cannot be reached now
+		return // front unreachable at present
 	}
 	if code == 200 {
 		seen.State = productState[gjson.GetBytes(raw, "state").Str]
@@ -179,7 +180,8 @@
 	s.History.WithLock(func() { s.History.Observations = append(s.History.Observations, seen) })
 }
 
-// lastWord is true once there is no more to ask.
+// queryFinalState queries up to maxQueryTries fronts for a message. It returns true once the message needs no further
+// query.
 func (s *Site) queryFinalState(sent Submission, turn int, isFinalRound bool) bool {
 	fronts := s.entry.fronts
 	for try := range min(maxQueryTries, len(fronts)) {
@@ -197,7 +199,7 @@
 		}
 		if end.State == "queued" {
 			if code, raw = s.query(addr, sent, "/v1/message-body/"); code != 200 {
-				continue // it may have ended meanwhile
+				continue // the message may have ended since
 			}
 			end.BodySum = fleet.Checksum(raw)
 		}
@@ -211,10 +213,13 @@
 	return isFinalRound
 }
 
+// query reads a path of a message at a front with a valid API key of the message's tenant. The status is 0 if there
+// is no complete response.
 func (s *Site) query(addr string, sent Submission, path string) (int, []byte) {
 	return s.queryWithKey(s.keys.valid(sent.Tenant), addr, sent, path)
 }
 
+// queryWithKey is query with a given API key; empty for none.
 func (s *Site) queryWithKey(key, addr string, sent Submission, path string) (int, []byte) {
 	ctx, cancel := context.WithTimeout(s.ctx, queryTimeout)
 	defer cancel()
--- a/internal/standin/heldcaller.go
+++ b/internal/standin/heldcaller.go
@@ -20,25 +20,25 @@
 // connectionUse is how a held caller uses its connection.
 type connectionUse int
 
-// The habits.
+// The ways in which held callers use their connections.
 const (
-	busy           connectionUse = iota // hardly a pause between two requests
-	idle                                // a request just after the process was given a signal, and seldom one before
-	inPieces                            // bodies come in two pieces
-	connectionUses                      // how many there are
+	busy           connectionUse = iota // requests follow each other with hardly a pause
+	idle                                // a request follows a signal to the process, and is rare otherwise
+	inPieces                            // a request is sent in two pieces
+	connectionUses                      // number of ways
 )
 
-// Spans of held callers.
+// Durations for held callers.
 const (
-	maxBusyPause    = 40 * time.Millisecond  // the longest between two requests
-	maxIdlePause    = 4 * time.Second        // without a signal a request comes after so long
-	maxSignalDelay  = 30 * time.Millisecond  // the longest between a signal and the request that it is awaited for
-	maxPiecePause   = 400 * time.Millisecond // the longest between two pieces
-	responseTimeout = 30 * time.Second       // an answer is waited for so long
-	noTargetPause   = 50 * time.Millisecond  // where there is nobody to call
+	maxBusyPause    = 40 * time.Millisecond  // longest pause between two requests
+	maxIdlePause    = 4 * time.Second        // longest wait for a signal before a request
+	maxSignalDelay  = 30 * time.Millisecond  // longest pause between a signal and the request after it
+	maxPiecePause   = 400 * time.Millisecond // longest pause between two pieces of a request
+	responseTimeout = 30 * time.Second       // for dialing, sending and receiving
+	noTargetPause   = 50 * time.Millisecond  // when no target is running
 )
 
-// target is a door of a machine's process, and how it is asked.
+// target is an endpoint of a machine, with functions that build a request for it and record the outcome.
 type target struct {
 	machine *Machine
 	addr    string
@@ -46,7 +46,7 @@
 	record  func(Submission)
 }
 
-// heldCaller keeps using each connection until its process has gone.
+// heldCaller keeps using a connection until the process at the other end has closed it, and then opens another.
 type heldCaller struct {
 	site          *Site
 	connectionUse connectionUse
@@ -54,7 +54,7 @@
 	choose        func(draws *rand.Rand) (target, bool)
 }
 
-// run calls until ctx ends, one connection after another.
+// run uses one connection after another until ctx ends.
 func (c *heldCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, isFound := c.choose(c.draws)
@@ -64,7 +64,7 @@
 	}
 }
 
-// useConnection uses one connection until it ends, and reports whether there was one.
+// useConnection sends requests on one connection until it closes or ctx ends, and reports whether it could be opened.
 func (c *heldCaller) useConnection(ctx context.Context, t target) bool {
 	raw, err := net.DialTimeout("tcp", t.addr, responseTimeout)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// wait is the pause before a request; false once ctx has ended.
+// waitBeforeRequest waits as the connection use demands before the next request. It returns false once ctx has ended.
 func (c *heldCaller) waitBeforeRequest(ctx context.Context, m *Machine) bool {
 	if c.connectionUse != idle {
 		return sleep(ctx, time.Duration(c.draws.Int64N(int64(maxBusyPause))))
@@ -96,8 +96,8 @@
 	}
 }
 
-// exchange sends a request and hears its answer. It reports whether the connection
-// can be used again.
+// exchange sends a request, reads its response and records the outcome. It reports whether the connection can be used
+// again.
 func (c *heldCaller) exchange(conn *net.TCPConn, answers *bufio.Reader, t target) (isOpen bool) {
 	req, sent, err := t.request(c.draws)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return err == nil && !answer.Close
 }
 
-// send writes a request, for some habits in two pieces, and reports whether all was
-// written.
+// send writes a request, in two pieces if the connection use is inPieces, and reports whether it was written
+// completely.
 func (c *heldCaller) send(conn net.Conn, raw []byte) (isWhole bool) {
 	_ = conn.SetWriteDeadline(time.Now().Add(responseTimeout))
 	if c.connectionUse == inPieces {
@@ -147,9 +147,9 @@
 	return err == nil
 }
 
-// wasRead reports whether the process at the other end had read all that was sent
-// when the connection ended: what is closed with bytes unread, or gets more of them
-// later, is reset.
+// wasRead reports whether the process at the other end had read everything that was sent before it closed the
+// connection. The kernel resets a connection that is closed with unread bytes, or that receives bytes after it was
+// closed.
 func wasRead(conn *net.TCPConn, err error) bool {
 	isEnd := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 	raw, rawErr := conn.SyscallConn()
@@ -163,8 +163,8 @@
 	return rawErr == nil && code == 0
 }
 
-// RunHeldCallers has held callers of all habits call until ctx ends. The same seed draws
-// the same calls for each caller.
+// RunHeldCallers runs count held callers with all connection uses until ctx ends. The same seed draws the same
+// requests for each caller.
 func (s *Site) RunHeldCallers(ctx context.Context, seed uint64, count int) {
 	var callers sync.WaitGroup
 	for i := range count {
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -1,7 +1,8 @@
-// Package standin stands in for the platform that the service runs on: its
-// entry, clients, workers, list, operator and receivers of call-backs, all on
-// loopback. What they saw is judged by the platform's rules. Besides platform/,
-// only this package knows the platform's names.
+// Package standin emulates the platform on which the service runs: its entry (load balancer), clients, workers, list
+// of worker instances, operator and call-back receivers, all on loopback addresses. It starts real daemons as a Site,
+// sends load, injects scheduled faults, records what is visible from outside in a History, and judges that History by
+// the platform's rules. cmd/fleet and the tests of this package call it. Besides platform/, this package is the only
+// place that contains the platform's names.
 package standin
 
 import (
@@ -12,33 +13,33 @@
 	"caperwheel/internal/linearize"
 )
 
-// Submission is one try of a client.
+// Submission is one HTTP request by which a client submits a message; a message may have several.
 type Submission struct {
-	check.Sent                // Token is the try's id, Lane the route's name
-	RequestLine        string // method, path and key as they were sent
-	Code               int    // 0: no whole answer came
-	Daemon             string // that the entry gave the session to
-	Incarnation        int64  // of the daemon
-	IsConnectionBroken bool   // the daemon broke the session off, the message read or not
-	IsFullyRead        bool   // the process had read all that was sent when it ended the session without a whole answer
+	check.Sent                // Token is the attempt id, Lane the name of the route
+	RequestLine        string // method, path and order key as sent
+	Code               int    // status; 0: no complete response
+	Daemon             string // to which the entry assigned the connection
+	Incarnation        int64  // of the daemon's machine, counted by its starts
+	IsConnectionBroken bool   // the daemon closed the connection without a complete response
+	IsFullyRead        bool   // as IsConnectionBroken, and the daemon had read the whole request
 	IsNotified         bool
-	Tenant             string // whose client it is; empty on a public route
-	ApiKey             string // that it sent; empty for none
-	Operation          string // key of the operation, which all tries of a message have in common
-	RetryAfter         string // as it was answered
+	Tenant             string // tenant of the client; empty on a public route
+	ApiKey             string // as sent; empty for none
+	Operation          string // operation key, shared by all submissions of a message
+	RetryAfter         string // header of the response
 }
 
-// Run is one run that a worker began.
+// Run is one run of a message by a worker.
 type Run struct {
-	check.Run   // Pool is the service, Worker the life's identifier
+	check.Run   // Pool is the service, Worker the worker's identifier
 	RequestLine string
 	Stamp       string
-	TimeLeft    time.Duration // what was left of its time when its answer was written
-	Tenant      string        // that the worker was told
-	KeyField    string        // the field in which it got an API key; empty for none
+	TimeLeft    time.Duration // time left before the deadline when the response was written
+	Tenant      string        // in the request to the worker
+	KeyField    string        // where the request to the worker had an API key; empty if nowhere
 }
 
-// Met is one arrival at a worker or endpoint, run or not.
+// Arrival is one request that arrived at a worker or endpoint, whether it was run or rejected.
 type Arrival struct {
 	Service, Worker, Zone string
 	At                    time.Duration
@@ -46,54 +47,54 @@
 	IsCold                bool
 }
 
-// Tell is a call-back as a receiver got it.
+// Callback is a call-back as a receiver recorded it.
 type Callback struct {
 	Token, State, Stamp string
 	At                  time.Duration
 }
 
-// FinalState is what the system says of a message at last.
+// FinalState is the state of a message as the service reports it after the run.
 type FinalState struct {
-	State, Stamp string // State empty: no answer came; "unknown": a 404
-	BodySum      string // empty: the bytes did not come
+	State, Stamp string // State is empty without a response, and "unknown" for status 404
+	BodySum      string // empty if the body was not returned
 	At           time.Duration
 }
 
-// CrossTenantQuery is a question for a message of one tenant with a key of another, or with none.
+// CrossTenantQuery is a query for a message of one tenant with an API key of another tenant, or with none.
 type CrossTenantQuery struct {
 	Token, Tenant string // of the message
-	ApiKey        string // the key
+	ApiKey        string // sent with the query
 	Code          int
 }
 
-// Edit is a configuration that was sent.
+// Edit is a configuration that the operator sent.
 type Edit struct {
-	check.Edit    // Revision is the version, Pools are routes and their services
+	check.Edit    // Revision is the version; Pools maps routes to their services
 	Base          int64
-	RequestDigest string // names it, also when it is sent again
-	Document      []byte // the configuration that it makes
-	Code          int    // the last clear answer; 0 for none
+	RequestDigest string // identifies the request; equal for a repetition
+	Document      []byte // complete configuration that the request results in
+	Code          int    // status of the last conclusive response; 0 for none
 	IsInvalid     bool
 	Tenants       []tenant
-	Public        []string // routes that need no key
+	Public        []string // routes that need no API key
 }
 
-// Order is any call of the operator that must be acknowledged in time.
+// Command is a request of the operator that must be acknowledged within a bound.
 type Command struct {
 	Text      string
 	At, AckAt time.Duration
-	GivenUpAt time.Duration // when the operator stopped sending one that was not acknowledged
+	GivenUpAt time.Duration // when the operator gave up without an acknowledgement
 }
 
-// Disruption is a span in which daemons were hurt; planned ones were asked to go.
+// Disruption is a span in which a daemon was stopped, killed or frozen. A planned one is a graceful stop.
 type Disruption struct {
 	Daemon      string
-	From, Until time.Duration // Until 0: to the end
+	From, Until time.Duration // Until is 0 if it never ended
 	IsPlanned   bool
-	IsPermanent bool // the daemon never comes back
+	IsPermanent bool // the daemon is never started again
 }
 
-// Route is what judges must know of one.
+// Route holds the properties of a route that the judge needs.
 type Route struct {
 	Service          string
 	IsOrdered        bool
@@ -101,19 +102,19 @@
 	MaxAttempts      int
 	Retention        time.Duration
 	IsPublic         bool
-	HasDeduplication bool // its service keeps a record of the ids that it has run
+	HasDeduplication bool // its service deduplicates by message id
 }
 
-// Service is what judges must know of one.
+// Service holds the rate limits of a service that the judge needs.
 type Service struct{ Rate, ColdRate float64 }
 
-// ReadBack is a configuration as the operator read it at the end.
+// ReadBack is the configuration as the operator read it at the end.
 type ReadBack struct {
 	Code int
 	Doc  []byte
 }
 
-// History is all that was seen from outside.
+// History is everything that was recorded from outside the service during a run.
 type History struct {
 	mu                 sync.Mutex
 	Sent               []Submission
@@ -121,30 +122,30 @@
 	Arrivals           []Arrival
 	Callbacks          []Callback
 	FinalStates        map[string]FinalState // by token
-	Observations       []check.StatusRead    // what was told of messages meanwhile
+	Observations       []check.StatusRead    // states and bodies read during the run
 	Edits              []Edit
 	Commands           []Command
-	Calls              []linearize.Operation // of the operators, with all tries
+	Calls              []linearize.Operation // of the operators, each with its retries
 	Marks              []check.Drain
-	Zones              map[string]string // service/worker -> zone
+	Zones              map[string]string // "service/worker" -> zone
 	Disruptions        []Disruption
 	Outages            []check.Outage
-	AdminRequests      []Submission // what was asked of daemons that takes no message in
+	AdminRequests      []Submission // requests to admin endpoints
 	CrossTenantQueries []CrossTenantQuery
-	Routes             map[string]Route // every one that was ever sent
+	Routes             map[string]Route // all routes ever sent in a configuration
 	Services           map[string]Service
 	Read               ReadBack
 }
 
-// NewHistory gives an empty one.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{FinalStates: map[string]FinalState{}, Zones: map[string]string{}, Routes: map[string]Route{}, Services: map[string]Service{}}
 }
 
-// WithLock records something; record must do no more than append.
+// WithLock calls record with the mutex held. record must be short and must not call WithLock.
 func (h *History) WithLock(record func()) { h.mu.Lock(); defer h.mu.Unlock(); record() }
 
-// begin records a daemon's trouble and gives what ends it.
+// beginDisruption records the start of a daemon's disruption and returns the function that records its end.
 func (h *History) beginDisruption(daemon string, at time.Duration, isPlanned bool) (end func(at time.Duration)) {
 	i := 0
 	h.WithLock(func() {
@@ -154,7 +155,7 @@
 	return func(at time.Duration) { h.WithLock(func() { h.Disruptions[i].Until = at }) }
 }
 
-// isQuiet reports whether nothing was hurt from first to last.
+// isQuiet reports whether no disruption that isMeant selects overlaps the span from first to last.
 func (h *History) isQuiet(first, last time.Duration, isMeant func(Disruption) bool) bool {
 	for _, t := range h.Disruptions {
 		if t.From <= last && (t.Until == 0 || t.Until >= first) && isMeant(t) {
@@ -164,7 +165,8 @@
 	return true
 }
 
-// longestUndisrupted returns the longest stretch from first to last in which nothing was hurt, nor in the contact before.
+// longestUndisrupted returns the longest part of the span from first to last that is free of disruptions selected by
+// isMeant and does not begin within contactBound after one.
 func (h *History) longestUndisrupted(first, last time.Duration, isMeant func(Disruption) bool) (longest time.Duration) {
 	starts := []time.Duration{first}
 	for _, t := range h.Disruptions {
@@ -187,8 +189,10 @@
 	return longest
 }
 
+// anyKind and isUnplanned select disruptions.
 func anyKind(Disruption) bool       { return true }
 func isUnplanned(t Disruption) bool { return !t.IsPlanned }
 
-// isSettled reports whether rules that are bound by time hold at a moment.
+// isSettled reports whether the rules with time bounds apply at a moment: nothing was disrupted in the contactBound
+// before it.
 func (h *History) isSettled(at time.Duration) bool { return h.isQuiet(at-contactBound, at, anyKind) }
--- a/internal/standin/instancelist.go
+++ b/internal/standin/instancelist.go
@@ -16,6 +16,7 @@
 	listPageEntries   = 4
 )
 
+// instance is an entry of the list, as its JSON has it.
 type instance struct {
 	Identifier string `json:"identifier"`
 	Service    string `json:"service"`
@@ -27,25 +28,26 @@
 	ColdFor    int64  `json:"cold_remaining_ms"`
 }
 
-// operationList is the platform's list of workers. It shows what was, a lag ago.
+// list emulates the platform's API that lists worker instances. It shows the state of listDelay ago.
 type list struct {
 	site          *Site
-	page          int     // entries of a page
-	rate          float64 // calls a second that are taken from all
+	page          int     // entries per page
+	rate          float64 // calls per second that are accepted in total
 	sharedWorkers []*manyWorkers
 	mu            sync.Mutex
 	snapshots     []listState
 	recentCalls   []time.Duration // calls within the last second
-	// Calls and Over count those that came and those over the rate.
+	// Calls counts all calls, CallsOverRate those rejected because of the rate.
 	Calls, CallsOverRate int
 }
 
+// listState is the content of the list at a moment.
 type listState struct {
 	at   time.Duration
-	rows []*rows // one after the other
+	rows []*rows // concatenated
 }
 
-// rows are entries of the list, which are never written.
+// rows are immutable entries of the list.
 type rows struct {
 	all    []instance
 	byZone map[string][]instance
@@ -59,7 +61,7 @@
 	return r
 }
 
-// of returns the entries of a zone, or of all where the zone is empty.
+// of returns the entries of a zone, or all entries if the zone is empty.
 func (r *rows) of(zone string) []instance {
 	if zone == "" {
 		return r.all
@@ -67,7 +69,7 @@
 	return r.byZone[zone]
 }
 
-// cut returns the entries of a zone from one up to another, and whether there are more.
+// page returns the entries of a zone from index from to index until, and whether there are more.
 func (s listState) page(zone string, from, until int) (out []instance, isMore bool) {
 	out = []instance{}
 	for _, r := range s.rows {
@@ -80,6 +82,7 @@
 	return out, until < 0
 }
 
+// currentRows returns the entries of the workers that exist now.
 func (l *list) currentRows() []*rows {
 	own, now := []instance{}, l.site.Now()
 	for _, p := range l.site.Pools {
@@ -101,7 +104,7 @@
 	return out
 }
 
-// snapshot notes what is, so that it can be shown a lag later.
+// snapshot records the current entries, which are shown after listDelay.
 func (l *list) snapshot() {
 	rows := l.currentRows()
 	l.mu.Lock()
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/check"
 )
 
-// The platform's bounds, which its settings files tell too.
+// The platform's bounds, which are also in the settings files of the processes.
 const (
 	contactBound     = 4000 * time.Millisecond
 	acknowledgeBound = 5000 * time.Millisecond
@@ -20,9 +20,9 @@
 	rollbackSlack    = 250 * time.Millisecond
 	evacuationBound  = 5000 * time.Millisecond
 	finishBound      = 10 * time.Second
-	maxEarlyStart    = 100 * time.Millisecond // a run may begin so long before its delay is over
-	earlyStartSlack  = 200 * time.Millisecond // and by so much more no rule is broken
-	minTimeLeft      = 50 * time.Millisecond  // a success that is told later may run again
+	maxEarlyStart    = 100 * time.Millisecond // a run may begin so long before its delay ends
+	earlyStartSlack  = 200 * time.Millisecond // tolerance beyond maxEarlyStart before it is a breach
+	minTimeLeft      = 50 * time.Millisecond  // a success reported with less time left may run again
 	ceilingWindow    = 5 * time.Second
 	ceilingOvershoot = 1.1
 	ceilingSlack     = 5
@@ -30,7 +30,7 @@
 	coldSlack        = 5
 )
 
-// Rules that a history is held against, by the platform's names.
+// The rules by which a history is judged, by the platform's names.
 const (
 	RuleMixed    = "MIXED"
 	RuleUnasked  = "UNASKED"
@@ -51,6 +51,7 @@
 	RuleShape    = "SHAPE"
 )
 
+// judge holds a history with its indexes, and collects the breaches.
 type judge struct {
 	h           *History
 	breaches    []check.Breach
@@ -60,8 +61,8 @@
 
 	operations    map[string]*operation // by token
 	operationList []*operation
-	keys          []map[string]string // the tenants by their API keys, for each configuration
-	tenants       map[string]string   // the same for all of them
+	keys          []map[string]string // tenant by API key, for each configuration
+	tenants       map[string]string   // tenant by API key, over all configurations
 	hasTenants    bool
 }
 
@@ -69,7 +70,7 @@
 	j.breaches = append(j.breaches, check.Breach{Rule: rule, Text: fmt.Sprintf(form, args...)})
 }
 
-// newJudge is called with the history's mu held.
+// newJudge indexes a history. The caller holds the history's mutex.
 func newJudge(h *History) *judge {
 	j := &judge{h: h, submissions: map[string]Submission{}, byId: map[string]Submission{}, runs: map[string][]Run{}}
 	slices.SortStableFunc(h.Runs, func(a, b Run) int { return cmp.Compare(a.Start, b.Start) })
@@ -84,8 +85,8 @@
 	return j
 }
 
-// Judge gives every broken rule. Without isTimed it leaves out the rules that
-// hold only for machines that are fast enough, as a busy one is not.
+// Judge returns every breach of a rule. Without isTimed it leaves out the rules with time bounds, which a busy
+// machine may break.
 func Judge(h *History, isTimed bool) []check.Breach {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,10 +120,12 @@
 	return j.breaches
 }
 
-// platformRuleOf are the platform's names of rules that the product has too.
+// platformRuleOf maps the rules of package check to the platform's names for them.
 var platformRuleOf = map[string]string{check.RuleRejectedRun: RuleRefused, check.RuleTakenLost: RuleLost, check.RuleAlteredBody: RuleUnasked,
 	check.RuleMixedAnswer: RuleMixed, check.RuleStateRegression: RuleMixed, check.RuleRepeatedSuccess: RuleTwice, check.RuleWrongPool: RuleRoute, check.RuleRecovery: RuleRecover}
 
+// addBreaches adds breaches found by package check under the platform's rule names; other takes precedence over
+// platformRuleOf, and rules without a name are skipped.
 func (j *judge) addBreaches(breaches []check.Breach, other map[string]string) {
 	for _, b := range breaches {
 		rule := other[b.Rule]
@@ -135,7 +138,7 @@
 	}
 }
 
-// productHistory gives what the product's own check can judge of a history.
+// productHistory converts the history to the form that package check judges.
 func (j *judge) productHistory() *check.History {
 	out := check.NewHistory()
 	for _, s := range j.h.Sent {
@@ -147,14 +150,13 @@
 	return out
 }
 
-// judgeProductRules holds the history against the product's rules that mean the same as the
-// platform's, whatever the time.
+// judgeProductRules applies the rules of package check that match the platform's rules and do not depend on time.
 func (j *judge) judgeProductRules() {
 	h := j.productHistory()
 	for i, r := range j.h.Runs {
 		next := slices.IndexFunc(j.h.Runs[i+1:], func(n Run) bool { return n.Token == r.Token })
 		if next < 0 || r.TimeLeft < minTimeLeft || !j.h.isQuiet(r.Start-contactBound, j.h.Runs[i+1+next].Start, isUnplanned) {
-			h.Runs[i].IsAnswerComplete = false // it may run again
+			h.Runs[i].IsAnswerComplete = false // the message may run again
 		}
 	}
 	j.joinFinalStates(h)
@@ -173,8 +175,7 @@
 	j.addBreaches(check.Check(h), nil)
 }
 
-// lastWord is unknown only for a message that is lost: not ended, and its
-// bytes do not come back, or it is said to have ended.
+// finalState is "held", or "unknown" if the message is lost: not ended, but reported as ended or without its body.
 func (j *judge) finalState(s Submission) string {
 	end, isAsked := j.h.FinalStates[s.Token]
 	if !isAsked || end.State == "queued" && end.BodySum != "" || j.hasEnded(s, end.At) {
@@ -189,7 +190,7 @@
 	return isOver
 }
 
-// endOf returns when a message ended at the earliest, as the platform means it.
+// endOf returns the earliest moment, up to by, at which a message may have ended, and whether there is one.
 func (j *judge) endOf(s Submission, by time.Duration) (time.Duration, bool) {
 	route, failed, o := j.h.Routes[s.Lane], 0, j.operationOf(s)
 	best, isOver := by, false
@@ -209,7 +210,7 @@
 	note(o.submissions[0].SentAt + route.Retention)
 	for _, e := range j.h.Edits {
 		_, isKept := e.Pools[s.Lane]
-		mayFollow := s.AnsweredAt < max(e.SentAt, e.AcknowledgedAt)+configApplyBound // it may be accepted until the change must hold
+		mayFollow := s.AnsweredAt < max(e.SentAt, e.AcknowledgedAt)+configApplyBound // accepted until it must be applied
 		if !isKept && !e.IsInvalid && e.Code/100 != 4 && mayFollow && (e.SentAt > s.AnsweredAt || e.AcknowledgedAt > 0) {
 			note(max(e.SentAt, s.AnsweredAt))
 		}
@@ -217,11 +218,11 @@
 	return best, isOver
 }
 
-// judgeTimed holds deliveries against bounds of time, as far as all were in touch.
+// judgeTimed applies the rules with time bounds to deliveries, as far as the system was settled at their start.
 func (j *judge) judgeTimed() {
 	h := j.productHistory()
 	for i := range h.Sent {
-		h.Sent[i].Outcome, h.Sent[i].Id = "", "" // names are judged by same
+		h.Sent[i].Outcome, h.Sent[i].Id = "", "" // names are judged by judgeProductRules
 	}
 	h.Runs = slices.DeleteFunc(h.Runs, func(r check.Run) bool { return !j.h.isSettled(r.Start) })
 	for i := range h.Runs {
@@ -232,12 +233,11 @@
 		h.Drains = slices.DeleteFunc(slices.Clone(j.h.Marks), func(m check.Drain) bool { return (m.Zone != "") != isOfZone })
 		rule := map[bool]string{true: RuleEvac, false: RuleDrain}[isOfZone]
 		j.addBreaches(check.Check(h), map[string]string{check.RuleRunAfterDrain: rule, check.RuleWrongPool: RuleConfig})
-		h.Edits, h.Outages, h.Sent = nil, nil, nil // judged once
+		h.Edits, h.Outages, h.Sent = nil, nil, nil // judged in the first pass only
 	}
 }
 
-// validEdits lists the configurations that may have come into force, and before
-// them the one of the beginning, which has nothing.
+// validEdits lists the configurations that may have come into force, preceded by the empty one at the start.
 func (j *judge) validEdits() []check.Edit {
 	out := []check.Edit{{AcknowledgedAt: 1}}
 	for _, e := range j.h.Edits {
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -33,8 +33,8 @@
 	return out
 }
 
-// cleanHistory is a history in which nothing is wrong: a message that failed once, an
-// ordered pair, one that was not taken, one that is dead and one that waits.
+// cleanHistory returns a history without a breach: a message that failed once, an ordered pair, a refused message, a
+// dead letter and a queued message.
 func cleanHistory() *History {
 	h := NewHistory()
 	pools := map[string][]string{"r": {"p"}, "o": {"q"}}
@@ -65,7 +65,7 @@
 	}
 }
 
-// removeRoute gives a configuration without route r, acknowledged at a moment.
+// removeRoute adds a configuration without route r, acknowledged at ack.
 func removeRoute(h *History, seal int64, ack time.Duration) {
 	h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: seal, Pools: map[string][]string{"o": {"q"}}}, Base: 5,
 		Document: []byte(fmt.Sprintf(`{"version":%d}`, seal)), Code: 200})
@@ -81,7 +81,7 @@
 	h.Commands = append(h.Commands, Command{Text: "an order", At: at, AckAt: ack})
 }
 
-// addOutage has ten messages sent in the seconds in which traffic must be back.
+// addOutage adds ten submissions within the time in which traffic must have recovered from an outage.
 func addOutage(h *History, served int) {
 	h.Outages = []check.Outage{{Description: "an outage", At: 30 * s}}
 	for i := range 10 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// cut has a session broken off by a daemon that was asked to leave.
+// addBrokenConnection adds a submission whose connection a stopping daemon closed.
 func addBrokenConnection(h *History, after time.Duration, isPlanned bool) {
 	x := sent("c", "r", "", 40*s, check.Undecided, 0)
 	x.IsConnectionBroken, x.AnsweredAt = true, x.SentAt+after
--- a/internal/standin/judgeconfig.go
+++ b/internal/standin/judgeconfig.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/config"
 )
 
-// judgeEdits: nothing invalid is acknowledged, and of two on one base only one.
+// judgeEdits checks that no invalid configuration is acknowledged, and at most one of those with the same base.
 func (j *judge) judgeEdits() {
 	byBase := map[int64]int64{}
 	for _, e := range j.h.Edits {
@@ -28,8 +28,8 @@
 	}
 }
 
-// judgeReadBack: at the end the newest acknowledged version comes back, or a newer
-// one that got no clear answer, each as it was sent.
+// judgeReadBack checks that the configuration read at the end is the newest acknowledged version, or a newer one
+// without a conclusive response, with the content that was sent.
 func (j *judge) judgeReadBack() {
 	newest := int64(0)
 	for _, e := range j.h.Edits {
@@ -53,7 +53,7 @@
 	j.breach(RuleConfig, "version %d came back other than anything that was sent and not refused", version)
 }
 
-// judgeRouteResponses holds what clients were told against the configurations in force.
+// judgeRouteResponses compares 404 and 202 responses with the routes of the configurations that may be in force.
 func (j *judge) judgeRouteResponses() {
 	edits := j.validEdits()
 	for _, s := range j.h.Sent {
@@ -72,13 +72,13 @@
 	}
 }
 
-// judgeRouteRegressions: a daemon that has taken messages of a route does not forget it
-// within its life, unless a newer configuration drops it.
+// judgeRouteRegressions checks that a daemon that has accepted messages of a route does not answer 404 for it later
+// in the same incarnation, unless a newer configuration removes the route.
 func (j *judge) judgeRouteRegressions() {
 	edits := j.validEdits()
 	isDropped := func(route string, by time.Duration) bool {
 		isSeen := false
-		for _, e := range edits { // in order of their versions
+		for _, e := range edits { // in order of version
 			_, isThere := e.Pools[route]
 			isSeen = isSeen || isThere
 			if isSeen && !isThere && e.SentAt <= by {
@@ -107,7 +107,8 @@
 	}
 }
 
-// broken: while a daemon leaves as planned, no message that it has read is cut.
+// judgeBrokenConnections checks that a daemon that stops gracefully does not close connections with requests under
+// way.
 func (j *judge) judgeBrokenConnections() {
 	for _, s := range j.h.Sent {
 		if !s.IsConnectionBroken || s.AnsweredAt-s.SentAt <= lossSlack || !j.h.isQuiet(s.SentAt-contactBound, s.AnsweredAt, isUnplanned) {
@@ -121,7 +122,8 @@
 	}
 }
 
-// judgeCommands: the operator's proper orders are acknowledged within one stretch in which nothing was hurt.
+// judgeCommands checks that the operator's valid commands are acknowledged within acknowledgeBound of undisrupted
+// time.
 func (j *judge) judgeCommands() {
 	for _, o := range j.h.Commands {
 		end := o.AckAt
--- a/internal/standin/judgemessages.go
+++ b/internal/standin/judgemessages.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// judgeUnasked: a worker runs only what a client sent, and as it was sent.
+// judgeUnasked checks that workers run only messages that a client submitted, with the same request line.
 func (j *judge) judgeUnasked() {
 	for _, r := range j.h.Runs {
 		s, isKnown := j.submissions[r.Token]
@@ -19,7 +19,7 @@
 	}
 }
 
-// seals lists the seals of a message's runs that succeeded.
+// successStamps lists the stamps of a message's successful runs.
 func (j *judge) successStamps(s Submission) []string {
 	out := []string{}
 	for _, r := range j.operationOf(s).runs {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// judgeReportedState holds one word about an end against what workers did.
+// judgeReportedState compares a reported end of a message with the workers' runs; by names the source of the report.
 func (j *judge) judgeReportedState(s Submission, by, state, seal string, at time.Duration) {
 	switch {
 	case state == "completed" && !slices.Contains(j.successStamps(s), seal):
@@ -40,14 +40,14 @@
 	}
 }
 
-// judgeFinalStates: what is said of a message at the end.
+// judgeFinalStates checks the final states that the service reports.
 func (j *judge) judgeFinalStates() {
 	for token, end := range j.h.FinalStates {
 		j.judgeReportedState(j.submissions[token], "the state", end.State, end.Stamp, end.At)
 	}
 }
 
-// judgeCallbacks: call-backs are about messages that were sent, and their words hold.
+// judgeCallbacks checks that call-backs are for messages that asked for one, and that the reported state is right.
 func (j *judge) judgeCallbacks() {
 	for _, t := range j.h.Callbacks {
 		s, isKnown := j.submissions[t.Token]
@@ -62,7 +62,7 @@
 	}
 }
 
-// judgeEarlyRuns: a message begins only when its delay is over, counted from when it was sent.
+// judgeEarlyRuns checks that no message begins before its delay, counted from its submission, is over.
 func (j *judge) judgeEarlyRuns() {
 	for _, r := range j.h.Runs {
 		s := j.submissions[r.Token]
@@ -72,7 +72,7 @@
 	}
 }
 
-// judgeRates holds arrivals against ceilings and against what cold workers bear.
+// judgeRates compares the arrivals with the rate limits of services and with those of cold workers.
 func (j *judge) judgeRates() {
 	met := map[string][]time.Duration{}
 	for _, m := range j.h.Arrivals {
@@ -100,7 +100,7 @@
 	}
 }
 
-// densestWindow returns the most moments in any window, and its end.
+// densestWindow returns the largest number of moments within any window of that length, and the end of that window.
 func densestWindow(list []time.Duration, window time.Duration) (most int, until time.Duration) {
 	slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(a, b) })
 	first := 0
--- a/internal/standin/judgeoperations.go
+++ b/internal/standin/judgeoperations.go
@@ -8,16 +8,16 @@
 	"caperwheel/internal/check"
 )
 
-// operation is one message as its tries have it in common: all sends of a tenant with one operation key, or
-// one send without a key.
+// operation groups the submissions of one message: all submissions of a tenant with the same operation key, or a
+// single submission without a key.
 type operation struct {
 	tenant      string
 	key         string
 	submissions []Submission // in order of sending
-	runs        []Run        // of any of them, in order of start
+	runs        []Run        // of any of the submissions, in order of start
 }
 
-// groupOperations joins sends and runs to operations. It is called with the history's mu held.
+// groupOperations groups submissions and runs by operation. The caller holds the history's mutex.
 func (j *judge) groupOperations() {
 	type name struct{ tenant, key string }
 	byName := map[name]*operation{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// operationOf returns the operation of a send.
+// operationOf returns the operation of a submission.
 func (j *judge) operationOf(s Submission) *operation {
 	if o := j.operations[s.Token]; o != nil {
 		return o
@@ -52,7 +52,7 @@
 	return &operation{submissions: []Submission{s}, runs: j.runs[s.Token]}
 }
 
-// accepted returns the send of an operation that was accepted first.
+// firstAccepted returns the submission of an operation that was accepted first.
 func (o *operation) firstAccepted() (first Submission, isAccepted bool) {
 	for _, s := range o.submissions {
 		if s.Outcome == check.Taken && (!isAccepted || s.AnsweredAt < first.AnsweredAt) {
@@ -62,8 +62,8 @@
 	return first, isAccepted
 }
 
-// judgeDuplicates: of an operation one send runs, whichever daemons the others come to, and all that are accepted are
-// told the name of the first.
+// judgeDuplicates checks that of each operation only one submission runs, whichever daemons receive the others, and
+// that all accepted submissions get the message name of the first.
 func (j *judge) judgeDuplicates() {
 	for _, o := range j.operationList {
 		if o.key == "" {
@@ -74,7 +74,8 @@
 	}
 }
 
-// judgeDuplicateRuns looks for two sends of an operation that both ran, the later one sent within the window of the other.
+// judgeDuplicateRuns looks for two submissions of an operation that both ran, the later one sent within keyWindow of
+// the earlier one.
 func (j *judge) judgeDuplicateRuns(o *operation) {
 	last, isKnown := Submission{}, false
 	for _, s := range o.submissions {
@@ -88,13 +89,13 @@
 	}
 }
 
-// countsAsRun reports whether a send ran, so that no other of its operation may. Where workers keep a record of
-// their own, a run that broke off is not counted.
+// countsAsRun reports whether a submission ran, so that no other submission of its operation may run. If the workers
+// of the service deduplicate, runs that were broken off do not count.
 func (j *judge) countsAsRun(s Submission) bool {
 	return slices.ContainsFunc(j.runs[s.Token], func(r Run) bool { return r.Status != 0 || !j.h.Routes[s.Lane].HasDeduplication })
 }
 
-// judgeDuplicateNames holds what repeats of an accepted operation were told.
+// judgeDuplicateNames checks the responses to submissions that repeat an accepted operation.
 func (j *judge) judgeDuplicateNames(o *operation) {
 	first, isAccepted := o.firstAccepted()
 	for _, s := range o.submissions {
@@ -109,11 +110,11 @@
 	}
 }
 
-// forbiddenRepeatCodes are statuses that no repeat of an accepted message may get.
+// forbiddenRepeatCodes are the statuses that no repetition of an accepted message may get.
 var forbiddenRepeatCodes = []int{400, 409, 410, 412, 413, 415, 422, 500, 501}
 
-// judgeOrdering: on an ordered route a message begins only when those of its tenant and key that were accepted before
-// it was first sent have ended.
+// judgeOrdering checks that on an ordered route a message begins only after all messages of the same tenant and order
+// key that were accepted before its first submission have ended.
 func (j *judge) judgeOrdering() {
 	keys := map[string][]*operation{}
 	for _, o := range j.operationList {
@@ -131,7 +132,7 @@
 	}
 }
 
-// judgeBegunAfter holds the first run of a message against all others about the same thing.
+// judgeBegunAfter checks the first run of a message against all other messages of the same order key.
 func (j *judge) judgeBegunAfter(o *operation, others []*operation) {
 	begun := o.runs[0].Start
 	for _, before := range others {
@@ -143,8 +144,8 @@
 	}
 }
 
-// joinFinalStates gives the product's check one send for each message that was accepted, with the worst that was said of it
-// at last, whichever of its sends was asked for.
+// joinFinalStates passes to package check one submission for each accepted message, with the worst of the final
+// states that its submissions got.
 func (j *judge) joinFinalStates(h *check.History) {
 	for i, s := range j.h.Sent {
 		if s.Outcome != check.Taken {
--- a/internal/standin/judgequotas.go
+++ b/internal/standin/judgequotas.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// limitOf returns how many messages a configuration lets a tenant send in one window; infinite without a limit.
+// limitOf returns how many messages a tenant may send within quotaWindow by a configuration; infinite without a
+// limit.
 func limitOf(tenants []tenant, name string) float64 {
 	for _, t := range tenants {
 		if t.Name == name && t.Rate > 0 {
@@ -18,10 +19,11 @@
 	return math.Inf(1)
 }
 
-// quotaRun is a request that ran, by when it was sent and when it came to its worker.
+// quotaRun is a request that ran: when it was sent and when its run started.
 type quotaRun struct{ sentAt, startedAt time.Duration }
 
-// judgeQuotas: in no window more requests of a tenant are sent and come to a worker that runs them than its limit allows.
+// judgeQuotas checks that in no window more requests of a tenant are sent and started by workers than its limit
+// allows.
 func (j *judge) judgeQuotas() {
 	byTenant := map[string][]quotaRun{}
 	for _, s := range j.h.Sent {
@@ -36,7 +38,7 @@
 	}
 }
 
-// judgeTenantQuota holds each window that begins with a send of a tenant, and tells of the worst one.
+// judgeTenantQuota checks each window that begins with a request of a tenant, and reports the worst one.
 func (j *judge) judgeTenantQuota(name string, runs []quotaRun, binds []time.Duration) {
 	worst, text := 0.0, ""
 	for i, first := range runs {
@@ -59,7 +61,7 @@
 	}
 }
 
-// maxLimitIn returns the highest limit of a tenant that may hold in a window.
+// maxLimitIn returns the highest limit of a tenant that may be in force within a window.
 func (j *judge) maxLimitIn(name string, first, last time.Duration, binds []time.Duration) (most float64) {
 	newest := int64(0)
 	for i, e := range j.h.Edits {
@@ -76,8 +78,8 @@
 	return most
 }
 
-// bindingTimes gives for each configuration the moment from which windows are held against it alone: the first
-// after its bound at which all machines are in touch. 0: never.
+// bindingTimes returns for each configuration the moment from which windows are judged by it and newer ones alone:
+// the first one after its apply bound at which no machine is disrupted. 0 means never.
 func (j *judge) bindingTimes() []time.Duration {
 	out := make([]time.Duration, len(j.h.Edits))
 	for i, e := range j.h.Edits {
@@ -88,7 +90,8 @@
 	return out
 }
 
-// firstSettledAt returns the first moment from one on at which all machines are in touch; 0 if there is none.
+// firstSettledAt returns the first moment after from at which no machine has been disrupted for contactBound; 0 if
+// there is none.
 func (j *judge) firstSettledAt(from time.Duration) time.Duration {
 	moments := []time.Duration{from}
 	for _, t := range j.h.Disruptions {
--- a/internal/standin/judgetenancy.go
+++ b/internal/standin/judgetenancy.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// keysOf maps a configuration's API keys to the tenants that hold them.
+// keysOf maps the API keys of a configuration to the tenants that hold them.
 func keysOf(tenants []tenant) map[string]string {
 	out := map[string]string{}
 	for _, t := range tenants {
@@ -17,7 +17,7 @@
 	return out
 }
 
-// indexKeys reads which configuration held which key.
+// indexKeys records which configuration contains which API key.
 func (j *judge) indexKeys() {
 	j.keys, j.tenants = make([]map[string]string, len(j.h.Edits)), map[string]string{}
 	for i, e := range j.h.Edits {
@@ -32,7 +32,7 @@
 	}
 }
 
-// tenantOf returns the tenant that holds a client's key by any configuration, or the one whose client it is.
+// tenantOf returns the tenant that holds the submission's API key in any configuration, or else the client's tenant.
 func (j *judge) tenantOf(s Submission) string {
 	if name, isKnown := j.tenants[s.ApiKey]; isKnown {
 		return name
@@ -40,8 +40,8 @@
 	return s.Tenant
 }
 
-// judgeTenancy: a worker is told the tenant that holds the client's key, never the key itself, and runs nothing
-// whose key nobody ever held.
+// judgeTenancy checks that a worker receives the tenant that holds the client's API key but never the key itself, and
+// runs nothing whose key no tenant ever held.
 func (j *judge) judgeTenancy() {
 	for _, r := range j.h.Runs {
 		s, isKnown := j.submissions[r.Token]
@@ -61,7 +61,7 @@
 	}
 }
 
-// judgeCrossTenantQueries: nobody learns of a message of another tenant.
+// judgeCrossTenantQueries checks that no query returns a message of another tenant.
 func (j *judge) judgeCrossTenantQueries() {
 	for _, p := range j.h.CrossTenantQueries {
 		if p.Code/100 == 2 {
@@ -70,10 +70,10 @@
 	}
 }
 
-// maxRetryAfterSeconds is the longest time that a refused client may be sent away for.
+// maxRetryAfterSeconds is the longest Retry-After that a response may have.
 const maxRetryAfterSeconds = 60
 
-// judgeResponseFields: who is refused for now learns when to come back; who has no key is given no name of a message.
+// judgeResponseFields checks that a 429 has a valid Retry-After, and that a 401 has no message name.
 func (j *judge) judgeResponseFields() {
 	for _, s := range j.h.Sent {
 		seconds, err := strconv.Atoi(s.RetryAfter)
@@ -86,7 +86,7 @@
 	}
 }
 
-// accessDecision is what a configuration says of a send.
+// accessDecision is whether a configuration lets a submission pass.
 type accessDecision int
 
 const (
@@ -95,6 +95,7 @@
 	granted
 )
 
+// accessUnder returns what the configuration at index edit decides for a submission.
 func (j *judge) accessUnder(edit int, s Submission) accessDecision {
 	e := j.h.Edits[edit]
 	_, isHeld := j.keys[edit][s.ApiKey]
@@ -107,8 +108,8 @@
 	return noKey
 }
 
-// inForce lists the places of the configurations that daemons in touch may go by from first to last. An empty
-// list means that there may be none at all.
+// inForce lists the indexes of the configurations that settled daemons may use between first and last. An empty list
+// means that possibly none is in force.
 func (j *judge) inForce(first, last time.Duration) []int {
 	newest, out := int64(0), []int{}
 	for _, e := range j.h.Edits {
@@ -128,7 +129,7 @@
 	return out
 }
 
-// judgeKeyResponses holds what clients were told of their keys, and what ran, against the configurations in force.
+// judgeKeyResponses compares the responses to API keys, and the runs, with the configurations that may be in force.
 func (j *judge) judgeKeyResponses() {
 	for _, s := range j.h.Sent {
 		hasRun := len(j.runs[s.Token]) > 0
@@ -149,8 +150,8 @@
 	}
 }
 
-// judgeKeyRegressions: a daemon that has accepted a key does not forget it within its life, unless a newer configuration
-// drops it.
+// judgeKeyRegressions checks that a daemon that has accepted an API key does not refuse it later in the same
+// incarnation, unless a newer configuration removes the key.
 func (j *judge) judgeKeyRegressions() {
 	type seen struct {
 		daemon string
@@ -172,7 +173,7 @@
 	}
 }
 
-// isKeyRemoved reports whether a configuration sent by a moment takes away a key that an older one had.
+// isKeyRemoved reports whether a configuration sent by a moment removes an API key that an earlier one has.
 func (j *judge) isKeyRemoved(key string, by time.Duration) bool {
 	isSeen := false
 	for i, e := range j.h.Edits { // in order of sending
--- a/internal/standin/judgewaits.go
+++ b/internal/standin/judgewaits.go
@@ -6,17 +6,17 @@
 	"caperwheel/internal/check"
 )
 
-// stuckSlack is how long a message may wait at the end with nothing in its way.
+// stuckSlack is how long a message may wait at the end without a reason.
 const stuckSlack = 15 * time.Second
 
-// backlogSlack: so long before the end no message has succeeded, where one is left lying.
+// backlogSlack is how long no message may have succeeded before the end if waiting messages are to count as stuck.
 const backlogSlack = 3 * time.Second
 
-// killedSlack: an answer that a process wrote so shortly before it was killed may be lost.
+// killedSlack: a response that a process wrote so shortly before it was killed may be lost.
 const killedSlack = 100 * time.Millisecond
 
-// judgeUnanswered: a request that a process has read whole gets its answer, unless the
-// process is killed or frozen meanwhile.
+// judgeUnanswered checks that a request that a process has read completely gets its response, unless the process is
+// killed or frozen meanwhile.
 func (j *judge) judgeUnanswered() {
 	for _, list := range [][]Submission{j.h.Sent, j.h.AdminRequests} {
 		for _, s := range list {
@@ -29,8 +29,7 @@
 	}
 }
 
-// wasDisrupted reports whether a request's daemon was in unplanned trouble before the
-// request had ended.
+// wasDisrupted reports whether a request's daemon was in an unplanned disruption before the request ended.
 func (j *judge) wasDisrupted(s Submission) bool {
 	for _, t := range j.h.Disruptions {
 		if !t.IsPlanned && t.Daemon == s.Daemon && t.From <= s.AnsweredAt+killedSlack && (t.Until == 0 || t.Until >= s.SentAt) {
@@ -40,9 +39,9 @@
 	return false
 }
 
-// JudgeWaits gives the messages that are left lying: whose time has come, and which wait
-// at the end though nothing is in their way. It holds where all that was hurt has been well
-// for long enough to work off what had gathered, and traffic has ended.
+// JudgeWaits returns the stuck messages: those that are due but still queued at the end although nothing prevents
+// their run. It is valid only after traffic has ended and all disruptions have been over for long enough to work off
+// the backlog.
 func JudgeWaits(h *History) []check.Breach {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,15 +50,17 @@
 	return j.breaches
 }
 
+// judgeStuckMessages adds a breach for each message that has been queued for longer than stuckSlack since it was due
+// and the last disruption ended.
 func (j *judge) judgeStuckMessages() {
 	healed := time.Duration(0)
 	for _, t := range j.h.Disruptions {
 		if t.Until == 0 && t.From > 0 && !t.IsPermanent {
-			return // not healed at all
+			return // a disruption goes on
 		}
 		healed = max(healed, t.From, t.Until)
 	}
-	newest := time.Duration(0) // when a run last succeeded
+	newest := time.Duration(0) // when the last successful run ended
 	for _, r := range j.h.Runs {
 		if r.Status >= 200 && r.Status <= 299 {
 			newest = max(newest, r.End)
@@ -67,7 +68,7 @@
 	}
 	for token, end := range j.h.FinalStates {
 		if end.At-newest < backlogSlack {
-			continue // messages are being worked off still, however slow the machine is
+			continue // the backlog is still being worked off, however slow the machine is
 		}
 		s := j.submissions[token]
 		waits := end.At - max(healed, s.SentAt+s.Delay)
--- a/internal/standin/keyring.go
+++ b/internal/standin/keyring.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// keyring is what clients know of their tenants' API keys.
+// keyring holds the API keys that clients know of their tenants.
 type keyring struct {
 	mu      sync.Mutex
-	held    map[string][]string // by tenant
-	revoked map[string][]string // keys that it once held
+	held    map[string][]string // valid keys by tenant
+	revoked map[string][]string // keys removed from the tenant, by tenant
 }
 
 func newKeyring(tenants []tenant) *keyring {
@@ -21,7 +21,7 @@
 	return k
 }
 
-// update takes the tenants of a configuration that was acknowledged.
+// update takes over the tenants of an acknowledged configuration.
 func (k *keyring) update(tenants []tenant) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -35,15 +35,15 @@
 	}
 }
 
-// Of a hundred requests so many carry something other than a key that their tenant holds.
+// Percentages of requests that do not carry a valid API key of their tenant.
 const (
-	revokedKeyPercent = 3 // one that was taken away
+	revokedKeyPercent = 3 // a removed key
 	unknownKeyPercent = 1
 	missingKeyPercent = 1
 )
 
-// drawBody returns what a client of a tenant sends as its API key; empty for none. Clients of a tenant that has
-// lost all its keys go on with an old one.
+// draw returns the API key that a client of a tenant sends; empty for none. Clients of a tenant that has lost all its
+// keys keep using a removed one.
 func (k *keyring) draw(name string, draws *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -62,7 +62,7 @@
 	return held[draws.IntN(len(held))]
 }
 
-// valid returns a key that a tenant holds, for those who ask what became of its messages; empty without one.
+// valid returns a valid API key of a tenant, for queries about its messages; empty if it has none.
 func (k *keyring) valid(name string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// apiKeyField returns the field of a request in which an API key stands; empty for none.
+// apiKeyField returns the header field of a request that contains an API key, or "URL"; empty for none.
 func apiKeyField(r *http.Request) string {
 	for name, values := range r.Header {
 		if strings.Contains(strings.Join(values, " "), apiKeyPrefix) {
@@ -85,10 +85,10 @@
 	return ""
 }
 
-// crossTenantQueryEvery: one sight in so many is followed by a question of somebody else.
+// crossTenantQueryEvery: one observation in so many is followed by a query with a foreign API key.
 const crossTenantQueryEvery = 20
 
-// queryAcrossTenants asks for a tenant's message as another tenant, or as nobody.
+// queryAcrossTenants queries a tenant's message with another tenant's API key, or with none.
 func (s *Site) queryAcrossTenants(sent Submission) {
 	if sent.Tenant == "" || len(s.plan.Customers) == 0 || rand.IntN(crossTenantQueryEvery) > 0 {
 		return
--- a/internal/standin/limitedlistener.go
+++ b/internal/standin/limitedlistener.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// limitedListener resets the sessions that are too many.
+// limitedListener resets connections beyond a maximum number; 0 means no maximum.
 type limitedListener struct {
 	net.Listener
 	maxOpen, open int64
@@ -29,6 +29,7 @@
 	}
 }
 
+// countedConn calls onClose when it is closed.
 type countedConn struct {
 	net.Conn
 	onClose func()
--- a/internal/standin/listen.go
+++ b/internal/standin/listen.go
@@ -9,7 +9,7 @@
 	"caperwheel/internal/errs"
 )
 
-// reserveNetwork takes a part of loopback that no other site has.
+// reserveNetwork reserves a 127.x loopback network and a port range that no other site uses.
 func (s *Site) reserveNetwork() error {
 	for range 200 {
 		s.net, s.port = 1+rand.IntN(250), 12000+20*rand.IntN(900)
@@ -22,6 +22,7 @@
 	return errs.New(errs.Internal, "no part of loopback is free")
 }
 
+// serve starts an HTTP server at an address, with at most most connections; 0 means no maximum.
 func (s *Site) serve(addr string, h http.Handler, most int) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/longlist_test.go
+++ b/internal/standin/longlist_test.go
@@ -11,10 +11,10 @@
 	"caperwheel/internal/fleet"
 )
 
-// TestLongListIsRead: in a large deployment tens of thousands of accepted messages lay in
-// their places beside idle workers, for as long as it ran. Its list of workers had more pages
-// than the list takes calls in a second. A read that met a 429 threw away what it had and began
-// with the first page again, so the list was never read, and nothing was logged.
+// TestLongListIsRead guards against a reader that never completes a long list of workers. The list had more pages
+// than it accepts calls per second; a read that got a 429 discarded the pages it had and began again with the first
+// one. The list was never read, nothing was logged, and tens of thousands of accepted messages waited beside idle
+// workers.
 func TestLongListIsRead(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
@@ -34,7 +34,7 @@
 	})
 }
 
-// waitForRuns waits until so many runs have begun.
+// waitForRuns waits until at least so many runs have ended.
 func (s *Site) waitForRuns(ctx context.Context, least int) bool {
 	count := func() (n int) {
 		s.History.WithLock(func() { n = len(s.History.Runs) })
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -14,7 +14,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// The platform's classes of machines.
+// The platform's machine classes.
 const (
 	classCore  = "core"
 	classStore = "storage"
@@ -27,7 +27,7 @@
 	restartPause         = 500 * time.Millisecond
 )
 
-// Machine is one machine with the processes of its roles.
+// Machine is a machine with a process for each of its roles.
 type Machine struct {
 	Name, ShortName, Class, Zone string
 	Processes                    []*fleet.Process
@@ -35,16 +35,17 @@
 	host                         int
 
 	mu             sync.Mutex
-	shouldRun      bool // that it runs
+	shouldRun      bool // desired state of the processes
 	hasRun         bool
-	usesSecondList bool // its list is at the other address
+	usesSecondList bool // the settings name the list's second address
 	incarnation    atomic.Int64
-	// signalled is of the next signal that asks its processes to go or to read again.
+	// nextSignalNote is closed at the next signal that stops the processes or makes them reload settings.
 	nextSignalNote    atomic.Pointer[signalNote]
-	isPermanentlyDown bool                // it never starts again
-	endDisruption     func(time.Duration) // ends the trouble that it is in
+	isPermanentlyDown bool                // the machine never starts again
+	endDisruption     func(time.Duration) // ends the current disruption; nil without one
 }
 
+// createProcesses adds a process for each role of the machine's class.
 func (m *Machine) createProcesses() {
 	roles := map[string][]string{classCore: {"manager"}, classStore: {"store"}, classFront: {"agent", "adapter"}}
 	for _, kind := range roles[m.Class] {
@@ -53,13 +54,15 @@
 	}
 }
 
+// file returns the path of the settings file of a process.
 func (m *Machine) file(kind string) string {
 	return filepath.Join(m.site.Dir, "etc", m.ShortName+"-"+kind+".json")
 }
 
+// disk returns the data directory.
 func (m *Machine) disk() string { return filepath.Join(m.site.Dir, "disk", m.ShortName) }
 
-// settings is what the platform tells the processes of a machine.
+// settings returns the settings file that the platform provides for a process of this kind.
 func (m *Machine) settings(kind string) map[string]any {
 	s := m.site
 	seeds, zones := []string{}, map[string]string{}
@@ -103,6 +106,7 @@
 		"field_of_later": map[string]any{"to_be": "ignored"}}
 }
 
+// write writes the settings files of all processes, each by an atomic rename.
 func (m *Machine) write() error {
 	for _, p := range m.Processes {
 		raw, err := json.Marshal(m.settings(p.Kind))
@@ -119,12 +123,12 @@
 	return nil
 }
 
-// start begins all processes with the settings of this moment.
+// start starts all processes with the current settings.
 func (m *Machine) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.shouldRun || m.isPermanentlyDown {
-		return nil // another fault's end has started it, or none may
+		return nil // already started by the end of another fault, or permanently down
 	}
 	if err := os.MkdirAll(m.disk(), 0o755); err != nil {
 		return errs.Wrap(err, errs.Internal, "disk of %s", m.Name)
@@ -146,13 +150,14 @@
 	return nil
 }
 
+// restart starts the machine and records a failure if it does not start.
 func (m *Machine) restart() {
 	if err := m.start(); err != nil {
 		m.site.recordFailure("%s does not start: %v", m.ShortName, err)
 	}
 }
 
-// reloadSettings changes the settings file and says so.
+// reloadSettings writes changed settings and sends SIGHUP to the processes.
 func (m *Machine) reloadSettings() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,7 +173,7 @@
 	}
 }
 
-// restartExited starts what has ended by itself, and tells it.
+// restartExited starts processes that exited by themselves, and records each as a failure.
 func (s *Site) restartExited() {
 	for _, m := range s.Machines {
 		if !m.mu.TryLock() {
--- a/internal/standin/machinestop.go
+++ b/internal/standin/machinestop.go
@@ -8,12 +8,12 @@
 	"caperwheel/internal/fleet"
 )
 
-// cleanExits are how a process ends that was asked to stop; by the signal itself where that
-// came before the program had asked for it.
+// cleanExits are the exit states of a process that stopped on request: it is terminated by the signal itself if that
+// arrives before the program has installed its signal handler.
 var cleanExits = []string{"exit status 0", "signal: terminated"}
 
-// stop ends all processes, asking first or not; the trouble lasts until they
-// are started again.
+// stop stops all processes, by SIGTERM if isGraceful and else by SIGKILL. The disruption lasts until the machine is
+// started again.
 func (m *Machine) stop(isGraceful bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,7 +38,8 @@
 	wg.Wait()
 }
 
-// stopGracefully has one process stop, and notes where it does not as it should.
+// stopGracefully stops a process by SIGTERM, and records a failure if it exceeds its grace period or exits with an
+// error.
 func (m *Machine) stopGracefully(p *fleet.Process) {
 	switch {
 	case !p.StopWithin(m.site.stopTimeout()):
@@ -48,7 +49,7 @@
 	}
 }
 
-// restartProcess stops the process of one kind and starts it again, while the machine's others go on.
+// restartProcess stops the process of one kind and starts it again while the machine's other processes keep running.
 func (m *Machine) restartProcess(kind string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// wipe loses the disk while the machine is down.
+// wipe kills the machine's processes and deletes its data directory.
 func (m *Machine) wipe() {
 	m.stop(false)
 	if err := os.RemoveAll(m.disk()); err != nil {
--- a/internal/standin/manyworkers.go
+++ b/internal/standin/manyworkers.go
@@ -10,8 +10,8 @@
 	"caperwheel/internal/errs"
 )
 
-// manyWorkers is very many workers of a service in one process: each has an address and an identifier of
-// its own, and one server behind all addresses runs what comes.
+// manyWorkers emulates a very large number of workers of a service: each has its own address and identifier, and one
+// HTTP server behind all the addresses responds to every request.
 type manyWorkers struct {
 	service ServicePlan
 	site    *Site
@@ -19,18 +19,18 @@
 
 	mu           sync.Mutex
 	draining     map[int]bool
-	cachedRows   *rows      // the entries of the list; nil where they have changed
-	firstRunOnce *sync.Once // of the first run
+	cachedRows   *rows      // entries of the list; nil after a change
+	firstRunOnce *sync.Once // closes firstRunSeen
 	firstRunSeen chan struct{}
 }
 
-// Their addresses: 127.firstSharedNetwork+.*.*, one after another.
+// The workers' addresses are 127.n.x.y, in order, with n from firstSharedNetwork on.
 const (
 	firstSharedNetwork  = 64
 	sharedHostsPerOctet = 250
 )
 
-// addManyWorkers begins the workers of a service that one process serves.
+// addManyWorkers starts the workers of a service that share one server.
 func (s *Site) addManyWorkers(plan ServicePlan) error {
 	listener, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// rows are the entries of the list.
+// rows returns the workers' entries of the list.
 func (c *manyWorkers) rows() *rows {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,16 +70,17 @@
 	return c.cachedRows
 }
 
+// id returns the identifier of a worker.
 func (c *manyWorkers) id(i int) string { return fmt.Sprintf("shared-%d", i) }
 
-// leave has one worker leave.
+// drain marks a worker as draining on the list.
 func (c *manyWorkers) drain(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.draining[i], c.cachedRows = true, nil
 }
 
-// ServeHTTP runs a message, whichever worker it is for.
+// ServeHTTP responds with success to a message for any of the workers.
 func (c *manyWorkers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != healthPath {
 		c.firstRunOnce.Do(func() { close(c.firstRunSeen) })
--- a/internal/standin/measurelist.go
+++ b/internal/standin/measurelist.go
@@ -14,31 +14,32 @@
 	"caperwheel/internal/errs"
 )
 
-// ListOptions are what a measurement of long lists is made of.
+// ListOptions are the parameters of MeasureList.
 type ListOptions struct {
-	Workers  int // on the list
-	Page     int // entries of a page
+	Workers  int // on the list, in addition to a small pool
+	Page     int // entries per page
 	Rate     float64
 	Bin, Dir string
 }
 
-// ListFigures are what was measured with a list. Spans count from when the deployment was up.
+// ListFigures are the results of MeasureList. Durations count from when the deployment was up.
 type ListFigures struct {
 	Workers  int
 	FirstRun time.Duration      // until a worker of the list has run a message
-	Listed   time.Duration      // until a manager knows each worker
-	Assigned time.Duration      // until each has a holder
-	Changed  time.Duration      // from a worker's leaving on the list until a manager knows it
-	Idle     map[string]float64 // cores that a daemon of each kind takes while nothing changes
-	Memory   map[string]int64   // bytes that a daemon of each kind has
+	Listed   time.Duration      // until a manager has every worker in its view
+	Assigned time.Duration      // until every worker is assigned
+	Changed  time.Duration      // from a worker draining on the list until a manager reports it
+	Idle     map[string]float64 // cores used per kind of daemon while nothing changes
+	Memory   map[string]int64   // resident bytes per kind of daemon
 	Calls    int
 	Refused  int
 }
 
-// idleMeasurementSpan is for how long the cost of an idle deployment is measured.
+// idleMeasurementSpan is how long the CPU use of an idle deployment is measured.
 const idleMeasurementSpan = 10 * time.Second
 
-// MeasureList runs a small deployment with a list of so many workers.
+// MeasureList runs a small deployment whose list has o.Workers additional workers, and measures how long the service
+// takes to read it and what it costs.
 func MeasureList(ctx context.Context, o ListOptions) (ListFigures, error) {
 	plan := SmallPlan()
 	plan.ListPage, plan.ListRate, plan.Services[0].Listed, plan.Services[0].Count = o.Page, o.Rate, o.Workers, 1
@@ -86,7 +87,7 @@
 	return out, nil
 }
 
-// waitForMetric reads the first manager's metrics until one of some pool has come to a value.
+// waitForMetric polls the first manager's metrics until a series of that name has reached a value.
 func (s *Site) waitForMetric(ctx context.Context, name string, value int) bool {
 	for ctx.Err() == nil {
 		for line := range strings.Lines(string(s.fetch(ctx, s.machinesMatching("core-1")[0], "/metrics"))) {
@@ -103,7 +104,8 @@
 	return false
 }
 
-// waitForDraining asks for the lists of pools until one has a worker as leaving.
+// waitForDraining polls the first manager's worker lists until a worker whose name contains text is reported as
+// leaving.
 func (s *Site) waitForDraining(ctx context.Context, text string) bool {
 	for ctx.Err() == nil {
 		for _, pool := range gjson.GetBytes(s.fetch(ctx, s.machinesMatching("core-1")[0], "/v1/status"), "pools.#.name").Array() {
@@ -119,7 +121,7 @@
 	return false
 }
 
-// fetch reads from a machine's own door; nothing where it does not answer.
+// fetch reads a path of a machine's HTTP interface; nil if there is no complete response.
 func (s *Site) fetch(ctx context.Context, m *Machine, path string) []byte {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.at(m.host, portHttp)+path, nil)
 	if err != nil {
@@ -137,7 +139,7 @@
 	return raw
 }
 
-// measureIdle measures what daemons take while nothing changes.
+// measureIdle measures the CPU and memory use of the daemons while nothing changes.
 func (s *Site) measureIdle(ctx context.Context, out *ListFigures) {
 	before := s.cpuSeconds()
 	sleep(ctx, idleMeasurementSpan)
@@ -153,10 +155,10 @@
 	}
 }
 
-// clockTicksPerSecond is how many a second the system counts a process's time in.
+// clockTicksPerSecond is the unit of process times in /proc/PID/stat.
 const clockTicksPerSecond = 100
 
-// cpuSeconds returns the processor time that each process has taken, in seconds.
+// cpuSeconds returns the CPU time that each process has used, in seconds.
 func (s *Site) cpuSeconds() map[string]float64 {
 	out := map[string]float64{}
 	for _, m := range s.Machines {
@@ -175,7 +177,7 @@
 	return out
 }
 
-// residentBytes returns the bytes of memory that a process has.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	fields := strings.Fields(string(raw))
--- a/internal/standin/messageowner.go
+++ b/internal/standin/messageowner.go
@@ -10,7 +10,7 @@
 // noOperationKeyEvery: one message in so many has no operation key.
 const noOperationKeyEvery = 20
 
-// assignOwner draws whose a message is, and the operation key that all its tries carry, with the same bytes.
+// assignOwner draws the tenant of a message, and the operation key and body that all its submissions share.
 func (s *Site) assignOwner(m *Message, draws *rand.Rand) {
 	if m.hasOwner || len(s.plan.Customers) == 0 {
 		return
@@ -25,11 +25,12 @@
 	}
 }
 
-// drawBody draws the bytes of a message, which name it.
+// drawBody draws the body of a message, which contains its name.
 func (m Message) drawBody(name string, draws *rand.Rand) []byte {
 	return []byte(m.BodyPrefix + " of " + name + strings.Repeat(".", m.Size/2+draws.IntN(m.Size+1)))
 }
 
+// drawCustomer draws a tenant in proportion to its share of the messages.
 func drawCustomer(list []Customer, draws *rand.Rand) Customer {
 	at := draws.Float64()
 	for _, c := range list {
@@ -40,10 +41,10 @@
 	return list[len(list)-1]
 }
 
-// roamingInterval is how long a rover's clients stay with one front.
+// roamingInterval is how long clients of a roaming tenant use one front.
 const roamingInterval = 3 * time.Second
 
-// chooseClient chooses the client that sends a message.
+// chooseClient chooses the client that submits a message. A roaming tenant uses one client at a time.
 func (s *Site) chooseClient(m Message, clients []*Client, draws *rand.Rand) *Client {
 	for i, c := range s.plan.Customers {
 		if c.Name == m.Tenant && c.IsRoaming {
--- a/internal/standin/messagetrace.go
+++ b/internal/standin/messagetrace.go
@@ -8,8 +8,7 @@
 	"slices"
 )
 
-// writeLocations writes what each store and adapter knows of where a message stands now, and what it
-// waits for.
+// writeLocations writes what each store and adapter reports about where a message is now and what it waits for.
 func (s *Site) writeLocations(out io.Writer, token string) {
 	id := ""
 	s.History.WithLock(func() {
@@ -27,7 +26,7 @@
 	}
 }
 
-// fetchTrace returns a machine's part of a message's story; empty where it has none.
+// fetchTrace returns what a machine reports about a message; empty if it has no record of it.
 func (s *Site) fetchTrace(m *Machine, id string) string {
 	ctx, cancel := context.WithTimeout(s.ctx, queryTimeout)
 	defer cancel()
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -18,27 +18,28 @@
 const (
 	callTimeout              = time.Second
 	maxRetryPause            = time.Second
-	configTimeout            = 20 * time.Second // for a change, and beside drawn faults for one stretch in which the core is whole
-	firstConfigTimeout       = 2 * time.Minute  // for the first one, which is sent until it is taken
-	randomFaultConfigTimeout = 2 * time.Minute  // for a change beside drawn faults in all
+	configTimeout            = 20 * time.Second // for a change; with random faults, of undisrupted core time
+	firstConfigTimeout       = 2 * time.Minute  // for the first configuration, sent until it is acknowledged
+	randomFaultConfigTimeout = 2 * time.Minute  // for a change with random faults, in total
 	lookInterval             = 250 * time.Millisecond
-	maxOtherRejections       = 3 // so many other 4xx end a call
+	maxOtherRejections       = 3 // so many other 4xx responses end a call
 )
 
-// operator gives the orders.
+// operator sends configurations and commands to the core machines, with retries.
 type operator struct {
 	site        *Site
 	client      *http.Client
 	mu          sync.Mutex
-	current     siteConfig   // as last acknowledged
-	sentConfigs []siteConfig // all that were sent whole or as an update, to know them by their version
+	current     siteConfig   // configuration acknowledged last
+	sentConfigs []siteConfig // all that were sent, to find one by its version
 }
 
 func newOperator(s *Site, plan SitePlan) *operator {
 	return &operator{site: s, client: &http.Client{Timeout: callTimeout}, current: plan.config(s)}
 }
 
-// call repeats an order unchanged until there is a clear answer.
+// call repeats an identical request, to one core machine after another, until there is a conclusive response. The
+// status is 0 without one.
 func (o *operator) call(ctx context.Context, method, path, base string, body []byte) (int, []byte) {
 	cores := []*Machine{}
 	for _, m := range o.site.Machines {
@@ -78,7 +79,7 @@
 	return 0, nil
 }
 
-// send sends a configuration, whole or as an update, and records it.
+// send sends a configuration, complete or as an update, and records it.
 func (o *operator) send(ctx context.Context, isUpdate bool, base int64, c siteConfig, body []byte, isInvalid bool) int {
 	h := o.site.History
 	i, order, path := 0, 0, "/v1/configuration/replace"
@@ -89,7 +90,7 @@
 	h.WithLock(func() {
 		i, order = len(h.Edits), len(h.Commands)
 		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: at, Revision: c.Version, Pools: c.pools()}, Base: base,
-			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.document(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
+			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.body(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
 		for name, r := range c.judgedRoutes() {
 			h.Routes[name] = r
 		}
@@ -107,7 +108,7 @@
 		}
 		switch {
 		case isInvalid:
-		case code != 0: // a race's loser has its answer too
+		case code != 0: // the loser of a race has its response too
 			h.Commands[order].AckAt = o.site.Now()
 		default:
 			h.Commands[order].GivenUpAt = o.site.Now()
@@ -116,9 +117,9 @@
 	return code
 }
 
-// withTimeout bounds for how long a change is sent. The first one waits for a deployment to come up. Drawn faults
-// may keep all stores away for longer than those of a schedule: beside them only a stretch counts in which no
-// store and no manager is hurt.
+// withTimeout bounds how long a change is sent. The first configuration waits for the deployment to start. Random
+// faults may disrupt all stores for longer than scheduled faults do; with them a change times out only after
+// configTimeout in which no store and no manager is disrupted.
 func (o *operator) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	switch {
 	case len(o.sentConfigs) <= 1:
@@ -141,7 +142,7 @@
 	return ctx, cancel
 }
 
-// isCoreDisruption reports whether a trouble was one of a store or a manager.
+// isCoreDisruption reports whether a disruption affects a store or a manager.
 func (s *Site) isCoreDisruption(t Disruption) bool {
 	for _, m := range s.Machines {
 		if m.ShortName == t.Daemon {
@@ -151,32 +152,32 @@
 	return true
 }
 
-// first gives the first configuration until it is taken.
+// sendFirst sends the first configuration until it is acknowledged.
 func (o *operator) sendFirst(ctx context.Context) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.current.Version = 1 + rand.Int64N(5)
 	o.sentConfigs = append(o.sentConfigs, o.current)
-	code := o.send(ctx, false, 0, o.current, o.current.document(), false)
-	o.site.History.WithLock(func() { o.site.History.Commands = nil }) // nothing was settled yet
+	code := o.send(ctx, false, 0, o.current, o.current.body(), false)
+	o.site.History.WithLock(func() { o.site.History.Commands = nil }) // the deployment was still starting
 	return code
 }
 
-// change builds on the newest configuration; after an answer that is not clear
-// it reads what is in force.
+// change sends a configuration built on the current one. After an inconclusive response it reads the configuration in
+// force.
 func (o *operator) change(ctx context.Context, isUpdate bool, edit func(*siteConfig)) (siteConfig, int) {
 	_, next, code := o.changeFrom(ctx, isUpdate, edit)
 	return next, code
 }
 
-// changeFrom is change that tells what it built on as well.
+// changeFrom is change that also returns the configuration it was built on.
 func (o *operator) changeFrom(ctx context.Context, isUpdate bool, edit func(*siteConfig)) (was, next siteConfig, code int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	was = o.current
 	next = was.next()
 	edit(&next)
-	body := next.document()
+	body := next.body()
 	if isUpdate {
 		body = next.updateFrom(was)
 	}
@@ -192,6 +193,7 @@
 	return was, next, code
 }
 
+// sync reads the configuration in force and makes it the current one.
 func (o *operator) sync(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
@@ -204,13 +206,13 @@
 	o.site.keys.update(o.current.Tenants)
 }
 
-// judgeReadBack reads the configuration at the end.
+// readBack reads the configuration at the end.
 func (o *operator) readBack(ctx context.Context) {
 	code, raw := o.readConfiguration(ctx)
 	o.site.History.WithLock(func() { o.site.History.Read = ReadBack{code, raw} })
 }
 
-// evacuate starts or finishes an evacuation; true if it was acknowledged.
+// evacuate starts or finishes the evacuation of a zone, and reports whether that was acknowledged.
 func (o *operator) evacuate(ctx context.Context, zone, verb string) bool {
 	h := o.site.History
 	order := Command{Text: verb + " of " + zone, At: o.site.Now()}
@@ -223,6 +225,7 @@
 	return order.AckAt > 0
 }
 
+// hostOf returns the host name of a route in any configuration that was sent.
 func (o *operator) hostOf(route string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/operatorcalls.go
+++ b/internal/standin/operatorcalls.go
@@ -13,12 +13,12 @@
 	"caperwheel/internal/linearize"
 )
 
-// orderOf names an order by all that makes it the same when it is sent again.
+// requestDigest identifies a configuration request by everything that is the same in a repetition.
 func requestDigest(path, base string, body []byte) string {
 	return fmt.Sprintf("%s on %s: %s", path, base, fleet.Checksum(body))
 }
 
-// outcomeOf is what the last clear answer to a call says; 0 is none.
+// outcomeOf classifies the last conclusive status of a call; 0 means there was none.
 func outcomeOf(code int) linearize.Outcome {
 	switch {
 	case code == 0:
@@ -29,13 +29,13 @@
 	return linearize.Refused
 }
 
-// recordedCall makes a call and notes it with all its tries.
+// recordedCall makes a call and records it with all its retries as one operation.
 func (o *operator) recordedCall(ctx context.Context, method, path, base string, body []byte, as linearize.Operation) (int, []byte) {
 	as.CalledAt = o.site.Now()
 	code, raw := o.call(ctx, method, path, base, body)
 	as.ReturnedAt, as.Outcome = o.site.Now(), outcomeOf(code)
 	if as.Kind == linearize.Read && code != http.StatusOK {
-		return code, raw // it told of no configuration
+		return code, raw // no configuration was returned
 	}
 	o.site.History.WithLock(func() {
 		if as.Kind == linearize.Read {
@@ -46,7 +46,7 @@
 	return code, raw
 }
 
-// orderOf names the order that made a configuration, if any did.
+// requestDigestOf returns the digest of the request that resulted in a configuration, or "nobody's".
 func (h *History) requestDigestOf(doc []byte) string {
 	version := gjson.GetBytes(doc, "version").Int()
 	for _, e := range h.Edits {
@@ -60,7 +60,7 @@
 	return "nobody's"
 }
 
-// sendConfiguration sends a configuration, whole or as an update.
+// sendConfiguration sends a configuration, complete or as an update.
 func (o *operator) sendConfiguration(ctx context.Context, path string, base, version int64, body []byte, isInvalid bool) int {
 	given := fmt.Sprint(base)
 	kind := linearize.Replace
@@ -72,19 +72,19 @@
 	return code
 }
 
-// readConfiguration asks for the configuration in force.
+// readConfiguration reads the configuration in force.
 func (o *operator) readConfiguration(ctx context.Context) (int, []byte) {
 	return o.recordedCall(ctx, http.MethodGet, "/v1/configuration/read", "", nil, linearize.Operation{Kind: linearize.Read})
 }
 
-// changeEvacuation starts or finishes an evacuation.
+// changeEvacuation starts or finishes the evacuation of a zone.
 func (o *operator) changeEvacuation(ctx context.Context, zone, verb string) int {
 	kind := map[string]linearize.Kind{"start": linearize.Evacuate, "finish": linearize.Finish}[verb]
 	code, _ := o.recordedCall(ctx, http.MethodPost, "/v1/evacuation/"+zone+"/"+verb, "", nil, linearize.Operation{Kind: kind, Zone: zone})
 	return code
 }
 
-// judgeCalls: there is one order of the operators' calls that explains their answers.
+// judgeCalls checks that the operators' calls are linearizable, for configurations and evacuations separately.
 func (j *judge) judgeCalls() {
 	rules := map[bool]string{false: RuleConfig, true: RuleEvac}
 	for _, isZone := range []bool{false, true} {
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// The platform's names, as its workers, clients and operators write them.
+// Header fields and paths of the platform, as its workers, clients and operators send them.
 const (
 	attemptId   = "X-Attempt-Id"
 	orderKey    = "X-Order-Key"
@@ -33,17 +33,17 @@
 	healthPath = "/soundness"
 )
 
-// ServicePlan of a service.
+// ServicePlan describes a service and its workers.
 type ServicePlan struct {
 	Name                   string
 	Slots, Queue, MaxConns int
 	Work                   time.Duration
-	Count                  int // workers in each zone; 0 for an endpoint
+	Count                  int // workers per zone; 0 for an endpoint
 	HasDeduplication       bool
 	ReportsLoad            bool
 	Rate, ColdRate         float64
 	ColdFor                time.Duration
-	Listed                 int // further workers on the list, which one process serves at addresses of their own
+	Listed                 int // further workers on the list, served by one process at separate addresses
 }
 
 // Pool is a service with its workers, or its one endpoint.
@@ -54,17 +54,18 @@
 	mu             sync.Mutex
 	workers        []*Worker
 	startedWorkers int
-	recentArrivals []time.Duration   // arrivals within the last second, under a rate
-	claimed        map[string]bool   // ids that run now
-	stamps         map[string]string // first successes, by id
-	failed         map[string]bool   // ids that have failed once as they were told to
+	recentArrivals []time.Duration   // within ceilingWindow, if the service has a rate
+	claimed        map[string]bool   // ids that are running
+	stamps         map[string]string // stamp of the first success, by id
+	failed         map[string]bool   // ids whose requested first failure has happened
 }
 
+// newPool returns a pool without workers.
 func newPool(site *Site, plan ServicePlan) *Pool {
 	return &Pool{ServicePlan: plan, site: site, claimed: map[string]bool{}, stamps: map[string]string{}, failed: map[string]bool{}}
 }
 
-// admit takes an arrival under the rate.
+// admit counts an arrival and reports whether it is within the service's rate.
 func (p *Pool) admit(now time.Duration) bool {
 	if p.Rate == 0 {
 		return true
@@ -76,7 +77,8 @@
 	return float64(len(p.recentArrivals)) <= p.Rate*ceilingWindow.Seconds()*ceilingOvershoot+ceilingSlack
 }
 
-// claim looks an id up in the table that a service's workers share.
+// claim looks up an id in the deduplication table that the service's workers share. It returns the stamp of an
+// earlier success, or whether the id is running, or else claims the id.
 func (p *Pool) claim(id string) (seal string, isRunning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,6 +92,7 @@
 	return "", false
 }
 
+// releaseClaim ends the claim of an id and records the stamp of its success, if any.
 func (p *Pool) releaseClaim(id, seal string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +102,7 @@
 	}
 }
 
-// isFirstFailure is true once for each id.
+// isFirstFailure returns true once for each id.
 func (p *Pool) isFirstFailure(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +111,7 @@
 	return !was
 }
 
-// add begins a new life in a zone, at addr.
+// add starts a new worker in a zone at addr.
 func (p *Pool) add(zone, addr string, isCold bool) (*Worker, error) {
 	now := p.site.Now()
 	w := &Worker{Service: p, Zone: zone, From: now}
@@ -129,7 +132,8 @@
 	return w, nil
 }
 
-// identifierOf names a life of a worker: one life in three by where it runs, longer than a name.
+// identifierOf returns the identifier of a service's worker with that number. One in three is a long path that
+// contains its location, longer than names may be.
 func identifierOf(service, zone string, life int) string {
 	short := fmt.Sprintf("%s-%d-%x", service, life, rand.Uint32())
 	if life%3 != 0 {
@@ -138,24 +142,24 @@
 	return "region/" + zone + "/" + service + "/rack-" + strings.Repeat("0", longIdentifierPadding) + "/" + short
 }
 
-// longIdentifierPadding is how many characters a long identifier has at least.
+// longIdentifierPadding is the number of padding characters in a long identifier.
 const longIdentifierPadding = 64
 
-// remove takes a life off the list.
+// remove removes a worker from the list.
 func (p *Pool) remove(w *Worker) {
 	p.mu.Lock()
 	p.workers = slices.DeleteFunc(p.workers, func(other *Worker) bool { return other == w })
 	p.mu.Unlock()
 }
 
-// all lists the lives that go on.
+// all lists the current workers.
 func (p *Pool) all() []*Worker {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.workers)
 }
 
-// lay gives a service its first workers, spread over the zones.
+// startWorkers starts a service's first workers, spread over the zones.
 func (p *Pool) startWorkers() error {
 	zones, count := p.site.Zones, p.Count*len(p.site.Zones)
 	if p.Count == 0 {
@@ -173,7 +177,7 @@
 	return nil
 }
 
-// nextAddr gives an address of its own to a worker or whatever else stands in.
+// nextAddr returns an unused address.
 func (s *Site) nextAddr() string {
 	return s.at(int(s.hosts.Add(1)), 0)
 }
--- a/internal/standin/randomfaults.go
+++ b/internal/standin/randomfaults.go
@@ -7,7 +7,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// RandomFaults are the faults of which schedules are drawn by seed.
+// RandomFaults are the faults from which random schedules are drawn.
 func RandomFaults() []fleet.FaultDraw {
 	of := func(names ...string) func(*rand.Rand) string {
 		return func(r *rand.Rand) string { return names[r.IntN(len(names))] }
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -8,16 +8,17 @@
 	"github.com/tidwall/gjson"
 )
 
+// receiverConns is the maximum number of connections of the receiver.
 const receiverConns = 16
 
-// Receiver gets call-backs. Those that it fails must come again.
+// Receiver emulates a receiver of call-backs. Call-backs to which it responds with an error must be repeated.
 type Receiver struct {
 	site  *Site
 	mode  atomic.Int32
 	count atomic.Int64
 }
 
-const failEvery = 7 // so many call-backs, one is failed
+const failEvery = 7 // one call-back in so many gets an error response
 
 func (v *Receiver) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
--- a/internal/standin/repeats.go
+++ b/internal/standin/repeats.go
@@ -9,34 +9,34 @@
 	"caperwheel/internal/check"
 )
 
-// Repeats of messages whose sending has ended, by shares of them.
+// Probabilities and bounds of repeated submissions after the first one has ended.
 const (
-	repeatAfterUnknown = 0.7  // nothing is known of it
-	repeatAfterRefusal = 0.3  // it was not taken
+	repeatAfterUnknown = 0.7  // the outcome is unknown
+	repeatAfterRefusal = 0.3  // it was refused
 	repeatAfterAccept  = 0.08 // it was accepted
-	repeatConcurrently = 0.03 // while the first is still being sent
+	repeatConcurrently = 0.03 // while the first submission is under way
 
 	minRepeatDelay    = 20 * time.Millisecond
 	maxRepeatDelay    = 30 * time.Second
-	repeatWindow      = keyWindow - 10*time.Second // from the first send to the last
-	maxPendingRepeats = 500                        // that wait
-	repeatProbability = 0.3                        // of sends that are repeats, while any waits
+	repeatWindow      = keyWindow - 10*time.Second // from the first submission to the last
+	maxPendingRepeats = 500                        // waiting to be sent
+	repeatProbability = 0.3                        // of a submission being a repeat, if one is due
 )
 
-// sendRepeat is a message that is to be sent again, through a front of another zone.
+// repeat is a message that will be submitted again through a front of another zone.
 type repeat struct {
 	message Message
 	zone    string
 	at      time.Duration
 }
 
-// repeats holds the messages that are to be sent again, at most maxPendingRepeats of them.
+// repeats holds the messages that will be submitted again, at most maxPendingRepeats of them.
 type repeats struct {
 	mu      sync.Mutex
 	pending []repeat
 }
 
-// put has a message sent again after a moment.
+// put schedules a repeated submission of a message.
 func (r *repeats) put(m Message, zone string, at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// addBreaches returns a message whose time to be sent again has come, for a client of a zone.
+// take returns a message that is due for a repeated submission by a client of a zone.
 func (r *repeats) take(zone string, now time.Duration) (Message, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +59,7 @@
 	return m, true
 }
 
-// note draws whether a message is sent again, after what its last try was told.
+// note draws whether a message is submitted again, depending on the outcome of its last submission.
 func (r *repeats) note(m Message, zone string, told check.Outcome, now time.Duration, draws *rand.Rand) {
 	share := map[check.Outcome]float64{check.Undecided: repeatAfterUnknown, check.NotTaken: repeatAfterRefusal, check.Taken: repeatAfterAccept}[told]
 	if draws.Float64() < share {
@@ -67,14 +67,14 @@
 	}
 }
 
-// noteConcurrent draws whether a message is sent a second time while the first is still being sent.
+// noteConcurrent draws whether a message is submitted a second time while the first submission is under way.
 func (r *repeats) noteConcurrent(m Message, zone string, now time.Duration, draws *rand.Rand) {
 	if draws.Float64() < repeatConcurrently {
 		r.put(m, zone, now)
 	}
 }
 
-// nextMessage is the next one that a client of a zone sends: a repeat of an earlier one, or a new one.
+// nextMessage returns the next message that a client of a zone submits: a repeat of an earlier one, or a new one.
 func (s *Site) nextMessage(load Load, zone string, draws *rand.Rand) Message {
 	if draws.Float64() < repeatProbability {
 		if m, isThere := s.repeats.take(zone, s.Now()); isThere {
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -14,14 +14,14 @@
 	"caperwheel/internal/fleet"
 )
 
-// Figures of a run.
+// Figures are the counts and breaches of a run.
 type Figures struct {
 	Tries                int            `json:"tries"`
-	AcceptedAgain        int            `json:"accepted_again"` // sends of what was accepted already
+	AcceptedAgain        int            `json:"accepted_again"` // submissions of messages that had been accepted before
 	AdminRequests        int            `json:"asked_at_other_doors"`
 	Changes              int            `json:"changes"`
 	Processes            int            `json:"processes"`
-	Codes                map[int]int    `json:"codes"` // 0: no whole answer
+	Codes                map[int]int    `json:"codes"` // 0: no complete response
 	LongestAcceptGap     string         `json:"longest_without_an_accept"`
 	LongestAcceptGapFrom string         `json:"longest_without_an_accept_from"`
 	Runs                 int            `json:"runs"`
@@ -41,7 +41,7 @@
 	Breaches []check.Breach `json:"breaches"`
 }
 
-// Report judges what was seen and counts it.
+// Report judges the history and counts what it contains.
 func (s *Site) Report(isTimed bool) Figures {
 	out := Figures{Codes: map[int]int{}, FinalStates: map[string]int{}, Edits: map[int]int{}, Breaches: Judge(s.History, isTimed), Crashes: s.Crashes()}
 	s.List.mu.Lock()
@@ -94,8 +94,7 @@
 	return out
 }
 
-// longestAcceptGap returns the longest time in which nothing was accepted, and its
-// beginning on the clock of all records.
+// longestAcceptGap returns the longest time without an accepted submission, and its start on the site's clock.
 func longestAcceptGap(sent []Submission) (pause, from time.Duration) {
 	told := []time.Duration{}
 	for _, x := range sent {
@@ -112,17 +111,18 @@
 	return pause, from
 }
 
-// IsClean reports whether nothing is wrong.
+// IsClean reports whether the run had no breach, failure or crash, and at least one run of a message.
 func (f Figures) IsClean() bool {
 	return len(f.Breaches)+len(f.Failures)+len(f.Crashes) == 0 && f.Runs > 0
 }
 
 const (
 	startTimeout = time.Minute
-	quietPeriod  = 3 * time.Second // between the last steps and the last questions
+	quietPeriod  = 3 * time.Second // between the last faults and the final queries
 )
 
-// RunSchedule runs a small site for a time under a schedule, and writes the figures.
+// RunSchedule runs the small deployment under load and a fault schedule for a time, and writes the figures as JSON.
+// It returns an error if a rule was broken or anything failed.
 func RunSchedule(ctx context.Context, bin, dir string, schedule fleet.Schedule, length time.Duration, out io.Writer) error {
 	plan := SmallPlan()
 	s, err := New(plan, bin, dir)
--- a/internal/standin/response.go
+++ b/internal/standin/response.go
@@ -6,22 +6,22 @@
 	"io"
 )
 
-// responseShape is how the body of an answer looks, about which the platform's pages say nothing.
+// responseShape is the size and framing of a response body, which the platform's documents leave open.
 type responseShape struct {
 	size      int  // bytes
-	isChunked bool // it comes without its length
+	isChunked bool // sent without a Content-Length
 }
 
 const (
-	usualBodyBytes   = 24      // bytes
-	oddBodySizeEvery = 8       // one message in so many has an answer of another size
-	blockSize        = 4 << 10 // of what is written at once
+	usualBodyBytes   = 24
+	oddBodySizeEvery = 8       // one message in so many has a response of another size
+	blockSize        = 4 << 10 // bytes per write
 )
 
-// oddBodySizes are the unusual ones: none, and those beside round numbers, where bounds lie.
+// oddBodySizes are the unusual sizes: empty, and at and just above round numbers, where limits are likely.
 var oddBodySizes = []int{0, 1, 64 << 10, 64<<10 + 1, 256 << 10, 256<<10 + 1, 1 << 20, 1<<20 + 1}
 
-// responseShapeOf draws a form for a message, the same for each of its runs.
+// responseShapeOf draws the shape for a message; it is the same for each run of the message.
 func responseShapeOf(id string) responseShape {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
@@ -33,7 +33,7 @@
 	return form
 }
 
-// write writes a body of this form.
+// write writes a body of this shape.
 func (f responseShape) write(out io.Writer) error {
 	block := bytes.Repeat([]byte("a"), blockSize)
 	for left := f.size; left > 0; left -= blockSize {
--- a/internal/standin/series.go
+++ b/internal/standin/series.go
@@ -11,23 +11,23 @@
 	"caperwheel/internal/fleet"
 )
 
-// Spans of faults that come in series.
+// Durations and counts for faults in series.
 const (
-	seriesBegin    = 2 * time.Second        // before the first one
-	seriesEnd      = 4 * time.Second        // after the last one
-	meanSeriesGap  = 700 * time.Millisecond // between two, on the mean
-	maxSignalPause = 400 * time.Millisecond // the longest between two signals to one process
+	seriesBegin    = 2 * time.Second        // before the first fault
+	seriesEnd      = 4 * time.Second        // after the last fault
+	meanSeriesGap  = 700 * time.Millisecond // between two faults
+	maxSignalPause = 400 * time.Millisecond // longest pause between two signals to a process
 	signalCount    = 4
 	churnCount     = 10
 )
 
-// signalWhileStopping asks machines to stop and gives them further signals while they do. Undone,
-// they start again.
+// signalWhileStopping stops machines gracefully and sends them further signals while they stop. They start again when
+// the fault ends.
 func signalWhileStopping(ctx context.Context, s *Site, who string) func() {
 	return s.disruptEach(who, func(m *Machine) {
 		stopping, stopped := context.WithCancel(ctx)
 		defer stopped()
-		go func() { // not a signal more once they have gone: the next life is not meant
+		go func() { // stops with the processes: a signal must not reach their next incarnation
 			for i := 0; i < signalCount && sleep(stopping, time.Duration(rand.Int64N(int64(maxSignalPause)))); i++ {
 				m.sendSignal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[i%2])
 			}
@@ -36,7 +36,7 @@
 	})
 }
 
-// reloadRepeatedly has machines read changed settings again and again.
+// reloadRepeatedly makes machines reload changed settings several times.
 func reloadRepeatedly(ctx context.Context, s *Site, who string) func() {
 	for range signalCount {
 		for _, m := range s.machinesMatching(who) {
@@ -47,7 +47,7 @@
 	return func() {}
 }
 
-// losePower has machines lose power for good.
+// losePower kills machines permanently.
 func losePower(_ context.Context, s *Site, who string) func() {
 	for _, m := range s.machinesMatching(who) {
 		m.stop(false)
@@ -65,7 +65,7 @@
 	return func() {}
 }
 
-// changeRepeatedly changes the configuration many times, one right after another.
+// changeRepeatedly changes the configuration many times in a row.
 func changeRepeatedly(ctx context.Context, s *Site, who string) func() {
 	for range churnCount {
 		changeConfig(ctx, s, who)
@@ -73,7 +73,7 @@
 	return func() {}
 }
 
-// closeIdleConnections has workers close the connections that wait on them, without a word.
+// closeIdleConnections makes workers close idle connections without notice.
 func closeIdleConnections(_ context.Context, s *Site, who string) func() {
 	for _, w := range s.workers(who) {
 		w.server.SetKeepAlivesEnabled(false)
@@ -82,7 +82,7 @@
 	return func() {}
 }
 
-// seriesFaults are the faults of a series, for a site with so many fronts.
+// seriesFaults are the faults from which a series is drawn, for a site with that many fronts.
 func seriesFaults(fronts int) []fleet.FaultDraw {
 	of := func(names ...string) func(*rand.Rand) string {
 		return func(r *rand.Rand) string { return names[r.IntN(len(names))] }
@@ -90,7 +90,7 @@
 	front := func(r *rand.Rand) string { return fmt.Sprintf("front-%d", 1+r.IntN(fronts)) }
 	other := of("store-1", "store-2", "store-3", "core-1", "core-2", "core-3")
 	all := of("front-*", "store-*", "core-*")
-	pairs := func(r *rand.Rand) string { // a front and the stores that it may need
+	pairs := func(r *rand.Rand) string { // a front, and stores that it may depend on
 		return front(r) + "+" + of("store-1", "store-2", "store-3", "store-*")(r)
 	}
 	workers := of("pool-1/1", "pool-1/2", "pool-1/3", "pool-1/4", "pool-2/1", "pool-2/2")
@@ -124,8 +124,8 @@
 	}
 }
 
-// FaultSeries draws faults by seed that come close upon each other and overlap. The same
-// seed draws the same series. On a site with spare fronts, up to a quarter go for good.
+// FaultSeries draws a series of faults that follow each other closely and overlap. The same seed draws the same
+// series. On a site with spare fronts, up to a quarter of the spare ones lose power permanently.
 func FaultSeries(seed uint64, length time.Duration, fronts, zones int) fleet.Schedule {
 	r, draws, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
 	for _, d := range draws {
@@ -151,6 +151,6 @@
 }
 
 const (
-	seriesSeedStream = 31 // the stream of chance of a series, apart from others of the same seed
-	powerLossEvery   = 6  // beside one in so many faults a front goes for good
+	seriesSeedStream = 31 // random stream of the series, separate from others of the same seed
+	powerLossEvery   = 6  // with one fault in so many a front loses power permanently
 )
--- a/internal/standin/signal.go
+++ b/internal/standin/signal.go
@@ -7,20 +7,19 @@
 	"caperwheel/internal/fleet"
 )
 
-// signalNote is closed as a machine's processes are given a signal.
+// signalNote announces one signal: given is closed when the machine's processes get it.
 type signalNote struct{ given chan struct{} }
 
 func newSignal() *signalNote { return &signalNote{make(chan struct{})} }
 
-// nextSignal is closed as the machine's processes are given their next signal.
+// nextSignal returns a channel that is closed when the machine's processes get their next signal.
 func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalNote.Load().given }
 
-// noteSignal tells those who wait for a signal. They learn of it before or just
-// after the processes do.
+// noteSignal announces a signal to those who wait for one. They may see it shortly before or after the processes do.
 func (m *Machine) noteSignal() { close(m.nextSignalNote.Swap(newSignal()).given) }
 
-// isListening reports whether a process listens: one whose runtime has not begun yet ends of
-// a SIGHUP, whatever the program does.
+// isListening reports whether a process accepts connections. A process whose runtime has not started yet is
+// terminated by a SIGHUP, whatever the program does.
 func (m *Machine) isListening(p *fleet.Process) bool {
 	port := portHttp
 	if p.Kind == "agent" {
@@ -34,7 +33,7 @@
 	return true
 }
 
-// sendSignal gives the machine's processes a signal, whatever they are doing.
+// sendSignal sends a signal to the machine's processes in any state; SIGHUP only to those that accept connections.
 func (m *Machine) sendSignal(sig syscall.Signal) {
 	m.noteSignal()
 	for _, p := range m.Processes {
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -17,15 +17,15 @@
 	"caperwheel/internal/fleet"
 )
 
-// Addresses of a site: 127.n.net.*, where all machines have the same ports.
+// Addresses of a site: hosts in 127.n.net.*, each with the same ports.
 const (
-	guardPort       = 11999 // held on host 1 while a site is laid out
-	listHost        = 2     // and the one after it: the list can move
+	guardPort       = 11999 // listened to on host 1 to reserve the network for this site
+	listHost        = 2     // the list is served on this host and the next one, so that it can move
 	receiverHost    = 5
 	machineHost     = 20
 	workerHost      = 1000
 	slowGraceFactor = 5
-	hostsPerNetwork = 250 // addresses of 127.n.net.*
+	hostsPerNetwork = 250 // addresses in 127.n.net.*
 	portFront       = 0
 	portReady       = 1
 	portControl     = 2
@@ -33,7 +33,8 @@
 	portLast        = 19
 )
 
-// Site is a whole deployment on the stand-in platform.
+// Site is a complete deployment on the emulated platform: real daemons on machines, workers, load balancer, operator
+// and receivers.
 type Site struct {
 	Zones    []string
 	Dir, Bin string
@@ -55,24 +56,26 @@
 	cancel      context.CancelFunc
 	ctx         context.Context
 	loops       sync.WaitGroup
-	queryClient *http.Client // for the state of messages
+	queryClient *http.Client // for queries about messages
 	keys        *keyring
 	repeats     repeats
 
-	hasRandomFaults bool // faults are drawn: one may hurt what another keeps idle
+	hasRandomFaults bool // faults may disrupt what another fault relies on
 	steps           sync.Mutex
-	Failures        []string // steps not carried out, daemons that ended by themselves
+	Failures        []string // faults that could not be caused, processes that exited by themselves
 }
 
-// Now is the clock of all records.
+// Now returns the time since the site was created, the clock of all records.
 func (s *Site) Now() time.Duration { return time.Since(s.startedAt) }
 
+// recordFailure records that a step of the run could not be carried out or a daemon failed.
 func (s *Site) recordFailure(form string, args ...any) {
 	s.steps.Lock()
 	defer s.steps.Unlock()
 	s.Failures = append(s.Failures, fmt.Sprintf(form, args...))
 }
 
+// sleep waits for a duration, and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	beat := time.NewTimer(d)
 	defer beat.Stop()
@@ -84,8 +87,7 @@
 	}
 }
 
-// New lays a site out in a folder: workers and the platform serve, daemons do
-// not run yet.
+// New creates a site in a directory. Workers and the emulated platform serve at once; the daemons are started by Up.
 func New(plan SitePlan, bin, dir string) (*Site, error) {
 	s := &Site{plan: plan, Zones: plan.Zones, Dir: dir, Bin: bin, History: NewHistory(), Pools: map[string]*Pool{}, startedAt: time.Now()}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
@@ -129,6 +131,7 @@
 	return s, nil
 }
 
+// at returns an address: a host number of the site, and a port counted from the site's first one.
 func (s *Site) at(host, port int) string {
 	return net.JoinHostPort(s.ip(host), strconv.Itoa(s.port+port))
 }
@@ -137,10 +140,10 @@
 	return fmt.Sprintf("127.%d.%d.%d", host/hostsPerNetwork, s.net, 1+host%hostsPerNetwork)
 }
 
-// gracePeriod is how long processes are told that they have from SIGTERM to SIGKILL.
+// grace returns the time between SIGTERM and SIGKILL that the settings promise to processes.
 func (s *Site) grace() time.Duration { return cmp.Or(s.plan.Grace, gracePeriod) }
 
-// stopTimeout is how long they really have.
+// stopTimeout returns the time between SIGTERM and SIGKILL that processes really get.
 func (s *Site) stopTimeout() time.Duration {
 	if s.plan.IsSlow {
 		return slowGraceFactor * s.grace()
@@ -148,7 +151,7 @@
 	return s.grace()
 }
 
-// runPeriodically does something again and again until the site goes down.
+// runPeriodically calls do periodically until the site goes down.
 func (s *Site) runPeriodically(period time.Duration, do func()) {
 	s.loops.Add(1)
 	go func() {
@@ -159,8 +162,7 @@
 	}()
 }
 
-// Up starts all daemons and has the first configuration taken; it returns once
-// the entry finds every front ready.
+// Up starts all daemons and sends the first configuration. It returns once every front is ready.
 func (s *Site) Up(ctx context.Context) error {
 	for _, m := range s.Machines {
 		if err := m.start(); err != nil {
@@ -181,14 +183,14 @@
 	return nil
 }
 
-// Down ends everything that the site started.
+// Down stops everything that the site has started.
 func (s *Site) Down() {
 	s.cancel()
 	s.loops.Wait()
-	s.killAll() // whoever waits for the end of one lets its machine go
+	s.killAll() // releases the mutexes of machines that wait for a process to stop
 	for _, m := range s.Machines {
 		m.mu.Lock()
-		m.isPermanentlyDown = true // a fault that ends late starts it no more
+		m.isPermanentlyDown = true // a fault that ends late must not start it again
 		m.mu.Unlock()
 	}
 	s.killAll()
@@ -215,9 +217,10 @@
 	wg.Wait()
 }
 
-// Crashes reports what panics have left in the logs.
+// Crashes returns the panics found in the logs.
 func (s *Site) Crashes() []string { return fleet.CrashesIn(filepath.Join(s.Dir, "log")) }
 
+// createMachines creates the machines of each class, spread over the zones.
 func (s *Site) createMachines() error {
 	for _, folder := range []string{"log", "etc"} {
 		if err := os.MkdirAll(filepath.Join(s.Dir, folder), 0o755); err != nil {
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// slowMachinePlan is the small site for machines that may be busy with other tests.
+// slowMachinePlan is the small plan with long timeouts, for machines that may be busy with other tests.
 func slowMachinePlan() SitePlan {
 	plan := SmallPlan()
 	plan.Deadline = 10 * time.Second
@@ -22,9 +22,8 @@
 	return plan
 }
 
-// TestPlatform runs real daemons on the stand-in platform through the loss of a
-// store and a change of the configuration. Rules that no speed can break, and
-// counts, judge it.
+// TestPlatform runs real daemons through the loss of a store and a change of the configuration. Only rules without
+// time bounds, and counts, are checked.
 func TestPlatform(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -67,7 +66,7 @@
 	})
 }
 
-// waitForAccepts waits until so many more messages were accepted.
+// waitForAccepts waits until so many more messages have been accepted.
 func (s *Site) waitForAccepts(ctx context.Context, more int) bool {
 	count := func() (n int) {
 		s.History.WithLock(func() {
@@ -106,7 +105,7 @@
 	return true
 }
 
-// TestChoose is the table of how the entry spreads sessions.
+// TestChoose tests how the entry assigns connections to fronts.
 func TestChoose(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	a1, a2, a3, b1, c1 := &Machine{ShortName: "a1", Zone: "a"}, &Machine{ShortName: "a2", Zone: "a"}, &Machine{ShortName: "a3", Zone: "a"},
@@ -146,8 +145,8 @@
 	})
 }
 
-// TestDraws: a schedule is the same for the same seed; all name faults that
-// there are, also those of the repo.
+// TestDraws checks that a seed always draws the same schedule, and that all schedules, drawn ones and those in
+// examples/, name faults that exist.
 func TestDraws(t *testing.T) {
 	Convey("The schedules of the repo can be read", t, func() {
 		files, err := filepath.Glob("../../examples/platform/*.json")
--- a/internal/standin/siteconfig.go
+++ b/internal/standin/siteconfig.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// route is one as a configuration has it.
+// route is a route in a configuration.
 type route struct {
 	Name        string  `json:"name"`
 	Host        string  `json:"hostname"`
@@ -27,6 +27,7 @@
 	IsPublic    bool    `json:"public_access"`
 }
 
+// service is a service in a configuration.
 type service struct {
 	Name             string  `json:"name"`
 	Health           string  `json:"health_path"`
@@ -41,6 +42,7 @@
 	Fixed            *string `json:"fixed_endpoint"`
 }
 
+// limits are the limits on clients' connections and requests in a configuration.
 type limits struct {
 	Header  int64 `json:"max_header_bytes"`
 	Body    int64 `json:"max_body_bytes"`
@@ -48,6 +50,7 @@
 	Idle    int64 `json:"idle_timeout_ms"`
 }
 
+// siteConfig is a configuration as the operator sends it.
 type siteConfig struct {
 	Version  int64     `json:"version"`
 	Routes   []route   `json:"routes"`
@@ -56,28 +59,27 @@
 	Tenants  []tenant  `json:"tenants,omitempty"`
 }
 
-// SitePlan is a deployment with its services and load.
+// SitePlan is the plan of a deployment with its services and load.
 type SitePlan struct {
 	Zones    []string
 	Services []ServicePlan
 	Routes   []route
 	Loads    []Load
 	Deadline time.Duration // of clients
-	Fronts   int           // machines of that class in each zone; 1 if not given
-	Grace    time.Duration // that processes are told of; the rules' own if not given
-	IsSlow   bool          // the real machine may be: processes get several times their grace
-	ListPage int           // entries of a page of the list; a few if not given
-	ListRate float64       // calls a second that the list takes; a few if not given
+	Fronts   int           // machines of class front_end per zone; 0 means 1
+	Grace    time.Duration // grace period of processes; 0 means gracePeriod
+	IsSlow   bool          // the host may be slow: processes get several times their grace period
+	ListPage int           // entries per page of the list; 0 means listPageEntries
+	ListRate float64       // calls per second that the list accepts; 0 means listRatePerSecond
 
-	Customers []Customer // nobody needs a key if there are none
+	Customers []Customer // without any, no route needs an API key
 }
 
-// SmallPlan is the small deployment that everything here is about: three zones with
-// a machine of each class, a service that anybody may call, one that is ordered
-// and shares a table of ids, and an endpoint with a rate.
+// SmallPlan returns the plan of the small deployment: three zones with a machine of each class, a service with a
+// public route, an ordered service with deduplication, and an endpoint with a rate limit.
 func SmallPlan() SitePlan {
 	salt := fmt.Sprintf("%x", rand.Uint32())
-	sort, press, buoy := "sort"+salt, "press."+salt, "buoy-"+salt // one is no product name
+	sort, press, buoy := "sort"+salt, "press."+salt, "buoy-"+salt // the second is not a valid name of the product
 	hosts := []string{"Lots" + salt + ".example", "orders" + salt + ".example"}
 	make := func(name, host, prefix, service string, timeout int64, priority, attempts int, isOrdered, isTold bool) route {
 		return route{Name: name, Host: host, Prefix: prefix, Kind: "asynchronous", Timeout: timeout, Target: 150, Priority: priority,
@@ -101,7 +103,7 @@
 	return plan
 }
 
-// keyedRate is how many messages a second need a key.
+// keyedRate returns the rate in messages per second of all routes that need an API key.
 func (p SitePlan) keyedRate() (sum float64) {
 	for _, load := range p.Loads {
 		if !load.IsPublic {
@@ -111,7 +113,7 @@
 	return sum
 }
 
-// config is a plan's first one.
+// config returns the first configuration of a plan.
 func (p SitePlan) config(s *Site) siteConfig {
 	c := siteConfig{Routes: p.Routes, Limits: limits{16384, 200000, 3000, 12000}}
 	for _, v := range p.Services {
@@ -129,14 +131,15 @@
 	return c
 }
 
-// next is a copy of a higher version.
+// next returns a copy with a higher version.
 func (c siteConfig) next() siteConfig {
 	c.Routes, c.Services, c.Tenants = slices.Clone(c.Routes), slices.Clone(c.Services), cloneTenants(c.Tenants)
 	c.Version += 1 + rand.Int64N(4)
 	return c
 }
 
-func (c siteConfig) document() []byte {
+// body returns the complete configuration as the body of a request.
+func (c siteConfig) body() []byte {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return nil
@@ -144,7 +147,7 @@
 	return raw
 }
 
-// updateFrom is the update that makes this configuration of another.
+// updateFrom returns the update request that turns the configuration was into this one.
 func (c siteConfig) updateFrom(was siteConfig) []byte {
 	set, gone := []route{}, []string{}
 	for _, r := range c.Routes {
@@ -168,6 +171,7 @@
 	return raw
 }
 
+// pools maps each route to its service.
 func (c siteConfig) pools() map[string][]string {
 	out := map[string][]string{}
 	for _, r := range c.Routes {
@@ -176,7 +180,7 @@
 	return out
 }
 
-// public lists the routes that need no key.
+// public lists the routes that need no API key.
 func (c siteConfig) public() (out []string) {
 	for _, r := range c.Routes {
 		if r.IsPublic {
@@ -186,6 +190,7 @@
 	return out
 }
 
+// judgedRoutes returns the properties of the routes that the judge needs.
 func (c siteConfig) judgedRoutes() map[string]Route {
 	out := map[string]Route{}
 	for _, r := range c.Routes {
@@ -196,26 +201,23 @@
 	return out
 }
 
-// invalidations are ways in which a configuration is invalid. c has a version of its own.
+// invalidations make a configuration invalid in one way each; c is a new version and was is the version in force.
 var invalidations = []func(c siteConfig, was int64) (siteConfig, []byte){
-	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.document(); return c, raw[:len(raw)*2/3] },
-	func(c siteConfig, _ int64) (siteConfig, []byte) {
-		c.Routes[0].Service = "nobody"
-		return c, c.document()
-	},
+	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.body(); return c, raw[:len(raw)*2/3] },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Service = "nobody"; return c, c.body() },
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
 		r := c.Routes[0]
 		r.Name = "double"
 		c.Routes = append(c.Routes, r)
-		return c, c.document()
+		return c, c.body()
 	},
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.document() },
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.document() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.body() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.body() },
 	func(c siteConfig, was int64) (siteConfig, []byte) {
 		c.Version, c.Routes[0].Timeout = was, c.Routes[0].Timeout+7
-		return c, c.document()
+		return c, c.body()
 	},
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
-		return c, []byte(strings.Replace(string(c.document()), `"timeout_ms":`, `"timeout_ms":"`, 1))
+		return c, []byte(strings.Replace(string(c.body()), `"timeout_ms":`, `"timeout_ms":"`, 1))
 	},
 }
--- a/internal/standin/soak.go
+++ b/internal/standin/soak.go
@@ -18,34 +18,34 @@
 
 // Limits of a soak.
 const (
-	MinProcesses          = 12 // three managers, three stores, three fronts of two processes each
+	MinProcesses          = 12 // three managers, three stores, three fronts with two processes each
 	MaxProcesses          = 300
 	MinSoakDuration       = 10 * time.Second
-	nonFrontProcesses     = 6                 // processes that are no front's
-	processesPerFront     = 2                 // processes of a front
-	callersPerFront       = 8                 // held callers for each front
-	maxCallers            = 200               // of all fronts
-	soakGrace             = 8 * time.Second   // that processes are told of
-	finalStateTimeout     = 150 * time.Second // for what was accepted to end, once all is well: as long as any ends
-	finalStateIdleTimeout = 20 * time.Second  // while none does
-	soakRetention         = 600               // seconds for which a message is kept
+	nonFrontProcesses     = 6                 // processes on core and storage machines
+	processesPerFront     = 2                 // adapter and agent
+	callersPerFront       = 8                 // held callers per front
+	maxCallers            = 200               // for all fronts together
+	soakGrace             = 8 * time.Second   // grace period of processes
+	finalStateTimeout     = 150 * time.Second // for messages to end after the last fault, as long as some do
+	finalStateIdleTimeout = 20 * time.Second  // without any message ending
+	soakRetention         = 600               // seconds
 	maxMessageDelay       = 90 * time.Second
-	tenantRatePerFront    = 50 // messages a second that tenants are meant to send to a front
-	customerSeedStream    = 33 // the stream of chance of tenants, apart from others of the same seed
+	tenantRatePerFront    = 50 // messages per second that the tenants' limits allow for
+	customerSeedStream    = 33 // random stream of the tenants, separate from others of the same seed
 	maxTraces             = 3
 	logTailLines          = 6 // of each daemon's log
 )
 
-// SoakOptions are what a soak is made of.
+// SoakOptions are the parameters of a soak.
 type SoakOptions struct {
 	Seed      uint64
-	For       time.Duration // how long callers call
+	For       time.Duration // duration of load and faults
 	Processes int
-	Bin, Dir  string                         // built programs; a folder for data and logs
-	Progress  func(form string, args ...any) // how far it is, if given
+	Bin, Dir  string                         // directories of the built programs, and of data and logs
+	Progress  func(form string, args ...any) // reports progress; may be nil
 }
 
-// Check returns a typed error that names what is wrong.
+// Check returns an error of kind errs.Invalid that names an invalid option.
 func (o SoakOptions) Check() error {
 	switch {
 	case o.For < MinSoakDuration:
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// SoakPlan is the deployment of a soak: that of Small with workers that bear its
-// callers, as many fronts as the processes allow, and delays up to the soak's length.
+// SoakPlan returns the deployment of a soak: the small plan with enough workers for the held callers, as many fronts
+// as the number of processes allows, and delays of up to half the soak's duration.
 func SoakPlan(o SoakOptions) SitePlan {
 	plan := SmallPlan()
 	plan.Grace, plan.IsSlow, plan.Deadline = soakGrace, true, responseTimeout
@@ -67,18 +67,18 @@
 	}
 	for i := range plan.Services {
 		p := &plan.Services[i]
-		p.Slots, p.Queue, p.MaxConns, p.Work = 4*p.Slots, 4*p.Queue, 4*p.MaxConns, 4*p.Work // runs are in hand whenever a front goes
-		p.Count *= plan.Fronts                                                              // and at every front
+		p.Slots, p.Queue, p.MaxConns, p.Work = 4*p.Slots, 4*p.Queue, 4*p.MaxConns, 4*p.Work // runs overlap each stop
+		p.Count *= plan.Fronts                                                              // at every front
 	}
 	plan.Loads[0].Rate, plan.Loads[1].Rate, plan.Loads[2].Rate = 50, 45, 1
-	plan.Loads[1].Keys *= plan.Fronts // the messages of a key run one after another
+	plan.Loads[1].Keys *= plan.Fronts // messages with the same key run one after another
 	plan.Loads[0].MaxDelay = min(maxMessageDelay, o.For/2)
 	plan.Customers = customers(rand.New(rand.NewPCG(o.Seed, customerSeedStream)), float64(tenantRatePerFront*plan.Fronts*len(plan.Zones)))
 	return plan
 }
 
-// Soak runs a deployment through a series of faults under held callers, and writes
-// what was broken, with the stories of some messages.
+// Soak runs a deployment with held callers through a series of faults. It writes every breach to out, with a trace of
+// the messages in the first ones.
 func Soak(ctx context.Context, o SoakOptions, out io.Writer) (Figures, error) {
 	if err := o.Check(); err != nil {
 		return Figures{}, err
@@ -99,7 +99,7 @@
 	go func() { ended <- s.upAndSoak(ctx, o, plan) }()
 	select {
 	case err = <-ended:
-	case <-ctx.Done(): // whatever it is doing; what it has started goes with the site
+	case <-ctx.Done(): // in any phase; Down stops the processes
 		err = ctx.Err()
 	}
 	if ctx.Err() != nil {
@@ -117,7 +117,7 @@
 	return figures, nil
 }
 
-// upAndSoak starts the deployment and soaks it.
+// upAndSoak starts the deployment and runs the soak.
 func (s *Site) upAndSoak(ctx context.Context, o SoakOptions, plan SitePlan) error {
 	upCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// soak calls and causes faults, heals all, and asks what became of everything.
+// soak runs load and faults, restarts all machines, and collects the final states of all messages.
 func (s *Site) soak(ctx context.Context, o SoakOptions, plan SitePlan) {
 	fronts := plan.Fronts * len(s.Zones)
 	loadCtx, cancel := context.WithTimeout(ctx, o.For)
@@ -156,9 +156,10 @@
 	s.operator.readBack(readCtx)
 }
 
+// tokens matches the tokens of submissions in the text of a breach.
 var tokens = regexp.MustCompile(`\bt\d+-[0-9a-f]+\b`)
 
-// writeBreaches writes each broken rule, and for the first ones the message's story.
+// writeBreaches writes all breaches and failures, with a trace of the messages in the first breaches.
 func (s *Site) writeBreaches(out io.Writer, o SoakOptions, f Figures) {
 	for i, b := range f.Breaches {
 		fmt.Fprintf(out, "seed %d: %s: %s\n", o.Seed, b.Rule, b.Text)
@@ -178,8 +179,7 @@
 	}
 }
 
-// writeTrace writes all that was seen of a message, and the troubles of the daemons
-// meanwhile.
+// writeTrace writes everything recorded about a submission, and the disruptions around that time.
 func (s *Site) writeTrace(out io.Writer, token string) {
 	s.History.WithLock(func() {
 		i := slices.IndexFunc(s.History.Sent, func(x Submission) bool { return x.Token == token })
@@ -206,7 +206,7 @@
 	})
 }
 
-// writeLogTails writes the last lines of each daemon.
+// writeLogTails writes the last lines of each daemon's log.
 func (s *Site) writeLogTails(out io.Writer) {
 	files, _ := filepath.Glob(filepath.Join(s.Dir, "log", "*.log"))
 	for _, file := range files {
--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -17,14 +17,14 @@
 	"caperwheel/internal/fleet"
 )
 
-// soakSeed and soakSpan are those of continuous integration; longer ones are run by hand.
+// soakSeed and soakSpan are used in continuous integration; longer soaks are run by hand.
 const (
 	soakSeed = 3
 	soakSpan = 60 * time.Second
 )
 
-// TestSoak runs a short soak on real processes, which are built with the race detector: one that finds
-// a race ends with a status of its own. Nothing in its verdict depends on how fast the machine is.
+// TestSoak runs a short soak on real processes, built with the race detector: a process that finds a race exits with
+// a status of its own. The verdict does not depend on the speed of the machine.
 func TestSoak(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer cancel()
@@ -44,12 +44,12 @@
 	})
 }
 
-// lying has a message that waits at the end of a history.
+// setFinalState sets the final state of the queued message of cleanHistory.
 func setFinalState(h *History, state string, at time.Duration) {
 	h.FinalStates["w"] = FinalState{state, "", "sum of w", at}
 }
 
-// TestSoakIsNotBlind breaks what a soak holds, one kind after the other.
+// TestSoakIsNotBlind breaks each rule that a soak checks on purpose.
 func TestSoakIsNotBlind(t *testing.T) {
 	broken := []struct {
 		rule, text string
@@ -137,7 +137,8 @@
 	})
 }
 
-// TestSeries: the same seed draws the same series, of faults that there are, for any size.
+// TestSeries checks that a seed always draws the same series, and that all its faults exist, for small and large
+// sites.
 func TestSeries(t *testing.T) {
 	Convey("A series of faults", t, func() {
 		for _, fronts := range []int{3, 99} {
@@ -154,7 +155,7 @@
 	})
 }
 
-// TestSoakOptions: what cannot be run is refused.
+// TestSoakOptions checks that invalid options are rejected.
 func TestSoakOptions(t *testing.T) {
 	Convey("A soak", t, func() {
 		So(SoakOptions{For: MinSoakDuration, Processes: MinProcesses}.Check(), ShouldBeNil)
@@ -166,7 +167,7 @@
 	})
 }
 
-// TestWasRead: what tells a request that was read from one that was not.
+// TestWasRead checks that a request that the peer read is told from one that it did not read.
 func TestWasRead(t *testing.T) {
 	for _, isRead := range []bool{true, false} {
 		Convey(fmt.Sprintf("A connection that is closed, its bytes read: %t", isRead), t, func() {
--- a/internal/standin/soakchecks.go
+++ b/internal/standin/soakchecks.go
@@ -10,10 +10,10 @@
 	"caperwheel/internal/check"
 )
 
-// minJudgedMessages is from how many accepted messages of a route on some must have run.
+// minJudgedMessages is the number of accepted messages of a route from which on some must have run.
 const minJudgedMessages = 10
 
-// requireRuns: a soak in which the messages of a route did not run has shown nothing of it.
+// requireRuns records a failure if no message of a route has run: the soak has then shown nothing about that route.
 func (s *Site) requireRuns() {
 	accepted, runs := map[string]int{}, map[string]int{}
 	s.History.WithLock(func() {
@@ -35,7 +35,7 @@
 	}
 }
 
-// requireRecovery: while something is hurt, what is left lying cannot be told.
+// requireRecovery records a failure if a disruption never ended: stuck messages cannot be judged then.
 func (s *Site) requireRecovery() {
 	hurt := []string{}
 	s.History.WithLock(func() {
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -17,8 +17,8 @@
 	"caperwheel/internal/fleet"
 )
 
-// TestSoakEndsWhenAsked: a large soak that was broken off once went on asking for minutes, and its
-// processes had to be killed.
+// TestSoakEndsWhenAsked guards against a soak that ignores the end of its context: a large soak once went on querying
+// messages for minutes after it was cancelled, and its processes had to be killed.
 func TestSoakEndsWhenAsked(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
@@ -26,7 +26,7 @@
 	Convey("A soak that is broken off ends, and all that it has started", t, func() {
 		bin := filepath.Join(dir, "bin")
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
-		for _, when := range []string{"called", "well again"} { // while callers call, and while their messages are asked after
+		for _, when := range []string{"called", "well again"} { // during the load, and during the final queries
 			asked, breakOff := context.WithCancel(ctx)
 			span := MinSoakDuration
 			if when == "called" {
@@ -47,7 +47,7 @@
 	})
 }
 
-// runningIn counts the processes whose program lies in a folder.
+// runningIn counts the processes whose program is in a directory.
 func runningIn(bin string) (count int) {
 	links, _ := filepath.Glob("/proc/[0-9]*/exe")
 	for _, link := range links {
@@ -58,7 +58,7 @@
 	return count
 }
 
-// TestNothingRan: a large soak once counted as clean in which no message of two routes ran at all.
+// TestNothingRan guards against a soak that passes although no message of a route has run.
 func TestNothingRan(t *testing.T) {
 	Convey("A soak in which no message of a route ran says so", t, func() {
 		s := &Site{History: NewHistory()}
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -11,9 +11,8 @@
 	"caperwheel/internal/fleet"
 )
 
-// TestStopsCleanly: a daemon of each kind that is asked to stop, under load, ends by
-// itself and without an error. Stores once ended in the middle of it, since others went
-// on sending them entries after they had closed their disk.
+// TestStopsCleanly checks that a daemon of each kind, stopped gracefully under load, exits by itself and without an
+// error. Stores once crashed while stopping because peers kept sending them entries after they had closed their disk.
 func TestStopsCleanly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -10,18 +10,19 @@
 	"caperwheel/internal/check"
 )
 
-// The tenants of a history in tests, with their keys.
+// The tenants of test histories, with their API keys.
 const (
 	hall, hallKey     = "hall", "api-key-hall"
 	grower, growerKey = "grower", "api-key-grower"
 )
 
+// tenantsOf returns the tenants of a test history, with the API keys of tenant hall.
 func tenantsOf(hallKeys ...string) []tenant {
 	return []tenant{{Name: hall, ApiKeys: hallKeys, Rate: 2, Burst: 2}, {Name: grower, ApiKeys: []string{growerKey}, Rate: 100, Burst: 100}}
 }
 
-// tenantHistory is a clean history in which all messages are of tenants: one was sent again after its accept, and was
-// told the first one's name.
+// tenantHistory returns a history without a breach in which all messages belong to tenants. One message is submitted
+// again after it was accepted, and gets the same message name.
 func tenantHistory() *History {
 	h := cleanHistory()
 	for i := range h.Edits {
@@ -38,7 +39,7 @@
 	return h
 }
 
-// again has a message sent again, through another daemon, which is told the first one's name.
+// addRepeat adds a repeated submission through another daemon, which returns the first one's message name.
 func addRepeat(h *History, token string, of int, at time.Duration) *Submission {
 	x := h.Sent[of]
 	x.Token, x.SentAt, x.AnsweredAt, x.Daemon = token, at, at+10*ms, "front-2"
@@ -47,7 +48,7 @@
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// addLateSubmission is a send of the hall's after all that a clean history has.
+// addLateSubmission adds a submission of tenant hall after those of cleanHistory.
 func addLateSubmission(h *History, key string, code int, at time.Duration) *Submission {
 	told := check.NotTaken
 	if code == 202 {
@@ -59,11 +60,12 @@
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// changeKeys gives a configuration in which the hall has other keys.
+// changeKeys adds a configuration in which tenant hall has other API keys.
 func changeKeys(h *History, ack time.Duration, keys ...string) {
 	changeTenants(h, ack, tenantsOf(keys...))
 }
 
+// changeTenants adds a configuration with other tenants, acknowledged at ack.
 func changeTenants(h *History, ack time.Duration, tenants []tenant) {
 	last := h.Edits[len(h.Edits)-1]
 	next := Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: last.Revision + 2, Pools: last.Pools}, Base: last.Revision, Code: 200, Tenants: tenants}
@@ -71,7 +73,7 @@
 	h.Edits, h.Read.Doc = append(h.Edits, next), next.Document
 }
 
-// addBurst has so many messages of the hall sent at one moment and run.
+// addBurst adds so many messages of tenant hall that are submitted at the same moment and run.
 func addBurst(h *History, count int, at time.Duration) {
 	for range count {
 		x := addLateSubmission(h, hallKey, 202, at)
@@ -81,7 +83,7 @@
 	}
 }
 
-// maxInWindow is how many messages of the hall the judge lets run in one window: (2 x 5 + 2) x 1.1 + 20.
+// maxInWindow is how many messages of tenant hall may run within one window by the judge: (2 x 5 + 2) x 1.1 + 20.
 const maxInWindow = 33
 
 var flaggedTenancy = []struct {
@@ -170,7 +172,7 @@
 	{RuleShape, "401 with a message's name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
 }
 
-// TestTenancyIsJudged breaks each rule of tenants, keys and quotas on purpose.
+// TestTenancyIsJudged breaks each rule about tenants, API keys and quotas on purpose.
 func TestTenancyIsJudged(t *testing.T) {
 	Convey("A history is flagged that has", t, func() {
 		for _, c := range flaggedTenancy {
@@ -196,11 +198,11 @@
 	})
 }
 
-// TestShares: what a limit allowed and was refused all the same.
+// TestShares checks the share of a tenant's limit that was refused.
 func TestShares(t *testing.T) {
 	cases := []struct {
 		text             string
-		accepted         func(i int) bool // of 400 sends, a fiftieth of a second apart, of a tenant with a rate of 2 and a burst of 2
+		accepted         func(i int) bool // of 400 submissions, 20 ms apart, of a tenant with rate 2 and burst 2
 		allowed, refused int
 		share            float64
 	}{
--- a/internal/standin/tenancyallowed_test.go
+++ b/internal/standin/tenancyallowed_test.go
@@ -4,7 +4,7 @@
 	"caperwheel/internal/check"
 )
 
-// unflaggedTenancy are histories of tenants in which no rule is broken.
+// unflaggedTenancy are histories with tenants that contain no breach.
 var unflaggedTenancy = []struct {
 	text string
 	ease func(h *History)
--- a/internal/standin/tenantfaults.go
+++ b/internal/standin/tenantfaults.go
@@ -11,16 +11,16 @@
 	"caperwheel/internal/fleet"
 )
 
-// Figures of what befalls tenants.
+// Parameters of the faults that affect tenants.
 const (
-	hotRateFactor  = 20  // times its rate that a hot tenant sends
-	maxHotRate     = 300 // messages a second, of any hot tenant
+	hotRateFactor  = 20  // times its rate that an overloading tenant sends
+	maxHotRate     = 300 // messages per second
 	raisedFactor   = 3
 	loweredDivisor = 8
-	keyOverlap     = configApplyBound + time.Second // an old key and a new one
+	keyOverlap     = configApplyBound + time.Second // time for which the old and the new key are valid
 )
 
-// customer finds the tenant that a step names by its place in the plan.
+// customer finds the tenant that a step names by its position in the plan.
 func (s *Site) customer(who string) (Customer, bool) {
 	var place int
 	if _, err := fmt.Sscanf(who, "tenant-%d", &place); err != nil || place < 1 || place > len(s.plan.Customers) {
@@ -30,7 +30,7 @@
 	return s.plan.Customers[place-1], true
 }
 
-// changeTenant changes one tenant of the configuration.
+// changeTenant changes one tenant in the configuration.
 func (s *Site) changeTenant(ctx context.Context, name string, change func(*tenant)) {
 	s.operator.change(ctx, rand.IntN(2) == 0, func(c *siteConfig) {
 		if i := slices.IndexFunc(c.Tenants, func(t tenant) bool { return t.Name == name }); i >= 0 {
@@ -39,9 +39,10 @@
 	})
 }
 
+// addKey adds a new API key to a tenant.
 func addKey(t *tenant) { t.ApiKeys = append(t.ApiKeys, newApiKey(newRand())) }
 
-// rotateKey gives a tenant a new key, and takes the old ones away once all know the new one.
+// rotateKey adds a new API key to a tenant, and removes the old ones after all daemons must know the new one.
 func rotateKey(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
@@ -53,7 +54,7 @@
 	return func() {}
 }
 
-// revokeKeys takes all keys of a tenant away. Undone, it gets a new one.
+// revokeKeys removes all API keys of a tenant. It gets a new one when the fault ends.
 func revokeKeys(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
@@ -63,7 +64,7 @@
 	return func() { s.changeTenant(s.ctx, c.Name, addKey) }
 }
 
-// addMissingKeys gives each tenant without a key a new one: nobody else may ask for its messages.
+// addMissingKeys adds an API key to each tenant that has none, because only the tenant may query its messages.
 func (o *operator) addMissingKeys(ctx context.Context) {
 	o.mu.Lock()
 	isMissing := slices.ContainsFunc(o.current.Tenants, func(t tenant) bool { return len(t.ApiKeys) == 0 })
@@ -80,7 +81,7 @@
 	})
 }
 
-// limit changes what a tenant may send. Undone, it is as it was.
+// limit multiplies a tenant's rate and burst by share. The limit is restored when the fault ends.
 func limit(ctx context.Context, s *Site, who string, share float64) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
@@ -98,7 +99,7 @@
 	return limit(ctx, s, who, 1.0/loweredDivisor)
 }
 
-// overload has a tenant send many times its rate, until undone.
+// overload makes a tenant send many times its rate until the fault ends.
 func overload(ctx context.Context, s *Site, who string) func() {
 	c, isKnown := s.customer(who)
 	if !isKnown {
@@ -111,22 +112,22 @@
 	return cancel
 }
 
-// Steps that befall tenants, by seed.
+// Parameters of random tenant faults.
 const (
-	tenantSeedStream       = 32              // the stream of chance, apart from others of the same seed
-	meanTenantFaultGap     = 5 * time.Second // between two, on the mean
+	tenantSeedStream       = 32              // random stream, separate from others of the same seed
+	meanTenantFaultGap     = 5 * time.Second // between two faults
 	tenantBegin            = 3 * time.Second
 	tenantEnd              = 8 * time.Second // before the end of a schedule
 	maxTenantFaultDuration = 8 * time.Second
 )
 
-// tenantFaults are what may befall a tenant.
+// tenantFaults are the faults that are drawn for tenants.
 var tenantFaults = []string{"rotate", "rotate", "revoke", "raise", "lower", "lower", "hot", "hot"}
 
-// TenantFaultSteps draws by seed what befalls tenants, for any schedule of that length. A tenant is in one step at most.
+// TenantFaultSteps draws the tenant faults of a schedule of that length. Each tenant is affected by at most one step.
 func TenantFaultSteps(seed uint64, length time.Duration) []fleet.Step {
 	r, out := rand.New(rand.NewPCG(seed, tenantSeedStream)), []fleet.Step{}
-	tenants, kinds := r.Perm(largeCustomers+smallCustomers), r.Perm(len(tenantFaults)) // each kind comes before any comes again
+	tenants, kinds := r.Perm(largeCustomers+smallCustomers), r.Perm(len(tenantFaults)) // no kind twice before all have come
 	for at := tenantBegin; at < length-tenantEnd && len(tenants) > 0; at += time.Duration(r.Int64N(int64(2*meanTenantFaultGap))) + time.Millisecond {
 		step := fleet.Step{At: at.String(), Action: tenantFaults[kinds[len(out)%len(kinds)]], Target: "tenant-" + strconv.Itoa(tenants[0]+1)}
 		if step.Action != "rotate" {
--- a/internal/standin/tenantfigures.go
+++ b/internal/standin/tenantfigures.go
@@ -10,34 +10,34 @@
 	"caperwheel/internal/check"
 )
 
-// TenantFigures are what became of the sends of one tenant.
+// TenantFigures count the outcomes of one tenant's submissions.
 type TenantFigures struct {
 	Name     string `json:"name"`
 	Sent     int    `json:"sent"`
 	Accepted int    `json:"accepted"`
 	Refused  int    `json:"refused_with_429"`
 	Allowed  int    `json:"allowed_by_an_exact_counter"`
-	// Share is of what the limit allowed: what was refused of it.
+	// Share is the fraction of the submissions allowed by the limit that was refused.
 	Share float64 `json:"share_refused_below_the_limit"`
 }
 
-// bucket is a limit as one exact counter would hold it that is asked for all that clients send: it fills by the rate
-// and holds the burst.
+// bucket is a token bucket that holds a tenant's limit as one exact counter of all its submissions would: it refills
+// at the rate up to the burst.
 //
-// Invariant: 0 <= level <= the burst of the limit that it was last asked with.
+// Invariant: 0 <= level <= the burst that it was last filled with.
 type bucket struct {
 	level float64
 	at    time.Duration
 }
 
-// fill takes the time that has passed, under a limit.
+// fill adds the tokens for the time that has passed, under a limit.
 func (b *bucket) fill(now time.Duration, rate, burst float64) {
 	b.level = min(burst, b.level+rate*max(0, now-b.at).Seconds())
 	b.at = max(b.at, now)
 }
 
-// tenantFigures counts for each tenant what was accepted and refused, beside what an exact counter would have let
-// pass of the same sends.
+// tenantFigures counts the accepted and refused submissions of each tenant, and how many of them an exact counter
+// would have allowed.
 func (j *judge) tenantFigures() []TenantFigures {
 	byTenant := map[string]*TenantFigures{}
 	buckets := map[string]*bucket{}
@@ -62,7 +62,8 @@
 	return out
 }
 
-// countSubmission adds one send to a tenant's figures. Repeats of what was accepted take nothing of the limit.
+// countSubmission adds one submission to a tenant's figures. Repeats of accepted messages do not count against the
+// limit.
 func (j *judge) countSubmission(f *TenantFigures, b *bucket, s Submission) {
 	f.Sent++
 	rate, burst := j.minLimit(f.Name, s.SentAt, s.AnsweredAt)
@@ -86,7 +87,7 @@
 	return first.Token == s.Token
 }
 
-// minLimit returns the lowest limit of a tenant that may be in force from first to last.
+// minLimit returns the lowest limit of a tenant that may be in force between first and last.
 func (j *judge) minLimit(name string, first, last time.Duration) (rate, burst float64) {
 	rate, burst = math.Inf(1), math.Inf(1)
 	for _, i := range j.inForce(first, last) {
@@ -99,16 +100,16 @@
 	return rate, burst
 }
 
-// What a tenant may lose below its limit before the judge calls it a fault of the product. The design wants under
-// a hundredth for a tenant whose clients keep to their fronts, and under three for one whose clients do not; the
-// shares are reported. A front that dies takes its part of a limit with it until that expires, and schedules kill
-// one front of three at a time: what is lost so stays below the part of a front.
+// Bounds for what a tenant may be refused below its limit before the judge reports a breach. The design aims at less
+// than 1 % for a tenant whose clients keep to their fronts, and less than 3 % for one whose clients do not; the
+// actual shares are reported. A front that dies takes its share of a limit with it until that share expires, and
+// schedules kill one front of three at a time, so the loss stays below one front's share.
 const (
 	maxLossShare         = 1.0 / 3
-	minJudgedSubmissions = 100 // sends that the limit lets pass, from which on a share tells anything
+	minJudgedSubmissions = 100 // allowed submissions from which on a share is significant
 )
 
-// judgeQuotaShares: a tenant gets what its limit lets it send.
+// judgeQuotaShares checks that a tenant can send as much as its limit allows.
 func (j *judge) judgeQuotaShares() {
 	for _, f := range j.tenantFigures() {
 		if f.Allowed >= minJudgedSubmissions && f.Share > maxLossShare {
--- a/internal/standin/tenants.go
+++ b/internal/standin/tenants.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Bounds of tenants, which the settings files tell too.
+// Bounds of tenants, which are also in the settings files of the processes.
 const (
-	keyWindow      = 60 * time.Second // in which an operation key names one message
+	keyWindow      = 60 * time.Second // time for which an operation key identifies one message
 	quotaWindow    = 5 * time.Second
 	quotaOvershoot = 0.1
 	quotaSlack     = 20
 )
 
-// tenant is one as a configuration has it.
+// tenant is a tenant in a configuration.
 type tenant struct {
 	Name     string   `json:"name"`
 	ApiKeys  []string `json:"api_keys"`
@@ -25,25 +25,25 @@
 	Burst    float64  `json:"burst_size"`
 }
 
-// Customer is a tenant with the messages that its clients send.
+// Customer is a tenant with the load that its clients send.
 type Customer struct {
 	tenant
-	MessageShare float64 // of all messages that need a key
-	IsRoaming    bool    // its clients come through one front at a time, now this one, now that
+	MessageShare float64 // of all messages that need an API key
+	IsRoaming    bool    // its clients all use the same front at a time, and change it together
 }
 
-// How customers differ.
+// Parameters of the customers.
 const (
 	largeCustomers = 2
 	smallCustomers = 8
 	largeShare     = 0.3 // of all messages, for each large one
-	limitHeadroom  = 2.5 // of a limit above what a tenant sends on the mean
-	burstSeconds   = 3   // seconds of its rate that a tenant may send at once
-	minTenantRate  = 4   // messages a second that any tenant may send
+	limitHeadroom  = 2.5 // limit as a multiple of the tenant's mean rate
+	burstSeconds   = 3   // burst as seconds of the tenant's rate
+	minTenantRate  = 4   // lowest rate limit, messages per second
 	topPriority    = 5
 )
 
-// customers draws a few large tenants and many small ones, for clients that send so many messages a second.
+// customers draws a few large and many small tenants, with limits for a total load in messages per second.
 func customers(draws *rand.Rand, perSecond float64) []Customer {
 	out, left, weights := []Customer{}, 1.0, 0.0
 	for i := range largeCustomers + smallCustomers {
@@ -68,12 +68,12 @@
 	return out
 }
 
-// apiKeyPrefix begins each API key, so that workers know one wherever it stands.
+// apiKeyPrefix begins each API key, so that workers recognize a key in any field.
 const apiKeyPrefix = "api-key-"
 
 func newApiKey(draws *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyPrefix, draws.Uint64()) }
 
-// cloneTenants copies tenants with their keys.
+// cloneTenants copies tenants with their API keys.
 func cloneTenants(list []tenant) []tenant {
 	out := slices.Clone(list)
 	for i := range out {
@@ -86,9 +86,9 @@
 	return a.Name == b.Name && a.Priority == b.Priority && a.Rate == b.Rate && a.Burst == b.Burst && slices.Equal(a.ApiKeys, b.ApiKeys)
 }
 
-// tenantUpdateFrom lists what an update of tenants sets and removes.
+// tenantUpdateFrom lists the tenants that an update sets and those that it removes.
 func (c siteConfig) tenantUpdateFrom(was siteConfig) (set []tenant, gone []string) {
-	set, gone = []tenant{}, []string{} // an update holds lists, if empty ones
+	set, gone = []tenant{}, []string{} // an update has lists, even if they are empty
 	for _, t := range c.Tenants {
 		if !slices.ContainsFunc(was.Tenants, func(o tenant) bool { return isSameTenant(o, t) }) {
 			set = append(set, t)
@@ -102,7 +102,7 @@
 	return set, gone
 }
 
-// shareKey gives two tenants one key, which makes a configuration invalid.
+// shareKey gives two tenants the same API key, which makes the configuration invalid.
 func (c siteConfig) shareKey() siteConfig {
 	shared := newApiKey(newRand())
 	for i := range 2 {
--- a/internal/standin/tenants_test.go
+++ b/internal/standin/tenants_test.go
@@ -11,7 +11,7 @@
 	"caperwheel/internal/check"
 )
 
-// TestCustomers: a few large tenants and many small ones, the same by the same seed.
+// TestCustomers checks that a seed always draws the same tenants, a few large and many small ones.
 func TestCustomers(t *testing.T) {
 	Convey("Tenants are drawn", t, func() {
 		for seed := uint64(1); seed < 30; seed++ {
@@ -30,7 +30,7 @@
 		was := siteConfig{Tenants: tenantsOf(hallKey)}
 		next := was.next()
 		addKey(&next.Tenants[0])
-		So(was.Tenants[0].ApiKeys, ShouldHaveLength, 1) // a copy
+		So(was.Tenants[0].ApiKeys, ShouldHaveLength, 1) // next has a copy
 		set, gone := next.tenantUpdateFrom(was)
 		So(set, ShouldResemble, next.Tenants[:1])
 		So(gone, ShouldBeEmpty)
@@ -40,7 +40,7 @@
 	})
 }
 
-// TestKeyring: clients send what their tenant holds, and now and then something else.
+// TestKeyring checks that clients mostly send a valid API key of their tenant, and sometimes something else.
 func TestKeyring(t *testing.T) {
 	Convey("Of a tenant whose old key was taken away", t, func() {
 		k := newKeyring(tenantsOf(hallKey))
@@ -52,7 +52,7 @@
 		So(drawn["api-key-new"], ShouldBeGreaterThan, 900)
 		So(drawn[hallKey], ShouldBeGreaterThan, 5)
 		So(drawn[""], ShouldBeGreaterThan, 1)
-		So(len(drawn), ShouldBeGreaterThan, 5) // unknown ones
+		So(len(drawn), ShouldBeGreaterThan, 5) // includes unknown keys
 		So(k.valid(hall), ShouldEqual, "api-key-new")
 		Convey("that then loses all its keys, clients go on with an old one", func() {
 			k.update(tenantsOf())
@@ -74,7 +74,8 @@
 	})
 }
 
-// TestRepeats: a repeat goes through another zone, in its time, with the key and bytes of the first send.
+// TestRepeats checks that a repeat is submitted through another zone, within its window, with the operation key and
+// body of the first submission.
 func TestRepeats(t *testing.T) {
 	Convey("A message that is to be sent again", t, func() {
 		r, m := &repeats{}, Message{Operation: "op", body: []byte("b"), firstSentAt: s}
@@ -109,7 +110,7 @@
 	})
 }
 
-// TestTenantSteps: the same seed draws the same steps, of faults that there are, for tenants that there are.
+// TestTenantSteps checks that a seed always draws the same steps, with faults and tenants that exist.
 func TestTenantSteps(t *testing.T) {
 	Convey("Steps that befall tenants", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,18 +16,18 @@
 	"caperwheel/internal/fleet"
 )
 
-// Mode is how workers behave.
+// Mode is the behaviour of a worker or receiver.
 type Mode int32
 
 // The modes of workers.
 const (
 	Healthy      Mode = iota
-	Fail              // each attempt fails
-	Slow              // slow
-	LoseResponse      // the work is done and its answer lost
-	CutResponse       // the answer ends early
-	Silent            // no answer comes
-	Overloaded        // nothing is run
+	Fail              // each run fails
+	Slow              // runs take slowFactor times as long
+	LoseResponse      // the work is done but the connection closes without a response
+	CutResponse       // the work is done but the response is incomplete
+	Silent            // there is no response
+	Overloaded        // every request is rejected
 )
 
 var faultModes = map[string]Mode{"fail": Fail, "crawl": Slow, "lose": LoseResponse, "cut": CutResponse, "silent": Silent, "full": Overloaded}
@@ -35,24 +35,24 @@
 const (
 	slowFactor   = 10
 	poisonText   = "poison"
-	failOnceText = "once-fails" // 500 at the first attempt
+	failOnceText = "once-fails" // status 500 at the first run
 )
 
-// Worker is one life of a worker or endpoint.
+// Worker is one instance of a worker or endpoint.
 type Worker struct {
 	Id, Zone, Addr string
 	Service        *Pool
 	From           time.Duration
 	ColdUntil      time.Duration
 	mode           atomic.Int32
-	faultyRequests atomic.Int64 // runs in an odd mode
+	faultyRequests atomic.Int64 // requests handled in a mode other than Healthy
 	isDraining     atomic.Bool
 	waiting        atomic.Int64
 	slots          chan struct{}
 	server         *http.Server
 }
 
-// begin starts a life at an address.
+// listen starts the instance at an address.
 func (w *Worker) listen(addr string) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -65,17 +65,17 @@
 	return nil
 }
 
-// end breaks everything off.
+// shutDown closes the listener and all connections.
 func (w *Worker) shutDown() { _ = w.server.Close() }
 
 const idleTimeout = 8 * time.Second
 
-// requestLine is what a worker must get as the client sent it.
+// requestLine is the part of a request that must reach the worker unchanged: method, URI and order key.
 func requestLine(r *http.Request) string {
 	return r.Method + " " + r.URL.RequestURI() + " " + r.Header.Get(orderKey)
 }
 
-// reject answers what did not run.
+// reject responds to a request that is not run.
 func reject(out http.ResponseWriter, code int) int {
 	if code != 421 {
 		out.Header().Set(notRun, "1")
@@ -85,7 +85,7 @@
 	return code
 }
 
-// ServeHTTP meets one request.
+// ServeHTTP handles one request and records the arrival.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	p := w.Service
 	now := p.site.Now()
@@ -108,6 +108,7 @@
 	}
 }
 
+// health responds to a health check once a slot is free. It fails if the worker is draining or in mode Fail.
 func (w *Worker) health(out http.ResponseWriter, r *http.Request) {
 	select {
 	case w.slots <- struct{}{}:
@@ -121,7 +122,7 @@
 	}
 }
 
-// meet gives the status of the answer; 0 where none was given.
+// handle admits, rejects or runs a request and returns the status of the response; 0 if there was none.
 func (w *Worker) handle(out http.ResponseWriter, r *http.Request, body []byte) int {
 	p, id, mode := w.Service, r.Header.Get(attemptId), Mode(w.mode.Load())
 	out.Header().Set(attemptId, id)
@@ -142,7 +143,7 @@
 	if isRunning {
 		return reject(out, 409)
 	}
-	if seal != "" { // the first success again
+	if seal != "" { // the stamp of the first success is repeated
 		return w.respond(out, 200, seal)
 	}
 	if w.waiting.Add(1) > int64(p.Queue) {
@@ -162,7 +163,7 @@
 	return w.run(out, r, body, mode)
 }
 
-// run does the work of one message, and records it.
+// run does the work of one message, and records the run.
 func (w *Worker) run(out http.ResponseWriter, r *http.Request, body []byte, mode Mode) int {
 	p, id := w.Service, r.Header.Get(attemptId)
 	start := p.site.Now()
@@ -173,7 +174,7 @@
 	run := Run{Run: check.Run{Token: id, Id: id, Pool: p.Name, Worker: w.Id, BodySum: fleet.Checksum(body), Start: start}, RequestLine: requestLine(r),
 		Tenant: r.Header.Get(tenantName), KeyField: apiKeyField(r)}
 	defer func() {
-		if run.End == 0 { // else it ended before its answer was sent: whoever has that may begin the next
+		if run.End == 0 { // else set before the response: its reader may start the next message
 			run.End = p.site.Now()
 		}
 		p.releaseClaim(id, run.Stamp)
@@ -195,7 +196,7 @@
 			run.Status = 504
 			return w.respond(out, 504, "")
 		}
-		return 0 // it drops what nobody waits for
+		return 0 // the client has gone, so the work is dropped
 	}
 	switch {
 	case strings.Contains(string(body), poisonText):
@@ -215,7 +216,8 @@
 	return run.Status
 }
 
-// tell answers whole; 0 if nobody heard it. Each message has its own form of answer.
+// respond writes a complete response and returns its status; 0 if that failed. The size and framing depend on the
+// message.
 func (w *Worker) respond(out http.ResponseWriter, code int, seal string) int {
 	form := responseShapeOf(out.Header().Get(attemptId))
 	if seal != "" {
@@ -231,7 +233,7 @@
 	return code
 }
 
-// breakConnection ends a session without an answer, or within one.
+// breakConnection closes a connection without a response, or within one.
 func breakConnection(out http.ResponseWriter, isWithin bool) {
 	conn, _, err := http.NewResponseController(out).Hijack()
 	if err != nil {
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -11,11 +11,11 @@
 	"caperwheel/internal/check"
 )
 
-// workers finds those that who names.
+// workers returns the workers that who names, such as pool-1/2 or pool-1/*.
 func (s *Site) workers(who string) []*Worker {
 	place, which, _ := strings.Cut(who, "/")
 	out := []*Worker{}
-	for i, p := range s.plan.Services { // a configuration never changes them
+	for i, p := range s.plan.Services { // configuration changes do not affect the plan
 		if fmt.Sprintf("pool-%d", i+1) != place {
 			continue
 		}
@@ -31,6 +31,8 @@
 	return out
 }
 
+// setMode switches workers to the mode that the fault names until the fault ends. A fault that no run met is recorded
+// as a failure, unless faults are random.
 func setMode(_ context.Context, s *Site, who string) func() {
 	do, who, _ := strings.Cut(who, " ")
 	all := s.workers(who)
@@ -49,14 +51,14 @@
 	}
 }
 
-// failReceivers has receivers of call-backs fail.
+// failReceivers makes the receivers of call-backs fail until the fault ends.
 func failReceivers(_ context.Context, s *Site, _ string) func() {
 	s.Receiver.mode.Store(int32(Fail))
 	return func() { s.Receiver.mode.Store(int32(Healthy)) }
 }
 
-// replaceWorker begins a new life at an address; at another one where faults are drawn and one
-// that overlaps has begun a life there.
+// replaceWorker starts a new instance at an address. If random faults overlap, another instance may have been started
+// there; then it uses a new address.
 func (s *Site) replaceWorker(p *Pool, zone, addr string, isCold bool) {
 	_, err := p.add(zone, addr, isCold)
 	if errors.Is(err, syscall.EADDRINUSE) && s.hasRandomFaults {
@@ -67,8 +69,8 @@
 	}
 }
 
-// crashWorkers breaks workers off; the list shows them for some seconds more. Undone,
-// new lives begin there, cold.
+// crashWorkers closes workers abruptly; the list shows them for 2 more seconds. When the fault ends, cold instances
+// start at the same addresses.
 func crashWorkers(ctx context.Context, s *Site, who string) func() {
 	all := s.workers(who)
 	for _, w := range all {
@@ -83,8 +85,8 @@
 	}
 }
 
-// drainWorker has the list show a worker as leaving, and ends it when its time and
-// a little more have passed.
+// drainWorker shows a worker as draining on the list, and stops it when the drain bound and some more time have
+// passed.
 func (s *Site) drainWorker(ctx context.Context, w *Worker) {
 	w.isDraining.Store(true)
 	shown := s.Now() + listDelay + listDelay/4
@@ -96,6 +98,7 @@
 	w.shutDown()
 }
 
+// drainWorkers drains and stops workers. When the fault ends, cold instances start at the same addresses.
 func drainWorkers(ctx context.Context, s *Site, who string) func() {
 	all, done := s.workers(who), make(chan struct{})
 	for _, w := range all {
@@ -109,7 +112,7 @@
 	}
 }
 
-// reuseAddress has a worker crash, and one of another service come at its address.
+// reuseAddress crashes a worker and starts a worker of another service at its address.
 func reuseAddress(ctx context.Context, s *Site, who string) func() {
 	for _, w := range s.workers(who) {
 		w.shutDown()
