--- a/internal/standin/adminendpoints.go
+++ b/internal/standin/adminendpoints.go
@@ -103,7 +103,7 @@
 	return target{machine: m, addr: addr,
 		request: func(*rand.Rand) (*http.Request, Submission, error) {
 			req, err := http.NewRequest(http.MethodGet, "http://"+addr+d.path, nil)
-			return req, Submission{Sent: check.Sent{Token: d.path, Lane: d.path, Outcome: check.Undecided}}, errs.Wrap(err, errs.Internal, "door")
+			return req, Submission{Sent: check.Sent{Token: d.path, Lane: d.path, Outcome: check.Undecided}}, errs.Wrap(err, errs.Internal, "build the request to an admin endpoint")
 		},
 		record: func(sent Submission) {
 			s.History.WithLock(func() { s.History.AdminRequests = append(s.History.AdminRequests, sent) })
--- a/internal/standin/answer_test.go
+++ b/internal/standin/answer_test.go
@@ -11,7 +11,7 @@
 // TestAnswerForms guards against workers whose responses all have the same size and framing: limits that only a long
 // response exceeds would never be exercised.
 func TestAnswerForms(t *testing.T) {
-	Convey("Of some hundred messages each form of answer comes, and a message's own is always the same", t, func() {
+	Convey("Every shape of response occurs among 1000 messages, and a message always has the same shape", t, func() {
 		seen := map[responseShape]int{}
 		for i := range 1000 {
 			id := fmt.Sprintf("m-%d", i)
--- a/internal/standin/calls_test.go
+++ b/internal/standin/calls_test.go
@@ -30,17 +30,17 @@
 		name, rule string // empty: no breach is expected
 		calls      []op
 	}{
-		{"a change and another, read back", "", []op{first, second, read(5, "b")}},
-		{"a taken change that is acknowledged again", "", []op{first, second, again(linearize.Confirmed), read(5, "b")}},
-		{"a taken change that gets no clear answer", "", []op{first, second, again(linearize.Indeterminate), read(5, "b")}},
-		{"a taken change that is refused", RuleConfig, []op{first, second, again(linearize.Refused)}},
-		{"two confirmed under one number", RuleConfig, []op{first, second, rival}},
+		{"two changes, the second one read back", "", []op{first, second, read(5, "b")}},
+		{"an acknowledged change that is acknowledged again", "", []op{first, second, again(linearize.Confirmed), read(5, "b")}},
+		{"an acknowledged change whose repetition gets no conclusive response", "", []op{first, second, again(linearize.Indeterminate), read(5, "b")}},
+		{"an acknowledged change whose repetition is refused", RuleConfig, []op{first, second, again(linearize.Refused)}},
+		{"two confirmed changes with the same version", RuleConfig, []op{first, second, rival}},
 		{"a stale read", RuleConfig, []op{first, second, read(3, "a")}},
-		{"a read of what nobody sent", RuleConfig, []op{first, second, read(5, "nobody's")}},
+		{"a read of a configuration that was never sent", RuleConfig, []op{first, second, read(5, "nobody's")}},
 		{"an evacuation", "", []op{first, zone(linearize.Confirmed)}},
 		{"an evacuation that is refused", RuleEvac, []op{first, zone(linearize.Refused)}},
 	}
-	Convey("Of a run with", t, func() {
+	Convey("Given a run with", t, func() {
 		for _, c := range cases {
 			Convey(c.name, func() {
 				h := cleanHistory()
@@ -55,7 +55,7 @@
 				So(got, ShouldResemble, want)
 			})
 		}
-		Convey("a configuration that was read, the order that made it is known", func() {
+		Convey("the digest of the request that resulted in a configuration is found", func() {
 			h := cleanHistory()
 			h.Edits[1].RequestDigest = "b"
 			So(h.requestDigestOf([]byte(`{"x":1,"version":5}`)), ShouldEqual, "b")
--- a/internal/standin/commands_test.go
+++ b/internal/standin/commands_test.go
@@ -22,15 +22,15 @@
 		troubles []Disruption
 		isLate   bool
 	}{
-		{"acknowledged in a calm stretch, in time", Command{At: 20 * s, AckAt: 25 * s}, nil, false},
-		{"… late", Command{At: 20 * s, AckAt: 26 * s}, nil, true},
-		{"acknowledged soon enough after a trouble and the contact", Command{At: 20 * s, AckAt: 30 * s}, hurt(21 * s), false},
-		{"… too late after it", Command{At: 20 * s, AckAt: 32 * s}, hurt(21 * s), true},
-		{"given up after a calm stretch that came later", Command{At: 20 * s, GivenUpAt: 32 * s}, hurt(21 * s), true},
-		{"given up while something was hurt again and again", Command{At: 20 * s, GivenUpAt: 40 * s}, hurt(20*s, 28*s, 36*s), false},
-		{"given up while something is hurt to the end", Command{At: 20 * s, GivenUpAt: 40 * s}, []Disruption{{Daemon: "core-1", From: 19 * s}}, false},
+		{"acknowledged in time without a disruption", Command{At: 20 * s, AckAt: 25 * s}, nil, false},
+		{"acknowledged late without a disruption", Command{At: 20 * s, AckAt: 26 * s}, nil, true},
+		{"acknowledged in time after a disruption and the contact bound", Command{At: 20 * s, AckAt: 30 * s}, hurt(21 * s), false},
+		{"acknowledged late after a disruption and the contact bound", Command{At: 20 * s, AckAt: 32 * s}, hurt(21 * s), true},
+		{"given up after a later long span without a disruption", Command{At: 20 * s, GivenUpAt: 32 * s}, hurt(21 * s), true},
+		{"given up during repeated disruptions", Command{At: 20 * s, GivenUpAt: 40 * s}, hurt(20*s, 28*s, 36*s), false},
+		{"given up during a disruption that never ends", Command{At: 20 * s, GivenUpAt: 40 * s}, []Disruption{{Daemon: "core-1", From: 19 * s}}, false},
 	}
-	Convey("An order is judged that was", t, func() {
+	Convey("A command is judged that was", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				h := cleanHistory()
--- a/internal/standin/configfaults.go
+++ b/internal/standin/configfaults.go
@@ -39,7 +39,7 @@
 	case "repeat":
 		o.sendRepeat(ctx)
 	default:
-		s.recordFailure("nobody knows the edit %s", who)
+		s.recordFailure("cannot change the configuration: unknown kind of change %s", who)
 	}
 	return func() {}
 }
@@ -93,7 +93,7 @@
 	for i, spoil := range invalidations {
 		c, body := spoil(o.current.next(), o.current.Version)
 		if code := o.send(ctx, false, o.current.Version, c, body, true); code == 0 {
-			o.site.recordFailure("invalid configuration %d got no clear answer", i)
+			o.site.recordFailure("invalid configuration %d got no conclusive response", i)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			codes[i] = o.send(ctx, false, o.current.Version, rivals[i], rivals[i].body(), false)
+			codes[i] = o.send(ctx, false, o.current.Version, rivals[i], rivals[i].doc(), false)
 		}()
 	}
 	wg.Wait()
@@ -122,7 +122,7 @@
 			return
 		}
 	}
-	o.site.recordFailure("nobody won a race: %v", codes)
+	o.site.recordFailure("neither of two concurrent configurations was acknowledged: status %v", codes)
 	o.sync(ctx)
 }
 
@@ -136,7 +136,7 @@
 	order := Command{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
 	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
-	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.body(), false); code == 200 {
+	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.doc(), false); code == 200 {
 		order.AckAt = o.site.Now()
 	}
 	o.site.History.WithLock(func() { o.site.History.Commands = append(o.site.History.Commands, order) })
--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -97,7 +97,7 @@
 	return func(ctx context.Context, network, _ string) (net.Conn, error) {
 		m := chooseFrontFor(e.site.Zones, e.fronts, e.readyFronts(), zone, client, try())
 		if m == nil {
-			return nil, errs.New(errs.Lost, "there is no front")
+			return nil, errs.New(errs.Lost, "cannot open a connection: no zone has a front")
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, e.site.at(m.host, portFront))
 	}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no machine is called %s", who)
+		s.recordFailure("no machine matches %s", who)
 	}
 	return out
 }
--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -77,7 +77,7 @@
 		a.queryRound(ctx, false)
 		select {
 		case <-ticker.C:
-			a.report("%d messages are not known to have ended, %d are asked after", len(a.pending), a.resolved)
+			a.report("%d messages are not known to have ended, the final state of %d is known", len(a.pending), a.resolved)
 		default:
 		}
 		sleep(ctx, queryInterval)
@@ -96,10 +96,10 @@
 	}
 	bounded, cancel := context.WithTimeout(a.site.ctx, finalRoundTimeout)
 	defer cancel()
-	a.report("the last word of %d messages", len(a.pending))
+	a.report("final round of queries for %d messages", len(a.pending))
 	a.queryRound(bounded, true)
 	if len(a.pending) > 0 && a.site.ctx.Err() == nil {
-		a.site.recordFailure("%d messages that were accepted could not be asked after in %v", len(a.pending), finalRoundTimeout)
+		a.site.recordFailure("no front returned the state of %d accepted messages within %v", len(a.pending), finalRoundTimeout)
 	}
 }
 
--- a/internal/standin/instancelist.go
+++ b/internal/standin/instancelist.go
@@ -69,8 +69,8 @@
 	return r.byZone[zone]
 }
 
-// page returns the entries of a zone from index from to index until, and whether there are more.
-func (s listState) page(zone string, from, until int) (out []instance, isMore bool) {
+// slice returns the entries of a zone from index from to index until, and whether there are more.
+func (s listState) slice(zone string, from, until int) (out []instance, isMore bool) {
 	out = []instance{}
 	for _, r := range s.rows {
 		part := r.of(zone)
@@ -135,7 +135,7 @@
 	l.recentCalls = append(l.recentCalls, now)
 	from, _ := strconv.Atoi(strings.TrimPrefix(r.URL.Query().Get("page_token"), "after-"))
 	from = max(from, 0)
-	page, isMore := l.snapshots[0].page(r.URL.Query().Get("zone"), from, from+l.page)
+	page, isMore := l.snapshots[0].slice(r.URL.Query().Get("zone"), from, from+l.page)
 	var next any
 	if isMore {
 		next = "after-" + strconv.Itoa(from+l.page)
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -78,7 +78,7 @@
 }
 
 func addCommand(h *History, at, ack time.Duration) {
-	h.Commands = append(h.Commands, Command{Text: "an order", At: at, AckAt: ack})
+	h.Commands = append(h.Commands, Command{Text: "a command", At: at, AckAt: ack})
 }
 
 // addOutage adds ten submissions within the time in which traffic must have recovered from an outage.
@@ -105,86 +105,86 @@
 	rule, text string
 	hurt       func(h *History)
 }{
-	{RuleMixed, "a state with a stamp that no run gave", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "seal of x", "", 60 * s} }},
+	{RuleMixed, "a state with a stamp that no run returned", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "seal of x", "", 60 * s} }},
 	{RuleMixed, "a state without a stamp", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "", "", 60 * s} }},
-	{RuleMixed, "a dead letter that has not ended", func(h *History) { h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s} }},
-	{RuleMixed, "a dead letter with an attempt to come", func(h *History) {
+	{RuleMixed, "a dead letter for a message that has not ended", func(h *History) { h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s} }},
+	{RuleMixed, "a dead letter for a message with an attempt left", func(h *History) {
 		h.Runs = append(h.Runs, run("w", "p", "w", 20*s, 21*s, 500), run("w", "p", "w", 22*s, 23*s, 500))
 		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
-	{RuleMixed, "a call-back with a stamp that no run gave", func(h *History) { h.Callbacks[0].Stamp = "x" }},
-	{RuleMixed, "a call-back of a dead letter that has not ended", func(h *History) { h.Callbacks[0] = Callback{"a", "dead_letter", "", 12 * s} }},
-	{RuleMixed, "a call-back with a state that is no end", func(h *History) { h.Callbacks[0].State = "queued" }},
-	{RuleMixed, "a call-back that nobody asked for", func(h *History) { h.Callbacks[0].Token = "x" }},
-	{RuleMixed, "two messages of one name", func(h *History) { h.Sent[2].Id = h.Sent[3].Id }},
-	{RuleUnasked, "other bytes read back", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "others", 60 * s} }},
-	{RuleUnasked, "other bytes read on the way", func(h *History) { addObservation(h, "held", "others") }},
-	{RuleLost, "a message that nobody knew on the way", func(h *History) { addObservation(h, "unknown", "") }},
-	{RuleMixed, "a state that went back", func(h *History) { addObservation(h, "ended", ""); addObservation(h, "held", "") }},
-	{RuleUnasked, "a run of what was not sent", func(h *History) { h.Runs = append(h.Runs, run("z", "p", "w", 20*s, 21*s, 200)) }},
-	{RuleUnasked, "altered bytes", func(h *History) { h.Runs[1].BodySum = "others" }},
-	{RuleUnasked, "an altered path", func(h *History) { h.Runs[1].RequestLine = "POST /b" }},
-	{RuleRefused, "a run of what was not taken", func(h *History) { h.Runs = append(h.Runs, run("b", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleMixed, "a call-back with a stamp that no run returned", func(h *History) { h.Callbacks[0].Stamp = "x" }},
+	{RuleMixed, "a dead-letter call-back for a message that has not ended", func(h *History) { h.Callbacks[0] = Callback{"a", "dead_letter", "", 12 * s} }},
+	{RuleMixed, "a call-back with a state that is not final", func(h *History) { h.Callbacks[0].State = "queued" }},
+	{RuleMixed, "a call-back that was not requested", func(h *History) { h.Callbacks[0].Token = "x" }},
+	{RuleMixed, "two messages with the same name", func(h *History) { h.Sent[2].Id = h.Sent[3].Id }},
+	{RuleUnasked, "a different body read at the end", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "others", 60 * s} }},
+	{RuleUnasked, "a different body read during the run", func(h *History) { addObservation(h, "held", "others") }},
+	{RuleLost, "an unknown message during the run", func(h *History) { addObservation(h, "unknown", "") }},
+	{RuleMixed, "a final state that changes back to queued", func(h *History) { addObservation(h, "ended", ""); addObservation(h, "held", "") }},
+	{RuleUnasked, "a run of a message that was never submitted", func(h *History) { h.Runs = append(h.Runs, run("z", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleUnasked, "a run with an altered body", func(h *History) { h.Runs[1].BodySum = "others" }},
+	{RuleUnasked, "a run with an altered path", func(h *History) { h.Runs[1].RequestLine = "POST /b" }},
+	{RuleRefused, "a run of a refused message", func(h *History) { h.Runs = append(h.Runs, run("b", "p", "w", 20*s, 21*s, 200)) }},
 	{RuleRoute, "a run by a service that no configuration allows", func(h *History) { h.Runs[1].Pool = "q" }},
-	{RuleLost, "a message that nobody knows", func(h *History) { h.FinalStates["w"] = FinalState{"unknown", "", "", 60 * s} }},
-	{RuleLost, "a message without its bytes", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "", 60 * s} }},
-	{RuleLost, "no word at all", func(h *History) { h.FinalStates["w"] = FinalState{At: 60 * s} }},
-	{RuleLost, "an end that never was", func(h *History) { h.FinalStates["w"] = FinalState{"completed", "", "", 60 * s} }},
-	{RuleLost, "an errand cut off by a daemon that leaves", func(h *History) { addBrokenConnection(h, s, true) }},
-	{RuleOrder, "a start before an end", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-	{RuleOrder, "a start before the delay is over", func(h *History) { h.Sent[0].Delay = 310 * ms }},
-	{RuleOrder, "a start between two attempts", func(h *History) { h.Runs[2].Status = 500 }},
-	{RuleTwice, "a run after a success that was told", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
-	{RuleCeiling, "too many arrivals", func(h *History) { addArrivals(h, "q", false, 11) }},
-	{RuleFailback, "too many arrivals at a cold worker", func(h *History) { addArrivals(h, "p", true, 9) }},
-	{RuleDrain, "an arrival after leaving", func(h *History) {
+	{RuleLost, "an unknown message at the end", func(h *History) { h.FinalStates["w"] = FinalState{"unknown", "", "", 60 * s} }},
+	{RuleLost, "a queued message without its body", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "", 60 * s} }},
+	{RuleLost, "a message without any response at the end", func(h *History) { h.FinalStates["w"] = FinalState{At: 60 * s} }},
+	{RuleLost, "a final state reported for a queued message", func(h *History) { h.FinalStates["w"] = FinalState{"completed", "", "", 60 * s} }},
+	{RuleLost, "a request whose connection a stopping daemon closes", func(h *History) { addBrokenConnection(h, s, true) }},
+	{RuleOrder, "a start before the end of the previous message of the key", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
+	{RuleOrder, "a start before the end of the delay", func(h *History) { h.Sent[0].Delay = 310 * ms }},
+	{RuleOrder, "a start between two attempts of the previous message of the key", func(h *History) { h.Runs[2].Status = 500 }},
+	{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleCeiling, "arrivals beyond the rate limit", func(h *History) { addArrivals(h, "q", false, 11) }},
+	{RuleFailback, "arrivals at a cold worker beyond its limit", func(h *History) { addArrivals(h, "p", true, 9) }},
+	{RuleDrain, "an arrival at a worker after the drain bound", func(h *History) {
 		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 14 * s, Grace: drainBound}}
 	}},
-	{RuleEvac, "an arrival in an evacuated zone", func(h *History) {
+	{RuleEvac, "an arrival in an evacuated zone after the bound", func(h *History) {
 		h.Marks = []check.Drain{{Zone: "north", From: 12 * s, Grace: evacuationBound}}
 	}},
-	{RuleConfig, "a run of a route that was dropped", func(h *History) { removeRoute(h, 9, 14*s) }},
-	{RuleConfig, "404 on a route that is there", func(h *History) { h.Sent[1].Code = 404 }},
-	{RuleConfig, "404 after the route was taken, on the way back", func(h *History) {
+	{RuleConfig, "a run of a removed route", func(h *History) { removeRoute(h, 9, 14*s) }},
+	{RuleConfig, "404 for a configured route", func(h *History) { h.Sent[1].Code = 404 }},
+	{RuleConfig, "404 for a route that the daemon served before, after a disruption", func(h *History) {
 		h.Sent[1].SentAt, h.Sent[1].Code = 12*s, 404
 		h.Disruptions = []Disruption{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
 	}},
-	{RuleConfig, "202 on a route that was dropped", func(h *History) {
+	{RuleConfig, "202 for a removed route", func(h *History) {
 		removeRoute(h, 9, 35*s)
 		h.Sent = append(h.Sent, sent("late", "r", "", 45*s, check.Taken, 202))
 	}},
-	{RuleConfig, "an invalid one that was acknowledged", func(h *History) { h.Edits[1].IsInvalid = true }},
-	{RuleConfig, "a race with two winners", func(h *History) { removeRoute(h, 7, 50*s); h.Edits[2].Base = 3 }},
-	{RuleConfig, "an older one read back", func(h *History) { h.Read.Doc = []byte(`{"version":3}`) }},
-	{RuleConfig, "a changed one read back", func(h *History) { h.Read.Doc = []byte(`{"version":5,"x":2}`) }},
-	{RuleConfig, "none read back", func(h *History) { h.Read = ReadBack{} }},
-	{RuleConfig, "a refused one read back", func(h *History) {
+	{RuleConfig, "an invalid configuration that is acknowledged", func(h *History) { h.Edits[1].IsInvalid = true }},
+	{RuleConfig, "two acknowledged configurations with the same base version", func(h *History) { removeRoute(h, 7, 50*s); h.Edits[2].Base = 3 }},
+	{RuleConfig, "an older configuration read back", func(h *History) { h.Read.Doc = []byte(`{"version":3}`) }},
+	{RuleConfig, "an altered configuration read back", func(h *History) { h.Read.Doc = []byte(`{"version":5,"x":2}`) }},
+	{RuleConfig, "no configuration read back", func(h *History) { h.Read = ReadBack{} }},
+	{RuleConfig, "a refused configuration read back", func(h *History) {
 		h.Read.Doc, h.Edits = []byte(`{"version":8}`), append(h.Edits, Edit{Edit: check.Edit{SentAt: 40 * s, Revision: 8}, Base: 5, Code: 412, Document: []byte(`{"version":8}`)})
 	}},
-	{RuleConfig, "a refused one in force", func(h *History) {
+	{RuleConfig, "a refused configuration in force", func(h *History) {
 		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: 11 * s, Revision: 4, Pools: map[string][]string{"r": {"n"}}}, Base: 3, Code: 412})
 		h.Runs[1].Pool = "n"
 	}},
-	{RuleRecover, "traffic that does not come back", func(h *History) { addOutage(h, 2) }},
-	{RuleAcks, "an order that was never acknowledged", func(h *History) { addCommand(h, 20*s, 0) }},
-	{RuleAcks, "an order acknowledged late", func(h *History) { addCommand(h, 20*s, 26*s) }},
+	{RuleRecover, "traffic that does not recover", func(h *History) { addOutage(h, 2) }},
+	{RuleAcks, "a command that is never acknowledged", func(h *History) { addCommand(h, 20*s, 0) }},
+	{RuleAcks, "a command acknowledged late", func(h *History) { addCommand(h, 20*s, 26*s) }},
 }
 
 var unflagged = []struct {
 	text string
 	ease func(h *History)
 }{
-	{"nothing odd", func(*History) {}},
-	{"404 before the first configuration must hold", func(h *History) { h.Sent[1].SentAt, h.Sent[1].AnsweredAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
-	{"a second run after unplanned trouble", func(h *History) {
+	{"no breach", func(*History) {}},
+	{"404 before the first configuration must be applied", func(h *History) { h.Sent[1].SentAt, h.Sent[1].AnsweredAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
+	{"a second run after an unplanned disruption", func(h *History) {
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
 		h.Disruptions = []Disruption{{Daemon: "store-1", From: 14 * s, Until: 15 * s}}
 	}},
-	{"a second run after a success that nobody heard", func(h *History) {
+	{"a second run after a success whose response was lost", func(h *History) {
 		h.Runs[1].IsAnswerComplete = false
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
 	}},
-	{"a second run after a success told too late", func(h *History) {
+	{"a second run after a success reported too late", func(h *History) {
 		h.Runs[1].TimeLeft = 20 * ms
 		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
 	}},
@@ -194,29 +194,29 @@
 		}
 		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
-	{"a dead letter whose time has passed, and one whose route was dropped", func(h *History) {
+	{"a dead letter after the retention, and one of a removed route", func(h *History) {
 		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 105 * s}
 		removeRoute(h, 9, 50*s)
 	}},
-	{"an ended message that nobody knows any more", func(h *History) { h.FinalStates["d"] = FinalState{"unknown", "", "", 60 * s} }},
-	{"any order of messages sent at once", func(h *History) { h.Sent[3].SentAt, h.Runs[3].Start = 11*s, 14*s }},
-	{"arrivals up to the ceiling, and of warm workers", func(h *History) { addArrivals(h, "q", false, 10); addArrivals(h, "p", false, 60) }},
-	{"arrivals that a cold worker bears", func(h *History) { addArrivals(h, "p", true, 8) }},
-	{"arrivals within the bounds of marks, or after their end", func(h *History) {
+	{"an ended message that is no longer known", func(h *History) { h.FinalStates["d"] = FinalState{"unknown", "", "", 60 * s} }},
+	{"messages of one key sent concurrently, run in any order", func(h *History) { h.Sent[3].SentAt, h.Runs[3].Start = 11*s, 14*s }},
+	{"arrivals up to the rate limit, and many at a warm worker", func(h *History) { addArrivals(h, "q", false, 10); addArrivals(h, "p", false, 60) }},
+	{"arrivals at a cold worker up to its limit", func(h *History) { addArrivals(h, "p", true, 8) }},
+	{"arrivals within the bound of a drain, and after the end of an evacuation", func(h *History) {
 		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 16 * s, Grace: drainBound}, {Zone: "south", From: 5 * s, Until: 13 * s, Grace: evacuationBound}}
 	}},
-	{"late arrivals while something is hurt", func(h *History) {
+	{"late arrivals during a disruption", func(h *History) {
 		h.Marks = []check.Drain{{Pool: "p", Worker: "w", From: 14 * s, Grace: drainBound}}
 		h.Disruptions = []Disruption{{Daemon: "core-1", From: 15 * s, Until: 16 * s}}
 	}},
-	{"a session that a killed daemon breaks", func(h *History) { addBrokenConnection(h, s, false) }},
-	{"a session that a leaving daemon closes at once", func(h *History) { addBrokenConnection(h, 100*ms, true) }},
-	{"a newer configuration without a clear answer read back", func(h *History) {
+	{"a connection that a killed daemon breaks", func(h *History) { addBrokenConnection(h, s, false) }},
+	{"a connection that a stopping daemon closes at once", func(h *History) { addBrokenConnection(h, 100*ms, true) }},
+	{"a newer configuration without a conclusive response read back", func(h *History) {
 		removeRoute(h, 9, 50*s)
 		h.Edits[2].AcknowledgedAt, h.Edits[2].Code = 0, 0
 	}},
-	{"traffic that comes back", func(h *History) { addOutage(h, 3) }},
-	{"an order acknowledged, and one that met trouble", func(h *History) {
+	{"traffic that recovers", func(h *History) { addOutage(h, 3) }},
+	{"an acknowledged command, and one during a disruption", func(h *History) {
 		addCommand(h, 20*s, 21*s)
 		addCommand(h, 40*s, 0)
 		h.Disruptions = []Disruption{{Daemon: "core-1", From: 41 * s, Until: 42 * s, IsPlanned: true}}
@@ -225,7 +225,7 @@
 
 // TestJudgeIsNotBlind breaks each rule of the platform on purpose.
 func TestJudgeIsNotBlind(t *testing.T) {
-	Convey("A history is flagged that has", t, func() {
+	Convey("The judge reports a breach for a history with", t, func() {
 		for _, c := range flagged {
 			Convey(c.rule+": "+c.text, func() {
 				h := cleanHistory()
@@ -238,7 +238,7 @@
 			})
 		}
 	})
-	Convey("A history is not flagged that has", t, func() {
+	Convey("The judge reports no breach for a history with", t, func() {
 		for _, c := range unflagged {
 			Convey(c.text, func() {
 				h := cleanHistory()
--- a/internal/standin/judgeconfig.go
+++ b/internal/standin/judgeconfig.go
@@ -18,11 +18,11 @@
 			continue
 		}
 		if e.IsInvalid {
-			j.breach(RuleConfig, "the invalid version %d was acknowledged", e.Revision)
+			j.breach(RuleConfig, "the invalid configuration with version %d was acknowledged", e.Revision)
 			continue
 		}
 		if other, isKnown := byBase[e.Base]; isKnown && other != e.Revision {
-			j.breach(RuleConfig, "versions %d and %d, both on %d, were acknowledged", other, e.Revision, e.Base)
+			j.breach(RuleConfig, "versions %d and %d, both based on version %d, were acknowledged", other, e.Revision, e.Base)
 		}
 		byBase[e.Base] = e.Revision
 	}
@@ -39,7 +39,7 @@
 	}
 	version := gjson.GetBytes(j.h.Read.Doc, "version").Int()
 	if j.h.Read.Code != 200 || version < newest {
-		j.breach(RuleConfig, "version %d was acknowledged, and %d with version %d came back", newest, j.h.Read.Code, version)
+		j.breach(RuleConfig, "version %d was acknowledged, but reading the configuration returned status %d and version %d", newest, j.h.Read.Code, version)
 		return
 	}
 	for _, e := range j.h.Edits {
@@ -50,7 +50,7 @@
 			return
 		}
 	}
-	j.breach(RuleConfig, "version %d came back other than anything that was sent and not refused", version)
+	j.breach(RuleConfig, "version %d was read, with content that differs from every configuration sent and not refused", version)
 }
 
 // judgeRouteResponses compares 404 and 202 responses with the routes of the configurations that may be in force.
@@ -65,9 +65,9 @@
 		switch {
 		case len(list) == 0:
 		case s.Code == 404 && !slices.ContainsFunc(list, lacks):
-			j.breach(RuleConfig, "%s got 404 at %v from %s, though route %s is there", s.Token, s.SentAt, s.Daemon, s.Lane)
+			j.breach(RuleConfig, "%s, sent at %v, got 404 from %s although the configuration in force has route %s", s.Token, s.SentAt, s.Daemon, s.Lane)
 		case s.Code == 202 && !slices.ContainsFunc(list, func(e check.Edit) bool { return !lacks(e) }):
-			j.breach(RuleConfig, "%s was accepted at %v by %s, though route %s is not there", s.Token, s.SentAt, s.Daemon, s.Lane)
+			j.breach(RuleConfig, "%s, sent at %v, was accepted by %s although the configuration in force has no route %s", s.Token, s.SentAt, s.Daemon, s.Lane)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	for _, s := range j.h.Sent {
 		at, isKnown := taken[life{s.Daemon, s.Incarnation, s.Lane}]
 		if s.Code == 404 && isKnown && s.SentAt > at+rollbackSlack && !isDropped(s.Lane, s.AnsweredAt) {
-			j.breach(RuleConfig, "%s took messages of %s at %v and knew nothing of it at %v", s.Daemon, s.Lane, at, s.SentAt)
+			j.breach(RuleConfig, "%s accepted messages of route %s at %v but answered 404 for it at %v", s.Daemon, s.Lane, at, s.SentAt)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 		}
 		for _, t := range j.h.Disruptions {
 			if t.IsPlanned && t.Daemon == s.Daemon && s.AnsweredAt >= t.From && s.AnsweredAt <= t.From+gracePeriod+time.Second {
-				j.breach(RuleLost, "%s was cut off at %v by %s, which was asked to leave at %v", s.Token, s.AnsweredAt, s.Daemon, t.From)
+				j.breach(RuleLost, "the connection of %s was closed without a response at %v by %s, which was asked to stop at %v", s.Token, s.AnsweredAt, s.Daemon, t.From)
 			}
 		}
 	}
@@ -131,7 +131,7 @@
 			end = max(o.GivenUpAt, o.At+acknowledgeBound+1)
 		}
 		if j.h.longestUndisrupted(o.At, end, anyKind) > acknowledgeBound {
-			j.breach(RuleAcks, "%s of %v was acknowledged at %v", o.Text, o.At, o.AckAt)
+			j.breach(RuleAcks, "%s, sent at %v, was acknowledged too late or never: at %v", o.Text, o.At, o.AckAt)
 		}
 	}
 }
--- a/internal/standin/judgemessages.go
+++ b/internal/standin/judgemessages.go
@@ -12,9 +12,9 @@
 		s, isKnown := j.submissions[r.Token]
 		switch {
 		case !isKnown:
-			j.breach(RuleUnasked, "%s ran %q, which no client sent", r.Worker, r.Token)
+			j.breach(RuleUnasked, "worker %s ran %q, which no client submitted", r.Worker, r.Token)
 		case r.RequestLine != s.RequestLine:
-			j.breach(RuleUnasked, "%s was sent as %q and came to %s as %q", r.Token, s.RequestLine, r.Worker, r.RequestLine)
+			j.breach(RuleUnasked, "%s was submitted as %q but reached worker %s as %q", r.Token, s.RequestLine, r.Worker, r.RequestLine)
 		}
 	}
 }
@@ -34,9 +34,9 @@
 func (j *judge) judgeReportedState(s Submission, by, state, seal string, at time.Duration) {
 	switch {
 	case state == "completed" && !slices.Contains(j.successStamps(s), seal):
-		j.breach(RuleMixed, "%s says that %s is completed with %q, which no run gave", by, s.Token, seal)
+		j.breach(RuleMixed, "%s reports %s as completed with stamp %q, which no successful run returned", by, s.Token, seal)
 	case state == "dead_letter" && !j.hasEnded(s, at):
-		j.breach(RuleMixed, "%s says that %s is dead, and it has not ended", by, s.Token)
+		j.breach(RuleMixed, "%s reports %s as a dead letter although it has not ended", by, s.Token)
 	}
 }
 
@@ -53,9 +53,9 @@
 		s, isKnown := j.submissions[t.Token]
 		switch {
 		case !isKnown || !s.IsNotified:
-			j.breach(RuleMixed, "a call-back came for %q, for which none was asked", t.Token)
+			j.breach(RuleMixed, "a call-back was received for %q, which did not request one", t.Token)
 		case t.State != "completed" && t.State != "dead_letter":
-			j.breach(RuleMixed, "a call-back for %s says %q", t.Token, t.State)
+			j.breach(RuleMixed, "a call-back for %s has the state %q, which is not final", t.Token, t.State)
 		default:
 			j.judgeReportedState(s, "a call-back", t.State, t.Stamp, t.At)
 		}
@@ -67,7 +67,7 @@
 	for _, r := range j.h.Runs {
 		s := j.submissions[r.Token]
 		if s.Delay > 0 && r.Start < s.SentAt+s.Delay-maxEarlyStart-earlyStartSlack {
-			j.breach(RuleOrder, "%s began %v before its delay of %v was over", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
+			j.breach(RuleOrder, "%s started %v before the end of its delay of %v", r.Token, s.SentAt+s.Delay-r.Start, s.Delay)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 	for service, list := range met {
 		most := j.h.Services[service].Rate*ceilingWindow.Seconds()*ceilingOvershoot + ceilingSlack
 		if got, at := densestWindow(list, ceilingWindow); float64(got) > most {
-			j.breach(RuleCeiling, "%s met %d in the %v before %v, allowed are %v", service, got, ceilingWindow, at, most)
+			j.breach(RuleCeiling, "service %s received %d requests in the %v before %v, more than the limit of %v", service, got, ceilingWindow, at, most)
 		}
 	}
 	cold := map[[2]string][]time.Duration{}
@@ -95,7 +95,7 @@
 	for who, list := range cold {
 		most := j.h.Services[who[0]].ColdRate*coldOvershoot + coldSlack
 		if got, at := densestWindow(list, time.Second); float64(got) > most {
-			j.breach(RuleFailback, "%s, cold, met %d in the second before %v, allowed are %v", who[1], got, at, most)
+			j.breach(RuleFailback, "cold worker %s received %d requests in the second before %v, more than the limit of %v", who[1], got, at, most)
 		}
 	}
 }
--- a/internal/standin/judgeoperations.go
+++ b/internal/standin/judgeoperations.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		if isKnown && s.SentAt < last.SentAt+keyWindow {
-			j.breach(RuleTwice, "%s and %s, sent %v apart with the key %s of %q, both ran", last.Token, s.Token, s.SentAt-last.SentAt, o.key, o.tenant)
+			j.breach(RuleTwice, "%s and %s, sent %v apart with the same operation key %s of tenant %q, both ran", last.Token, s.Token, s.SentAt-last.SentAt, o.key, o.tenant)
 		}
 		last, isKnown = s, true
 	}
@@ -103,9 +103,9 @@
 		switch {
 		case !isAccepted || s.SentAt >= first.SentAt+keyWindow:
 		case s.Outcome == check.Taken && s.Id != first.Id:
-			j.breach(RuleTwice, "%s and %s, with the key %s of %q, were told two names: %s, %s", first.Token, s.Token, o.key, o.tenant, first.Id, s.Id)
+			j.breach(RuleTwice, "%s and %s, with the same operation key %s of tenant %q, got different message names: %s, %s", first.Token, s.Token, o.key, o.tenant, first.Id, s.Id)
 		case isRepeat && slices.Contains(forbiddenRepeatCodes, s.Code):
-			j.breach(RuleMixed, "%s repeats %s, which was accepted, and was refused with %d", s.Token, first.Token, s.Code)
+			j.breach(RuleMixed, "%s repeats the accepted submission %s but was refused with status %d", s.Token, first.Token, s.Code)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 		if before == o || !isAccepted || s.AnsweredAt >= o.submissions[0].SentAt || j.hasEnded(s, begun) {
 			continue
 		}
-		j.breach(RuleOrder, "key %s of %q: %s began at %v, and %s, accepted at %v, had not ended", s.Key, o.tenant, o.runs[0].Token, begun, s.Token, s.AnsweredAt)
+		j.breach(RuleOrder, "order key %s of tenant %q: %s started at %v although %s, accepted at %v, had not ended", s.Key, o.tenant, o.runs[0].Token, begun, s.Token, s.AnsweredAt)
 	}
 }
 
--- a/internal/standin/judgequotas.go
+++ b/internal/standin/judgequotas.go
@@ -53,7 +53,7 @@
 		}
 		allowed := j.maxLimitIn(name, first.sentAt, until, binds)*(1+quotaOvershoot) + quotaSlack
 		if over := float64(got) - allowed; over > worst {
-			worst, text = over, fmt.Sprintf("%d of %s were sent and ran from %v to %v, allowed are %.1f", got, name, first.sentAt, until, allowed)
+			worst, text = over, fmt.Sprintf("%d requests of tenant %s were sent and run from %v to %v, more than the limit of %.1f", got, name, first.sentAt, until, allowed)
 		}
 	}
 	if worst > 0 {
--- a/internal/standin/judgetenancy.go
+++ b/internal/standin/judgetenancy.go
@@ -52,11 +52,11 @@
 		isPublic := j.h.Routes[s.Lane].IsPublic
 		switch {
 		case r.KeyField != "":
-			j.breach(RuleUnasked, "%s was given an API key in %s of %s", r.Worker, r.KeyField, r.Token)
+			j.breach(RuleUnasked, "worker %s received an API key in field %s of %s", r.Worker, r.KeyField, r.Token)
 		case !isHeld && !isPublic:
-			j.breach(RuleRoute, "%s ran %s, whose key %q no configuration ever held", r.Worker, r.Token, s.ApiKey)
+			j.breach(RuleRoute, "worker %s ran %s, whose API key %q is in no configuration", r.Worker, r.Token, s.ApiKey)
 		case r.Tenant != holder && !(isPublic && r.Tenant == ""):
-			j.breach(RuleUnasked, "%s was told that %s is of %q, and %q holds its key", r.Worker, r.Token, r.Tenant, holder)
+			j.breach(RuleUnasked, "worker %s received %s as a message of tenant %q, but tenant %q holds its API key", r.Worker, r.Token, r.Tenant, holder)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 func (j *judge) judgeCrossTenantQueries() {
 	for _, p := range j.h.CrossTenantQueries {
 		if p.Code/100 == 2 {
-			j.breach(RuleMixed, "who asked with the key %q was told of %s, a message of %q", p.ApiKey, p.Token, p.Tenant)
+			j.breach(RuleMixed, "a query with the API key %q returned %s, a message of tenant %q", p.ApiKey, p.Token, p.Tenant)
 		}
 	}
 }
@@ -78,10 +78,10 @@
 	for _, s := range j.h.Sent {
 		seconds, err := strconv.Atoi(s.RetryAfter)
 		if s.Code == 429 && (err != nil || seconds < 0 || seconds > maxRetryAfterSeconds) {
-			j.breach(RuleShape, "%s got 429 from %s with a Retry-After of %q", s.Token, s.Daemon, s.RetryAfter)
+			j.breach(RuleShape, "%s got 429 from %s with the invalid Retry-After %q", s.Token, s.Daemon, s.RetryAfter)
 		}
 		if s.Code == 401 && s.Id != "" {
-			j.breach(RuleShape, "%s got 401 from %s, and the name %s", s.Token, s.Daemon, s.Id)
+			j.breach(RuleShape, "%s got 401 from %s together with the message name %s", s.Token, s.Daemon, s.Id)
 		}
 	}
 }
@@ -143,9 +143,9 @@
 		switch {
 		case len(list) == 0:
 		case s.Code == 401 && !isBy(noKey) && !isBy(noRoute):
-			j.breach(RuleConfig, "%s got 401 at %v from %s, though its key %s is there", s.Token, s.SentAt, s.Daemon, s.ApiKey)
+			j.breach(RuleConfig, "%s, sent at %v, got 401 from %s although the configuration in force has its API key %s", s.Token, s.SentAt, s.Daemon, s.ApiKey)
 		case s.Code != 401 && isBy(noKey) && !isBy(granted):
-			j.breach(RuleConfig, "%s was sent to %s at %v with the key %q, which is not there: answer %d, run %t", s.Token, s.Daemon, s.SentAt, s.ApiKey, s.Code, hasRun)
+			j.breach(RuleConfig, "%s was sent to %s at %v with the API key %q, which the configuration in force does not have: status %d, run %t", s.Token, s.Daemon, s.SentAt, s.ApiKey, s.Code, hasRun)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	for _, s := range j.h.Sent {
 		at, isKnown := accepted[seen{s.Daemon, s.Incarnation, s.ApiKey}]
 		if s.Code == 401 && isKnown && s.SentAt > at+rollbackSlack && !j.isKeyRemoved(s.ApiKey, s.AnsweredAt) {
-			j.breach(RuleConfig, "%s accepted the key %s at %v and refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
+			j.breach(RuleConfig, "%s accepted the API key %s at %v but refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
 		}
 	}
 }
--- a/internal/standin/judgewaits.go
+++ b/internal/standin/judgewaits.go
@@ -24,7 +24,7 @@
 			if !s.IsFullyRead && !hasRun || j.wasDisrupted(s) {
 				continue
 			}
-			j.breach(RuleLost, "%s (%s), sent at %v, was read whole by %s, and its connection ended without an answer at %v", s.Token, s.Lane, s.SentAt, s.Daemon, s.AnsweredAt)
+			j.breach(RuleLost, "%s (%s), sent at %v, was read completely by %s, but the connection was closed without a response at %v", s.Token, s.Lane, s.SentAt, s.Daemon, s.AnsweredAt)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		s := j.submissions[token]
 		waits := end.At - max(healed, s.SentAt+s.Delay)
 		if end.State == "queued" && waits > stuckSlack && !j.hasEnded(s, end.At) {
-			j.breach(RuleLying, "%s (%s) has waited %v with nothing in its way, and %d runs", token, s.Lane, waits.Round(time.Millisecond), len(j.operationOf(s).runs))
+			j.breach(RuleLying, "%s (%s) has been queued for %v without a reason, after %d runs", token, s.Lane, waits.Round(time.Millisecond), len(j.operationOf(s).runs))
 		}
 	}
 }
--- a/internal/standin/listen.go
+++ b/internal/standin/listen.go
@@ -19,14 +19,14 @@
 			return nil
 		}
 	}
-	return errs.New(errs.Internal, "no part of loopback is free")
+	return errs.New(errs.Internal, "cannot reserve a loopback network: none of 200 random ones is free")
 }
 
 // serve starts an HTTP server at an address, with at most most connections; 0 means no maximum.
 func (s *Site) serve(addr string, h http.Handler, most int) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "listen at %s", addr)
+		return errs.Wrap(err, errs.Internal, "listen on %s", addr)
 	}
 	server := &http.Server{Handler: h}
 	s.servers = append(s.servers, server)
--- a/internal/standin/longlist_test.go
+++ b/internal/standin/longlist_test.go
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Where the list has more pages than it takes calls in a second, messages run", t, func() {
+	Convey("Messages run although the list has more pages than it accepts calls per second", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
 		plan := slowMachinePlan()
 		plan.Services[0].Count = 2 * listRatePerSecond * listPageEntries / len(plan.Zones)
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -117,7 +117,7 @@
 			err = os.Rename(m.file(p.Kind)+".new", m.file(p.Kind))
 		}
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, "settings of %s", m.Name)
+			return errs.Wrap(err, errs.Internal, "write the settings of machine %s", m.Name)
 		}
 	}
 	return nil
@@ -131,7 +131,7 @@
 		return nil // already started by the end of another fault, or permanently down
 	}
 	if err := os.MkdirAll(m.disk(), 0o755); err != nil {
-		return errs.Wrap(err, errs.Internal, "disk of %s", m.Name)
+		return errs.Wrap(err, errs.Internal, "create the data directory of machine %s", m.Name)
 	}
 	if err := m.write(); err != nil {
 		return err
@@ -153,7 +153,7 @@
 // restart starts the machine and records a failure if it does not start.
 func (m *Machine) restart() {
 	if err := m.start(); err != nil {
-		m.site.recordFailure("%s does not start: %v", m.ShortName, err)
+		m.site.recordFailure("machine %s did not start: %v", m.ShortName, err)
 	}
 }
 
@@ -181,7 +181,7 @@
 		}
 		for _, p := range m.Processes {
 			if m.shouldRun && !p.IsUp() {
-				s.recordFailure("%s %s ended by itself: %s", m.ShortName, p.Kind, p.ExitStatus())
+				s.recordFailure("%s %s exited by itself: %s", m.ShortName, p.Kind, p.ExitStatus())
 				if err := p.Start(); err != nil {
 					s.recordFailure("%s: %v", m.ShortName, err)
 				}
--- a/internal/standin/machinestop.go
+++ b/internal/standin/machinestop.go
@@ -43,9 +43,9 @@
 func (m *Machine) stopGracefully(p *fleet.Process) {
 	switch {
 	case !p.StopWithin(m.site.stopTimeout()):
-		m.site.recordFailure("%s %s did not go within its grace", m.ShortName, p.Kind)
+		m.site.recordFailure("%s %s did not stop within its grace period", m.ShortName, p.Kind)
 	case !slices.Contains(cleanExits, p.ExitStatus()):
-		m.site.recordFailure("%s %s was asked to stop and ended: %s", m.ShortName, p.Kind, p.ExitStatus())
+		m.site.recordFailure("%s %s was asked to stop and exited with: %s", m.ShortName, p.Kind, p.ExitStatus())
 	}
 }
 
@@ -71,6 +71,6 @@
 func (m *Machine) wipe() {
 	m.stop(false)
 	if err := os.RemoveAll(m.disk()); err != nil {
-		m.site.recordFailure("disk of %s: %v", m.ShortName, err)
+		m.site.recordFailure("cannot delete the data directory of %s: %v", m.ShortName, err)
 	}
 }
--- a/internal/standin/manyworkers.go
+++ b/internal/standin/manyworkers.go
@@ -34,12 +34,12 @@
 func (s *Site) addManyWorkers(plan ServicePlan) error {
 	listener, err := net.Listen("tcp", "0.0.0.0:0")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "workers of %s", plan.Name)
+		return errs.Wrap(err, errs.Internal, "listen for the workers of service %s", plan.Name)
 	}
 	_, port, _ := net.SplitHostPort(listener.Addr().String())
 	number, err := strconv.Atoi(port)
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "port of the workers of %s", plan.Name)
+		return errs.Wrap(err, errs.Internal, "parse the port of the workers of service %s", plan.Name)
 	}
 	c := &manyWorkers{service: plan, site: s, port: number, draining: map[int]bool{}, firstRunOnce: &sync.Once{}, firstRunSeen: make(chan struct{})}
 	s.List.sharedWorkers = append(s.List.sharedWorkers, c)
--- a/internal/standin/measurelist.go
+++ b/internal/standin/measurelist.go
@@ -63,14 +63,14 @@
 	case <-shared.firstRunSeen:
 		out.FirstRun = s.Now() - began
 	case <-ctx.Done():
-		return out, errs.New(errs.DeadlineExceeded, "no worker of the list has run anything")
+		return out, errs.New(errs.DeadlineExceeded, "no worker of the list has run a message")
 	}
 	if !s.waitForMetric(ctx, "caperwheel_pool_workers", all) {
-		return out, errs.New(errs.DeadlineExceeded, "not every worker of %s is known", pool)
+		return out, errs.New(errs.DeadlineExceeded, "the manager does not report every worker of service %s", pool)
 	}
 	out.Listed = s.Now() - began
 	if !s.waitForMetric(ctx, "caperwheel_pool_duties", all) {
-		return out, errs.New(errs.DeadlineExceeded, "not every worker of %s has a holder", pool)
+		return out, errs.New(errs.DeadlineExceeded, "not every worker of service %s is assigned", pool)
 	}
 	out.Assigned = s.Now() - began
 	stop()
@@ -78,7 +78,7 @@
 	changedAt := s.Now()
 	shared.drain(o.Workers / 2)
 	if !s.waitForDraining(ctx, shared.id(o.Workers/2)) {
-		return out, errs.New(errs.DeadlineExceeded, "that a worker leaves is not known")
+		return out, errs.New(errs.DeadlineExceeded, "the manager does not report the draining worker as leaving")
 	}
 	out.Changed = s.Now() - changedAt
 	s.List.mu.Lock()
--- a/internal/standin/messagetrace.go
+++ b/internal/standin/messagetrace.go
@@ -21,7 +21,7 @@
 			continue
 		}
 		if told := s.fetchTrace(m, id); told != "" {
-			fmt.Fprintf(out, "  %s knows: %s\n", m.ShortName, told)
+			fmt.Fprintf(out, "  %s reports: %s\n", m.ShortName, told)
 		}
 	}
 }
@@ -36,7 +36,7 @@
 	}
 	answer, err := s.queryClient.Do(req)
 	if err != nil {
-		return "cannot be asked: " + err.Error()
+		return "query failed: " + err.Error()
 	}
 	defer answer.Body.Close()
 	raw, err := io.ReadAll(answer.Body)
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -90,7 +90,7 @@
 	h.WithLock(func() {
 		i, order = len(h.Edits), len(h.Commands)
 		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: at, Revision: c.Version, Pools: c.pools()}, Base: base,
-			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.body(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
+			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.doc(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
 		for name, r := range c.judgedRoutes() {
 			h.Routes[name] = r
 		}
@@ -158,7 +158,7 @@
 	defer o.mu.Unlock()
 	o.current.Version = 1 + rand.Int64N(5)
 	o.sentConfigs = append(o.sentConfigs, o.current)
-	code := o.send(ctx, false, 0, o.current, o.current.body(), false)
+	code := o.send(ctx, false, 0, o.current, o.current.doc(), false)
 	o.site.History.WithLock(func() { o.site.History.Commands = nil }) // the deployment was still starting
 	return code
 }
@@ -177,7 +177,7 @@
 	was = o.current
 	next = was.next()
 	edit(&next)
-	body := next.body()
+	body := next.doc()
 	if isUpdate {
 		body = next.updateFrom(was)
 	}
@@ -187,7 +187,7 @@
 		o.current = next
 		o.site.keys.update(next.Tenants)
 	} else {
-		o.site.recordFailure("version %d on %d was answered %d", next.Version, was.Version, code)
+		o.site.recordFailure("version %d, based on version %d, got status %d", next.Version, was.Version, code)
 		o.sync(ctx)
 	}
 	return was, next, code
--- a/internal/standin/operatorcalls.go
+++ b/internal/standin/operatorcalls.go
@@ -95,7 +95,7 @@
 			}
 		}
 		if ok, text := linearize.Check(part); !ok {
-			j.breach(rules[isZone], "the operators' calls have no order: %s", text)
+			j.breach(rules[isZone], "the operators' calls are not linearizable: %s", text)
 		}
 	}
 }
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -137,7 +137,7 @@
 	if err := s.Up(upCtx); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "fleet: the platform's entry is open after %v.\n", s.Now().Round(time.Millisecond))
+	fmt.Fprintf(os.Stderr, "fleet: every front is ready after %v.\n", s.Now().Round(time.Millisecond))
 	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	caused := make(chan struct{})
@@ -159,11 +159,11 @@
 	figures := s.Report(true)
 	raw, err := json.MarshalIndent(figures, "", "  ")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "report")
+		return errs.Wrap(err, errs.Internal, "encode the report")
 	}
 	fmt.Fprintln(out, string(raw))
 	if !figures.IsClean() {
-		return errs.New(errs.Unhealthy, "%d rules broken, %d failures, %d crashes", len(figures.Breaches), len(figures.Failures), len(figures.Crashes))
+		return errs.New(errs.Unhealthy, "the run had %d breaches of rules, %d failures and %d crashes", len(figures.Breaches), len(figures.Failures), len(figures.Crashes))
 	}
 	return nil
 }
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -101,7 +101,7 @@
 		s.Pools[p.Name] = pool
 		s.History.Services[p.Name] = Service{p.Rate, p.ColdRate}
 		if err := pool.startWorkers(); err != nil {
-			return s, errs.Wrap(err, errs.Internal, "worker")
+			return s, errs.Wrap(err, errs.Internal, "start the first workers")
 		}
 	}
 	s.List, s.Receiver = &list{site: s, page: cmp.Or(plan.ListPage, listPageEntries), rate: cmp.Or(plan.ListRate, listRatePerSecond)}, &Receiver{site: s}
@@ -173,11 +173,11 @@
 	s.runPeriodically(time.Second, s.entry.probe)
 	s.runPeriodically(watchPeriod, s.restartExited)
 	if code := s.operator.sendFirst(ctx); code != 200 {
-		return errs.New(errs.DeadlineExceeded, "the first configuration was answered %d", code)
+		return errs.New(errs.DeadlineExceeded, "the first configuration was not acknowledged: status %d", code)
 	}
 	for !s.entry.isEveryFrontReady() {
 		if !sleep(ctx, 50*time.Millisecond) {
-			return errs.New(errs.DeadlineExceeded, "not every front says that it is ready")
+			return errs.New(errs.DeadlineExceeded, "not every front became ready")
 		}
 	}
 	return nil
@@ -224,7 +224,7 @@
 func (s *Site) createMachines() error {
 	for _, folder := range []string{"log", "etc"} {
 		if err := os.MkdirAll(filepath.Join(s.Dir, folder), 0o755); err != nil {
-			return errs.Wrap(err, errs.Internal, "folder")
+			return errs.Wrap(err, errs.Internal, "create the directories for logs and settings")
 		}
 	}
 	host := machineHost
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Given a small site on the platform", t, func() {
+	Convey("Given a small deployment on the platform", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
 		plan := slowMachinePlan()
 		site, err := New(plan, filepath.Join(dir, "bin"), dir)
@@ -40,7 +40,7 @@
 		go site.ObserveMessages(loadCtx)
 		done := make(chan struct{})
 		go func() { site.RunTraffic(loadCtx, plan.Loads, plan.Deadline); close(done) }()
-		Convey("messages are kept and run while a store is lost and the configuration changes", func() {
+		Convey("messages are kept and run while a store is down and the configuration changes", func() {
 			So(site.waitForAccepts(ctx, 60), ShouldBeTrue)
 			store := site.machinesMatching("store-1")[0]
 			store.stop(false)
@@ -117,15 +117,15 @@
 		zone string
 		want []*Machine
 	}{
-		{"its own zone's, if they are in", fronts, "a", []*Machine{a1, a2, a3}},
-		{"those that are in, if they are half", []*Machine{a1, a3, b1}, "a", []*Machine{a1, a3}},
-		{"all of its zone, if fewer are in", []*Machine{a1, b1}, "a", []*Machine{a1, a2, a3}},
-		{"the next zone's, if none is in", []*Machine{b1, c1}, "a", []*Machine{b1}},
-		{"those of the zone after that", []*Machine{c1}, "a", []*Machine{c1}},
-		{"the first again, behind the last", []*Machine{a1, a2, a3, b1}, "c", []*Machine{a1, a2, a3}},
-		{"its own zone's, if none is in anywhere", nil, "b", []*Machine{b1}},
+		{"the fronts of its zone, if all are ready", fronts, "a", []*Machine{a1, a2, a3}},
+		{"the ready fronts of its zone, if they are at least half", []*Machine{a1, a3, b1}, "a", []*Machine{a1, a3}},
+		{"all fronts of its zone, if fewer than half are ready", []*Machine{a1, b1}, "a", []*Machine{a1, a2, a3}},
+		{"the fronts of the next zone, if none of its zone is ready", []*Machine{b1, c1}, "a", []*Machine{b1}},
+		{"the fronts of the zone after that", []*Machine{c1}, "a", []*Machine{c1}},
+		{"the fronts of the first zone, if none of the last zone is ready", []*Machine{a1, a2, a3, b1}, "c", []*Machine{a1, a2, a3}},
+		{"the fronts of its zone, if none is ready anywhere", nil, "b", []*Machine{b1}},
 	}
-	Convey("A session goes to", t, func() {
+	Convey("A connection is assigned to", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				got := map[*Machine]bool{}
@@ -137,7 +137,7 @@
 				So(len(got), ShouldEqual, len(c.want))
 			})
 		}
-		Convey("another one at the next try, the same at the same try", func() {
+		Convey("another front at the next try, and the same front at the same try", func() {
 			first, again := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
 			So(first, ShouldEqual, again)
 			So(chooseFrontFor(zones, fronts, fronts, "a", "x", 1), ShouldNotEqual, first)
@@ -148,7 +148,7 @@
 // TestDraws checks that a seed always draws the same schedule, and that all schedules, drawn ones and those in
 // examples/, name faults that exist.
 func TestDraws(t *testing.T) {
-	Convey("The schedules of the repo can be read", t, func() {
+	Convey("The schedules in examples/platform are valid", t, func() {
 		files, err := filepath.Glob("../../examples/platform/*.json")
 		So(err, ShouldBeNil)
 		So(files, ShouldNotBeEmpty)
@@ -157,7 +157,7 @@
 			So(err, ShouldBeNil)
 		}
 	})
-	Convey("Drawn schedules name faults that there are", t, func() {
+	Convey("Drawn schedules name faults that exist", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
 			schedule := fleet.DrawSchedule(RandomFaults(), seed, time.Minute)
 			So(len(schedule.Steps), ShouldBeGreaterThan, 3)
--- a/internal/standin/siteconfig.go
+++ b/internal/standin/siteconfig.go
@@ -138,8 +138,8 @@
 	return c
 }
 
-// body returns the complete configuration as the body of a request.
-func (c siteConfig) body() []byte {
+// doc returns the complete configuration as a JSON document.
+func (c siteConfig) doc() []byte {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return nil
@@ -203,21 +203,21 @@
 
 // invalidations make a configuration invalid in one way each; c is a new version and was is the version in force.
 var invalidations = []func(c siteConfig, was int64) (siteConfig, []byte){
-	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.body(); return c, raw[:len(raw)*2/3] },
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Service = "nobody"; return c, c.body() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { raw := c.doc(); return c, raw[:len(raw)*2/3] },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Service = "nobody"; return c, c.doc() },
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
 		r := c.Routes[0]
 		r.Name = "double"
 		c.Routes = append(c.Routes, r)
-		return c, c.body()
+		return c, c.doc()
 	},
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.body() },
-	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.body() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c.Routes[0].Timeout = 0; return c, c.doc() },
+	func(c siteConfig, _ int64) (siteConfig, []byte) { c = c.shareKey(); return c, c.doc() },
 	func(c siteConfig, was int64) (siteConfig, []byte) {
 		c.Version, c.Routes[0].Timeout = was, c.Routes[0].Timeout+7
-		return c, c.body()
+		return c, c.doc()
 	},
 	func(c siteConfig, _ int64) (siteConfig, []byte) {
-		return c, []byte(strings.Replace(string(c.body()), `"timeout_ms":`, `"timeout_ms":"`, 1))
+		return c, []byte(strings.Replace(string(c.doc()), `"timeout_ms":`, `"timeout_ms":"`, 1))
 	},
 }
--- a/internal/standin/soak.go
+++ b/internal/standin/soak.go
@@ -49,9 +49,9 @@
 func (o SoakOptions) Check() error {
 	switch {
 	case o.For < MinSoakDuration:
-		return errs.New(errs.Invalid, "a soak lasts %v at least", MinSoakDuration)
+		return errs.New(errs.Invalid, "the duration of a soak must be at least %v", MinSoakDuration)
 	case o.Processes < MinProcesses || o.Processes > MaxProcesses:
-		return errs.New(errs.Invalid, "processes must be from %d to %d", MinProcesses, MaxProcesses)
+		return errs.New(errs.Invalid, "the number of processes must be from %d to %d", MinProcesses, MaxProcesses)
 	}
 	return nil
 }
@@ -103,12 +103,12 @@
 		err = ctx.Err()
 	}
 	if ctx.Err() != nil {
-		return Figures{}, errs.Wrap(ctx.Err(), errs.DeadlineExceeded, "soak")
+		return Figures{}, errs.Wrap(ctx.Err(), errs.DeadlineExceeded, "the soak was cancelled")
 	}
 	if err != nil {
 		return Figures{}, err
 	}
-	o.Progress("judging")
+	o.Progress("judging the history")
 	s.requireRuns()
 	s.requireRecovery()
 	figures := s.Report(false)
@@ -139,7 +139,7 @@
 	go func() { s.InjectFaults(loadCtx, series); close(caused) }()
 	go s.ObserveMessages(loadCtx)
 	s.RunHeldCallers(loadCtx, o.Seed, max(3*callersPerFront, min(maxCallers, callersPerFront*fronts)))
-	o.Progress("called for %v; faults end", o.For)
+	o.Progress("held callers called for %v; waiting for the faults to end", o.For)
 	<-caused
 	var restarts sync.WaitGroup
 	for _, m := range s.Machines {
@@ -147,7 +147,7 @@
 	}
 	restarts.Wait()
 	s.operator.addMissingKeys(ctx)
-	o.Progress("all is well again")
+	o.Progress("all machines are well again; collecting final states")
 	settleCtx, cancel := context.WithTimeout(ctx, finalStateTimeout)
 	defer cancel()
 	s.CollectOpenFinalStates(settleCtx, finalStateIdleTimeout+plan.Loads[0].MaxDelay, o.Progress)
@@ -189,18 +189,18 @@
 		x := s.History.Sent[i]
 		fmt.Fprintf(out, "  %9v  %s sent to %s on %s, key %q, delay %v, tenant %q, operation %q\n", x.SentAt.Round(time.Millisecond), token, x.Daemon, x.Lane,
 			x.Key, x.Delay, x.Tenant, x.Operation)
-		fmt.Fprintf(out, "  %9v  answer %d %s, session broken %t, read %t\n", x.AnsweredAt.Round(time.Millisecond), x.Code, x.Outcome, x.IsConnectionBroken, x.IsFullyRead)
+		fmt.Fprintf(out, "  %9v  response %d %s, connection broken %t, request read %t\n", x.AnsweredAt.Round(time.Millisecond), x.Code, x.Outcome, x.IsConnectionBroken, x.IsFullyRead)
 		for _, r := range s.History.Runs {
 			if r.Token == token {
 				fmt.Fprintf(out, "  %9v  runs at %s until %v: %d\n", r.Start.Round(time.Millisecond), r.Worker, r.End.Round(time.Millisecond), r.Status)
 			}
 		}
 		if end, isAsked := s.History.FinalStates[token]; isAsked {
-			fmt.Fprintf(out, "  %9v  said to be %q\n", end.At.Round(time.Millisecond), end.State)
+			fmt.Fprintf(out, "  %9v  final state reported: %q\n", end.At.Round(time.Millisecond), end.State)
 		}
 		for _, t := range s.History.Disruptions {
 			if t.From <= x.AnsweredAt+contactBound && (t.Until == 0 || t.Until >= x.SentAt-contactBound) {
-				fmt.Fprintf(out, "  %9v  %s is in trouble until %v, planned %t\n", t.From.Round(time.Millisecond), t.Daemon, t.Until.Round(time.Millisecond), t.IsPlanned)
+				fmt.Fprintf(out, "  %9v  %s is disrupted until %v, planned %t\n", t.From.Round(time.Millisecond), t.Daemon, t.Until.Round(time.Millisecond), t.IsPlanned)
 			}
 		}
 	})
--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -29,7 +29,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Stops, restarts and changes in series leave no request without its answer and no message without its end", t, func() {
+	Convey("Under a series of stops, restarts and changes every request gets its response and every message ends", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), true), ShouldBeNil)
 		out := &bytes.Buffer{}
 		figures, err := Soak(ctx, SoakOptions{Seed: soakSeed, For: soakSpan, Processes: MinProcesses, Bin: filepath.Join(dir, "bin"), Dir: dir}, out)
@@ -55,36 +55,36 @@
 		rule, text string
 		hurt       func(h *History)
 	}{
-		{RuleLost, "a request that was read and not answered", func(h *History) {
+		{RuleLost, "a request that was read but got no response", func(h *History) {
 			x := sent("c", "r", "", 40*s, check.Undecided, 0)
 			x.IsConnectionBroken, x.IsFullyRead = true, true
 			h.Sent = append(h.Sent, x)
 		}},
-		{RuleLost, "the same at a door that takes no message", func(h *History) {
+		{RuleLost, "a request to an admin endpoint that was read but got no response", func(h *History) {
 			x := sent("/metrics", "/metrics", "", 40*s, check.Undecided, 0)
 			x.IsConnectionBroken, x.IsFullyRead = true, true
 			h.AdminRequests = append(h.AdminRequests, x)
 		}},
-		{RuleLost, "a message that runs and whose caller was cut off", func(h *History) {
+		{RuleLost, "a message that runs although its caller's connection was broken", func(h *History) {
 			addBrokenConnection(h, 7*ms, true)
 			h.Runs = append(h.Runs, run("c", "p", "w", 41*s, 42*s, 200))
 		}},
-		{RuleLost, "a message that nobody knows", func(h *History) { setFinalState(h, "unknown", 60*s) }},
-		{RuleMixed, "a message told as dead that has not ended", func(h *History) { setFinalState(h, "dead_letter", 60*s) }},
-		{RuleOrder, "a run before its delay", func(h *History) { h.Sent[0].Delay = s }},
-		{RuleOrder, "a key out of its order", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-		{RuleTwice, "a run after a success that was told", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
-		{RuleLying, "a message that waits with nothing in its way", func(h *History) { setFinalState(h, "queued", 60*s) }},
-		{RuleLying, "a message that waits for long after the last trouble", func(h *History) {
+		{RuleLost, "an unknown message at the end", func(h *History) { setFinalState(h, "unknown", 60*s) }},
+		{RuleMixed, "a message reported as a dead letter that has not ended", func(h *History) { setFinalState(h, "dead_letter", 60*s) }},
+		{RuleOrder, "a run before the end of its delay", func(h *History) { h.Sent[0].Delay = s }},
+		{RuleOrder, "runs of a key out of order", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
+		{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
+		{RuleLying, "a message that is queued without a reason", func(h *History) { setFinalState(h, "queued", 60*s) }},
+		{RuleLying, "a message that is queued long after the last disruption", func(h *History) {
 			setFinalState(h, "queued", 60*s)
 			h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s, Until: 40 * s}, {Daemon: "front-2", From: 30 * s, IsPermanent: true}}
 		}},
-		{RuleLying, "a message taken after the removal of its route must hold", func(h *History) {
+		{RuleLying, "a message accepted after the removal of its route must be applied", func(h *History) {
 			setFinalState(h, "queued", 60*s)
 			removeRoute(h, 9, 10*s)
 			h.Sent[5].SentAt, h.Sent[5].AnsweredAt = 14*s, 14*s+10*ms
 		}},
-		{RuleLying, "a message with a delay that was over long ago", func(h *History) {
+		{RuleLying, "a message whose delay ended long ago", func(h *History) {
 			setFinalState(h, "queued", 60*s)
 			h.Sent[5].Delay = 10 * s
 		}},
@@ -93,25 +93,25 @@
 		text string
 		ease func(h *History)
 	}{
-		{"a request cut off by a process that was killed", func(h *History) {
+		{"a request whose connection a killed process broke", func(h *History) {
 			addBrokenConnection(h, 7*ms, false)
 			h.Sent[len(h.Sent)-1].IsFullyRead = true
 		}},
-		{"a request that was not read, of a process that left", func(h *History) { addBrokenConnection(h, 7*ms, true) }},
-		{"a message that waits right after the last trouble", func(h *History) {
+		{"an unread request at a process that stopped", func(h *History) { addBrokenConnection(h, 7*ms, true) }},
+		{"a message that is queued right after the last disruption", func(h *History) {
 			h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s, Until: 50 * s}}
 		}},
-		{"a message whose delay is just over", func(h *History) { h.Sent[5].Delay = 40 * s }},
-		{"a message that waits while something is still hurt", func(h *History) { h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s}} }},
-		{"a message whose route was dropped", func(h *History) { removeRoute(h, 9, 50*s) }},
-		{"a message taken while the removal of its route came into force", func(h *History) {
+		{"a message whose delay has just ended", func(h *History) { h.Sent[5].Delay = 40 * s }},
+		{"a message that is queued while a disruption goes on", func(h *History) { h.Disruptions = []Disruption{{Daemon: "front-1", From: 30 * s}} }},
+		{"a message of a removed route", func(h *History) { removeRoute(h, 9, 50*s) }},
+		{"a message accepted while the removal of its route was being applied", func(h *History) {
 			removeRoute(h, 9, 15*s)
 			h.Sent[5].SentAt, h.Sent[5].AnsweredAt = 14*s+500*ms, 14*s+510*ms
 			h.Runs = h.Runs[:4]
 		}},
 	}
 	judged := func(h *History) []check.Breach { return append(Judge(h, false), JudgeWaits(h)...) }
-	Convey("A soak's history is flagged that has", t, func() {
+	Convey("The judge reports a breach for a soak's history with", t, func() {
 		for _, c := range broken {
 			Convey(c.rule+": "+c.text, func() {
 				h := cleanHistory()
@@ -126,7 +126,7 @@
 			})
 		}
 	})
-	Convey("A soak's history is not flagged that has", t, func() {
+	Convey("The judge reports no breach for a soak's history with", t, func() {
 		for _, c := range allowed {
 			Convey(c.text, func() {
 				h := cleanHistory()
@@ -140,7 +140,7 @@
 // TestSeries checks that a seed always draws the same series, and that all its faults exist, for small and large
 // sites.
 func TestSeries(t *testing.T) {
-	Convey("A series of faults", t, func() {
+	Convey("A series of faults is the same for the same seed and names faults that exist", t, func() {
 		for _, fronts := range []int{3, 99} {
 			for seed := uint64(1); seed < 30; seed++ {
 				series := FaultSeries(seed, time.Minute, fronts, 3)
@@ -157,7 +157,7 @@
 
 // TestSoakOptions checks that invalid options are rejected.
 func TestSoakOptions(t *testing.T) {
-	Convey("A soak", t, func() {
+	Convey("A soak's options are checked", t, func() {
 		So(SoakOptions{For: MinSoakDuration, Processes: MinProcesses}.Check(), ShouldBeNil)
 		for _, o := range []SoakOptions{{For: time.Second, Processes: 20}, {For: time.Minute, Processes: 11}, {For: time.Minute, Processes: 301}} {
 			So(errs.Is(o.Check(), errs.Invalid), ShouldBeTrue)
@@ -170,7 +170,7 @@
 // TestWasRead checks that a request that the peer read is told from one that it did not read.
 func TestWasRead(t *testing.T) {
 	for _, isRead := range []bool{true, false} {
-		Convey(fmt.Sprintf("A connection that is closed, its bytes read: %t", isRead), t, func() {
+		Convey(fmt.Sprintf("A connection that is closed, its bytes having been read: %t", isRead), t, func() {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			defer listener.Close()
@@ -191,7 +191,7 @@
 			So(wasRead(raw.(*net.TCPConn), err), ShouldEqual, isRead)
 		})
 	}
-	Convey("Bytes that come after the end were not read", t, func() {
+	Convey("Bytes that arrive after the close count as unread", t, func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer listener.Close()
--- a/internal/standin/soakchecks.go
+++ b/internal/standin/soakchecks.go
@@ -30,7 +30,7 @@
 	})
 	for _, lane := range slices.Sorted(maps.Keys(accepted)) {
 		if accepted[lane] >= minJudgedMessages && runs[lane] == 0 {
-			s.recordFailure("%d messages of %s were accepted and none ran: the soak shows nothing of it", accepted[lane], lane)
+			s.recordFailure("%d messages of %s were accepted and none ran: the soak shows nothing about this route", accepted[lane], lane)
 		}
 	}
 }
@@ -46,6 +46,6 @@
 		}
 	})
 	if len(hurt) > 0 {
-		s.recordFailure("never healed, so what is left lying cannot be told: %s", strings.Join(hurt, ", "))
+		s.recordFailure("disruptions never ended, so stuck messages cannot be judged: %s", strings.Join(hurt, ", "))
 	}
 }
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -23,7 +23,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("A soak that is broken off ends, and all that it has started", t, func() {
+	Convey("A cancelled soak ends, and so do all processes that it has started", t, func() {
 		bin := filepath.Join(dir, "bin")
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
 		for _, when := range []string{"called", "well again"} { // during the load, and during the final queries
@@ -60,7 +60,7 @@
 
 // TestNothingRan guards against a soak that passes although no message of a route has run.
 func TestNothingRan(t *testing.T) {
-	Convey("A soak in which no message of a route ran says so", t, func() {
+	Convey("A soak in which no message of a route ran records a failure", t, func() {
 		s := &Site{History: NewHistory()}
 		for i := range minJudgedMessages {
 			for _, lane := range []string{"served", "idle"} {
@@ -72,7 +72,7 @@
 		So(s.Failures, ShouldHaveLength, 1)
 		So(s.Failures[0], ShouldContainSubstring, "of idle were accepted and none ran")
 	})
-	Convey("Where a trouble was never healed, what lies cannot be told, and it says so", t, func() {
+	Convey("A soak with a disruption that never ended records a failure", t, func() {
 		s := &Site{History: NewHistory()}
 		s.History.Disruptions = []Disruption{{Daemon: "front-1", From: 3 * time.Second}, {Daemon: "front-2", From: 3 * time.Second, IsPermanent: true}}
 		s.requireRecovery()
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Each daemon ends cleanly when it is asked to", t, func() {
+	Convey("Each daemon exits cleanly when it is asked to stop", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
 		plan := slowMachinePlan()
 		plan.IsSlow = true
--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -90,22 +90,22 @@
 	rule, text string
 	hurt       func(h *History)
 }{
-	{RuleUnasked, "a worker that is told another tenant", func(h *History) { h.Runs[1].Tenant = grower }},
-	{RuleUnasked, "a worker that is told none", func(h *History) { h.Runs[1].Tenant = "" }},
-	{RuleUnasked, "a worker that is given the key", func(h *History) { h.Runs[1].KeyField = "Authorization" }},
-	{RuleRoute, "a run of what came without a key", func(h *History) { h.Sent[0].ApiKey = "" }},
-	{RuleRoute, "a run of what came with a key that nobody ever held", func(h *History) { h.Sent[0].ApiKey = "api-key-other" }},
-	{RuleRoute, "a run with a key that only an invalid configuration has", func(h *History) {
+	{RuleUnasked, "a worker that receives the wrong tenant", func(h *History) { h.Runs[1].Tenant = grower }},
+	{RuleUnasked, "a worker that receives no tenant", func(h *History) { h.Runs[1].Tenant = "" }},
+	{RuleUnasked, "a worker that receives the API key", func(h *History) { h.Runs[1].KeyField = "Authorization" }},
+	{RuleRoute, "a run of a message without an API key", func(h *History) { h.Sent[0].ApiKey = "" }},
+	{RuleRoute, "a run of a message with an unknown API key", func(h *History) { h.Sent[0].ApiKey = "api-key-other" }},
+	{RuleRoute, "a run of a message with an API key that only an invalid configuration has", func(h *History) {
 		changeKeys(h, 40*s, "api-key-other")
 		h.Edits[2].IsInvalid, h.Edits[2].Code, h.Edits[2].AcknowledgedAt, h.Read.Doc = true, 400, 0, h.Edits[1].Document
 		h.Sent[0].ApiKey = "api-key-other"
 	}},
-	{RuleTwice, "two sends of one key that ran", func(h *History) {
+	{RuleTwice, "two submissions with the same operation key that both ran", func(h *History) {
 		r := run("a2", "p", "w", 21*s, 22*s, 200)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleTwice, "two sends of one key that ran, with two keys of their tenant, at the end of the window", func(h *History) {
+	{RuleTwice, "two submissions with the same operation key and different API keys that both ran, at the end of the window", func(h *History) {
 		changeKeys(h, 40*s, hallKey, "api-key-new")
 		x := addRepeat(h, "a3", 0, 10*s+keyWindow-ms)
 		x.ApiKey, x.Outcome, x.Code, x.Id = "api-key-new", check.Undecided, 504, ""
@@ -113,23 +113,23 @@
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleTwice, "two names for one key", func(h *History) { h.Sent[6].Id = "id of another" }},
-	{RuleMixed, "one name for the same key of two tenants", func(h *History) { h.Sent[6].ApiKey = growerKey }},
+	{RuleTwice, "two message names for the same operation key", func(h *History) { h.Sent[6].Id = "id of another" }},
+	{RuleMixed, "one message name for the same operation key of two tenants", func(h *History) { h.Sent[6].ApiKey = growerKey }},
 	{RuleMixed, "a repeat that is refused as a conflict", func(h *History) {
 		h.Sent[6].Outcome, h.Sent[6].Code, h.Sent[6].Id = check.NotTaken, 409, ""
 	}},
-	{RuleLost, "an accepted message that only its repeat's asker misses", func(h *History) { h.FinalStates["a2"] = FinalState{"unknown", "", "", 12 * s} }},
-	{RuleOrder, "a start before another of its tenant's has ended", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-	{RuleConfig, "401 with a key that is there", func(h *History) { addLateSubmission(h, hallKey, 401, 40*s) }},
-	{RuleConfig, "401 with a key that was given, after the bound", func(h *History) {
+	{RuleLost, "an accepted message that is unknown only when queried for its repeat", func(h *History) { h.FinalStates["a2"] = FinalState{"unknown", "", "", 12 * s} }},
+	{RuleOrder, "a start before another message of the tenant and key has ended", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
+	{RuleConfig, "401 for a valid API key", func(h *History) { addLateSubmission(h, hallKey, 401, 40*s) }},
+	{RuleConfig, "401 for an added API key, after the apply bound", func(h *History) {
 		changeKeys(h, 40*s, hallKey, "api-key-new")
 		addLateSubmission(h, "api-key-new", 401, 40*s+configApplyBound+ms)
 	}},
-	{RuleConfig, "202 with a key that was taken away, after the bound", func(h *History) {
+	{RuleConfig, "202 for a removed API key, after the apply bound", func(h *History) {
 		changeKeys(h, 40*s, "api-key-new")
 		addLateSubmission(h, hallKey, 202, 40*s+configApplyBound+ms)
 	}},
-	{RuleConfig, "a run with a key that was taken away, though nobody accepted it", func(h *History) {
+	{RuleConfig, "a run with a removed API key, without a response that accepts it", func(h *History) {
 		changeKeys(h, 40*s, "api-key-new")
 		x := addLateSubmission(h, hallKey, 504, 40*s+configApplyBound+ms)
 		x.Outcome = check.Undecided
@@ -137,25 +137,25 @@
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleConfig, "a daemon that forgets a key that it has accepted", func(h *History) {
+	{RuleConfig, "a daemon that refuses an API key that it accepted before", func(h *History) {
 		h.Disruptions = []Disruption{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
 		addLateSubmission(h, hallKey, 401, 12*s)
 	}},
-	{RuleConfig, "two tenants that share a key, acknowledged", func(h *History) {
+	{RuleConfig, "an acknowledged configuration in which two tenants share an API key", func(h *History) {
 		changeKeys(h, 40*s, hallKey, growerKey)
 		h.Edits[2].IsInvalid = true
 	}},
-	{RuleQuota, "more in one window than the limit", func(h *History) { addBurst(h, maxInWindow+1, 40*s) }},
-	{RuleQuota, "more in a window that no clock's beat begins", func(h *History) {
+	{RuleQuota, "more requests in one window than the limit", func(h *History) { addBurst(h, maxInWindow+1, 40*s) }},
+	{RuleQuota, "more requests than the limit in a window that is not aligned to the clock", func(h *History) {
 		addBurst(h, maxInWindow/2+1, 42*s)
 		addBurst(h, maxInWindow/2+1, 42*s+quotaWindow-100*ms)
 	}},
-	{RuleQuota, "more than a lower limit, one window after it binds", func(h *History) {
+	{RuleQuota, "more requests than a lowered limit, after its apply bound", func(h *History) {
 		h.Edits[0].Tenants[0].Rate, h.Edits[1].Tenants[0].Rate = 100, 100
 		changeKeys(h, 40*s, hallKey)
 		addBurst(h, maxInWindow+1, 40*s+configApplyBound+ms)
 	}},
-	{RuleQuota, "a tenant that gets far less than its limit", func(h *History) {
+	{RuleQuota, "a tenant that is allowed far less than its limit", func(h *History) {
 		for i := range 2 * minJudgedSubmissions {
 			code := 429
 			if i%2 == 0 {
@@ -165,16 +165,16 @@
 			x.Tenant, x.RetryAfter = grower, "1"
 		}
 	}},
-	{RuleMixed, "a message that another tenant is told of", func(h *History) { h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 200}} }},
-	{RuleShape, "429 without a word when to come back", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s) }},
-	{RuleShape, "429 with a time that is none", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
-	{RuleShape, "429 that sends away for too long", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "61" }},
-	{RuleShape, "401 with a message's name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
+	{RuleMixed, "a message that is returned to another tenant", func(h *History) { h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 200}} }},
+	{RuleShape, "429 without a Retry-After", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s) }},
+	{RuleShape, "429 with a Retry-After that is not a number", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
+	{RuleShape, "429 with a Retry-After that is too long", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "61" }},
+	{RuleShape, "401 with a message name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
 }
 
 // TestTenancyIsJudged breaks each rule about tenants, API keys and quotas on purpose.
 func TestTenancyIsJudged(t *testing.T) {
-	Convey("A history is flagged that has", t, func() {
+	Convey("The judge reports a breach for a history with", t, func() {
 		for _, c := range flaggedTenancy {
 			Convey(c.rule+": "+c.text, func() {
 				h := tenantHistory()
@@ -187,7 +187,7 @@
 			})
 		}
 	})
-	Convey("A history is not flagged that has", t, func() {
+	Convey("The judge reports no breach for a history with", t, func() {
 		for _, c := range unflaggedTenancy {
 			Convey(c.text, func() {
 				h := tenantHistory()
@@ -206,11 +206,11 @@
 		allowed, refused int
 		share            float64
 	}{
-		{"all is refused", func(int) bool { return false }, 17, 400, 1},
+		{"all submissions are refused", func(int) bool { return false }, 17, 400, 1},
 		{"one in 25 is accepted", func(i int) bool { return i%25 == 0 }, 17, 384, 1 - 16.0/17},
 		{"one in 20 is accepted", func(i int) bool { return i%20 == 0 }, 17, 380, 0},
 	}
-	Convey("Of a hot tenant", t, func() {
+	Convey("Of an overloading tenant", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				h := tenantHistory()
--- a/internal/standin/tenantfaults.go
+++ b/internal/standin/tenantfaults.go
@@ -24,7 +24,7 @@
 func (s *Site) customer(who string) (Customer, bool) {
 	var place int
 	if _, err := fmt.Sscanf(who, "tenant-%d", &place); err != nil || place < 1 || place > len(s.plan.Customers) {
-		s.recordFailure("no tenant is called %s", who)
+		s.recordFailure("no tenant matches %s", who)
 		return Customer{}, false
 	}
 	return s.plan.Customers[place-1], true
--- a/internal/standin/tenantfigures.go
+++ b/internal/standin/tenantfigures.go
@@ -113,7 +113,7 @@
 func (j *judge) judgeQuotaShares() {
 	for _, f := range j.tenantFigures() {
 		if f.Allowed >= minJudgedSubmissions && f.Share > maxLossShare {
-			j.breach(RuleQuota, "%d messages of %s were accepted, and its limit allowed %d", f.Accepted, f.Name, f.Allowed)
+			j.breach(RuleQuota, "%d messages of tenant %s were accepted, but its limit allowed %d", f.Accepted, f.Name, f.Allowed)
 		}
 	}
 }
--- a/internal/standin/tenants_test.go
+++ b/internal/standin/tenants_test.go
@@ -13,7 +13,7 @@
 
 // TestCustomers checks that a seed always draws the same tenants, a few large and many small ones.
 func TestCustomers(t *testing.T) {
-	Convey("Tenants are drawn", t, func() {
+	Convey("The same seed draws the same tenants", t, func() {
 		for seed := uint64(1); seed < 30; seed++ {
 			list, sum := customers(rand.New(rand.NewPCG(seed, 1)), 80), 0.0
 			So(list, ShouldResemble, customers(rand.New(rand.NewPCG(seed, 1)), 80))
@@ -26,7 +26,7 @@
 			So(list[0].MessageShare, ShouldBeGreaterThan, 2*list[largeCustomers].MessageShare)
 		}
 	})
-	Convey("An update tells the tenants that differ, and those that are gone", t, func() {
+	Convey("An update lists the tenants that differ and those that were removed", t, func() {
 		was := siteConfig{Tenants: tenantsOf(hallKey)}
 		next := was.next()
 		addKey(&next.Tenants[0])
@@ -42,7 +42,7 @@
 
 // TestKeyring checks that clients mostly send a valid API key of their tenant, and sometimes something else.
 func TestKeyring(t *testing.T) {
-	Convey("Of a tenant whose old key was taken away", t, func() {
+	Convey("Clients of a tenant whose old API key was removed mostly send the new one", t, func() {
 		k := newKeyring(tenantsOf(hallKey))
 		k.update(tenantsOf("api-key-new"))
 		drawn, draws := map[string]int{}, rand.New(rand.NewPCG(1, 1))
@@ -54,7 +54,7 @@
 		So(drawn[""], ShouldBeGreaterThan, 1)
 		So(len(drawn), ShouldBeGreaterThan, 5) // includes unknown keys
 		So(k.valid(hall), ShouldEqual, "api-key-new")
-		Convey("that then loses all its keys, clients go on with an old one", func() {
+		Convey("and keep sending removed keys once the tenant has lost all its keys", func() {
 			k.update(tenantsOf())
 			So(k.valid(hall), ShouldBeEmpty)
 			drawn := map[string]int{}
@@ -64,7 +64,7 @@
 			So(drawn["api-key-new"]+drawn[hallKey], ShouldBeGreaterThan, 900)
 		})
 	})
-	Convey("A worker that was given a key knows it, in whatever field", t, func() {
+	Convey("An API key is found in any field of a request", t, func() {
 		r, err := http.NewRequest(http.MethodPost, "http://x.example/a?b=c", nil)
 		So(err, ShouldBeNil)
 		r.Header.Set(tenantName, hall)
@@ -77,7 +77,7 @@
 // TestRepeats checks that a repeat is submitted through another zone, within its window, with the operation key and
 // body of the first submission.
 func TestRepeats(t *testing.T) {
-	Convey("A message that is to be sent again", t, func() {
+	Convey("A repeat is submitted once, through another zone, when it is due", t, func() {
 		r, m := &repeats{}, Message{Operation: "op", body: []byte("b"), firstSentAt: s}
 		r.put(m, "north", 2*s)
 		_, isThere := r.take("north", 3*s)
@@ -90,7 +90,7 @@
 		_, isThere = r.take("south", 3*s)
 		So(isThere, ShouldBeFalse)
 	})
-	Convey("is not sent once the span of its key is over, nor without a key", t, func() {
+	Convey("A repeat is not submitted after its window, nor without an operation key", t, func() {
 		r := &repeats{}
 		r.put(Message{Operation: "op", firstSentAt: s}, "north", 2*s)
 		_, isThere := r.take("south", s+repeatWindow+ms)
@@ -99,7 +99,7 @@
 		_, isThere = r.take("south", 3*s)
 		So(isThere, ShouldBeFalse)
 	})
-	Convey("is drawn after whatever it was told", t, func() {
+	Convey("Repeats are drawn after every outcome", t, func() {
 		for _, told := range []check.Outcome{check.Taken, check.NotTaken, check.Undecided} {
 			r := &repeats{}
 			for range 300 {
@@ -112,7 +112,7 @@
 
 // TestTenantSteps checks that a seed always draws the same steps, with faults and tenants that exist.
 func TestTenantSteps(t *testing.T) {
-	Convey("Steps that befall tenants", t, func() {
+	Convey("The steps of tenant faults are the same for the same seed and affect each tenant once", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
 			steps, seen := TenantFaultSteps(seed, time.Minute), map[string]bool{}
 			So(steps, ShouldResemble, TenantFaultSteps(seed, time.Minute))
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no worker is called %s", who)
+		s.recordFailure("no worker matches %s", who)
 	}
 	return out
 }
@@ -46,7 +46,7 @@
 			met += w.faultyRequests.Load()
 		}
 		if met == 0 && !s.hasRandomFaults {
-			s.recordFailure("no run met %s while it behaved oddly", who)
+			s.recordFailure("no request reached %s during its fault", who)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		_, err = p.add(zone, s.nextAddr(), isCold)
 	}
 	if err != nil {
-		s.recordFailure("%s does not come back: %v", p.Name, err)
+		s.recordFailure("cannot start a replacement worker of service %s: %v", p.Name, err)
 	}
 }
 
