--- a/internal/standin/adminendpoints.go
+++ b/internal/standin/adminendpoints.go
@@ -52,34 +52,34 @@
 }
 
 // chooseFront draws a running front, ready or not, as the target of message submissions on any route.
-func (s *Site) chooseFront(draws *rand.Rand) (target, bool) {
+func (s *Site) chooseFront(rng *rand.Rand) (callTarget, bool) {
 	fronts := s.runningMachines(classFront)
 	if len(fronts) == 0 {
-		return target{}, false
+		return callTarget{}, false
 	}
-	m, message := fronts[draws.IntN(len(fronts))], Message{}
-	return target{machine: m, addr: s.at(m.host, portFront),
-		request: func(draws *rand.Rand) (*http.Request, Submission, error) {
-			message = s.nextMessage(s.drawLoad(draws), m.Zone, draws)
-			return s.request(context.Background(), message, s.plan.Deadline, draws)
+	m, submitted := fronts[rng.IntN(len(fronts))], Message{}
+	return callTarget{machine: m, addr: s.at(m.host, portFront),
+		request: func(rng *rand.Rand) (*http.Request, Submission, error) {
+			submitted = s.nextMessage(s.drawLoad(rng), m.Zone, rng)
+			return s.request(context.Background(), submitted, s.plan.Deadline, rng)
 		},
 		record: func(sent Submission) {
 			s.History.WithLock(func() { s.History.Sent = append(s.History.Sent, sent) })
-			s.repeats.note(message, m.Zone, sent.Outcome, s.Now(), newRand())
+			s.repeats.note(submitted, m.Zone, sent.Outcome, s.Now(), newRand())
 		}}, true
 }
 
 // drawLoad draws one of the plan's loads in proportion to its rate, and one time in trialRouteEvery a load for the
 // newest trial route, if there is one.
-func (s *Site) drawLoad(draws *rand.Rand) Load {
-	if trial, isThere := s.operator.newestTrial(); isThere && draws.IntN(trialRouteEvery) == 0 {
+func (s *Site) drawLoad(rng *rand.Rand) Load {
+	if trial, isFound := s.operator.newestTrial(); isFound && rng.IntN(trialRouteEvery) == 0 {
 		return Load{Route: trial.Name, Host: trial.Host, Prefix: trial.Prefix, Size: 300, DelayedShare: 0.5, MaxDelay: s.plan.Loads[0].MaxDelay}
 	}
 	sum := 0.0
 	for _, load := range s.plan.Loads {
 		sum += load.Rate
 	}
-	at := draws.Float64() * sum
+	at := rng.Float64() * sum
 	for _, load := range s.plan.Loads {
 		if at -= load.Rate; at < 0 {
 			return load
@@ -92,15 +92,15 @@
 const trialRouteEvery = 12
 
 // chooseAdminEndpoint draws an admin endpoint of a running machine as a target.
-func (s *Site) chooseAdminEndpoint(draws *rand.Rand) (target, bool) {
-	d := adminEndpoints[draws.IntN(len(adminEndpoints))]
+func (s *Site) chooseAdminEndpoint(rng *rand.Rand) (callTarget, bool) {
+	d := adminEndpoints[rng.IntN(len(adminEndpoints))]
 	machines := s.runningMachines(d.class)
 	if len(machines) == 0 {
-		return target{}, false
+		return callTarget{}, false
 	}
-	m := machines[draws.IntN(len(machines))]
+	m := machines[rng.IntN(len(machines))]
 	addr := s.at(m.host, d.port)
-	return target{machine: m, addr: addr,
+	return callTarget{machine: m, addr: addr,
 		request: func(*rand.Rand) (*http.Request, Submission, error) {
 			req, err := http.NewRequest(http.MethodGet, "http://"+addr+d.path, nil)
 			return req, Submission{Sent: check.Sent{Token: d.path, Lane: d.path, Outcome: check.Undecided}}, errs.Wrap(err, errs.Internal, "build the request to an admin endpoint")
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -69,23 +69,23 @@
 
 // Send submits a message until it is accepted or given up, and returns the last submission.
 func (c *Client) Send(ctx context.Context, m Message) Submission {
-	draws := newRand()
-	c.site.assignOwner(&m, draws)
+	rng := newRand()
+	c.site.assignOwner(&m, rng)
 	ctx, cancel := context.WithTimeout(ctx, c.deadline)
 	defer cancel()
-	sent := c.submitWithRetries(ctx, m, draws)
-	c.site.repeats.note(m, c.zone, sent.Outcome, c.site.Now(), draws)
+	sent := c.submitWithRetries(ctx, m, rng)
+	c.site.repeats.note(m, c.zone, sent.Outcome, c.site.Now(), rng)
 	return sent
 }
 
 // submitWithRetries submits a message until it is accepted, its state is unknown, the retries are used up or the
 // client's deadline has passed. It waits for the Retry-After time between submissions.
-func (c *Client) submitWithRetries(ctx context.Context, m Message, draws *rand.Rand) Submission {
+func (c *Client) submitWithRetries(ctx context.Context, m Message, rng *rand.Rand) Submission {
 	by, via := time.Now().Add(c.deadline), c.firstTransport
 	for try := 0; ; try++ {
-		sent, wait := c.submit(ctx, via, m, time.Until(by), draws)
-		isPromised := sent.Outcome == check.NotTaken && sent.Code != 404
-		if !isPromised || try == maxRetries || !sleep(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
+		sent, wait := c.submit(ctx, via, m, time.Until(by), rng)
+		isRefused := sent.Outcome == check.NotTaken && sent.Code != 404
+		if !isRefused || try == maxRetries || !sleep(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
 			return sent
 		}
 		via = c.retryTransport
@@ -93,15 +93,15 @@
 }
 
 // request builds the HTTP request of one submission and the record of it.
-func (s *Site) request(ctx context.Context, m Message, left time.Duration, draws *rand.Rand) (*http.Request, Submission, error) {
-	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), draws.Uint64())
-	s.assignOwner(&m, draws)
+func (s *Site) request(ctx context.Context, m Message, timeLeft time.Duration, rng *rand.Rand) (*http.Request, Submission, error) {
+	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), rng.Uint64())
+	s.assignOwner(&m, rng)
 	body := m.body
 	if m.Operation == "" {
-		body = m.drawBody(id, draws)
+		body = m.drawBody(id, rng)
 	}
 	reader := io.Reader(bytes.NewReader(body))
-	if draws.IntN(3) == 0 {
+	if rng.IntN(3) == 0 {
 		reader = struct{ io.Reader }{reader} // hides the length, so that the body is sent chunked
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Host+m.Prefix+m.PathSuffix, reader)
@@ -109,7 +109,7 @@
 		return nil, Submission{}, err
 	}
 	req.Header.Set(attemptId, id)
-	req.Header.Set(remaining, millis(left))
+	req.Header.Set(remaining, millis(timeLeft))
 	if m.Key != "" {
 		req.Header.Set(orderKey, m.Key)
 	}
@@ -124,7 +124,7 @@
 		req.Header.Set(operationKey, m.Operation)
 	}
 	if m.Tenant != "" {
-		apiKey = s.keys.draw(m.Tenant, draws)
+		apiKey = s.keys.draw(m.Tenant, rng)
 	}
 	if apiKey != "" {
 		req.Header.Set(authorization, bearer+apiKey)
@@ -137,9 +137,9 @@
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 // submit sends one request, records the submission and returns it with the Retry-After time of the response.
-func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, left time.Duration, draws *rand.Rand) (Submission, time.Duration) {
+func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, timeLeft time.Duration, rng *rand.Rand) (Submission, time.Duration) {
 	site := c.site
-	req, sent, err := site.request(ctx, m, left, draws)
+	req, sent, err := site.request(ctx, m, timeLeft, rng)
 	if err != nil {
 		return Submission{}, 0
 	}
@@ -153,11 +153,11 @@
 		}
 	}, WroteHeaders: func() { mu.Lock(); isRead = true; mu.Unlock() }}
 	sent.SentAt = site.Now()
-	answer, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	wait := time.Duration(0)
 	if err == nil {
-		_, err = io.Copy(io.Discard, answer.Body)
-		answer.Body.Close()
+		_, err = io.Copy(io.Discard, response.Body)
+		response.Body.Close()
 	}
 	mu.Lock()
 	defer mu.Unlock()
@@ -169,9 +169,9 @@
 			sent.Outcome = check.NotTaken
 		}
 	default:
-		sent.Code = answer.StatusCode
-		sent.applyResponse(answer.Header)
-		seconds, _ := strconv.ParseFloat(answer.Header.Get(retryAfter), 64)
+		sent.Code = response.StatusCode
+		sent.applyResponse(response.Header)
+		seconds, _ := strconv.ParseFloat(response.Header.Get(retryAfter), 64)
 		wait = time.Duration(seconds * float64(time.Second))
 	}
 	site.History.WithLock(func() { site.History.Sent = append(site.History.Sent, sent) })
@@ -192,18 +192,18 @@
 }
 
 // message draws a message of the load.
-func (l Load) message(draws *rand.Rand) Message {
-	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", draws.IntN(1000), draws.IntN(9))}
+func (l Load) message(rng *rand.Rand) Message {
+	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", rng.IntN(1000), rng.IntN(9))}
 	if l.Keys > 0 {
-		m.Key = fmt.Sprintf("thing-%d", draws.IntN(l.Keys))
+		m.Key = fmt.Sprintf("thing-%d", rng.IntN(l.Keys))
 	}
-	if draws.Float64() < l.DelayedShare {
-		m.Delay = drawDelay(l.MaxDelay, draws)
+	if rng.Float64() < l.DelayedShare {
+		m.Delay = drawDelay(l.MaxDelay, rng)
 	}
 	switch {
-	case draws.Float64() < l.PoisonedShare:
+	case rng.Float64() < l.PoisonedShare:
 		m.BodyPrefix = poisonText
-	case draws.Float64() < l.FailingShare:
+	case rng.Float64() < l.FailingShare:
 		m.BodyPrefix = failOnceText
 	}
 	return m
@@ -212,15 +212,15 @@
 // minDelay is the shortest delay of a delayed message.
 const minDelay = 300 * time.Millisecond
 
-// drawDelay draws a delay from minDelay to most (0 means 2 s) by a log-uniform distribution.
-func drawDelay(most time.Duration, draws *rand.Rand) time.Duration {
-	return drawLogUniform(minDelay, cmp.Or(most, 2*time.Second), draws)
+// drawDelay draws a delay from minDelay to maxDelay (0 means 2 s) by a log-uniform distribution.
+func drawDelay(maxDelay time.Duration, rng *rand.Rand) time.Duration {
+	return drawLogUniform(minDelay, cmp.Or(maxDelay, 2*time.Second), rng)
 }
 
 // drawLogUniform draws a duration by a log-uniform distribution: each octave between the bounds is equally likely.
-func drawLogUniform(shortest, longest time.Duration, draws *rand.Rand) time.Duration {
+func drawLogUniform(shortest, longest time.Duration, rng *rand.Rand) time.Duration {
 	ratio := float64(longest) / float64(shortest)
-	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), draws.Float64()))
+	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), rng.Float64()))
 }
 
 // RunTraffic submits the loads through a set of clients until ctx ends, and waits for the submissions under way.
@@ -238,9 +238,9 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					draws := newRand()
-					m := s.nextMessage(load, s.Zones[draws.IntN(len(s.Zones))], draws)
-					s.chooseClient(m, clients, draws).Send(context.WithoutCancel(ctx), m)
+					rng := newRand()
+					m := s.nextMessage(load, s.Zones[rng.IntN(len(s.Zones))], rng)
+					s.chooseClient(m, clients, rng).Send(context.WithoutCancel(ctx), m)
 				}()
 			}
 		}()
--- a/internal/standin/configfaults.go
+++ b/internal/standin/configfaults.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// changeConfig changes the configuration; who names the kind of change.
-func changeConfig(ctx context.Context, s *Site, who string) func() {
+// changeConfig changes the configuration in one of several ways.
+func changeConfig(ctx context.Context, s *Site, kind string) func() {
 	o := s.operator
-	switch who {
+	switch kind {
 	case "timeout", "update":
-		o.change(ctx, who == "update", func(c *siteConfig) { c.Routes[0].Timeout += 1 + rand.Int64N(9) })
+		o.change(ctx, kind == "update", func(c *siteConfig) { c.Routes[0].Timeout += 1 + rand.Int64N(9) })
 	case "add":
 		c, code := o.change(ctx, rand.IntN(2) == 0, func(c *siteConfig) { c.Routes = append(c.Routes, c.trial()) })
 		if code == 200 {
 			s.SubmitToEachFront(ctx, c.Routes[len(c.Routes)-1])
 		}
 	case "remove":
-		gone := route{}
+		removed := route{}
 		_, code := o.change(ctx, rand.IntN(2) == 0, func(c *siteConfig) {
 			if i := slices.IndexFunc(c.Routes, func(r route) bool { return strings.HasPrefix(r.Name, "trial") }); i >= 0 {
-				gone = c.Routes[i]
+				removed = c.Routes[i]
 				c.Routes = slices.Delete(c.Routes, i, i+1)
 			}
 		})
-		if code == 200 && gone.Name != "" {
-			s.SubmitToEachFront(ctx, gone)
+		if code == 200 && removed.Name != "" {
+			s.SubmitToEachFront(ctx, removed)
 		}
 	case "invalid":
 		o.sendInvalid(ctx)
@@ -39,7 +39,7 @@
 	case "repeat":
 		o.sendRepeat(ctx)
 	default:
-		s.recordFailure("cannot change the configuration: unknown kind of change %s", who)
+		s.recordFailure("cannot change the configuration: unknown kind of change %s", kind)
 	}
 	return func() {}
 }
@@ -54,29 +54,29 @@
 
 // newestTrial returns the trial route added last among those in force. It finds none while the operator's mutex is
 // held, that is while a change is under way.
-func (o *operator) newestTrial() (newest route, isThere bool) {
+func (o *operator) newestTrial() (newest route, isFound bool) {
 	if !o.mu.TryLock() {
 		return route{}, false
 	}
 	defer o.mu.Unlock()
 	for _, r := range o.current.Routes {
 		if strings.HasPrefix(r.Name, "trial") {
-			newest, isThere = r, true
+			newest, isFound = r, true
 		}
 	}
-	return newest, isThere
+	return newest, isFound
 }
 
 // SubmitToEachFront submits messages to each ready front on a route that was just added or removed: at once, and
 // until after the time by which every front must have applied the change.
 func (s *Site) SubmitToEachFront(ctx context.Context, r route) {
 	load := Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix, Size: 100}
-	draws := newRand()
+	rng := newRand()
 	send := func() {
 		for _, m := range s.entry.readyFronts() {
 			c := newClient(s, m.Zone, "direct", time.Second)
-			bounded, cancel := context.WithTimeout(ctx, time.Second)
-			c.submit(bounded, s.entry.transportTo(m), load.message(draws), time.Second, draws)
+			timeoutCtx, cancel := context.WithTimeout(ctx, time.Second)
+			c.submit(timeoutCtx, s.entry.transportTo(m), load.message(rng), time.Second, rng)
 			cancel()
 		}
 	}
@@ -90,8 +90,8 @@
 func (o *operator) sendInvalid(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for i, spoil := range invalidations {
-		c, body := spoil(o.current.next(), o.current.Version)
+	for i, invalidate := range invalidations {
+		c, body := invalidate(o.current.next(), o.current.Version)
 		if code := o.send(ctx, false, o.current.Version, c, body, true); code == 0 {
 			o.site.recordFailure("invalid configuration %d got no conclusive response", i)
 		}
@@ -133,11 +133,11 @@
 	if code != 200 {
 		return
 	}
-	order := Command{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
+	command := Command{Text: fmt.Sprintf("version %d again", c.Version), At: o.site.Now()}
 	ctx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	if code := o.sendConfiguration(ctx, "/v1/configuration/replace", was.Version, c.Version, c.doc(), false); code == 200 {
-		order.AckAt = o.site.Now()
+		command.AckAt = o.site.Now()
 	}
-	o.site.History.WithLock(func() { o.site.History.Commands = append(o.site.History.Commands, order) })
+	o.site.History.WithLock(func() { o.site.History.Commands = append(o.site.History.Commands, command) })
 }
--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -43,10 +43,10 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			answer, err := e.client.Get("http://" + e.site.at(m.host, portReady) + "/v1/readiness")
-			isReady := err == nil && answer.StatusCode == 200
+			response, err := e.client.Get("http://" + e.site.at(m.host, portReady) + "/v1/readiness")
+			isReady := err == nil && response.StatusCode == 200
 			if err == nil {
-				answer.Body.Close()
+				response.Body.Close()
 			}
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -73,23 +73,23 @@
 // chooseFrontFor chooses the front for a client's connection: one of the client's zone, or else of the next zone that
 // has a ready front. If less than half of the chosen zone's own fronts are ready, all fronts of that zone are
 // candidates, ready or not. A hash of the client's name selects the candidate; each retry selects the next one.
-func chooseFrontFor(zones []string, fronts, in []*Machine, zone, client string, try int) *Machine {
-	from := max(0, slices.Index(zones, zone))
-	list := []*Machine{}
+func chooseFrontFor(zones []string, fronts, ready []*Machine, zone, client string, try int) *Machine {
+	firstZone := max(0, slices.Index(zones, zone))
+	candidates := []*Machine{}
 	for i := range zones {
-		if list = machinesInZone(in, zones[(from+i)%len(zones)]); len(list) > 0 {
+		if candidates = machinesInZone(ready, zones[(firstZone+i)%len(zones)]); len(candidates) > 0 {
 			break
 		}
 	}
-	if own := machinesInZone(fronts, zone); len(list) == 0 || list[0].Zone == zone && 2*len(list) < len(own) {
-		list = own
+	if zoneFronts := machinesInZone(fronts, zone); len(candidates) == 0 || candidates[0].Zone == zone && 2*len(candidates) < len(zoneFronts) {
+		candidates = zoneFronts
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
 	sum := fnv.New32a()
 	_, _ = sum.Write([]byte(client))
-	return list[(int(sum.Sum32()%1000)+try)%len(list)]
+	return candidates[(int(sum.Sum32()%1000)+try)%len(candidates)]
 }
 
 // dialer returns a dial function that connects one client to the front that the entry chooses for each try.
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,7 +10,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. who
+// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. The selector
 // names machines (store-1, core-*, "zone north-bank", *), or workers by the position of their service in the plan
 // (pool-1/1, pool-1/*, pool-3/*).
 var faultActions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
@@ -54,40 +54,40 @@
 	for _, o := range schedule.Outages() {
 		isJudged[o.Description] = true
 	}
-	note := func(text string) {
+	recordOutage := func(text string) {
 		if isJudged[text] {
 			s.History.WithLock(func() { s.History.Outages = append(s.History.Outages, check.Outage{Description: text, At: s.Now()}) })
 		}
 	}
 	schedule.Run(ctx, func(ctx context.Context, step fleet.Step) func() {
-		note(step.Action + " " + step.Target)
-		who := step.Target
+		recordOutage(step.Action + " " + step.Target)
+		selector := step.Target
 		if faultModes[step.Action] != Healthy {
-			who = step.Action + " " + who
+			selector = step.Action + " " + selector
 		}
-		undo := faultActions[step.Action](ctx, s, who)
-		return func() { undo(); note("end of " + step.Action + " " + step.Target) }
+		endFault := faultActions[step.Action](ctx, s, selector)
+		return func() { endFault(); recordOutage("end of " + step.Action + " " + step.Target) }
 	}, s.recordFailure)
 }
 
-func (s *Site) machinesMatching(who string) []*Machine {
+func (s *Site) machinesMatching(selector string) []*Machine {
 	out := []*Machine{}
 	for _, m := range s.Machines {
-		zone, isZone := strings.CutPrefix(who, "zone ")
-		prefix, isPrefix := strings.CutSuffix(who, "*")
-		if m.ShortName == who || isPrefix && strings.HasPrefix(m.ShortName, prefix) || isZone && m.Zone == zone {
+		zone, isZone := strings.CutPrefix(selector, "zone ")
+		prefix, isPrefix := strings.CutSuffix(selector, "*")
+		if m.ShortName == selector || isPrefix && strings.HasPrefix(m.ShortName, prefix) || isZone && m.Zone == zone {
 			out = append(out, m)
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no machine matches %s", who)
+		s.recordFailure("no machine matches %s", selector)
 	}
 	return out
 }
 
 // disruptEach applies a fault to all matching machines concurrently; when the fault ends, they start again.
-func (s *Site) disruptEach(who string, do func(*Machine)) func() {
-	all, done := s.machinesMatching(who), make(chan struct{})
+func (s *Site) disruptEach(selector string, do func(*Machine)) func() {
+	all, done := s.machinesMatching(selector), make(chan struct{})
 	for _, m := range all {
 		go func() { do(m); done <- struct{}{} }()
 	}
@@ -103,9 +103,9 @@
 
 // wipeAndKill deletes the disks of the matching machines while all machines are killed at the same moment, including
 // those that do not count as lost machines. All start again when the fault ends.
-func (s *Site) wipeAndKill(who string) func() {
+func (s *Site) wipeAndKill(selector string) func() {
 	isWiped := map[*Machine]bool{}
-	for _, m := range s.machinesMatching(who) {
+	for _, m := range s.machinesMatching(selector) {
 		isWiped[m] = true
 	}
 	return s.disruptEach("*", func(m *Machine) {
@@ -118,8 +118,8 @@
 }
 
 // rollingRestart stops and restarts the matching machines one after another.
-func rollingRestart(ctx context.Context, s *Site, who string) func() {
-	for _, m := range s.machinesMatching(who) {
+func rollingRestart(ctx context.Context, s *Site, selector string) func() {
+	for _, m := range s.machinesMatching(selector) {
 		m.stop(true)
 		sleep(ctx, restartPause)
 		m.restart()
@@ -128,15 +128,15 @@
 	return func() {}
 }
 
-func reloadSettings(_ context.Context, s *Site, who string) func() {
-	for _, m := range s.machinesMatching(who) {
+func reloadSettings(_ context.Context, s *Site, selector string) func() {
+	for _, m := range s.machinesMatching(selector) {
 		m.reloadSettings()
 	}
 	return func() {}
 }
 
-func freezeMachines(_ context.Context, s *Site, who string) func() {
-	all, ends := s.machinesMatching(who), []func(time.Duration){}
+func freezeMachines(_ context.Context, s *Site, selector string) func() {
+	all, ends := s.machinesMatching(selector), []func(time.Duration){}
 	signal := func(sig syscall.Signal) {
 		for _, m := range all {
 			for _, p := range m.Processes {
--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -47,9 +47,9 @@
 }
 
 // CollectOpenFinalStates does the same as CollectFinalStates for the messages that have not ended by the workers'
-// records, and for a sample of the others. It stops early when no message has ended for the duration quiet.
-func (s *Site) CollectOpenFinalStates(ctx context.Context, quiet time.Duration, tell func(form string, args ...any)) {
-	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: quiet, report: tell, isOpenOnly: true}
+// records, and for a sample of the others. It stops early when no message has ended for idleTimeout.
+func (s *Site) CollectOpenFinalStates(ctx context.Context, idleTimeout time.Duration, report func(form string, args ...any)) {
+	a := &finalStateCollector{site: s, pending: s.acceptedSubmissions(), idleTimeout: idleTimeout, report: report, isOpenOnly: true}
 	a.dropEnded(endedSampleSize)
 	a.run(ctx)
 }
@@ -67,12 +67,12 @@
 	return out
 }
 
-// run queries in rounds until no message is pending, none has ended for idleTimeout, or ctx ends. A final round then
+// newRun queries in rounds until no message is pending, none has ended for idleTimeout, or ctx ends. A final round then
 // records the state of the messages that are still pending, whatever it is.
 func (a *finalStateCollector) run(ctx context.Context) {
 	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
-	lookedAt, left, endedAt := time.Now(), len(a.pending), time.Now()
+	checkedAt, left, endedAt := time.Now(), len(a.pending), time.Now()
 	for len(a.pending) > 0 && ctx.Err() == nil && a.site.ctx.Err() == nil && time.Since(endedAt) < a.idleTimeout {
 		a.queryRound(ctx, false)
 		select {
@@ -81,8 +81,8 @@
 		default:
 		}
 		sleep(ctx, queryInterval)
-		if time.Since(lookedAt) > endedCheckInterval {
-			lookedAt = time.Now()
+		if time.Since(checkedAt) > endedCheckInterval {
+			checkedAt = time.Now()
 			if a.isOpenOnly {
 				a.dropEnded(0)
 			}
@@ -94,10 +94,10 @@
 	if len(a.pending) == 0 || a.site.ctx.Err() != nil {
 		return
 	}
-	bounded, cancel := context.WithTimeout(a.site.ctx, finalRoundTimeout)
+	timeoutCtx, cancel := context.WithTimeout(a.site.ctx, finalRoundTimeout)
 	defer cancel()
 	a.report("final round of queries for %d messages", len(a.pending))
-	a.queryRound(bounded, true)
+	a.queryRound(timeoutCtx, true)
 	if len(a.pending) > 0 && a.site.ctx.Err() == nil {
 		a.site.recordFailure("no front returned the state of %d accepted messages within %v", len(a.pending), finalRoundTimeout)
 	}
@@ -182,10 +182,10 @@
 
 // queryFinalState queries up to maxQueryTries fronts for a message. It returns true once the message needs no further
 // query.
-func (s *Site) queryFinalState(sent Submission, turn int, isFinalRound bool) bool {
+func (s *Site) queryFinalState(sent Submission, firstFront int, isFinalRound bool) bool {
 	fronts := s.entry.fronts
 	for try := range min(maxQueryTries, len(fronts)) {
-		addr := s.at(fronts[(turn+try)%len(fronts)].host, portFront)
+		addr := s.at(fronts[(firstFront+try)%len(fronts)].host, portFront)
 		code, raw := s.query(addr, sent, "/v1/message/")
 		if code != 200 && code != 404 {
 			continue
@@ -231,16 +231,16 @@
 	if key != "" {
 		req.Header.Set(authorization, bearer+key)
 	}
-	answer, err := s.queryClient.Do(req)
+	response, err := s.queryClient.Do(req)
 	if err != nil {
 		return 0, nil
 	}
-	defer answer.Body.Close()
-	raw, err := readAll(answer)
+	defer response.Body.Close()
+	raw, err := readAll(response)
 	if err != nil {
 		return 0, nil
 	}
-	return answer.StatusCode, raw
+	return response.StatusCode, raw
 }
 
-func readAll(answer *http.Response) ([]byte, error) { return io.ReadAll(answer.Body) }
+func readAll(response *http.Response) ([]byte, error) { return io.ReadAll(response.Body) }
--- a/internal/standin/heldcaller.go
+++ b/internal/standin/heldcaller.go
@@ -38,8 +38,8 @@
 	noTargetPause   = 50 * time.Millisecond  // when no target is running
 )
 
-// target is an endpoint of a machine, with functions that build a request for it and record the outcome.
-type target struct {
+// callTarget is an endpoint of a machine, with functions that build a request for it and record the outcome.
+type callTarget struct {
 	machine *Machine
 	addr    string
 	request func(draws *rand.Rand) (*http.Request, Submission, error)
@@ -51,10 +51,10 @@
 	site          *Site
 	connectionUse connectionUse
 	draws         *rand.Rand
-	choose        func(draws *rand.Rand) (target, bool)
+	choose        func(draws *rand.Rand) (callTarget, bool)
 }
 
-// run uses one connection after another until ctx ends.
+// newRun uses one connection after another until ctx ends.
 func (c *heldCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, isFound := c.choose(c.draws)
@@ -65,16 +65,16 @@
 }
 
 // useConnection sends requests on one connection until it closes or ctx ends, and reports whether it could be opened.
-func (c *heldCaller) useConnection(ctx context.Context, t target) bool {
+func (c *heldCaller) useConnection(ctx context.Context, t callTarget) bool {
 	raw, err := net.DialTimeout("tcp", t.addr, responseTimeout)
 	if err != nil {
 		return false
 	}
 	defer raw.Close()
 	defer context.AfterFunc(c.site.ctx, func() { _ = raw.Close() })()
-	conn, answers := raw.(*net.TCPConn), bufio.NewReader(raw)
+	conn, responses := raw.(*net.TCPConn), bufio.NewReader(raw)
 	for c.waitBeforeRequest(ctx, t.machine) {
-		if !c.exchange(conn, answers, t) {
+		if !c.exchange(conn, responses, t) {
 			return true
 		}
 	}
@@ -86,19 +86,19 @@
 	if c.connectionUse != idle {
 		return sleep(ctx, time.Duration(c.draws.Int64N(int64(maxBusyPause))))
 	}
-	bounded, cancel := context.WithTimeout(ctx, time.Duration(c.draws.Int64N(int64(maxIdlePause))))
+	timeoutCtx, cancel := context.WithTimeout(ctx, time.Duration(c.draws.Int64N(int64(maxIdlePause))))
 	defer cancel()
 	select {
 	case <-m.nextSignal():
 		return sleep(ctx, time.Duration(c.draws.Int64N(int64(maxSignalDelay))))
-	case <-bounded.Done():
+	case <-timeoutCtx.Done():
 		return ctx.Err() == nil
 	}
 }
 
 // exchange sends a request, reads its response and records the outcome. It reports whether the connection can be used
 // again.
-func (c *heldCaller) exchange(conn *net.TCPConn, answers *bufio.Reader, t target) (isOpen bool) {
+func (c *heldCaller) exchange(conn *net.TCPConn, responses *bufio.Reader, t callTarget) (isOpen bool) {
 	req, sent, err := t.request(c.draws)
 	if err != nil {
 		return false
@@ -115,20 +115,20 @@
 		return false
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
-	answer, err := http.ReadResponse(answers, req)
+	response, err := http.ReadResponse(responses, req)
 	if err == nil {
-		_, err = io.Copy(io.Discard, answer.Body)
+		_, err = io.Copy(io.Discard, response.Body)
 	}
 	sent.AnsweredAt = c.site.Now()
 	if err != nil {
 		sent.IsConnectionBroken = !errors.Is(err, os.ErrDeadlineExceeded)
 		sent.IsFullyRead = sent.IsConnectionBroken && wasRead(conn, err)
 	} else {
-		sent.Code = answer.StatusCode
-		sent.applyResponse(answer.Header)
+		sent.Code = response.StatusCode
+		sent.applyResponse(response.Header)
 	}
 	t.record(sent)
-	return err == nil && !answer.Close
+	return err == nil && !response.Close
 }
 
 // send writes a request, in two pieces if the connection use is inPieces, and reports whether it was written
@@ -136,12 +136,12 @@
 func (c *heldCaller) send(conn net.Conn, raw []byte) (isWhole bool) {
 	_ = conn.SetWriteDeadline(time.Now().Add(responseTimeout))
 	if c.connectionUse == inPieces {
-		cut := 1 + c.draws.IntN(len(raw)-1)
-		if _, err := conn.Write(raw[:cut]); err != nil {
+		splitAt := 1 + c.draws.IntN(len(raw)-1)
+		if _, err := conn.Write(raw[:splitAt]); err != nil {
 			return false
 		}
 		sleep(c.site.ctx, time.Duration(c.draws.Int64N(int64(maxPiecePause))))
-		raw = raw[cut:]
+		raw = raw[splitAt:]
 	}
 	_, err := conn.Write(raw)
 	return err == nil
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -155,10 +155,10 @@
 	return func(at time.Duration) { h.WithLock(func() { h.Disruptions[i].Until = at }) }
 }
 
-// isQuiet reports whether no disruption that isMeant selects overlaps the span from first to last.
-func (h *History) isQuiet(first, last time.Duration, isMeant func(Disruption) bool) bool {
+// isQuiet reports whether no disruption that isRelevant selects overlaps the span from first to last.
+func (h *History) isQuiet(first, last time.Duration, isRelevant func(Disruption) bool) bool {
 	for _, t := range h.Disruptions {
-		if t.From <= last && (t.Until == 0 || t.Until >= first) && isMeant(t) {
+		if t.From <= last && (t.Until == 0 || t.Until >= first) && isRelevant(t) {
 			return false
 		}
 	}
@@ -166,18 +166,18 @@
 }
 
 // longestUndisrupted returns the longest part of the span from first to last that is free of disruptions selected by
-// isMeant and does not begin within contactBound after one.
-func (h *History) longestUndisrupted(first, last time.Duration, isMeant func(Disruption) bool) (longest time.Duration) {
+// isRelevant and does not begin within contactBound after one.
+func (h *History) longestUndisrupted(first, last time.Duration, isRelevant func(Disruption) bool) (longest time.Duration) {
 	starts := []time.Duration{first}
 	for _, t := range h.Disruptions {
-		if isMeant(t) && t.Until > 0 {
+		if isRelevant(t) && t.Until > 0 {
 			starts = append(starts, t.Until+contactBound)
 		}
 	}
 	for _, start := range starts {
 		end := last
 		for _, t := range h.Disruptions {
-			if !isMeant(t) || t.Until > 0 && t.Until+contactBound <= start {
+			if !isRelevant(t) || t.Until > 0 && t.Until+contactBound <= start {
 				continue
 			}
 			end = min(end, max(start, t.From))
--- a/internal/standin/instancelist.go
+++ b/internal/standin/instancelist.go
@@ -28,7 +28,7 @@
 	ColdFor    int64  `json:"cold_remaining_ms"`
 }
 
-// list emulates the platform's API that lists worker instances. It shows the state of listDelay ago.
+// candidates emulates the platform's API that lists worker instances. It shows the state of listDelay ago.
 type list struct {
 	site          *Site
 	page          int     // entries per page
@@ -70,7 +70,7 @@
 }
 
 // slice returns the entries of a zone from index from to index until, and whether there are more.
-func (s listState) slice(zone string, from, until int) (out []instance, isMore bool) {
+func (s listState) slice(zone string, from, until int) (out []instance, hasMore bool) {
 	out = []instance{}
 	for _, r := range s.rows {
 		part := r.of(zone)
@@ -84,7 +84,7 @@
 
 // currentRows returns the entries of the workers that exist now.
 func (l *list) currentRows() []*rows {
-	own, now := []instance{}, l.site.Now()
+	poolRows, now := []instance{}, l.site.Now()
 	for _, p := range l.site.Pools {
 		if p.Count == 0 {
 			continue
@@ -94,10 +94,10 @@
 			if w.isDraining.Load() {
 				state = "draining"
 			}
-			own = append(own, instance{w.Id, p.Name, w.Addr, w.Zone, "v1", p.Slots, state, max(0, (w.ColdUntil - now).Milliseconds())})
+			poolRows = append(poolRows, instance{w.Id, p.Name, w.Addr, w.Zone, "v1", p.Slots, state, max(0, (w.ColdUntil - now).Milliseconds())})
 		}
 	}
-	out := []*rows{newRows(own)}
+	out := []*rows{newRows(poolRows)}
 	for _, c := range l.sharedWorkers {
 		out = append(out, c.rows())
 	}
@@ -135,9 +135,9 @@
 	l.recentCalls = append(l.recentCalls, now)
 	from, _ := strconv.Atoi(strings.TrimPrefix(r.URL.Query().Get("page_token"), "after-"))
 	from = max(from, 0)
-	page, isMore := l.snapshots[0].slice(r.URL.Query().Get("zone"), from, from+l.page)
+	page, hasMore := l.snapshots[0].slice(r.URL.Query().Get("zone"), from, from+l.page)
 	var next any
-	if isMore {
+	if hasMore {
 		next = "after-" + strconv.Itoa(from+l.page)
 	}
 	raw, err := json.Marshal(map[string]any{"instances": page, "next_page_token": next})
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -177,26 +177,26 @@
 
 // finalState is "held", or "unknown" if the message is lost: not ended, but reported as ended or without its body.
 func (j *judge) finalState(s Submission) string {
-	end, isAsked := j.h.FinalStates[s.Token]
-	if !isAsked || end.State == "queued" && end.BodySum != "" || j.hasEnded(s, end.At) {
+	end, isReported := j.h.FinalStates[s.Token]
+	if !isReported || end.State == "queued" && end.BodySum != "" || j.hasEnded(s, end.At) {
 		return "held"
 	}
 	return "unknown"
 }
 
-// hasEnded reports whether a message may have ended by a moment.
+// isEnded reports whether a message may have ended by a moment.
 func (j *judge) hasEnded(s Submission, at time.Duration) bool {
-	_, isOver := j.endOf(s, at)
-	return isOver
+	_, isEnded := j.endOf(s, at)
+	return isEnded
 }
 
 // endOf returns the earliest moment, up to by, at which a message may have ended, and whether there is one.
 func (j *judge) endOf(s Submission, by time.Duration) (time.Duration, bool) {
 	route, failed, o := j.h.Routes[s.Lane], 0, j.operationOf(s)
-	best, isOver := by, false
+	best, isEnded := by, false
 	note := func(at time.Duration) {
 		if at <= by {
-			best, isOver = min(best, at), true
+			best, isEnded = min(best, at), true
 		}
 	}
 	for _, r := range o.runs {
@@ -209,13 +209,13 @@
 	}
 	note(o.submissions[0].SentAt + route.Retention)
 	for _, e := range j.h.Edits {
-		_, isKept := e.Pools[s.Lane]
+		_, hasRoute := e.Pools[s.Lane]
 		mayFollow := s.AnsweredAt < max(e.SentAt, e.AcknowledgedAt)+configApplyBound // accepted until it must be applied
-		if !isKept && !e.IsInvalid && e.Code/100 != 4 && mayFollow && (e.SentAt > s.AnsweredAt || e.AcknowledgedAt > 0) {
+		if !hasRoute && !e.IsInvalid && e.Code/100 != 4 && mayFollow && (e.SentAt > s.AnsweredAt || e.AcknowledgedAt > 0) {
 			note(max(e.SentAt, s.AnsweredAt))
 		}
 	}
-	return best, isOver
+	return best, isEnded
 }
 
 // judgeTimed applies the rules with time bounds to deliveries, as far as the system was settled at their start.
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -15,19 +15,19 @@
 	ms = time.Millisecond
 )
 
-func run(token, service, worker string, start, end time.Duration, status int) Run {
-	seal := ""
+func newRun(token, service, worker string, start, end time.Duration, status int) Run {
+	stamp := ""
 	if status == 200 {
-		seal = "seal of " + token
+		stamp = "seal of " + token
 	}
 	return Run{Run: check.Run{Token: token, Id: token, Pool: service, Worker: worker, BodySum: "sum of " + token, Start: start, End: end,
-		Status: status, IsAnswerComplete: status != 0}, RequestLine: "POST /" + token, Stamp: seal, TimeLeft: s}
+		Status: status, IsAnswerComplete: status != 0}, RequestLine: "POST /" + token, Stamp: stamp, TimeLeft: s}
 }
 
-func sent(token, route, key string, at time.Duration, told check.Outcome, code int) Submission {
-	out := Submission{Sent: check.Sent{Token: token, Lane: route, Key: key, BodySum: "sum of " + token, SentAt: at, AnsweredAt: at + 10*ms, Outcome: told},
+func newSubmission(token, route, key string, at time.Duration, outcome check.Outcome, code int) Submission {
+	out := Submission{Sent: check.Sent{Token: token, Lane: route, Key: key, BodySum: "sum of " + token, SentAt: at, AnsweredAt: at + 10*ms, Outcome: outcome},
 		RequestLine: "POST /" + token, Code: code, Daemon: "front-1", Incarnation: 1}
-	if told == check.Taken {
+	if outcome == check.Taken {
 		out.Id = "id of " + token
 	}
 	return out
@@ -46,12 +46,12 @@
 		{Edit: check.Edit{SentAt: 1 * s, AcknowledgedAt: 2 * s, Revision: 3, Pools: pools}, Document: []byte(`{"version":3}`), Code: 200},
 		{Edit: check.Edit{SentAt: 30 * s, AcknowledgedAt: 31 * s, Revision: 5, Pools: pools}, Base: 3, Document: []byte(`{"version":5,"x":1.0}`), Code: 200}}
 	h.Read = ReadBack{200, []byte(`{"x":1,"version":5}`)}
-	h.Sent = []Submission{sent("a", "r", "", 10*s, check.Taken, 202), sent("b", "r", "", 10*s, check.NotTaken, 503),
-		sent("x", "o", "k", 11*s, check.Taken, 202), sent("y", "o", "k", 12*s, check.Taken, 202),
-		sent("d", "r", "", 13*s, check.Taken, 202), sent("w", "r", "", 14*s, check.Taken, 202)}
+	h.Sent = []Submission{newSubmission("a", "r", "", 10*s, check.Taken, 202), newSubmission("b", "r", "", 10*s, check.NotTaken, 503),
+		newSubmission("x", "o", "k", 11*s, check.Taken, 202), newSubmission("y", "o", "k", 12*s, check.Taken, 202),
+		newSubmission("d", "r", "", 13*s, check.Taken, 202), newSubmission("w", "r", "", 14*s, check.Taken, 202)}
 	h.Sent[0].IsNotified = true
-	h.Runs = []Run{run("a", "p", "w", 10*s, 11*s, 500), run("a", "p", "w", 12*s, 13*s, 200), run("x", "q", "v", 14*s, 15*s, 200),
-		run("y", "q", "v", 16*s, 17*s, 200), run("d", "p", "w", 18*s, 19*s, 422)}
+	h.Runs = []Run{newRun("a", "p", "w", 10*s, 11*s, 500), newRun("a", "p", "w", 12*s, 13*s, 200), newRun("x", "q", "v", 14*s, 15*s, 200),
+		newRun("y", "q", "v", 16*s, 17*s, 200), newRun("d", "p", "w", 18*s, 19*s, 422)}
 	at := 60 * s
 	h.FinalStates = map[string]FinalState{"a": {"completed", "seal of a", "", at}, "x": {"completed", "seal of x", "", at},
 		"y": {"completed", "seal of y", "", at}, "d": {"dead_letter", "", "", at}, "w": {"queued", "", "sum of w", at}}
@@ -66,9 +66,9 @@
 }
 
 // removeRoute adds a configuration without route r, acknowledged at ack.
-func removeRoute(h *History, seal int64, ack time.Duration) {
-	h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: seal, Pools: map[string][]string{"o": {"q"}}}, Base: 5,
-		Document: []byte(fmt.Sprintf(`{"version":%d}`, seal)), Code: 200})
+func removeRoute(h *History, version int64, ack time.Duration) {
+	h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: version, Pools: map[string][]string{"o": {"q"}}}, Base: 5,
+		Document: []byte(fmt.Sprintf(`{"version":%d}`, version)), Code: 200})
 	h.Read.Doc = h.Edits[len(h.Edits)-1].Document
 }
 
@@ -82,20 +82,20 @@
 }
 
 // addOutage adds ten submissions within the time in which traffic must have recovered from an outage.
-func addOutage(h *History, served int) {
+func addOutage(h *History, runCount int) {
 	h.Outages = []check.Outage{{Description: "an outage", At: 30 * s}}
 	for i := range 10 {
 		token := fmt.Sprint("n", i)
-		h.Sent = append(h.Sent, sent(token, "r", "", 39*s, check.Undecided, 0))
-		if i < served {
-			h.Runs = append(h.Runs, run(token, "p", "w", 39*s, 40*s, 200))
+		h.Sent = append(h.Sent, newSubmission(token, "r", "", 39*s, check.Undecided, 0))
+		if i < runCount {
+			h.Runs = append(h.Runs, newRun(token, "p", "w", 39*s, 40*s, 200))
 		}
 	}
 }
 
 // addBrokenConnection adds a submission whose connection a stopping daemon closed.
 func addBrokenConnection(h *History, after time.Duration, isPlanned bool) {
-	x := sent("c", "r", "", 40*s, check.Undecided, 0)
+	x := newSubmission("c", "r", "", 40*s, check.Undecided, 0)
 	x.IsConnectionBroken, x.AnsweredAt = true, x.SentAt+after
 	h.Sent = append(h.Sent, x)
 	h.Disruptions = append(h.Disruptions, Disruption{Daemon: "front-1", From: 39 * s, Until: 45 * s, IsPlanned: isPlanned})
@@ -109,7 +109,7 @@
 	{RuleMixed, "a state without a stamp", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "", "", 60 * s} }},
 	{RuleMixed, "a dead letter for a message that has not ended", func(h *History) { h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s} }},
 	{RuleMixed, "a dead letter for a message with an attempt left", func(h *History) {
-		h.Runs = append(h.Runs, run("w", "p", "w", 20*s, 21*s, 500), run("w", "p", "w", 22*s, 23*s, 500))
+		h.Runs = append(h.Runs, newRun("w", "p", "w", 20*s, 21*s, 500), newRun("w", "p", "w", 22*s, 23*s, 500))
 		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
 	{RuleMixed, "a call-back with a stamp that no run returned", func(h *History) { h.Callbacks[0].Stamp = "x" }},
@@ -121,10 +121,10 @@
 	{RuleUnasked, "a different body read during the run", func(h *History) { addObservation(h, "held", "others") }},
 	{RuleLost, "an unknown message during the run", func(h *History) { addObservation(h, "unknown", "") }},
 	{RuleMixed, "a final state that changes back to queued", func(h *History) { addObservation(h, "ended", ""); addObservation(h, "held", "") }},
-	{RuleUnasked, "a run of a message that was never submitted", func(h *History) { h.Runs = append(h.Runs, run("z", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleUnasked, "a run of a message that was never submitted", func(h *History) { h.Runs = append(h.Runs, newRun("z", "p", "w", 20*s, 21*s, 200)) }},
 	{RuleUnasked, "a run with an altered body", func(h *History) { h.Runs[1].BodySum = "others" }},
 	{RuleUnasked, "a run with an altered path", func(h *History) { h.Runs[1].RequestLine = "POST /b" }},
-	{RuleRefused, "a run of a refused message", func(h *History) { h.Runs = append(h.Runs, run("b", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleRefused, "a run of a refused message", func(h *History) { h.Runs = append(h.Runs, newRun("b", "p", "w", 20*s, 21*s, 200)) }},
 	{RuleRoute, "a run by a service that no configuration allows", func(h *History) { h.Runs[1].Pool = "q" }},
 	{RuleLost, "an unknown message at the end", func(h *History) { h.FinalStates["w"] = FinalState{"unknown", "", "", 60 * s} }},
 	{RuleLost, "a queued message without its body", func(h *History) { h.FinalStates["w"] = FinalState{"queued", "", "", 60 * s} }},
@@ -134,7 +134,7 @@
 	{RuleOrder, "a start before the end of the previous message of the key", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
 	{RuleOrder, "a start before the end of the delay", func(h *History) { h.Sent[0].Delay = 310 * ms }},
 	{RuleOrder, "a start between two attempts of the previous message of the key", func(h *History) { h.Runs[2].Status = 500 }},
-	{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
+	{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, newRun("a", "p", "w", 20*s, 21*s, 200)) }},
 	{RuleCeiling, "arrivals beyond the rate limit", func(h *History) { addArrivals(h, "q", false, 11) }},
 	{RuleFailback, "arrivals at a cold worker beyond its limit", func(h *History) { addArrivals(h, "p", true, 9) }},
 	{RuleDrain, "an arrival at a worker after the drain bound", func(h *History) {
@@ -151,7 +151,7 @@
 	}},
 	{RuleConfig, "202 for a removed route", func(h *History) {
 		removeRoute(h, 9, 35*s)
-		h.Sent = append(h.Sent, sent("late", "r", "", 45*s, check.Taken, 202))
+		h.Sent = append(h.Sent, newSubmission("late", "r", "", 45*s, check.Taken, 202))
 	}},
 	{RuleConfig, "an invalid configuration that is acknowledged", func(h *History) { h.Edits[1].IsInvalid = true }},
 	{RuleConfig, "two acknowledged configurations with the same base version", func(h *History) { removeRoute(h, 7, 50*s); h.Edits[2].Base = 3 }},
@@ -177,20 +177,20 @@
 	{"no breach", func(*History) {}},
 	{"404 before the first configuration must be applied", func(h *History) { h.Sent[1].SentAt, h.Sent[1].AnsweredAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
 	{"a second run after an unplanned disruption", func(h *History) {
-		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
+		h.Runs = append(h.Runs, newRun("a", "p", "w", 20*s, 21*s, 200))
 		h.Disruptions = []Disruption{{Daemon: "store-1", From: 14 * s, Until: 15 * s}}
 	}},
 	{"a second run after a success whose response was lost", func(h *History) {
 		h.Runs[1].IsAnswerComplete = false
-		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
+		h.Runs = append(h.Runs, newRun("a", "p", "w", 20*s, 21*s, 200))
 	}},
 	{"a second run after a success reported too late", func(h *History) {
 		h.Runs[1].TimeLeft = 20 * ms
-		h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200))
+		h.Runs = append(h.Runs, newRun("a", "p", "w", 20*s, 21*s, 200))
 	}},
 	{"a dead letter after all its attempts", func(h *History) {
 		for i := range 3 {
-			h.Runs = append(h.Runs, run("w", "p", "w", time.Duration(20+2*i)*s, time.Duration(21+2*i)*s, 500))
+			h.Runs = append(h.Runs, newRun("w", "p", "w", time.Duration(20+2*i)*s, time.Duration(21+2*i)*s, 500))
 		}
 		h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s}
 	}},
--- a/internal/standin/judgeconfig.go
+++ b/internal/standin/judgeconfig.go
@@ -61,12 +61,12 @@
 			continue
 		}
 		list := check.InForce(edits, s.SentAt, s.AnsweredAt)
-		lacks := func(e check.Edit) bool { return len(e.Pools[s.Lane]) == 0 }
+		isRouteMissing := func(e check.Edit) bool { return len(e.Pools[s.Lane]) == 0 }
 		switch {
 		case len(list) == 0:
-		case s.Code == 404 && !slices.ContainsFunc(list, lacks):
+		case s.Code == 404 && !slices.ContainsFunc(list, isRouteMissing):
 			j.breach(RuleConfig, "%s, sent at %v, got 404 from %s although the configuration in force has route %s", s.Token, s.SentAt, s.Daemon, s.Lane)
-		case s.Code == 202 && !slices.ContainsFunc(list, func(e check.Edit) bool { return !lacks(e) }):
+		case s.Code == 202 && !slices.ContainsFunc(list, func(e check.Edit) bool { return !isRouteMissing(e) }):
 			j.breach(RuleConfig, "%s, sent at %v, was accepted by %s although the configuration in force has no route %s", s.Token, s.SentAt, s.Daemon, s.Lane)
 		}
 	}
@@ -76,12 +76,12 @@
 // in the same incarnation, unless a newer configuration removes the route.
 func (j *judge) judgeRouteRegressions() {
 	edits := j.validEdits()
-	isDropped := func(route string, by time.Duration) bool {
+	isRouteRemoved := func(route string, by time.Duration) bool {
 		isSeen := false
 		for _, e := range edits { // in order of version
-			_, isThere := e.Pools[route]
-			isSeen = isSeen || isThere
-			if isSeen && !isThere && e.SentAt <= by {
+			_, isFound := e.Pools[route]
+			isSeen = isSeen || isFound
+			if isSeen && !isFound && e.SentAt <= by {
 				return true
 			}
 		}
@@ -92,16 +92,16 @@
 		life   int64
 		route  string
 	}
-	taken := map[life]time.Duration{}
+	acceptedAt := map[life]time.Duration{}
 	for _, s := range j.h.Sent {
 		key := life{s.Daemon, s.Incarnation, s.Lane}
-		if at, isKnown := taken[key]; s.Code == 202 && (!isKnown || s.AnsweredAt < at) {
-			taken[key] = s.AnsweredAt
+		if at, isKnown := acceptedAt[key]; s.Code == 202 && (!isKnown || s.AnsweredAt < at) {
+			acceptedAt[key] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := taken[life{s.Daemon, s.Incarnation, s.Lane}]
-		if s.Code == 404 && isKnown && s.SentAt > at+rollbackSlack && !isDropped(s.Lane, s.AnsweredAt) {
+		at, isKnown := acceptedAt[life{s.Daemon, s.Incarnation, s.Lane}]
+		if s.Code == 404 && isKnown && s.SentAt > at+rollbackSlack && !isRouteRemoved(s.Lane, s.AnsweredAt) {
 			j.breach(RuleConfig, "%s accepted messages of route %s at %v but answered 404 for it at %v", s.Daemon, s.Lane, at, s.SentAt)
 		}
 	}
--- a/internal/standin/judgemessages.go
+++ b/internal/standin/judgemessages.go
@@ -31,12 +31,12 @@
 }
 
 // judgeReportedState compares a reported end of a message with the workers' runs; by names the source of the report.
-func (j *judge) judgeReportedState(s Submission, by, state, seal string, at time.Duration) {
+func (j *judge) judgeReportedState(s Submission, source, state, stamp string, at time.Duration) {
 	switch {
-	case state == "completed" && !slices.Contains(j.successStamps(s), seal):
-		j.breach(RuleMixed, "%s reports %s as completed with stamp %q, which no successful run returned", by, s.Token, seal)
+	case state == "completed" && !slices.Contains(j.successStamps(s), stamp):
+		j.breach(RuleMixed, "%s reports %s as completed with stamp %q, which no successful run returned", source, s.Token, stamp)
 	case state == "dead_letter" && !j.hasEnded(s, at):
-		j.breach(RuleMixed, "%s reports %s as a dead letter although it has not ended", by, s.Token)
+		j.breach(RuleMixed, "%s reports %s as a dead letter although it has not ended", source, s.Token)
 	}
 }
 
@@ -74,16 +74,16 @@
 
 // judgeRates compares the arrivals with the rate limits of services and with those of cold workers.
 func (j *judge) judgeRates() {
-	met := map[string][]time.Duration{}
+	arrivals := map[string][]time.Duration{}
 	for _, m := range j.h.Arrivals {
 		if j.h.Services[m.Service].Rate > 0 {
-			met[m.Service] = append(met[m.Service], m.At)
+			arrivals[m.Service] = append(arrivals[m.Service], m.At)
 		}
 	}
-	for service, list := range met {
-		most := j.h.Services[service].Rate*ceilingWindow.Seconds()*ceilingOvershoot + ceilingSlack
-		if got, at := densestWindow(list, ceilingWindow); float64(got) > most {
-			j.breach(RuleCeiling, "service %s received %d requests in the %v before %v, more than the limit of %v", service, got, ceilingWindow, at, most)
+	for service, list := range arrivals {
+		maxArrivals := j.h.Services[service].Rate*ceilingWindow.Seconds()*ceilingOvershoot + ceilingSlack
+		if got, at := densestWindow(list, ceilingWindow); float64(got) > maxArrivals {
+			j.breach(RuleCeiling, "service %s received %d requests in the %v before %v, more than the limit of %v", service, got, ceilingWindow, at, maxArrivals)
 		}
 	}
 	cold := map[[2]string][]time.Duration{}
@@ -92,25 +92,25 @@
 			cold[[2]string{m.Service, m.Worker}] = append(cold[[2]string{m.Service, m.Worker}], m.At)
 		}
 	}
-	for who, list := range cold {
-		most := j.h.Services[who[0]].ColdRate*coldOvershoot + coldSlack
-		if got, at := densestWindow(list, time.Second); float64(got) > most {
-			j.breach(RuleFailback, "cold worker %s received %d requests in the second before %v, more than the limit of %v", who[1], got, at, most)
+	for worker, list := range cold {
+		maxArrivals := j.h.Services[worker[0]].ColdRate*coldOvershoot + coldSlack
+		if got, at := densestWindow(list, time.Second); float64(got) > maxArrivals {
+			j.breach(RuleFailback, "cold worker %s received %d requests in the second before %v, more than the limit of %v", worker[1], got, at, maxArrivals)
 		}
 	}
 }
 
 // densestWindow returns the largest number of moments within any window of that length, and the end of that window.
-func densestWindow(list []time.Duration, window time.Duration) (most int, until time.Duration) {
+func densestWindow(list []time.Duration, window time.Duration) (count int, until time.Duration) {
 	slices.SortFunc(list, func(a, b time.Duration) int { return cmp.Compare(a, b) })
 	first := 0
 	for i, at := range list {
 		for list[first] <= at-window {
 			first++
 		}
-		if i-first+1 > most {
-			most, until = i-first+1, at
+		if i-first+1 > count {
+			count, until = i-first+1, at
 		}
 	}
-	return most, until
+	return count, until
 }
--- a/internal/standin/judgeoperations.go
+++ b/internal/standin/judgeoperations.go
@@ -22,17 +22,17 @@
 	type name struct{ tenant, key string }
 	byName := map[name]*operation{}
 	j.operations = map[string]*operation{}
-	sends := slices.Clone(j.h.Sent)
-	slices.SortStableFunc(sends, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
-	for _, s := range sends {
-		own := name{j.tenantOf(s), s.Operation}
-		o := byName[own]
+	submissions := slices.Clone(j.h.Sent)
+	slices.SortStableFunc(submissions, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	for _, s := range submissions {
+		id := name{j.tenantOf(s), s.Operation}
+		o := byName[id]
 		if o == nil || s.Operation == "" {
-			o = &operation{tenant: own.tenant, key: s.Operation}
+			o = &operation{tenant: id.tenant, key: s.Operation}
 			j.operationList = append(j.operationList, o)
 		}
 		if s.Operation != "" {
-			byName[own] = o
+			byName[id] = o
 		}
 		o.submissions = append(o.submissions, s)
 		j.operations[s.Token] = o
@@ -134,13 +134,13 @@
 
 // judgeBegunAfter checks the first run of a message against all other messages of the same order key.
 func (j *judge) judgeBegunAfter(o *operation, others []*operation) {
-	begun := o.runs[0].Start
-	for _, before := range others {
-		s, isAccepted := before.firstAccepted()
-		if before == o || !isAccepted || s.AnsweredAt >= o.submissions[0].SentAt || j.hasEnded(s, begun) {
+	startedAt := o.runs[0].Start
+	for _, earlier := range others {
+		s, isAccepted := earlier.firstAccepted()
+		if earlier == o || !isAccepted || s.AnsweredAt >= o.submissions[0].SentAt || j.hasEnded(s, startedAt) {
 			continue
 		}
-		j.breach(RuleOrder, "order key %s of tenant %q: %s started at %v although %s, accepted at %v, had not ended", s.Key, o.tenant, o.runs[0].Token, begun, s.Token, s.AnsweredAt)
+		j.breach(RuleOrder, "order key %s of tenant %q: %s started at %v although %s, accepted at %v, had not ended", s.Key, o.tenant, o.runs[0].Token, startedAt, s.Token, s.AnsweredAt)
 	}
 }
 
--- a/internal/standin/judgequotas.go
+++ b/internal/standin/judgequotas.go
@@ -31,15 +31,15 @@
 			byTenant[name] = append(byTenant[name], quotaRun{s.SentAt, j.runs[s.Token][0].Start})
 		}
 	}
-	binds := j.bindingTimes()
+	bindsAt := j.bindingTimes()
 	for name, runs := range byTenant {
 		slices.SortFunc(runs, func(a, b quotaRun) int { return cmp.Compare(a.sentAt, b.sentAt) })
-		j.judgeTenantQuota(name, runs, binds)
+		j.judgeTenantQuota(name, runs, bindsAt)
 	}
 }
 
 // judgeTenantQuota checks each window that begins with a request of a tenant, and reports the worst one.
-func (j *judge) judgeTenantQuota(name string, runs []quotaRun, binds []time.Duration) {
+func (j *judge) judgeTenantQuota(name string, runs []quotaRun, bindsAt []time.Duration) {
 	worst, text := 0.0, ""
 	for i, first := range runs {
 		got, until := 0, first.sentAt+quotaWindow
@@ -51,7 +51,7 @@
 				got++
 			}
 		}
-		allowed := j.maxLimitIn(name, first.sentAt, until, binds)*(1+quotaOvershoot) + quotaSlack
+		allowed := j.maxLimitIn(name, first.sentAt, until, bindsAt)*(1+quotaOvershoot) + quotaSlack
 		if over := float64(got) - allowed; over > worst {
 			worst, text = over, fmt.Sprintf("%d requests of tenant %s were sent and run from %v to %v, more than the limit of %.1f", got, name, first.sentAt, until, allowed)
 		}
@@ -62,23 +62,23 @@
 }
 
 // maxLimitIn returns the highest limit of a tenant that may be in force within a window.
-func (j *judge) maxLimitIn(name string, first, last time.Duration, binds []time.Duration) (most float64) {
+func (j *judge) maxLimitIn(name string, first, last time.Duration, bindsAt []time.Duration) (limit float64) {
 	newest := int64(0)
 	for i, e := range j.h.Edits {
-		if binds[i] > 0 && binds[i] < first {
+		if bindsAt[i] > 0 && bindsAt[i] < first {
 			newest = max(newest, e.Revision)
 		}
 	}
 	for _, e := range j.h.Edits {
-		isOut := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
-		if !isOut {
-			most = max(most, limitOf(e.Tenants, name))
+		isExcluded := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+		if !isExcluded {
+			limit = max(limit, limitOf(e.Tenants, name))
 		}
 	}
-	return most
+	return limit
 }
 
-// bindingTimes returns for each configuration the moment from which windows are judged by it and newer ones alone:
+// bindsAt returns for each configuration the moment from which windows are judged by it and newer ones alone:
 // the first one after its apply bound at which no machine is disrupted. 0 means never.
 func (j *judge) bindingTimes() []time.Duration {
 	out := make([]time.Duration, len(j.h.Edits))
--- a/internal/standin/judgetenancy.go
+++ b/internal/standin/judgetenancy.go
@@ -121,8 +121,8 @@
 		return nil
 	}
 	for i, e := range j.h.Edits {
-		isOut := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
-		if !isOut {
+		isExcluded := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+		if !isExcluded {
 			out = append(out, i)
 		}
 	}
@@ -137,14 +137,14 @@
 			continue
 		}
 		list := j.inForce(s.SentAt, s.AnsweredAt)
-		isBy := func(what accessDecision) bool {
+		isDecidedAs := func(what accessDecision) bool {
 			return slices.ContainsFunc(list, func(i int) bool { return j.accessUnder(i, s) == what })
 		}
 		switch {
 		case len(list) == 0:
-		case s.Code == 401 && !isBy(noKey) && !isBy(noRoute):
+		case s.Code == 401 && !isDecidedAs(noKey) && !isDecidedAs(noRoute):
 			j.breach(RuleConfig, "%s, sent at %v, got 401 from %s although the configuration in force has its API key %s", s.Token, s.SentAt, s.Daemon, s.ApiKey)
-		case s.Code != 401 && isBy(noKey) && !isBy(granted):
+		case s.Code != 401 && isDecidedAs(noKey) && !isDecidedAs(granted):
 			j.breach(RuleConfig, "%s was sent to %s at %v with the API key %q, which the configuration in force does not have: status %d, run %t", s.Token, s.Daemon, s.SentAt, s.ApiKey, s.Code, hasRun)
 		}
 	}
@@ -158,15 +158,15 @@
 		life   int64
 		key    string
 	}
-	accepted := map[seen]time.Duration{}
+	acceptedAt := map[seen]time.Duration{}
 	for _, s := range j.h.Sent {
-		who := seen{s.Daemon, s.Incarnation, s.ApiKey}
-		if at, isKnown := accepted[who]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
-			accepted[who] = s.AnsweredAt
+		daemonKey := seen{s.Daemon, s.Incarnation, s.ApiKey}
+		if at, isKnown := acceptedAt[daemonKey]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
+			acceptedAt[daemonKey] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := accepted[seen{s.Daemon, s.Incarnation, s.ApiKey}]
+		at, isKnown := acceptedAt[seen{s.Daemon, s.Incarnation, s.ApiKey}]
 		if s.Code == 401 && isKnown && s.SentAt > at+rollbackSlack && !j.isKeyRemoved(s.ApiKey, s.AnsweredAt) {
 			j.breach(RuleConfig, "%s accepted the API key %s at %v but refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
 		}
@@ -177,10 +177,10 @@
 func (j *judge) isKeyRemoved(key string, by time.Duration) bool {
 	isSeen := false
 	for i, e := range j.h.Edits { // in order of sending
-		_, isThere := j.keys[i][key]
-		isThere = isThere && !e.IsInvalid
-		isSeen = isSeen || isThere
-		if isSeen && !isThere && !e.IsInvalid && e.Code/100 != 4 && e.SentAt <= by {
+		_, isFound := j.keys[i][key]
+		isFound = isFound && !e.IsInvalid
+		isSeen = isSeen || isFound
+		if isSeen && !isFound && !e.IsInvalid && e.Code/100 != 4 && e.SentAt <= by {
 			return true
 		}
 	}
--- a/internal/standin/judgewaits.go
+++ b/internal/standin/judgewaits.go
@@ -53,12 +53,12 @@
 // judgeStuckMessages adds a breach for each message that has been queued for longer than stuckSlack since it was due
 // and the last disruption ended.
 func (j *judge) judgeStuckMessages() {
-	healed := time.Duration(0)
+	recoveredAt := time.Duration(0)
 	for _, t := range j.h.Disruptions {
 		if t.Until == 0 && t.From > 0 && !t.IsPermanent {
 			return // a disruption goes on
 		}
-		healed = max(healed, t.From, t.Until)
+		recoveredAt = max(recoveredAt, t.From, t.Until)
 	}
 	newest := time.Duration(0) // when the last successful run ended
 	for _, r := range j.h.Runs {
@@ -71,7 +71,7 @@
 			continue // the backlog is still being worked off, however slow the machine is
 		}
 		s := j.submissions[token]
-		waits := end.At - max(healed, s.SentAt+s.Delay)
+		waits := end.At - max(recoveredAt, s.SentAt+s.Delay)
 		if end.State == "queued" && waits > stuckSlack && !j.hasEnded(s, end.At) {
 			j.breach(RuleLying, "%s (%s) has been queued for %v without a reason, after %d runs", token, s.Lane, waits.Round(time.Millisecond), len(j.operationOf(s).runs))
 		}
--- a/internal/standin/keyring.go
+++ b/internal/standin/keyring.go
@@ -44,22 +44,22 @@
 
 // draw returns the API key that a client of a tenant sends; empty for none. Clients of a tenant that has lost all its
 // keys keep using a removed one.
-func (k *keyring) draw(name string, draws *rand.Rand) string {
+func (k *keyring) draw(name string, rng *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	held, taken := k.held[name], k.revoked[name]
-	chance := draws.IntN(100)
+	chance := rng.IntN(100)
 	switch {
 	case chance < unknownKeyPercent:
-		return newApiKey(draws)
+		return newApiKey(rng)
 	case chance < unknownKeyPercent+missingKeyPercent:
 		return ""
 	case len(taken) > 0 && (len(held) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
-		return taken[draws.IntN(len(taken))]
+		return taken[rng.IntN(len(taken))]
 	case len(held) == 0:
 		return ""
 	}
-	return held[draws.IntN(len(held))]
+	return held[rng.IntN(len(held))]
 }
 
 // valid returns a valid API key of a tenant, for queries about its messages; empty if it has none.
--- a/internal/standin/listen.go
+++ b/internal/standin/listen.go
@@ -22,14 +22,14 @@
 	return errs.New(errs.Internal, "cannot reserve a loopback network: none of 200 random ones is free")
 }
 
-// serve starts an HTTP server at an address, with at most most connections; 0 means no maximum.
-func (s *Site) serve(addr string, h http.Handler, most int) error {
+// serve starts an HTTP server at an address, with at most maxConns connections; 0 means no maximum.
+func (s *Site) serve(addr string, h http.Handler, maxConns int) error {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return errs.Wrap(err, errs.Internal, "listen on %s", addr)
 	}
 	server := &http.Server{Handler: h}
 	s.servers = append(s.servers, server)
-	go func() { _ = server.Serve(&limitedListener{Listener: listener, maxOpen: int64(most)}) }()
+	go func() { _ = server.Serve(&limitedListener{Listener: listener, maxOpen: int64(maxConns)}) }()
 	return nil
 }
--- a/internal/standin/longlist_test.go
+++ b/internal/standin/longlist_test.go
@@ -35,12 +35,12 @@
 }
 
 // waitForRuns waits until at least so many runs have ended.
-func (s *Site) waitForRuns(ctx context.Context, least int) bool {
+func (s *Site) waitForRuns(ctx context.Context, minRuns int) bool {
 	count := func() (n int) {
 		s.History.WithLock(func() { n = len(s.History.Runs) })
 		return n
 	}
-	for count() < least {
+	for count() < minRuns {
 		if !sleep(ctx, 20*time.Millisecond) {
 			return false
 		}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -39,8 +39,8 @@
 	hasRun         bool
 	usesSecondList bool // the settings name the list's second address
 	incarnation    atomic.Int64
-	// nextSignalNote is closed at the next signal that stops the processes or makes them reload settings.
-	nextSignalNote    atomic.Pointer[signalNote]
+	// nextSignalEvent is closed at the next signal that stops the processes or makes them reload settings.
+	nextSignalEvent   atomic.Pointer[signalEvent]
 	isPermanentlyDown bool                // the machine never starts again
 	endDisruption     func(time.Duration) // ends the current disruption; nil without one
 }
@@ -165,7 +165,7 @@
 	if err := m.write(); err != nil {
 		m.site.recordFailure("%v", err)
 	}
-	m.noteSignal()
+	m.announceSignal()
 	for _, p := range m.Processes {
 		if m.shouldRun && m.isListening(p) {
 			p.Signal(syscall.SIGHUP)
--- a/internal/standin/machinestop.go
+++ b/internal/standin/machinestop.go
@@ -22,7 +22,7 @@
 	}
 	m.shouldRun = false
 	m.endDisruption = m.site.History.beginDisruption(m.ShortName, m.site.Now(), isGraceful)
-	m.noteSignal()
+	m.announceSignal()
 	var wg sync.WaitGroup
 	for _, p := range m.Processes {
 		wg.Add(1)
@@ -57,13 +57,13 @@
 		if !m.shouldRun || p.Kind != kind {
 			continue
 		}
-		troubled := m.site.History.beginDisruption(m.ShortName, m.site.Now(), true)
-		m.noteSignal()
+		endDisruption := m.site.History.beginDisruption(m.ShortName, m.site.Now(), true)
+		m.announceSignal()
 		m.stopGracefully(p)
 		if err := p.Start(); err != nil {
 			m.site.recordFailure("%s: %v", m.ShortName, err)
 		}
-		troubled(m.site.Now())
+		endDisruption(m.site.Now())
 	}
 }
 
--- a/internal/standin/measurelist.go
+++ b/internal/standin/measurelist.go
@@ -54,25 +54,25 @@
 	if err := s.Up(ctx); err != nil {
 		return out, err
 	}
-	began, pool, all := s.Now(), plan.Services[0].Name, o.Workers+len(plan.Zones)
+	startedAt, pool, all := s.Now(), plan.Services[0].Name, o.Workers+len(plan.Zones)
 	loadCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	go s.RunTraffic(loadCtx, plan.Loads[:1], plan.Deadline)
 	shared := s.List.sharedWorkers[0]
 	select {
 	case <-shared.firstRunSeen:
-		out.FirstRun = s.Now() - began
+		out.FirstRun = s.Now() - startedAt
 	case <-ctx.Done():
 		return out, errs.New(errs.DeadlineExceeded, "no worker of the list has run a message")
 	}
 	if !s.waitForMetric(ctx, "caperwheel_pool_workers", all) {
 		return out, errs.New(errs.DeadlineExceeded, "the manager does not report every worker of service %s", pool)
 	}
-	out.Listed = s.Now() - began
+	out.Listed = s.Now() - startedAt
 	if !s.waitForMetric(ctx, "caperwheel_pool_duties", all) {
 		return out, errs.New(errs.DeadlineExceeded, "not every worker of service %s is assigned", pool)
 	}
-	out.Assigned = s.Now() - began
+	out.Assigned = s.Now() - startedAt
 	stop()
 	s.measureIdle(ctx, &out)
 	changedAt := s.Now()
@@ -127,12 +127,12 @@
 	if err != nil {
 		return nil
 	}
-	answer, err := s.queryClient.Do(req)
+	response, err := s.queryClient.Do(req)
 	if err != nil {
 		return nil
 	}
-	defer answer.Body.Close()
-	raw, err := readAll(answer)
+	defer response.Body.Close()
+	raw, err := readAll(response)
 	if err != nil {
 		return nil
 	}
--- a/internal/standin/messagetrace.go
+++ b/internal/standin/messagetrace.go
@@ -20,8 +20,8 @@
 		if m.Class == classCore || id == "" {
 			continue
 		}
-		if told := s.fetchTrace(m, id); told != "" {
-			fmt.Fprintf(out, "  %s reports: %s\n", m.ShortName, told)
+		if trace := s.fetchTrace(m, id); trace != "" {
+			fmt.Fprintf(out, "  %s reports: %s\n", m.ShortName, trace)
 		}
 	}
 }
@@ -34,13 +34,13 @@
 	if err != nil {
 		return ""
 	}
-	answer, err := s.queryClient.Do(req)
+	response, err := s.queryClient.Do(req)
 	if err != nil {
 		return "query failed: " + err.Error()
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK {
 		return ""
 	}
 	return string(raw)
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -47,9 +47,9 @@
 			cores = append(cores, m)
 		}
 	}
-	turn, rejects, wait := rand.IntN(len(cores)), 0, 50*time.Millisecond
-	for ; ctx.Err() == nil; turn++ {
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+o.site.at(cores[turn%len(cores)].host, portControl)+path, bytes.NewReader(body))
+	attempt, rejections, wait := rand.IntN(len(cores)), 0, 50*time.Millisecond
+	for ; ctx.Err() == nil; attempt++ {
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+o.site.at(cores[attempt%len(cores)].host, portControl)+path, bytes.NewReader(body))
 		if err != nil {
 			return 0, nil
 		}
@@ -58,18 +58,18 @@
 			req.Header.Set(basedOn, base)
 		}
 		code, raw := 0, []byte(nil)
-		if answer, err := o.client.Do(req); err == nil {
-			raw, err = io.ReadAll(answer.Body)
-			answer.Body.Close()
+		if response, err := o.client.Do(req); err == nil {
+			raw, err = io.ReadAll(response.Body)
+			response.Body.Close()
 			if err == nil {
-				code = answer.StatusCode
+				code = response.StatusCode
 			}
 		}
 		switch {
 		case code/100 == 2, code == 400, code == 409, code == 412, code == 413, code == 422:
 			return code, raw
 		case code/100 == 4 && code != 408 && code != 429:
-			if rejects++; rejects == maxOtherRejections {
+			if rejections++; rejections == maxOtherRejections {
 				return code, raw
 			}
 		}
@@ -82,13 +82,13 @@
 // send sends a configuration, complete or as an update, and records it.
 func (o *operator) send(ctx context.Context, isUpdate bool, base int64, c siteConfig, body []byte, isInvalid bool) int {
 	h := o.site.History
-	i, order, path := 0, 0, "/v1/configuration/replace"
+	i, command, path := 0, 0, "/v1/configuration/replace"
 	if isUpdate {
 		path = "/v1/configuration/update"
 	}
 	at := o.site.Now()
 	h.WithLock(func() {
-		i, order = len(h.Edits), len(h.Commands)
+		i, command = len(h.Edits), len(h.Commands)
 		h.Edits = append(h.Edits, Edit{Edit: check.Edit{SentAt: at, Revision: c.Version, Pools: c.pools()}, Base: base,
 			RequestDigest: requestDigest(path, fmt.Sprint(base), body), Document: c.doc(), IsInvalid: isInvalid, Tenants: c.Tenants, Public: c.public()})
 		for name, r := range c.judgedRoutes() {
@@ -109,9 +109,9 @@
 		switch {
 		case isInvalid:
 		case code != 0: // the loser of a race has its response too
-			h.Commands[order].AckAt = o.site.Now()
+			h.Commands[command].AckAt = o.site.Now()
 		default:
-			h.Commands[order].GivenUpAt = o.site.Now()
+			h.Commands[command].GivenUpAt = o.site.Now()
 		}
 	})
 	return code
@@ -128,13 +128,13 @@
 		return context.WithTimeout(ctx, configTimeout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, randomFaultConfigTimeout)
-	began := o.site.Now()
+	startedAt := o.site.Now()
 	go func() {
 		for ctx.Err() == nil {
 			sleep(ctx, lookInterval)
-			h, now, stretch := o.site.History, o.site.Now(), time.Duration(0)
-			h.WithLock(func() { stretch = h.longestUndisrupted(began, now, o.site.isCoreDisruption) })
-			if stretch >= configTimeout {
+			h, now, longest := o.site.History, o.site.Now(), time.Duration(0)
+			h.WithLock(func() { longest = h.longestUndisrupted(startedAt, now, o.site.isCoreDisruption) })
+			if longest >= configTimeout {
 				cancel()
 			}
 		}
@@ -213,16 +213,16 @@
 }
 
 // evacuate starts or finishes the evacuation of a zone, and reports whether that was acknowledged.
-func (o *operator) evacuate(ctx context.Context, zone, verb string) bool {
+func (o *operator) evacuate(ctx context.Context, zone, action string) bool {
 	h := o.site.History
-	order := Command{Text: verb + " of " + zone, At: o.site.Now()}
+	command := Command{Text: action + " of " + zone, At: o.site.Now()}
 	ctx, cancel := context.WithTimeout(ctx, acknowledgeBound)
 	defer cancel()
-	if code := o.changeEvacuation(ctx, zone, verb); code/100 == 2 {
-		order.AckAt = o.site.Now()
+	if code := o.changeEvacuation(ctx, zone, action); code/100 == 2 {
+		command.AckAt = o.site.Now()
 	}
-	h.WithLock(func() { h.Commands = append(h.Commands, order) })
-	return order.AckAt > 0
+	h.WithLock(func() { h.Commands = append(h.Commands, command) })
+	return command.AckAt > 0
 }
 
 // hostOf returns the host name of a route in any configuration that was sent.
--- a/internal/standin/operatorcalls.go
+++ b/internal/standin/operatorcalls.go
@@ -78,9 +78,9 @@
 }
 
 // changeEvacuation starts or finishes the evacuation of a zone.
-func (o *operator) changeEvacuation(ctx context.Context, zone, verb string) int {
-	kind := map[string]linearize.Kind{"start": linearize.Evacuate, "finish": linearize.Finish}[verb]
-	code, _ := o.recordedCall(ctx, http.MethodPost, "/v1/evacuation/"+zone+"/"+verb, "", nil, linearize.Operation{Kind: kind, Zone: zone})
+func (o *operator) changeEvacuation(ctx context.Context, zone, action string) int {
+	kind := map[string]linearize.Kind{"start": linearize.Evacuate, "finish": linearize.Finish}[action]
+	code, _ := o.recordedCall(ctx, http.MethodPost, "/v1/evacuation/"+zone+"/"+action, "", nil, linearize.Operation{Kind: kind, Zone: zone})
 	return code
 }
 
--- a/internal/standin/pool.go
+++ b/internal/standin/pool.go
@@ -79,26 +79,26 @@
 
 // claim looks up an id in the deduplication table that the service's workers share. It returns the stamp of an
 // earlier success, or whether the id is running, or else claims the id.
-func (p *Pool) claim(id string) (seal string, isRunning bool) {
+func (p *Pool) claim(id string) (stamp string, isRunning bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.HasDeduplication {
 		return "", false
 	}
-	if seal = p.stamps[id]; seal != "" || p.claimed[id] {
-		return seal, seal == ""
+	if stamp = p.stamps[id]; stamp != "" || p.claimed[id] {
+		return stamp, stamp == ""
 	}
 	p.claimed[id] = true
 	return "", false
 }
 
 // releaseClaim ends the claim of an id and records the stamp of its success, if any.
-func (p *Pool) releaseClaim(id, seal string) {
+func (p *Pool) releaseClaim(id, stamp string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.claimed, id)
-	if p.HasDeduplication && seal != "" {
-		p.stamps[id] = seal
+	if p.HasDeduplication && stamp != "" {
+		p.stamps[id] = stamp
 	}
 }
 
@@ -134,12 +134,12 @@
 
 // identifierOf returns the identifier of a service's worker with that number. One in three is a long path that
 // contains its location, longer than names may be.
-func identifierOf(service, zone string, life int) string {
-	short := fmt.Sprintf("%s-%d-%x", service, life, rand.Uint32())
-	if life%3 != 0 {
-		return short
+func identifierOf(service, zone string, number int) string {
+	name := fmt.Sprintf("%s-%d-%x", service, number, rand.Uint32())
+	if number%3 != 0 {
+		return name
 	}
-	return "region/" + zone + "/" + service + "/rack-" + strings.Repeat("0", longIdentifierPadding) + "/" + short
+	return "region/" + zone + "/" + service + "/rack-" + strings.Repeat("0", longIdentifierPadding) + "/" + name
 }
 
 // longIdentifierPadding is the number of padding characters in a long identifier.
--- a/internal/standin/repeats.go
+++ b/internal/standin/repeats.go
@@ -60,29 +60,29 @@
 }
 
 // note draws whether a message is submitted again, depending on the outcome of its last submission.
-func (r *repeats) note(m Message, zone string, told check.Outcome, now time.Duration, draws *rand.Rand) {
-	share := map[check.Outcome]float64{check.Undecided: repeatAfterUnknown, check.NotTaken: repeatAfterRefusal, check.Taken: repeatAfterAccept}[told]
-	if draws.Float64() < share {
-		r.put(m, zone, now+drawLogUniform(minRepeatDelay, maxRepeatDelay, draws))
+func (r *repeats) note(m Message, zone string, outcome check.Outcome, now time.Duration, rng *rand.Rand) {
+	share := map[check.Outcome]float64{check.Undecided: repeatAfterUnknown, check.NotTaken: repeatAfterRefusal, check.Taken: repeatAfterAccept}[outcome]
+	if rng.Float64() < share {
+		r.put(m, zone, now+drawLogUniform(minRepeatDelay, maxRepeatDelay, rng))
 	}
 }
 
 // noteConcurrent draws whether a message is submitted a second time while the first submission is under way.
-func (r *repeats) noteConcurrent(m Message, zone string, now time.Duration, draws *rand.Rand) {
-	if draws.Float64() < repeatConcurrently {
+func (r *repeats) noteConcurrent(m Message, zone string, now time.Duration, rng *rand.Rand) {
+	if rng.Float64() < repeatConcurrently {
 		r.put(m, zone, now)
 	}
 }
 
 // nextMessage returns the next message that a client of a zone submits: a repeat of an earlier one, or a new one.
-func (s *Site) nextMessage(load Load, zone string, draws *rand.Rand) Message {
-	if draws.Float64() < repeatProbability {
-		if m, isThere := s.repeats.take(zone, s.Now()); isThere {
+func (s *Site) nextMessage(load Load, zone string, rng *rand.Rand) Message {
+	if rng.Float64() < repeatProbability {
+		if m, isFound := s.repeats.take(zone, s.Now()); isFound {
 			return m
 		}
 	}
-	m := load.message(draws)
-	s.assignOwner(&m, draws)
-	s.repeats.noteConcurrent(m, zone, s.Now(), draws)
+	m := load.message(rng)
+	s.assignOwner(&m, rng)
+	s.repeats.noteConcurrent(m, zone, s.Now(), rng)
 	return m
 }
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -60,7 +60,7 @@
 	out.Tries, out.Runs, out.Callbacks = len(h.Sent), len(h.Runs), len(h.Callbacks)
 	j := newJudge(h)
 	out.Tenants = j.tenantFigures()
-	sent, told, done := map[string]Submission{}, map[*operation]bool{}, map[string]bool{}
+	sent, notified, succeeded := map[string]Submission{}, map[*operation]bool{}, map[string]bool{}
 	for _, x := range h.Sent {
 		sent[x.Token] = x
 		out.Codes[x.Code]++
@@ -68,23 +68,23 @@
 			out.AcceptedAgain++
 		}
 	}
-	pause, from := longestAcceptGap(h.Sent)
-	out.LongestAcceptGap, out.LongestAcceptGapFrom = pause.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
+	gap, from := longestAcceptGap(h.Sent)
+	out.LongestAcceptGap, out.LongestAcceptGapFrom = gap.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
 	for _, t := range h.Callbacks {
-		told[j.operations[t.Token]] = true
+		notified[j.operations[t.Token]] = true
 	}
 	for _, r := range h.Runs {
 		if x := sent[r.Token]; r.Start < x.SentAt+x.Delay-maxEarlyStart {
 			out.Early++
 		}
-		if done[r.Token] {
+		if succeeded[r.Token] {
 			out.Repeats++
 		}
-		done[r.Token] = done[r.Token] || r.Status == 200
+		succeeded[r.Token] = succeeded[r.Token] || r.Status == 200
 	}
 	for token, end := range h.FinalStates {
 		out.FinalStates[end.State]++
-		if x := sent[token]; x.IsNotified && !told[j.operations[token]] && end.State != "queued" {
+		if x := sent[token]; x.IsNotified && !notified[j.operations[token]] && end.State != "queued" {
 			out.MissingCallbacks++
 		}
 	}
@@ -95,20 +95,20 @@
 }
 
 // longestAcceptGap returns the longest time without an accepted submission, and its start on the site's clock.
-func longestAcceptGap(sent []Submission) (pause, from time.Duration) {
-	told := []time.Duration{}
+func longestAcceptGap(sent []Submission) (gap, from time.Duration) {
+	acceptedAt := []time.Duration{}
 	for _, x := range sent {
 		if x.Code == 202 {
-			told = append(told, x.AnsweredAt)
+			acceptedAt = append(acceptedAt, x.AnsweredAt)
 		}
 	}
-	slices.Sort(told)
-	for i := 1; i < len(told); i++ {
-		if told[i]-told[i-1] > pause {
-			pause, from = told[i]-told[i-1], told[i-1]
+	slices.Sort(acceptedAt)
+	for i := 1; i < len(acceptedAt); i++ {
+		if acceptedAt[i]-acceptedAt[i-1] > gap {
+			gap, from = acceptedAt[i]-acceptedAt[i-1], acceptedAt[i-1]
 		}
 	}
-	return pause, from
+	return gap, from
 }
 
 // IsClean reports whether the run had no breach, failure or crash, and at least one run of a message.
@@ -140,11 +140,11 @@
 	fmt.Fprintf(os.Stderr, "fleet: every front is ready after %v.\n", s.Now().Round(time.Millisecond))
 	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	caused := make(chan struct{})
-	go func() { s.InjectFaults(loadCtx, schedule); close(caused) }()
+	faultsEnded := make(chan struct{})
+	go func() { s.InjectFaults(loadCtx, schedule); close(faultsEnded) }()
 	go s.ObserveMessages(loadCtx)
 	s.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
-	<-caused
+	<-faultsEnded
 	for _, m := range s.Machines {
 		m.restart()
 	}
--- a/internal/standin/series.go
+++ b/internal/standin/series.go
@@ -23,8 +23,8 @@
 
 // signalWhileStopping stops machines gracefully and sends them further signals while they stop. They start again when
 // the fault ends.
-func signalWhileStopping(ctx context.Context, s *Site, who string) func() {
-	return s.disruptEach(who, func(m *Machine) {
+func signalWhileStopping(ctx context.Context, s *Site, selector string) func() {
+	return s.disruptEach(selector, func(m *Machine) {
 		stopping, stopped := context.WithCancel(ctx)
 		defer stopped()
 		go func() { // stops with the processes: a signal must not reach their next incarnation
@@ -37,9 +37,9 @@
 }
 
 // reloadRepeatedly makes machines reload changed settings several times.
-func reloadRepeatedly(ctx context.Context, s *Site, who string) func() {
+func reloadRepeatedly(ctx context.Context, s *Site, selector string) func() {
 	for range signalCount {
-		for _, m := range s.machinesMatching(who) {
+		for _, m := range s.machinesMatching(selector) {
 			m.reloadSettings()
 		}
 		sleep(ctx, time.Duration(rand.Int64N(int64(maxSignalPause))))
@@ -48,8 +48,8 @@
 }
 
 // losePower kills machines permanently.
-func losePower(_ context.Context, s *Site, who string) func() {
-	for _, m := range s.machinesMatching(who) {
+func losePower(_ context.Context, s *Site, selector string) func() {
+	for _, m := range s.machinesMatching(selector) {
 		m.stop(false)
 		m.mu.Lock()
 		m.isPermanentlyDown = true
@@ -66,16 +66,16 @@
 }
 
 // changeRepeatedly changes the configuration many times in a row.
-func changeRepeatedly(ctx context.Context, s *Site, who string) func() {
+func changeRepeatedly(ctx context.Context, s *Site, kind string) func() {
 	for range churnCount {
-		changeConfig(ctx, s, who)
+		changeConfig(ctx, s, kind)
 	}
 	return func() {}
 }
 
 // closeIdleConnections makes workers close idle connections without notice.
-func closeIdleConnections(_ context.Context, s *Site, who string) func() {
-	for _, w := range s.workers(who) {
+func closeIdleConnections(_ context.Context, s *Site, selector string) func() {
+	for _, w := range s.workers(selector) {
 		w.server.SetKeepAlivesEnabled(false)
 		w.server.SetKeepAlivesEnabled(true)
 	}
@@ -127,19 +127,19 @@
 // FaultSeries draws a series of faults that follow each other closely and overlap. The same seed draws the same
 // series. On a site with spare fronts, up to a quarter of the spare ones lose power permanently.
 func FaultSeries(seed uint64, length time.Duration, fronts, zones int) fleet.Schedule {
-	r, draws, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
-	for _, d := range draws {
+	r, rng, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
+	for _, d := range rng {
 		shares += d.Weight
 	}
 	out := fleet.Schedule{Note: fmt.Sprintf("series of seed %d", seed), Duration: length.String()}
 	spare := (fronts - zones) / 4
 	for at := seriesBegin; at < length-seriesEnd; at += time.Duration(r.Int64N(int64(2*meanSeriesGap))) + time.Millisecond {
-		left := r.IntN(shares)
-		d := draws[slices.IndexFunc(draws, func(d fleet.FaultDraw) bool { left -= d.Weight; return left < 0 })]
+		draw := r.IntN(shares)
+		d := rng[slices.IndexFunc(rng, func(d fleet.FaultDraw) bool { draw -= d.Weight; return draw < 0 })]
 		step := fleet.Step{At: at.String(), Action: d.Action, Target: d.Target(r)}
 		if d.MaxDuration > 0 {
-			lasts := min(time.Duration(r.Int64N(int64(d.MaxDuration))), length-at-time.Second).Round(time.Millisecond)
-			step.Duration = lasts.String()
+			duration := min(time.Duration(r.Int64N(int64(d.MaxDuration))), length-at-time.Second).Round(time.Millisecond)
+			step.Duration = duration.String()
 		}
 		out.Steps = append(out.Steps, step)
 		if spare > 0 && r.IntN(powerLossEvery) == 0 {
--- a/internal/standin/signal.go
+++ b/internal/standin/signal.go
@@ -7,16 +7,16 @@
 	"caperwheel/internal/fleet"
 )
 
-// signalNote announces one signal: given is closed when the machine's processes get it.
-type signalNote struct{ given chan struct{} }
+// signalEvent announces one signal: given is closed when the machine's processes get it.
+type signalEvent struct{ given chan struct{} }
 
-func newSignal() *signalNote { return &signalNote{make(chan struct{})} }
+func newSignalEvent() *signalEvent { return &signalEvent{make(chan struct{})} }
 
 // nextSignal returns a channel that is closed when the machine's processes get their next signal.
-func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalNote.Load().given }
+func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalEvent.Load().given }
 
-// noteSignal announces a signal to those who wait for one. They may see it shortly before or after the processes do.
-func (m *Machine) noteSignal() { close(m.nextSignalNote.Swap(newSignal()).given) }
+// announceSignal announces a signal to those who wait for one. They may see it shortly before or after the processes do.
+func (m *Machine) announceSignal() { close(m.nextSignalEvent.Swap(newSignalEvent()).given) }
 
 // isListening reports whether a process accepts connections. A process whose runtime has not started yet is
 // terminated by a SIGHUP, whatever the program does.
@@ -35,7 +35,7 @@
 
 // sendSignal sends a signal to the machine's processes in any state; SIGHUP only to those that accept connections.
 func (m *Machine) sendSignal(sig syscall.Signal) {
-	m.noteSignal()
+	m.announceSignal()
 	for _, p := range m.Processes {
 		if sig != syscall.SIGHUP || m.isListening(p) {
 			p.Signal(sig)
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -77,12 +77,12 @@
 
 // sleep waits for a duration, and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
-	beat := time.NewTimer(d)
-	defer beat.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-beat.C:
+	case <-timer.C:
 		return true
 	}
 }
@@ -114,12 +114,12 @@
 	}
 	s.List.snapshot()
 	for i, h := range []http.Handler{s.List, s.List, s.Receiver} {
-		most := 0
+		maxConns := 0
 		host := listHost + i
 		if h == http.Handler(s.Receiver) {
-			host, most = receiverHost, receiverConns
+			host, maxConns = receiverHost, receiverConns
 		}
-		if err := s.serve(s.at(host, 0), h, most); err != nil {
+		if err := s.serve(s.at(host, 0), h, maxConns); err != nil {
 			return s, err
 		}
 	}
@@ -237,7 +237,7 @@
 			zone := s.Zones[i%len(s.Zones)]
 			m := &Machine{site: s, Class: class, Zone: zone, host: host, Name: fmt.Sprintf("%s-%s-%d", class, zone, 1+i/len(s.Zones)),
 				ShortName: fmt.Sprintf("%s-%d", map[string]string{classCore: "core", classStore: "store", classFront: "front"}[class], i+1)}
-			m.nextSignalNote.Store(newSignal())
+			m.nextSignalEvent.Store(newSignalEvent())
 			host++
 			m.createProcesses()
 			s.Machines = append(s.Machines, m)
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -91,8 +91,8 @@
 	for _, m := range s.entry.fronts {
 		for {
 			c := newClient(s, m.Zone, "direct", s.plan.Deadline)
-			bounded, cancel := context.WithTimeout(ctx, s.plan.Deadline)
-			sent, _ := c.submit(bounded, s.entry.transportTo(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newRand()), s.plan.Deadline, newRand())
+			timeoutCtx, cancel := context.WithTimeout(ctx, s.plan.Deadline)
+			sent, _ := c.submit(timeoutCtx, s.entry.transportTo(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newRand()), s.plan.Deadline, newRand())
 			cancel()
 			if sent.Outcome == check.Taken {
 				break
@@ -112,10 +112,10 @@
 		&Machine{ShortName: "b1", Zone: "b"}, &Machine{ShortName: "c1", Zone: "c"}
 	fronts := []*Machine{a1, a2, a3, b1, c1}
 	cases := []struct {
-		text string
-		in   []*Machine
-		zone string
-		want []*Machine
+		text  string
+		ready []*Machine
+		zone  string
+		want  []*Machine
 	}{
 		{"the fronts of its zone, if all are ready", fronts, "a", []*Machine{a1, a2, a3}},
 		{"the ready fronts of its zone, if they are at least half", []*Machine{a1, a3, b1}, "a", []*Machine{a1, a3}},
@@ -130,7 +130,7 @@
 			Convey(c.text, func() {
 				got := map[*Machine]bool{}
 				for client := range 100 {
-					m := chooseFrontFor(zones, fronts, c.in, c.zone, string(rune('A'+client)), 0)
+					m := chooseFrontFor(zones, fronts, c.ready, c.zone, string(rune('A'+client)), 0)
 					So(c.want, ShouldContain, m)
 					got[m] = true
 				}
@@ -138,8 +138,8 @@
 			})
 		}
 		Convey("another front at the next try, and the same front at the same try", func() {
-			first, again := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
-			So(first, ShouldEqual, again)
+			first, same := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
+			So(first, ShouldEqual, same)
 			So(chooseFrontFor(zones, fronts, fronts, "a", "x", 1), ShouldNotEqual, first)
 		})
 	})
--- a/internal/standin/siteconfig.go
+++ b/internal/standin/siteconfig.go
@@ -81,9 +81,9 @@
 	salt := fmt.Sprintf("%x", rand.Uint32())
 	sort, press, buoy := "sort"+salt, "press."+salt, "buoy-"+salt // the second is not a valid name of the product
 	hosts := []string{"Lots" + salt + ".example", "orders" + salt + ".example"}
-	make := func(name, host, prefix, service string, timeout int64, priority, attempts int, isOrdered, isTold bool) route {
+	make := func(name, host, prefix, service string, timeout int64, priority, attempts int, isOrdered, hasCallback bool) route {
 		return route{Name: name, Host: host, Prefix: prefix, Kind: "asynchronous", Timeout: timeout, Target: 150, Priority: priority,
-			Service: service, Attempts: attempts, IsOrdered: isOrdered, Retention: 80, HasCallback: isTold, RunTarget: 1000}
+			Service: service, Attempts: attempts, IsOrdered: isOrdered, Retention: 80, HasCallback: hasCallback, RunTarget: 1000}
 	}
 	plan := SitePlan{Zones: []string{"north-bank", "south-bank", "mill-island"}, Deadline: 2 * time.Second,
 		Services: []ServicePlan{
@@ -149,7 +149,7 @@
 
 // updateFrom returns the update request that turns the configuration was into this one.
 func (c siteConfig) updateFrom(was siteConfig) []byte {
-	set, gone := []route{}, []string{}
+	set, removed := []route{}, []string{}
 	for _, r := range c.Routes {
 		if !slices.Contains(was.Routes, r) {
 			set = append(set, r)
@@ -157,12 +157,12 @@
 	}
 	for _, r := range was.Routes {
 		if !slices.ContainsFunc(c.Routes, func(o route) bool { return o.Name == r.Name }) {
-			gone = append(gone, r.Name)
+			removed = append(removed, r.Name)
 		}
 	}
-	items, names := map[string]any{"routes": set}, map[string]any{"routes": gone}
-	if tenants, lost := c.tenantUpdateFrom(was); len(tenants)+len(lost) > 0 {
-		items["tenants"], names["tenants"] = tenants, lost
+	items, names := map[string]any{"routes": set}, map[string]any{"routes": removed}
+	if tenants, removedTenants := c.tenantUpdateFrom(was); len(tenants)+len(removedTenants) > 0 {
+		items["tenants"], names["tenants"] = tenants, removedTenants
 	}
 	raw, err := json.Marshal(map[string]any{"version": c.Version, "set_items": items, "remove_names": names})
 	if err != nil {
--- a/internal/standin/soak.go
+++ b/internal/standin/soak.go
@@ -133,14 +133,14 @@
 	fronts := plan.Fronts * len(s.Zones)
 	loadCtx, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
-	caused := make(chan struct{})
+	faultsEnded := make(chan struct{})
 	series := FaultSeries(o.Seed, o.For, fronts, len(s.Zones))
 	series.Steps = append(series.Steps, TenantFaultSteps(o.Seed, o.For)...)
-	go func() { s.InjectFaults(loadCtx, series); close(caused) }()
+	go func() { s.InjectFaults(loadCtx, series); close(faultsEnded) }()
 	go s.ObserveMessages(loadCtx)
 	s.RunHeldCallers(loadCtx, o.Seed, max(3*callersPerFront, min(maxCallers, callersPerFront*fronts)))
 	o.Progress("held callers called for %v; waiting for the faults to end", o.For)
-	<-caused
+	<-faultsEnded
 	var restarts sync.WaitGroup
 	for _, m := range s.Machines {
 		restarts.Go(m.restart)
@@ -195,7 +195,7 @@
 				fmt.Fprintf(out, "  %9v  runs at %s until %v: %d\n", r.Start.Round(time.Millisecond), r.Worker, r.End.Round(time.Millisecond), r.Status)
 			}
 		}
-		if end, isAsked := s.History.FinalStates[token]; isAsked {
+		if end, isReported := s.History.FinalStates[token]; isReported {
 			fmt.Fprintf(out, "  %9v  final state reported: %q\n", end.At.Round(time.Millisecond), end.State)
 		}
 		for _, t := range s.History.Disruptions {
--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -56,24 +56,24 @@
 		hurt       func(h *History)
 	}{
 		{RuleLost, "a request that was read but got no response", func(h *History) {
-			x := sent("c", "r", "", 40*s, check.Undecided, 0)
+			x := newSubmission("c", "r", "", 40*s, check.Undecided, 0)
 			x.IsConnectionBroken, x.IsFullyRead = true, true
 			h.Sent = append(h.Sent, x)
 		}},
 		{RuleLost, "a request to an admin endpoint that was read but got no response", func(h *History) {
-			x := sent("/metrics", "/metrics", "", 40*s, check.Undecided, 0)
+			x := newSubmission("/metrics", "/metrics", "", 40*s, check.Undecided, 0)
 			x.IsConnectionBroken, x.IsFullyRead = true, true
 			h.AdminRequests = append(h.AdminRequests, x)
 		}},
 		{RuleLost, "a message that runs although its caller's connection was broken", func(h *History) {
 			addBrokenConnection(h, 7*ms, true)
-			h.Runs = append(h.Runs, run("c", "p", "w", 41*s, 42*s, 200))
+			h.Runs = append(h.Runs, newRun("c", "p", "w", 41*s, 42*s, 200))
 		}},
 		{RuleLost, "an unknown message at the end", func(h *History) { setFinalState(h, "unknown", 60*s) }},
 		{RuleMixed, "a message reported as a dead letter that has not ended", func(h *History) { setFinalState(h, "dead_letter", 60*s) }},
 		{RuleOrder, "a run before the end of its delay", func(h *History) { h.Sent[0].Delay = s }},
 		{RuleOrder, "runs of a key out of order", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-		{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, run("a", "p", "w", 20*s, 21*s, 200)) }},
+		{RuleTwice, "a run after a reported success", func(h *History) { h.Runs = append(h.Runs, newRun("a", "p", "w", 20*s, 21*s, 200)) }},
 		{RuleLying, "a message that is queued without a reason", func(h *History) { setFinalState(h, "queued", 60*s) }},
 		{RuleLying, "a message that is queued long after the last disruption", func(h *History) {
 			setFinalState(h, "queued", 60*s)
@@ -110,16 +110,16 @@
 			h.Runs = h.Runs[:4]
 		}},
 	}
-	judged := func(h *History) []check.Breach { return append(Judge(h, false), JudgeWaits(h)...) }
+	judgeAll := func(h *History) []check.Breach { return append(Judge(h, false), JudgeWaits(h)...) }
 	Convey("The judge reports a breach for a soak's history with", t, func() {
 		for _, c := range broken {
 			Convey(c.rule+": "+c.text, func() {
 				h := cleanHistory()
 				setFinalState(h, "queued", 20*s)
-				So(judged(h), ShouldBeEmpty)
+				So(judgeAll(h), ShouldBeEmpty)
 				c.hurt(h)
 				rules := []string{}
-				for _, b := range judged(h) {
+				for _, b := range judgeAll(h) {
 					rules = append(rules, b.Rule)
 				}
 				So(rules, ShouldContain, c.rule)
@@ -131,7 +131,7 @@
 			Convey(c.text, func() {
 				h := cleanHistory()
 				c.ease(h)
-				So(judged(h), ShouldBeEmpty)
+				So(judgeAll(h), ShouldBeEmpty)
 			})
 		}
 	})
--- a/internal/standin/soakchecks.go
+++ b/internal/standin/soakchecks.go
@@ -37,15 +37,15 @@
 
 // requireRecovery records a failure if a disruption never ended: stuck messages cannot be judged then.
 func (s *Site) requireRecovery() {
-	hurt := []string{}
+	ongoing := []string{}
 	s.History.WithLock(func() {
 		for _, t := range s.History.Disruptions {
 			if t.Until == 0 && t.From > 0 && !t.IsPermanent {
-				hurt = append(hurt, fmt.Sprintf("%s since %v", t.Daemon, t.From.Round(time.Millisecond)))
+				ongoing = append(ongoing, fmt.Sprintf("%s since %v", t.Daemon, t.From.Round(time.Millisecond)))
 			}
 		}
 	})
-	if len(hurt) > 0 {
-		s.recordFailure("disruptions never ended, so stuck messages cannot be judged: %s", strings.Join(hurt, ", "))
+	if len(ongoing) > 0 {
+		s.recordFailure("disruptions never ended, so stuck messages cannot be judged: %s", strings.Join(ongoing, ", "))
 	}
 }
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -26,23 +26,23 @@
 	Convey("A cancelled soak ends, and so do all processes that it has started", t, func() {
 		bin := filepath.Join(dir, "bin")
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
-		for _, when := range []string{"called", "well again"} { // during the load, and during the final queries
-			asked, breakOff := context.WithCancel(ctx)
+		for _, phase := range []string{"called", "well again"} { // during the load, and during the final queries
+			cancellable, cancelSoak := context.WithCancel(ctx)
 			span := MinSoakDuration
-			if when == "called" {
+			if phase == "called" {
 				span = time.Hour
-				time.AfterFunc(8*time.Second, breakOff)
+				time.AfterFunc(8*time.Second, cancelSoak)
 			}
-			_, err := Soak(asked, SoakOptions{Seed: 4, For: span, Processes: MinProcesses, Bin: bin, Dir: filepath.Join(dir, when),
+			_, err := Soak(cancellable, SoakOptions{Seed: 4, For: span, Processes: MinProcesses, Bin: bin, Dir: filepath.Join(dir, phase),
 				Progress: func(form string, _ ...any) {
-					if strings.Contains(form, when) {
-						breakOff()
+					if strings.Contains(form, phase) {
+						cancelSoak()
 					}
 				}}, io.Discard)
 			So(errs.Is(err, errs.DeadlineExceeded), ShouldBeTrue)
 			So(ctx.Err(), ShouldBeNil)
 			So(runningIn(bin), ShouldEqual, 0)
-			breakOff()
+			cancelSoak()
 		}
 	})
 }
@@ -64,10 +64,10 @@
 		s := &Site{History: NewHistory()}
 		for i := range minJudgedMessages {
 			for _, lane := range []string{"served", "idle"} {
-				s.History.Sent = append(s.History.Sent, sent(fmt.Sprint(lane, i), lane, "", 0, check.Taken, 0))
+				s.History.Sent = append(s.History.Sent, newSubmission(fmt.Sprint(lane, i), lane, "", 0, check.Taken, 0))
 			}
 		}
-		s.History.Runs = append(s.History.Runs, run("served3", "p", "w", 1*time.Second, 2*time.Second, 200))
+		s.History.Runs = append(s.History.Runs, newRun("served3", "p", "w", 1*time.Second, 2*time.Second, 200))
 		s.requireRuns()
 		So(s.Failures, ShouldHaveLength, 1)
 		So(s.Failures[0], ShouldContainSubstring, "of idle were accepted and none ran")
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -28,9 +28,9 @@
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		go site.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
-		for _, who := range []string{"store-1", "store-2", "core-1", "front-1"} {
+		for _, selector := range []string{"store-1", "store-2", "core-1", "front-1"} {
 			So(site.waitForAccepts(ctx, 30), ShouldBeTrue)
-			m := site.machinesMatching(who)[0]
+			m := site.machinesMatching(selector)[0]
 			m.stop(true)
 			m.restart()
 		}
--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -50,11 +50,11 @@
 
 // addLateSubmission adds a submission of tenant hall after those of cleanHistory.
 func addLateSubmission(h *History, key string, code int, at time.Duration) *Submission {
-	told := check.NotTaken
+	outcome := check.NotTaken
 	if code == 202 {
-		told = check.Taken
+		outcome = check.Taken
 	}
-	x := sent(fmt.Sprint("late", len(h.Sent)), "r", "", at, told, code)
+	x := newSubmission(fmt.Sprint("late", len(h.Sent)), "r", "", at, outcome, code)
 	x.Tenant, x.ApiKey, x.Operation = hall, key, "op-"+x.Token
 	h.Sent = append(h.Sent, x)
 	return &h.Sent[len(h.Sent)-1]
@@ -77,7 +77,7 @@
 func addBurst(h *History, count int, at time.Duration) {
 	for range count {
 		x := addLateSubmission(h, hallKey, 202, at)
-		r := run(x.Token, "p", "w", at+20*ms, at+30*ms, 200)
+		r := newRun(x.Token, "p", "w", at+20*ms, at+30*ms, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}
@@ -101,7 +101,7 @@
 		h.Sent[0].ApiKey = "api-key-other"
 	}},
 	{RuleTwice, "two submissions with the same operation key that both ran", func(h *History) {
-		r := run("a2", "p", "w", 21*s, 22*s, 200)
+		r := newRun("a2", "p", "w", 21*s, 22*s, 200)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
@@ -109,7 +109,7 @@
 		changeKeys(h, 40*s, hallKey, "api-key-new")
 		x := addRepeat(h, "a3", 0, 10*s+keyWindow-ms)
 		x.ApiKey, x.Outcome, x.Code, x.Id = "api-key-new", check.Undecided, 504, ""
-		r := run("a3", "p", "w", x.SentAt, x.SentAt+s, 500)
+		r := newRun("a3", "p", "w", x.SentAt, x.SentAt+s, 500)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
@@ -133,7 +133,7 @@
 		changeKeys(h, 40*s, "api-key-new")
 		x := addLateSubmission(h, hallKey, 504, 40*s+configApplyBound+ms)
 		x.Outcome = check.Undecided
-		r := run(x.Token, "p", "w", 45*s, 46*s, 200)
+		r := newRun(x.Token, "p", "w", 45*s, 46*s, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}},
--- a/internal/standin/tenancyallowed_test.go
+++ b/internal/standin/tenancyunflagged_test.go
@@ -25,7 +25,7 @@
 	{"two runs with the same operation key after the end of its window", func(h *History) {
 		x := addRepeat(h, "a3", 0, 10*s+keyWindow)
 		x.Id = "id of a3"
-		r := run("a3", "p", "w", x.SentAt, x.SentAt+s, 200)
+		r := newRun("a3", "p", "w", x.SentAt, x.SentAt+s, 200)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 		h.FinalStates["a3"] = FinalState{"completed", r.Stamp, "", 80 * s}
@@ -37,7 +37,7 @@
 		x := addRepeat(h, "x2", 2, 11*s+500*ms)
 		x.Outcome, x.Code, x.Id = check.Undecided, 504, ""
 		h.Sent[3].SentAt, h.Sent[3].AnsweredAt = 12*s, 12*s+10*ms
-		r := run("x2", "q", "v", 13*s, 13*s+ms, 0)
+		r := newRun("x2", "q", "v", 13*s, 13*s+ms, 0)
 		r.BodySum, r.RequestLine, r.Tenant, r.IsAnswerComplete = "sum of x", "POST /x", hall, false
 		h.Runs = append(h.Runs, r)
 	}},
@@ -54,7 +54,7 @@
 		}
 		x := addLateSubmission(h, "", 202, 40*s)
 		x.Tenant = ""
-		h.Runs = append(h.Runs, run(x.Token, "p", "w", 41*s, 42*s, 200))
+		h.Runs = append(h.Runs, newRun(x.Token, "p", "w", 41*s, 42*s, 200))
 	}},
 	{"401 without an API key, with an unknown one, and with a removed one", func(h *History) {
 		changeKeys(h, 30*s, "api-key-new")
--- a/internal/standin/tenantfaults.go
+++ b/internal/standin/tenantfaults.go
@@ -21,13 +21,13 @@
 )
 
 // customer finds the tenant that a step names by its position in the plan.
-func (s *Site) customer(who string) (Customer, bool) {
-	var place int
-	if _, err := fmt.Sscanf(who, "tenant-%d", &place); err != nil || place < 1 || place > len(s.plan.Customers) {
-		s.recordFailure("no tenant matches %s", who)
+func (s *Site) customer(selector string) (Customer, bool) {
+	var position int
+	if _, err := fmt.Sscanf(selector, "tenant-%d", &position); err != nil || position < 1 || position > len(s.plan.Customers) {
+		s.recordFailure("no tenant matches %s", selector)
 		return Customer{}, false
 	}
-	return s.plan.Customers[place-1], true
+	return s.plan.Customers[position-1], true
 }
 
 // changeTenant changes one tenant in the configuration.
@@ -43,8 +43,8 @@
 func addKey(t *tenant) { t.ApiKeys = append(t.ApiKeys, newApiKey(newRand())) }
 
 // rotateKey adds a new API key to a tenant, and removes the old ones after all daemons must know the new one.
-func rotateKey(ctx context.Context, s *Site, who string) func() {
-	c, isKnown := s.customer(who)
+func rotateKey(ctx context.Context, s *Site, selector string) func() {
+	c, isKnown := s.customer(selector)
 	if !isKnown {
 		return func() {}
 	}
@@ -55,8 +55,8 @@
 }
 
 // revokeKeys removes all API keys of a tenant. It gets a new one when the fault ends.
-func revokeKeys(ctx context.Context, s *Site, who string) func() {
-	c, isKnown := s.customer(who)
+func revokeKeys(ctx context.Context, s *Site, selector string) func() {
+	c, isKnown := s.customer(selector)
 	if !isKnown {
 		return func() {}
 	}
@@ -82,8 +82,8 @@
 }
 
 // limit multiplies a tenant's rate and burst by share. The limit is restored when the fault ends.
-func limit(ctx context.Context, s *Site, who string, share float64) func() {
-	c, isKnown := s.customer(who)
+func limit(ctx context.Context, s *Site, selector string, share float64) func() {
+	c, isKnown := s.customer(selector)
 	if !isKnown {
 		return func() {}
 	}
@@ -94,14 +94,16 @@
 	return func() { s.changeTenant(s.ctx, c.Name, set(c.Rate, c.Burst)) }
 }
 
-func raise(ctx context.Context, s *Site, who string) func() { return limit(ctx, s, who, raisedFactor) }
-func lower(ctx context.Context, s *Site, who string) func() {
-	return limit(ctx, s, who, 1.0/loweredDivisor)
+func raise(ctx context.Context, s *Site, selector string) func() {
+	return limit(ctx, s, selector, raisedFactor)
+}
+func lower(ctx context.Context, s *Site, selector string) func() {
+	return limit(ctx, s, selector, 1.0/loweredDivisor)
 }
 
 // overload makes a tenant send many times its rate until the fault ends.
-func overload(ctx context.Context, s *Site, who string) func() {
-	c, isKnown := s.customer(who)
+func overload(ctx context.Context, s *Site, selector string) func() {
+	c, isKnown := s.customer(selector)
 	if !isKnown {
 		return func() {}
 	}
--- a/internal/standin/tenantfigures.go
+++ b/internal/standin/tenantfigures.go
@@ -41,9 +41,9 @@
 func (j *judge) tenantFigures() []TenantFigures {
 	byTenant := map[string]*TenantFigures{}
 	buckets := map[string]*bucket{}
-	sends := slices.Clone(j.h.Sent)
-	slices.SortStableFunc(sends, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
-	for _, s := range sends {
+	submissions := slices.Clone(j.h.Sent)
+	slices.SortStableFunc(submissions, func(a, b Submission) int { return cmp.Compare(a.SentAt, b.SentAt) })
+	for _, s := range submissions {
 		name, isHeld := j.tenants[s.ApiKey]
 		if !isHeld {
 			continue
--- a/internal/standin/tenants.go
+++ b/internal/standin/tenants.go
@@ -44,16 +44,16 @@
 )
 
 // customers draws a few large and many small tenants, with limits for a total load in messages per second.
-func customers(draws *rand.Rand, perSecond float64) []Customer {
+func customers(rng *rand.Rand, perSecond float64) []Customer {
 	out, left, weights := []Customer{}, 1.0, 0.0
 	for i := range largeCustomers + smallCustomers {
-		c := Customer{tenant: tenant{Name: fmt.Sprintf("tenant-%d-%x", i+1, draws.Uint32()), Priority: draws.IntN(topPriority)}, MessageShare: largeShare}
-		c.ApiKeys = []string{newApiKey(draws)}
+		c := Customer{tenant: tenant{Name: fmt.Sprintf("tenant-%d-%x", i+1, rng.Uint32()), Priority: rng.IntN(topPriority)}, MessageShare: largeShare}
+		c.ApiKeys = []string{newApiKey(rng)}
 		c.IsRoaming = i%2 == 1
 		if i < largeCustomers {
 			left -= c.MessageShare
 		} else {
-			c.MessageShare = 0.5 + draws.Float64()
+			c.MessageShare = 0.5 + rng.Float64()
 			weights += c.MessageShare
 		}
 		out = append(out, c)
@@ -71,7 +71,7 @@
 // apiKeyPrefix begins each API key, so that workers recognize a key in any field.
 const apiKeyPrefix = "api-key-"
 
-func newApiKey(draws *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyPrefix, draws.Uint64()) }
+func newApiKey(rng *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyPrefix, rng.Uint64()) }
 
 // cloneTenants copies tenants with their API keys.
 func cloneTenants(list []tenant) []tenant {
@@ -87,8 +87,8 @@
 }
 
 // tenantUpdateFrom lists the tenants that an update sets and those that it removes.
-func (c siteConfig) tenantUpdateFrom(was siteConfig) (set []tenant, gone []string) {
-	set, gone = []tenant{}, []string{} // an update has lists, even if they are empty
+func (c siteConfig) tenantUpdateFrom(was siteConfig) (set []tenant, removed []string) {
+	set, removed = []tenant{}, []string{} // an update has lists, even if they are empty
 	for _, t := range c.Tenants {
 		if !slices.ContainsFunc(was.Tenants, func(o tenant) bool { return isSameTenant(o, t) }) {
 			set = append(set, t)
@@ -96,10 +96,10 @@
 	}
 	for _, t := range was.Tenants {
 		if !slices.ContainsFunc(c.Tenants, func(o tenant) bool { return o.Name == t.Name }) {
-			gone = append(gone, t.Name)
+			removed = append(removed, t.Name)
 		}
 	}
-	return set, gone
+	return set, removed
 }
 
 // shareKey gives two tenants the same API key, which makes the configuration invalid.
--- a/internal/standin/tenants_test.go
+++ b/internal/standin/tenants_test.go
@@ -31,12 +31,12 @@
 		next := was.next()
 		addKey(&next.Tenants[0])
 		So(was.Tenants[0].ApiKeys, ShouldHaveLength, 1) // next has a copy
-		set, gone := next.tenantUpdateFrom(was)
+		set, removed := next.tenantUpdateFrom(was)
 		So(set, ShouldResemble, next.Tenants[:1])
-		So(gone, ShouldBeEmpty)
+		So(removed, ShouldBeEmpty)
 		next.Tenants = next.Tenants[:1]
-		_, gone = next.tenantUpdateFrom(was)
-		So(gone, ShouldResemble, []string{grower})
+		_, removed = next.tenantUpdateFrom(was)
+		So(removed, ShouldResemble, []string{grower})
 	})
 }
 
@@ -45,9 +45,9 @@
 	Convey("Clients of a tenant whose old API key was removed mostly send the new one", t, func() {
 		k := newKeyring(tenantsOf(hallKey))
 		k.update(tenantsOf("api-key-new"))
-		drawn, draws := map[string]int{}, rand.New(rand.NewPCG(1, 1))
+		drawn, rng := map[string]int{}, rand.New(rand.NewPCG(1, 1))
 		for range 1000 {
-			drawn[k.draw(hall, draws)]++
+			drawn[k.draw(hall, rng)]++
 		}
 		So(drawn["api-key-new"], ShouldBeGreaterThan, 900)
 		So(drawn[hallKey], ShouldBeGreaterThan, 5)
@@ -59,7 +59,7 @@
 			So(k.valid(hall), ShouldBeEmpty)
 			drawn := map[string]int{}
 			for range 1000 {
-				drawn[k.draw(hall, draws)]++
+				drawn[k.draw(hall, rng)]++
 			}
 			So(drawn["api-key-new"]+drawn[hallKey], ShouldBeGreaterThan, 900)
 		})
@@ -80,30 +80,30 @@
 	Convey("A repeat is submitted once, through another zone, when it is due", t, func() {
 		r, m := &repeats{}, Message{Operation: "op", body: []byte("b"), firstSentAt: s}
 		r.put(m, "north", 2*s)
-		_, isThere := r.take("north", 3*s)
-		So(isThere, ShouldBeFalse)
-		_, isThere = r.take("south", 1*s)
-		So(isThere, ShouldBeFalse)
-		got, isThere := r.take("south", 3*s)
-		So(isThere, ShouldBeTrue)
+		_, isFound := r.take("north", 3*s)
+		So(isFound, ShouldBeFalse)
+		_, isFound = r.take("south", 1*s)
+		So(isFound, ShouldBeFalse)
+		got, isFound := r.take("south", 3*s)
+		So(isFound, ShouldBeTrue)
 		So(got, ShouldResemble, m)
-		_, isThere = r.take("south", 3*s)
-		So(isThere, ShouldBeFalse)
+		_, isFound = r.take("south", 3*s)
+		So(isFound, ShouldBeFalse)
 	})
 	Convey("A repeat is not submitted after its window, nor without an operation key", t, func() {
 		r := &repeats{}
 		r.put(Message{Operation: "op", firstSentAt: s}, "north", 2*s)
-		_, isThere := r.take("south", s+repeatWindow+ms)
-		So(isThere, ShouldBeFalse)
+		_, isFound := r.take("south", s+repeatWindow+ms)
+		So(isFound, ShouldBeFalse)
 		r.put(Message{firstSentAt: s}, "north", 2*s)
-		_, isThere = r.take("south", 3*s)
-		So(isThere, ShouldBeFalse)
+		_, isFound = r.take("south", 3*s)
+		So(isFound, ShouldBeFalse)
 	})
 	Convey("Repeats are drawn after every outcome", t, func() {
-		for _, told := range []check.Outcome{check.Taken, check.NotTaken, check.Undecided} {
+		for _, outcome := range []check.Outcome{check.Taken, check.NotTaken, check.Undecided} {
 			r := &repeats{}
 			for range 300 {
-				r.note(Message{Operation: "op"}, "north", told, s, rand.New(rand.NewPCG(uint64(len(r.pending)), rand.Uint64())))
+				r.note(Message{Operation: "op"}, "north", outcome, s, rand.New(rand.NewPCG(uint64(len(r.pending)), rand.Uint64())))
 			}
 			So(len(r.pending), ShouldBeBetween, 3, 290)
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -101,10 +101,10 @@
 	if err != nil {
 		return
 	}
-	met := Arrival{Service: p.Name, Worker: w.Id, Zone: w.Zone, At: now, IsCold: now < w.ColdUntil}
-	met.Code = w.handle(out, r, body)
-	if met.Code != 421 {
-		p.site.History.WithLock(func() { p.site.History.Arrivals = append(p.site.History.Arrivals, met) })
+	arrival := Arrival{Service: p.Name, Worker: w.Id, Zone: w.Zone, At: now, IsCold: now < w.ColdUntil}
+	arrival.Code = w.handle(out, r, body)
+	if arrival.Code != 421 {
+		p.site.History.WithLock(func() { p.site.History.Arrivals = append(p.site.History.Arrivals, arrival) })
 	}
 }
 
@@ -139,12 +139,12 @@
 		w.faultyRequests.Add(1)
 		return reject(out, 503)
 	}
-	seal, isRunning := p.claim(id)
+	stamp, isRunning := p.claim(id)
 	if isRunning {
 		return reject(out, 409)
 	}
-	if seal != "" { // the stamp of the first success is repeated
-		return w.respond(out, 200, seal)
+	if stamp != "" { // the stamp of the first success is repeated
+		return w.respond(out, 200, stamp)
 	}
 	if w.waiting.Add(1) > int64(p.Queue) {
 		w.waiting.Add(-1)
@@ -163,12 +163,12 @@
 	return w.run(out, r, body, mode)
 }
 
-// run does the work of one message, and records the run.
+// newRun does the work of one message, and records the run.
 func (w *Worker) run(out http.ResponseWriter, r *http.Request, body []byte, mode Mode) int {
 	p, id := w.Service, r.Header.Get(attemptId)
 	start := p.site.Now()
-	spare, _ := strconv.ParseFloat(r.Header.Get(remaining), 64)
-	deadline := time.Duration(spare * float64(time.Millisecond))
+	timeLeftMs, _ := strconv.ParseFloat(r.Header.Get(remaining), 64)
+	deadline := time.Duration(timeLeftMs * float64(time.Millisecond))
 	ctx, cancel := context.WithTimeout(r.Context(), deadline)
 	defer cancel()
 	run := Run{Run: check.Run{Token: id, Id: id, Pool: p.Name, Worker: w.Id, BodySum: fleet.Checksum(body), Start: start}, RequestLine: requestLine(r),
@@ -218,10 +218,10 @@
 
 // respond writes a complete response and returns its status; 0 if that failed. The size and framing depend on the
 // message.
-func (w *Worker) respond(out http.ResponseWriter, code int, seal string) int {
+func (w *Worker) respond(out http.ResponseWriter, code int, stamp string) int {
 	form := responseShapeOf(out.Header().Get(attemptId))
-	if seal != "" {
-		out.Header().Set(serverStamp, seal)
+	if stamp != "" {
+		out.Header().Set(serverStamp, stamp)
 	}
 	if !form.isChunked {
 		out.Header().Set("Content-Length", strconv.Itoa(form.size))
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -11,42 +11,42 @@
 	"caperwheel/internal/check"
 )
 
-// workers returns the workers that who names, such as pool-1/2 or pool-1/*.
-func (s *Site) workers(who string) []*Worker {
-	place, which, _ := strings.Cut(who, "/")
+// workers returns the workers that a selector names, such as pool-1/2 or pool-1/*.
+func (s *Site) workers(selector string) []*Worker {
+	position, index, _ := strings.Cut(selector, "/")
 	out := []*Worker{}
 	for i, p := range s.plan.Services { // configuration changes do not affect the plan
-		if fmt.Sprintf("pool-%d", i+1) != place {
+		if fmt.Sprintf("pool-%d", i+1) != position {
 			continue
 		}
 		for n, w := range s.Pools[p.Name].all() {
-			if which == "*" || which == fmt.Sprint(n+1) {
+			if index == "*" || index == fmt.Sprint(n+1) {
 				out = append(out, w)
 			}
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no worker matches %s", who)
+		s.recordFailure("no worker matches %s", selector)
 	}
 	return out
 }
 
 // setMode switches workers to the mode that the fault names until the fault ends. A fault that no run met is recorded
 // as a failure, unless faults are random.
-func setMode(_ context.Context, s *Site, who string) func() {
-	do, who, _ := strings.Cut(who, " ")
-	all := s.workers(who)
+func setMode(_ context.Context, s *Site, selector string) func() {
+	do, selector, _ := strings.Cut(selector, " ")
+	all := s.workers(selector)
 	for _, w := range all {
 		w.mode.Store(int32(faultModes[do]))
 	}
 	return func() {
-		met := int64(0)
+		requests := int64(0)
 		for _, w := range all {
 			w.mode.Store(int32(Healthy))
-			met += w.faultyRequests.Load()
+			requests += w.faultyRequests.Load()
 		}
-		if met == 0 && !s.hasRandomFaults {
-			s.recordFailure("no request reached %s during its fault", who)
+		if requests == 0 && !s.hasRandomFaults {
+			s.recordFailure("no request reached %s during its fault", selector)
 		}
 	}
 }
@@ -71,8 +71,8 @@
 
 // crashWorkers closes workers abruptly; the list shows them for 2 more seconds. When the fault ends, cold instances
 // start at the same addresses.
-func crashWorkers(ctx context.Context, s *Site, who string) func() {
-	all := s.workers(who)
+func crashWorkers(ctx context.Context, s *Site, selector string) func() {
+	all := s.workers(selector)
 	for _, w := range all {
 		w.shutDown()
 		go func() { sleep(s.ctx, 2*time.Second); w.Service.remove(w) }()
@@ -89,9 +89,9 @@
 // passed.
 func (s *Site) drainWorker(ctx context.Context, w *Worker) {
 	w.isDraining.Store(true)
-	shown := s.Now() + listDelay + listDelay/4
+	shownAt := s.Now() + listDelay + listDelay/4
 	s.History.WithLock(func() {
-		s.History.Marks = append(s.History.Marks, check.Drain{Pool: w.Service.Name, Worker: w.Id, From: shown, Grace: drainBound})
+		s.History.Marks = append(s.History.Marks, check.Drain{Pool: w.Service.Name, Worker: w.Id, From: shownAt, Grace: drainBound})
 	})
 	sleep(ctx, drainBound+listDelay+2*time.Second)
 	w.Service.remove(w)
@@ -99,8 +99,8 @@
 }
 
 // drainWorkers drains and stops workers. When the fault ends, cold instances start at the same addresses.
-func drainWorkers(ctx context.Context, s *Site, who string) func() {
-	all, done := s.workers(who), make(chan struct{})
+func drainWorkers(ctx context.Context, s *Site, selector string) func() {
+	all, done := s.workers(selector), make(chan struct{})
 	for _, w := range all {
 		go func() { s.drainWorker(ctx, w); done <- struct{}{} }()
 	}
@@ -113,8 +113,8 @@
 }
 
 // reuseAddress crashes a worker and starts a worker of another service at its address.
-func reuseAddress(ctx context.Context, s *Site, who string) func() {
-	for _, w := range s.workers(who) {
+func reuseAddress(ctx context.Context, s *Site, selector string) func() {
+	for _, w := range s.workers(selector) {
 		w.shutDown()
 		go func() { sleep(s.ctx, 4*time.Second); w.Service.remove(w) }()
 		sleep(ctx, 2*time.Second)
