--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-// newRun queries in rounds until no message is pending, none has ended for idleTimeout, or ctx ends. A final round then
+// run queries in rounds until no message is pending, none has ended for idleTimeout, or ctx ends. A final round then
 // records the state of the messages that are still pending, whatever it is.
 func (a *finalStateCollector) run(ctx context.Context) {
 	ticker := time.NewTicker(progressInterval)
--- a/internal/standin/heldcaller.go
+++ b/internal/standin/heldcaller.go
@@ -54,7 +54,7 @@
 	choose        func(draws *rand.Rand) (callTarget, bool)
 }
 
-// newRun uses one connection after another until ctx ends.
+// run uses one connection after another until ctx ends.
 func (c *heldCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, isFound := c.choose(c.draws)
--- a/internal/standin/instancelist.go
+++ b/internal/standin/instancelist.go
@@ -28,7 +28,7 @@
 	ColdFor    int64  `json:"cold_remaining_ms"`
 }
 
-// candidates emulates the platform's API that lists worker instances. It shows the state of listDelay ago.
+// list emulates the platform's API that lists worker instances. It shows the state of listDelay ago.
 type list struct {
 	site          *Site
 	page          int     // entries per page
@@ -115,6 +115,7 @@
 	}
 }
 
+// ServeHTTP serves a page of the list, or 429 beyond the rate.
 func (l *list) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	now := l.site.Now()
 	l.mu.Lock()
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -184,7 +184,7 @@
 	return "unknown"
 }
 
-// isEnded reports whether a message may have ended by a moment.
+// hasEnded reports whether a message may have ended by a moment.
 func (j *judge) hasEnded(s Submission, at time.Duration) bool {
 	_, isEnded := j.endOf(s, at)
 	return isEnded
--- a/internal/standin/judgequotas.go
+++ b/internal/standin/judgequotas.go
@@ -78,7 +78,7 @@
 	return limit
 }
 
-// bindsAt returns for each configuration the moment from which windows are judged by it and newer ones alone:
+// bindingTimes returns for each configuration the moment from which windows are judged by it and newer ones alone:
 // the first one after its apply bound at which no machine is disrupted. 0 means never.
 func (j *judge) bindingTimes() []time.Duration {
 	out := make([]time.Duration, len(j.h.Edits))
--- a/internal/standin/limitedlistener.go
+++ b/internal/standin/limitedlistener.go
@@ -12,6 +12,7 @@
 	maxOpen, open int64
 }
 
+// Accept returns the next connection within the maximum.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -35,4 +36,5 @@
 	onClose func()
 }
 
+// Close calls onClose and closes the connection.
 func (c *countedConn) Close() error { c.onClose(); return c.Conn.Close() }
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -20,6 +20,7 @@
 
 const failEvery = 7 // one call-back in so many gets an error response
 
+// ServeHTTP records a call-back, or fails it in mode Fail and one time in failEvery.
 func (v *Receiver) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/standin/tenantfaults.go
+++ b/internal/standin/tenantfaults.go
@@ -21,10 +21,10 @@
 )
 
 // customer finds the tenant that a step names by its position in the plan.
-func (s *Site) customer(selector string) (Customer, bool) {
+func (s *Site) customer(id string) (Customer, bool) {
 	var position int
-	if _, err := fmt.Sscanf(selector, "tenant-%d", &position); err != nil || position < 1 || position > len(s.plan.Customers) {
-		s.recordFailure("no tenant matches %s", selector)
+	if _, err := fmt.Sscanf(id, "tenant-%d", &position); err != nil || position < 1 || position > len(s.plan.Customers) {
+		s.recordFailure("no tenant matches %s", id)
 		return Customer{}, false
 	}
 	return s.plan.Customers[position-1], true
@@ -43,8 +43,8 @@
 func addKey(t *tenant) { t.ApiKeys = append(t.ApiKeys, newApiKey(newRand())) }
 
 // rotateKey adds a new API key to a tenant, and removes the old ones after all daemons must know the new one.
-func rotateKey(ctx context.Context, s *Site, selector string) func() {
-	c, isKnown := s.customer(selector)
+func rotateKey(ctx context.Context, s *Site, id string) func() {
+	c, isKnown := s.customer(id)
 	if !isKnown {
 		return func() {}
 	}
@@ -55,8 +55,8 @@
 }
 
 // revokeKeys removes all API keys of a tenant. It gets a new one when the fault ends.
-func revokeKeys(ctx context.Context, s *Site, selector string) func() {
-	c, isKnown := s.customer(selector)
+func revokeKeys(ctx context.Context, s *Site, id string) func() {
+	c, isKnown := s.customer(id)
 	if !isKnown {
 		return func() {}
 	}
@@ -82,8 +82,8 @@
 }
 
 // limit multiplies a tenant's rate and burst by share. The limit is restored when the fault ends.
-func limit(ctx context.Context, s *Site, selector string, share float64) func() {
-	c, isKnown := s.customer(selector)
+func limit(ctx context.Context, s *Site, id string, share float64) func() {
+	c, isKnown := s.customer(id)
 	if !isKnown {
 		return func() {}
 	}
@@ -94,16 +94,15 @@
 	return func() { s.changeTenant(s.ctx, c.Name, set(c.Rate, c.Burst)) }
 }
 
-func raise(ctx context.Context, s *Site, selector string) func() {
-	return limit(ctx, s, selector, raisedFactor)
-}
-func lower(ctx context.Context, s *Site, selector string) func() {
-	return limit(ctx, s, selector, 1.0/loweredDivisor)
+// raise multiplies a tenant's limit by raisedFactor, and lower divides it by loweredDivisor, until the fault ends.
+func raise(ctx context.Context, s *Site, id string) func() { return limit(ctx, s, id, raisedFactor) }
+func lower(ctx context.Context, s *Site, id string) func() {
+	return limit(ctx, s, id, 1.0/loweredDivisor)
 }
 
 // overload makes a tenant send many times its rate until the fault ends.
-func overload(ctx context.Context, s *Site, selector string) func() {
-	c, isKnown := s.customer(selector)
+func overload(ctx context.Context, s *Site, id string) func() {
+	c, isKnown := s.customer(id)
 	if !isKnown {
 		return func() {}
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -163,7 +163,7 @@
 	return w.run(out, r, body, mode)
 }
 
-// newRun does the work of one message, and records the run.
+// run does the work of one message, and records the run.
 func (w *Worker) run(out http.ResponseWriter, r *http.Request, body []byte, mode Mode) int {
 	p, id := w.Service, r.Header.Get(attemptId)
 	start := p.site.Now()
