--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -33,10 +33,10 @@
 	Tenant                      string // tenant that submits the messages; drawn per message if empty
 }
 
+// maxRetries is the maximum number of times that Send retries a submission.
 const maxRetries = 2
 
-// Client is a client of the service. It submits each message first over pooled connections and retries over new
-// connections, which the entry may assign to other fronts.
+// Client submits messages over pooled connections, and retries over new ones that the entry may assign to other fronts.
 type Client struct {
 	site           *Site
 	zone           string
@@ -65,6 +65,7 @@
 	body        []byte        // shared by all submissions with one operation key
 }
 
+// lastSubmission numbers submissions and operation keys.
 var lastSubmission atomic.Int64
 
 // Send submits a message until it is accepted or given up, and returns the last submission.
@@ -78,8 +79,7 @@
 	return sent
 }
 
-// submitWithRetries submits a message until it is accepted, its state is unknown, the retries are used up or the
-// client's deadline has passed. It waits for the Retry-After time between submissions.
+// submitWithRetries submits a message until it is not refused for now, maxRetries is reached or the deadline passes.
 func (c *Client) submitWithRetries(ctx context.Context, m Message, rng *rand.Rand) Submission {
 	by, via := time.Now().Add(c.deadline), c.firstTransport
 	for try := 0; ; try++ {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return Submission{}, 0
 	}
-	isRead := false
+	isWritten := false
 	var mu sync.Mutex
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		mu.Lock()
@@ -151,7 +151,7 @@
 		if at := site.machineAt(info.Conn.RemoteAddr()); at != nil {
 			sent.Daemon, sent.Incarnation = at.ShortName, at.incarnation.Load()
 		}
-	}, WroteHeaders: func() { mu.Lock(); isRead = true; mu.Unlock() }}
+	}, WroteHeaders: func() { mu.Lock(); isWritten = true; mu.Unlock() }}
 	sent.SentAt = site.Now()
 	response, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	wait := time.Duration(0)
@@ -164,8 +164,8 @@
 	sent.AnsweredAt = site.Now()
 	switch {
 	case err != nil:
-		sent.IsConnectionBroken = isRead && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
-		if !isRead {
+		sent.IsConnectionBroken = isWritten && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
+		if !isWritten {
 			sent.Outcome = check.NotTaken
 		}
 	default:
@@ -178,6 +178,7 @@
 	return sent, wait
 }
 
+// applyResponse derives the outcome and the message name from the status and header of the response.
 func (s *Submission) applyResponse(h http.Header) {
 	s.RetryAfter = h.Get(retryAfter)
 	switch s.Code {
--- a/internal/standin/concurrentfaults.go
+++ b/internal/standin/concurrentfaults.go
@@ -24,8 +24,8 @@
 	return func() {}
 }
 
-// stopTogether stops machines of several kinds at the same moment; selector joins their names with "+". They start again
-// when the fault ends.
+// stopTogether stops machines of several kinds at the same moment; the selector joins their names with "+". They start
+// again when the fault ends.
 func stopTogether(_ context.Context, s *Site, selector string) func() {
 	var stopping sync.WaitGroup
 	restarts := []func(){}
--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -25,6 +25,7 @@
 	failedProbes map[*Machine]int
 }
 
+// newEntry returns an entry to the site's fronts; none is in rotation before its first successful probe.
 func newEntry(s *Site) *entry {
 	e := &entry{site: s, failedProbes: map[*Machine]int{}, client: &http.Client{Timeout: time.Second}}
 	for _, m := range s.Machines {
@@ -58,6 +59,7 @@
 	wg.Wait()
 }
 
+// readyFronts returns the fronts in rotation.
 func (e *entry) readyFronts() []*Machine {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,6 +68,7 @@
 
 func (e *entry) isEveryFrontReady() bool { return len(e.readyFronts()) == len(e.fronts) }
 
+// machinesInZone returns the machines of a zone.
 func machinesInZone(list []*Machine, zone string) []*Machine {
 	return slices.DeleteFunc(slices.Clone(list), func(m *Machine) bool { return m.Zone != zone })
 }
@@ -121,4 +124,5 @@
 	return nil
 }
 
+// millis formats a duration as a number of milliseconds.
 func millis(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,19 +10,19 @@
 	"caperwheel/internal/fleet"
 )
 
-// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. The selector
-// names machines (store-1, core-*, "zone north-bank", *), or workers by the position of their service in the plan
-// (pool-1/1, pool-1/*, pool-3/*).
-var faultActions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
-	"kill": func(_ context.Context, s *Site, who string) func() {
-		return s.disruptEach(who, func(m *Machine) { m.stop(false) })
+// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. Their
+// last parameter selects machines (store-1, core-*, "zone north-bank", *), workers by the position of their service in
+// the plan (pool-1/1, pool-1/*, pool-3/*), tenants by their position (tenant-1), a zone, or the kind of change.
+var faultActions = map[string]func(ctx context.Context, s *Site, name string) (endFault func()){
+	"kill": func(_ context.Context, s *Site, name string) func() {
+		return s.disruptEach(name, func(m *Machine) { m.stop(false) })
 	},
-	"stop": func(_ context.Context, s *Site, who string) func() {
-		return s.disruptEach(who, func(m *Machine) { m.stop(true) })
+	"stop": func(_ context.Context, s *Site, name string) func() {
+		return s.disruptEach(name, func(m *Machine) { m.stop(true) })
 	},
-	"wipe": func(_ context.Context, s *Site, who string) func() { return s.disruptEach(who, (*Machine).wipe) },
-	"wipe and kill": func(_ context.Context, s *Site, who string) func() {
-		return s.wipeAndKill(who)
+	"wipe": func(_ context.Context, s *Site, name string) func() { return s.disruptEach(name, (*Machine).wipe) },
+	"wipe and kill": func(_ context.Context, s *Site, name string) func() {
+		return s.wipeAndKill(name)
 	},
 	"turn":   rollingRestart,
 	"hup":    reloadSettings,
@@ -70,6 +70,7 @@
 	}, s.recordFailure)
 }
 
+// machinesMatching returns the machines that a selector names, and records a failure if there is none.
 func (s *Site) machinesMatching(selector string) []*Machine {
 	out := []*Machine{}
 	for _, m := range s.Machines {
@@ -128,6 +129,7 @@
 	return func() {}
 }
 
+// reloadSettings makes the matching machines reload changed settings.
 func reloadSettings(_ context.Context, s *Site, selector string) func() {
 	for _, m := range s.machinesMatching(selector) {
 		m.reloadSettings()
@@ -135,6 +137,7 @@
 	return func() {}
 }
 
+// freezeMachines suspends the processes of the matching machines by SIGSTOP until the fault ends.
 func freezeMachines(_ context.Context, s *Site, selector string) func() {
 	all, ends := s.machinesMatching(selector), []func(time.Duration){}
 	signal := func(sig syscall.Signal) {
--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -243,4 +243,5 @@
 	return response.StatusCode, raw
 }
 
+// readAll reads the body of a response.
 func readAll(response *http.Response) ([]byte, error) { return io.ReadAll(response.Body) }
--- a/internal/standin/heldcaller.go
+++ b/internal/standin/heldcaller.go
@@ -42,7 +42,7 @@
 type callTarget struct {
 	machine *Machine
 	addr    string
-	request func(draws *rand.Rand) (*http.Request, Submission, error)
+	request func(rng *rand.Rand) (*http.Request, Submission, error)
 	record  func(Submission)
 }
 
@@ -50,14 +50,14 @@
 type heldCaller struct {
 	site          *Site
 	connectionUse connectionUse
-	draws         *rand.Rand
-	choose        func(draws *rand.Rand) (callTarget, bool)
+	rng           *rand.Rand
+	choose        func(rng *rand.Rand) (callTarget, bool)
 }
 
 // run uses one connection after another until ctx ends.
 func (c *heldCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		t, isFound := c.choose(c.draws)
+		t, isFound := c.choose(c.rng)
 		if !isFound || !c.useConnection(ctx, t) {
 			sleep(ctx, noTargetPause)
 		}
@@ -84,13 +84,13 @@
 // waitBeforeRequest waits as the connection use demands before the next request. It returns false once ctx has ended.
 func (c *heldCaller) waitBeforeRequest(ctx context.Context, m *Machine) bool {
 	if c.connectionUse != idle {
-		return sleep(ctx, time.Duration(c.draws.Int64N(int64(maxBusyPause))))
+		return sleep(ctx, time.Duration(c.rng.Int64N(int64(maxBusyPause))))
 	}
-	timeoutCtx, cancel := context.WithTimeout(ctx, time.Duration(c.draws.Int64N(int64(maxIdlePause))))
+	timeoutCtx, cancel := context.WithTimeout(ctx, time.Duration(c.rng.Int64N(int64(maxIdlePause))))
 	defer cancel()
 	select {
 	case <-m.nextSignal():
-		return sleep(ctx, time.Duration(c.draws.Int64N(int64(maxSignalDelay))))
+		return sleep(ctx, time.Duration(c.rng.Int64N(int64(maxSignalDelay))))
 	case <-timeoutCtx.Done():
 		return ctx.Err() == nil
 	}
@@ -99,7 +99,7 @@
 // exchange sends a request, reads its response and records the outcome. It reports whether the connection can be used
 // again.
 func (c *heldCaller) exchange(conn *net.TCPConn, responses *bufio.Reader, t callTarget) (isOpen bool) {
-	req, sent, err := t.request(c.draws)
+	req, sent, err := t.request(c.rng)
 	if err != nil {
 		return false
 	}
@@ -136,11 +136,11 @@
 func (c *heldCaller) send(conn net.Conn, raw []byte) (isWhole bool) {
 	_ = conn.SetWriteDeadline(time.Now().Add(responseTimeout))
 	if c.connectionUse == inPieces {
-		splitAt := 1 + c.draws.IntN(len(raw)-1)
+		splitAt := 1 + c.rng.IntN(len(raw)-1)
 		if _, err := conn.Write(raw[:splitAt]); err != nil {
 			return false
 		}
-		sleep(c.site.ctx, time.Duration(c.draws.Int64N(int64(maxPiecePause))))
+		sleep(c.site.ctx, time.Duration(c.rng.Int64N(int64(maxPiecePause))))
 		raw = raw[splitAt:]
 	}
 	_, err := conn.Write(raw)
@@ -168,7 +168,7 @@
 func (s *Site) RunHeldCallers(ctx context.Context, seed uint64, count int) {
 	var callers sync.WaitGroup
 	for i := range count {
-		c := &heldCaller{site: s, connectionUse: connectionUse(i) % connectionUses, draws: rand.New(rand.NewPCG(seed, uint64(i)))}
+		c := &heldCaller{site: s, connectionUse: connectionUse(i) % connectionUses, rng: rand.New(rand.NewPCG(seed, uint64(i)))}
 		c.choose = s.chooseFront
 		if i%adminCallerEvery == adminCallerEvery-1 {
 			c.choose = s.chooseAdminEndpoint
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -126,14 +126,14 @@
 	Edits              []Edit
 	Commands           []Command
 	Calls              []linearize.Operation // of the operators, each with its retries
-	Marks              []check.Drain
-	Zones              map[string]string // "service/worker" -> zone
+	Marks              []check.Drain         // drains of workers and evacuations of zones
+	Zones              map[string]string     // "service/worker" -> zone
 	Disruptions        []Disruption
-	Outages            []check.Outage
-	AdminRequests      []Submission // requests to admin endpoints
+	Outages            []check.Outage // from which recovery is judged
+	AdminRequests      []Submission   // requests to admin endpoints
 	CrossTenantQueries []CrossTenantQuery
-	Routes             map[string]Route // all routes ever sent in a configuration
-	Services           map[string]Service
+	Routes             map[string]Route   // all routes ever sent in a configuration
+	Services           map[string]Service // by name
 	Read               ReadBack
 }
 
@@ -189,8 +189,10 @@
 	return longest
 }
 
-// anyKind and isUnplanned select disruptions.
-func anyKind(Disruption) bool       { return true }
+// anyKind selects all disruptions.
+func anyKind(Disruption) bool { return true }
+
+// isUnplanned selects disruptions other than graceful stops.
 func isUnplanned(t Disruption) bool { return !t.IsPlanned }
 
 // isSettled reports whether the rules with time bounds apply at a moment: nothing was disrupted in the contactBound
--- a/internal/standin/instancelist.go
+++ b/internal/standin/instancelist.go
@@ -53,6 +53,7 @@
 	byZone map[string][]instance
 }
 
+// newRows indexes entries by zone.
 func newRows(all []instance) *rows {
 	r := &rows{all: all, byZone: map[string][]instance{}}
 	for _, row := range all {
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -18,7 +18,7 @@
 func newRun(token, service, worker string, start, end time.Duration, status int) Run {
 	stamp := ""
 	if status == 200 {
-		stamp = "seal of " + token
+		stamp = "stamp of " + token
 	}
 	return Run{Run: check.Run{Token: token, Id: token, Pool: service, Worker: worker, BodySum: "sum of " + token, Start: start, End: end,
 		Status: status, IsAnswerComplete: status != 0}, RequestLine: "POST /" + token, Stamp: stamp, TimeLeft: s}
@@ -53,9 +53,9 @@
 	h.Runs = []Run{newRun("a", "p", "w", 10*s, 11*s, 500), newRun("a", "p", "w", 12*s, 13*s, 200), newRun("x", "q", "v", 14*s, 15*s, 200),
 		newRun("y", "q", "v", 16*s, 17*s, 200), newRun("d", "p", "w", 18*s, 19*s, 422)}
 	at := 60 * s
-	h.FinalStates = map[string]FinalState{"a": {"completed", "seal of a", "", at}, "x": {"completed", "seal of x", "", at},
-		"y": {"completed", "seal of y", "", at}, "d": {"dead_letter", "", "", at}, "w": {"queued", "", "sum of w", at}}
-	h.Callbacks = []Callback{{"a", "completed", "seal of a", 14 * s}}
+	h.FinalStates = map[string]FinalState{"a": {"completed", "stamp of a", "", at}, "x": {"completed", "stamp of x", "", at},
+		"y": {"completed", "stamp of y", "", at}, "d": {"dead_letter", "", "", at}, "w": {"queued", "", "sum of w", at}}
+	h.Callbacks = []Callback{{"a", "completed", "stamp of a", 14 * s}}
 	return h
 }
 
@@ -103,9 +103,9 @@
 
 var flagged = []struct {
 	rule, text string
-	hurt       func(h *History)
+	breakRule  func(h *History)
 }{
-	{RuleMixed, "a state with a stamp that no run returned", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "seal of x", "", 60 * s} }},
+	{RuleMixed, "a state with a stamp that no run returned", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "stamp of x", "", 60 * s} }},
 	{RuleMixed, "a state without a stamp", func(h *History) { h.FinalStates["a"] = FinalState{"completed", "", "", 60 * s} }},
 	{RuleMixed, "a dead letter for a message that has not ended", func(h *History) { h.FinalStates["w"] = FinalState{"dead_letter", "", "", 60 * s} }},
 	{RuleMixed, "a dead letter for a message with an attempt left", func(h *History) {
@@ -172,7 +172,7 @@
 
 var unflagged = []struct {
 	text string
-	ease func(h *History)
+	vary func(h *History)
 }{
 	{"no breach", func(*History) {}},
 	{"404 before the first configuration must be applied", func(h *History) { h.Sent[1].SentAt, h.Sent[1].AnsweredAt, h.Sent[1].Code = 3*s, 3*s+10*ms, 404 }},
@@ -229,7 +229,7 @@
 		for _, c := range flagged {
 			Convey(c.rule+": "+c.text, func() {
 				h := cleanHistory()
-				c.hurt(h)
+				c.breakRule(h)
 				rules := []string{}
 				for _, b := range Judge(h, true) {
 					rules = append(rules, b.Rule)
@@ -242,7 +242,7 @@
 		for _, c := range unflagged {
 			Convey(c.text, func() {
 				h := cleanHistory()
-				c.ease(h)
+				c.vary(h)
 				So(Judge(h, true), ShouldBeEmpty)
 			})
 		}
--- a/internal/standin/judgeconfig.go
+++ b/internal/standin/judgeconfig.go
@@ -87,20 +87,20 @@
 		}
 		return false
 	}
-	type life struct {
-		daemon string
-		life   int64
-		route  string
+	type daemonRoute struct {
+		daemon      string
+		incarnation int64
+		route       string
 	}
-	acceptedAt := map[life]time.Duration{}
+	acceptedAt := map[daemonRoute]time.Duration{}
 	for _, s := range j.h.Sent {
-		key := life{s.Daemon, s.Incarnation, s.Lane}
+		key := daemonRoute{s.Daemon, s.Incarnation, s.Lane}
 		if at, isKnown := acceptedAt[key]; s.Code == 202 && (!isKnown || s.AnsweredAt < at) {
 			acceptedAt[key] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := acceptedAt[life{s.Daemon, s.Incarnation, s.Lane}]
+		at, isKnown := acceptedAt[daemonRoute{s.Daemon, s.Incarnation, s.Lane}]
 		if s.Code == 404 && isKnown && s.SentAt > at+rollbackSlack && !isRouteRemoved(s.Lane, s.AnsweredAt) {
 			j.breach(RuleConfig, "%s accepted messages of route %s at %v but answered 404 for it at %v", s.Daemon, s.Lane, at, s.SentAt)
 		}
--- a/internal/standin/judgetenancy.go
+++ b/internal/standin/judgetenancy.go
@@ -153,20 +153,20 @@
 // judgeKeyRegressions checks that a daemon that has accepted an API key does not refuse it later in the same
 // incarnation, unless a newer configuration removes the key.
 func (j *judge) judgeKeyRegressions() {
-	type seen struct {
-		daemon string
-		life   int64
-		key    string
+	type daemonKey struct {
+		daemon      string
+		incarnation int64
+		key         string
 	}
-	acceptedAt := map[seen]time.Duration{}
+	acceptedAt := map[daemonKey]time.Duration{}
 	for _, s := range j.h.Sent {
-		daemonKey := seen{s.Daemon, s.Incarnation, s.ApiKey}
-		if at, isKnown := acceptedAt[daemonKey]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
-			acceptedAt[daemonKey] = s.AnsweredAt
+		id := daemonKey{s.Daemon, s.Incarnation, s.ApiKey}
+		if at, isKnown := acceptedAt[id]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
+			acceptedAt[id] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := acceptedAt[seen{s.Daemon, s.Incarnation, s.ApiKey}]
+		at, isKnown := acceptedAt[daemonKey{s.Daemon, s.Incarnation, s.ApiKey}]
 		if s.Code == 401 && isKnown && s.SentAt > at+rollbackSlack && !j.isKeyRemoved(s.ApiKey, s.AnsweredAt) {
 			j.breach(RuleConfig, "%s accepted the API key %s at %v but refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
 		}
--- a/internal/standin/judgewaits.go
+++ b/internal/standin/judgewaits.go
@@ -16,7 +16,7 @@
 const killedSlack = 100 * time.Millisecond
 
 // judgeUnanswered checks that a request that a process has read completely gets its response, unless the process is
-// killed or frozen meanwhile.
+// killed or frozen meanwhile. A submission that ran has been read completely.
 func (j *judge) judgeUnanswered() {
 	for _, list := range [][]Submission{j.h.Sent, j.h.AdminRequests} {
 		for _, s := range list {
--- a/internal/standin/keyring.go
+++ b/internal/standin/keyring.go
@@ -10,13 +10,14 @@
 
 // keyring holds the API keys that clients know of their tenants.
 type keyring struct {
-	mu      sync.Mutex
-	held    map[string][]string // valid keys by tenant
-	revoked map[string][]string // keys removed from the tenant, by tenant
+	mu          sync.Mutex
+	validKeys   map[string][]string // valid keys by tenant
+	revokedKeys map[string][]string // keys removed from the tenant, by tenant
 }
 
+// newKeyring returns the keys of the first configuration's tenants.
 func newKeyring(tenants []tenant) *keyring {
-	k := &keyring{held: map[string][]string{}, revoked: map[string][]string{}}
+	k := &keyring{validKeys: map[string][]string{}, revokedKeys: map[string][]string{}}
 	k.update(tenants)
 	return k
 }
@@ -26,12 +27,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, t := range tenants {
-		for _, key := range k.held[t.Name] {
+		for _, key := range k.validKeys[t.Name] {
 			if !slices.Contains(t.ApiKeys, key) {
-				k.revoked[t.Name] = append(k.revoked[t.Name], key)
+				k.revokedKeys[t.Name] = append(k.revokedKeys[t.Name], key)
 			}
 		}
-		k.held[t.Name] = slices.Clone(t.ApiKeys)
+		k.validKeys[t.Name] = slices.Clone(t.ApiKeys)
 	}
 }
 
@@ -47,27 +48,27 @@
 func (k *keyring) draw(name string, rng *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, taken := k.held[name], k.revoked[name]
+	valid, revoked := k.validKeys[name], k.revokedKeys[name]
 	chance := rng.IntN(100)
 	switch {
 	case chance < unknownKeyPercent:
 		return newApiKey(rng)
 	case chance < unknownKeyPercent+missingKeyPercent:
 		return ""
-	case len(taken) > 0 && (len(held) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
-		return taken[rng.IntN(len(taken))]
-	case len(held) == 0:
+	case len(revoked) > 0 && (len(valid) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
+		return revoked[rng.IntN(len(revoked))]
+	case len(valid) == 0:
 		return ""
 	}
-	return held[rng.IntN(len(held))]
+	return valid[rng.IntN(len(valid))]
 }
 
 // valid returns a valid API key of a tenant, for queries about its messages; empty if it has none.
 func (k *keyring) valid(name string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if held := k.held[name]; len(held) > 0 {
-		return held[0]
+	if keys := k.validKeys[name]; len(keys) > 0 {
+		return keys[0]
 	}
 	return ""
 }
--- a/internal/standin/listen.go
+++ b/internal/standin/listen.go
@@ -13,9 +13,9 @@
 func (s *Site) reserveNetwork() error {
 	for range 200 {
 		s.net, s.port = 1+rand.IntN(250), 12000+20*rand.IntN(900)
-		guard, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.1:%d", s.net, guardPort))
+		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.1:%d", s.net, reservationPort))
 		if err == nil {
-			s.guard = guard
+			s.reservation = listener
 			return nil
 		}
 	}
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -34,6 +34,7 @@
 	sentConfigs []siteConfig // all that were sent, to find one by its version
 }
 
+// newOperator returns an operator whose current configuration is the plan's first one.
 func newOperator(s *Site, plan SitePlan) *operator {
 	return &operator{site: s, client: &http.Client{Timeout: callTimeout}, current: plan.config(s)}
 }
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -47,9 +47,9 @@
 	s.List.mu.Lock()
 	out.Calls, out.CallsOverRate = s.List.Calls, s.List.CallsOverRate
 	s.List.mu.Unlock()
-	s.steps.Lock()
+	s.failuresMu.Lock()
 	out.Failures = append(out.Failures, s.Failures...)
-	s.steps.Unlock()
+	s.failuresMu.Unlock()
 	h := s.History
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/standin/signal.go
+++ b/internal/standin/signal.go
@@ -10,12 +10,13 @@
 // signalEvent announces one signal: given is closed when the machine's processes get it.
 type signalEvent struct{ given chan struct{} }
 
+// newSignalEvent returns an event that has not happened yet.
 func newSignalEvent() *signalEvent { return &signalEvent{make(chan struct{})} }
 
 // nextSignal returns a channel that is closed when the machine's processes get their next signal.
 func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalEvent.Load().given }
 
-// announceSignal announces a signal to those who wait for one. They may see it shortly before or after the processes do.
+// announceSignal announces a signal to those who wait for one. They may see it shortly before or after the processes.
 func (m *Machine) announceSignal() { close(m.nextSignalEvent.Swap(newSignalEvent()).given) }
 
 // isListening reports whether a process accepts connections. A process whose runtime has not started yet is
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -19,7 +19,7 @@
 
 // Addresses of a site: hosts in 127.n.net.*, each with the same ports.
 const (
-	guardPort       = 11999 // listened to on host 1 to reserve the network for this site
+	reservationPort = 11999 // listened to on host 1 to reserve the network for this site
 	listHost        = 2     // the list is served on this host and the next one, so that it can move
 	receiverHost    = 5
 	machineHost     = 20
@@ -51,17 +51,17 @@
 	net         int
 	port        int
 	hosts       atomic.Int32
-	guard       net.Listener
+	reservation net.Listener
 	servers     []*http.Server
 	cancel      context.CancelFunc
 	ctx         context.Context
-	loops       sync.WaitGroup
+	periodic    sync.WaitGroup
 	queryClient *http.Client // for queries about messages
 	keys        *keyring
 	repeats     repeats
 
 	hasRandomFaults bool // faults may disrupt what another fault relies on
-	steps           sync.Mutex
+	failuresMu      sync.Mutex
 	Failures        []string // faults that could not be caused, processes that exited by themselves
 }
 
@@ -70,8 +70,8 @@
 
 // recordFailure records that a step of the run could not be carried out or a daemon failed.
 func (s *Site) recordFailure(form string, args ...any) {
-	s.steps.Lock()
-	defer s.steps.Unlock()
+	s.failuresMu.Lock()
+	defer s.failuresMu.Unlock()
 	s.Failures = append(s.Failures, fmt.Sprintf(form, args...))
 }
 
@@ -136,6 +136,7 @@
 	return net.JoinHostPort(s.ip(host), strconv.Itoa(s.port+port))
 }
 
+// ip returns the loopback address of a host number.
 func (s *Site) ip(host int) string {
 	return fmt.Sprintf("127.%d.%d.%d", host/hostsPerNetwork, s.net, 1+host%hostsPerNetwork)
 }
@@ -153,9 +154,9 @@
 
 // runPeriodically calls do periodically until the site goes down.
 func (s *Site) runPeriodically(period time.Duration, do func()) {
-	s.loops.Add(1)
+	s.periodic.Add(1)
 	go func() {
-		defer s.loops.Done()
+		defer s.periodic.Done()
 		for sleep(s.ctx, period) {
 			do()
 		}
@@ -186,7 +187,7 @@
 // Down stops everything that the site has started.
 func (s *Site) Down() {
 	s.cancel()
-	s.loops.Wait()
+	s.periodic.Wait()
 	s.killAll() // releases the mutexes of machines that wait for a process to stop
 	for _, m := range s.Machines {
 		m.mu.Lock()
@@ -202,11 +203,12 @@
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
-	if s.guard != nil {
-		s.guard.Close()
+	if s.reservation != nil {
+		s.reservation.Close()
 	}
 }
 
+// killAll kills all processes of the site.
 func (s *Site) killAll() {
 	var wg sync.WaitGroup
 	for _, m := range s.Machines {
--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -53,7 +53,7 @@
 func TestSoakIsNotBlind(t *testing.T) {
 	broken := []struct {
 		rule, text string
-		hurt       func(h *History)
+		breakRule  func(h *History)
 	}{
 		{RuleLost, "a request that was read but got no response", func(h *History) {
 			x := newSubmission("c", "r", "", 40*s, check.Undecided, 0)
@@ -91,7 +91,7 @@
 	}
 	allowed := []struct {
 		text string
-		ease func(h *History)
+		vary func(h *History)
 	}{
 		{"a request whose connection a killed process broke", func(h *History) {
 			addBrokenConnection(h, 7*ms, false)
@@ -117,7 +117,7 @@
 				h := cleanHistory()
 				setFinalState(h, "queued", 20*s)
 				So(judgeAll(h), ShouldBeEmpty)
-				c.hurt(h)
+				c.breakRule(h)
 				rules := []string{}
 				for _, b := range judgeAll(h) {
 					rules = append(rules, b.Rule)
@@ -130,7 +130,7 @@
 		for _, c := range allowed {
 			Convey(c.text, func() {
 				h := cleanHistory()
-				c.ease(h)
+				c.vary(h)
 				So(judgeAll(h), ShouldBeEmpty)
 			})
 		}
--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -88,7 +88,7 @@
 
 var flaggedTenancy = []struct {
 	rule, text string
-	hurt       func(h *History)
+	breakRule  func(h *History)
 }{
 	{RuleUnasked, "a worker that receives the wrong tenant", func(h *History) { h.Runs[1].Tenant = grower }},
 	{RuleUnasked, "a worker that receives no tenant", func(h *History) { h.Runs[1].Tenant = "" }},
@@ -178,7 +178,7 @@
 		for _, c := range flaggedTenancy {
 			Convey(c.rule+": "+c.text, func() {
 				h := tenantHistory()
-				c.hurt(h)
+				c.breakRule(h)
 				rules := []string{}
 				for _, b := range Judge(h, true) {
 					rules = append(rules, b.Rule)
@@ -191,7 +191,7 @@
 		for _, c := range unflaggedTenancy {
 			Convey(c.text, func() {
 				h := tenantHistory()
-				c.ease(h)
+				c.vary(h)
 				So(Judge(h, true), ShouldBeEmpty)
 			})
 		}
--- a/internal/standin/tenancyunflagged_test.go
+++ b/internal/standin/tenancyunflagged_test.go
@@ -7,7 +7,7 @@
 // unflaggedTenancy are histories with tenants that contain no breach.
 var unflaggedTenancy = []struct {
 	text string
-	ease func(h *History)
+	vary func(h *History)
 }{
 	{"no breach", func(*History) {}},
 	{"a repeat whose outcome is unknown", func(h *History) {
--- a/internal/standin/tenantfigures.go
+++ b/internal/standin/tenantfigures.go
@@ -82,6 +82,7 @@
 	}
 }
 
+// isFirstAccept reports whether a submission is the one of its operation that was accepted first.
 func (j *judge) isFirstAccept(s Submission) bool {
 	first, _ := j.operationOf(s).firstAccepted()
 	return first.Token == s.Token
--- a/internal/standin/tenants.go
+++ b/internal/standin/tenants.go
@@ -71,6 +71,7 @@
 // apiKeyPrefix begins each API key, so that workers recognize a key in any field.
 const apiKeyPrefix = "api-key-"
 
+// newApiKey draws an API key.
 func newApiKey(rng *rand.Rand) string { return fmt.Sprintf("%s%016x", apiKeyPrefix, rng.Uint64()) }
 
 // cloneTenants copies tenants with their API keys.
@@ -82,6 +83,7 @@
 	return out
 }
 
+// isSameTenant reports whether two tenants have the same settings.
 func isSameTenant(a, b tenant) bool {
 	return a.Name == b.Name && a.Priority == b.Priority && a.Rate == b.Rate && a.Burst == b.Burst && slices.Equal(a.ApiKeys, b.ApiKeys)
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -30,6 +30,7 @@
 	Overloaded        // every request is rejected
 )
 
+// faultModes maps the names of faults to the modes of workers.
 var faultModes = map[string]Mode{"fail": Fail, "crawl": Slow, "lose": LoseResponse, "cut": CutResponse, "silent": Silent, "full": Overloaded}
 
 const (
@@ -68,6 +69,7 @@
 // shutDown closes the listener and all connections.
 func (w *Worker) shutDown() { _ = w.server.Close() }
 
+// idleTimeout is the keep-alive timeout of workers, which they announce in a Keep-Alive header.
 const idleTimeout = 8 * time.Second
 
 // requestLine is the part of a request that must reach the worker unchanged: method, URI and order key.
