--- a/internal/standin/entry.go
+++ b/internal/standin/entry.go
@@ -66,6 +66,7 @@
 	return slices.DeleteFunc(slices.Clone(e.fronts), func(m *Machine) bool { return e.failedProbes[m] >= maxFailedProbes })
 }
 
+// isEveryFrontReady reports whether all fronts are in rotation.
 func (e *entry) isEveryFrontReady() bool { return len(e.readyFronts()) == len(e.fronts) }
 
 // machinesInZone returns the machines of a zone.
@@ -74,8 +75,9 @@
 }
 
 // chooseFrontFor chooses the front for a client's connection: one of the client's zone, or else of the next zone that
-// has a ready front. If less than half of the chosen zone's own fronts are ready, all fronts of that zone are
-// candidates, ready or not. A hash of the client's name selects the candidate; each retry selects the next one.
+// has a ready front. All fronts of the client's zone are candidates, ready or not, if no front is ready anywhere or
+// less than half of that zone's are. A hash of the client's name selects the candidate; each retry selects the next
+// one.
 func chooseFrontFor(zones []string, fronts, ready []*Machine, zone, client string, try int) *Machine {
 	firstZone := max(0, slices.Index(zones, zone))
 	candidates := []*Machine{}
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -45,7 +45,7 @@
 }
 
 // IsFault reports whether a fault of that name exists.
-func IsFault(do string) bool { return faultActions[do] != nil }
+func IsFault(name string) bool { return faultActions[name] != nil }
 
 // InjectFaults carries out a schedule of faults. It records the time at which each step really began and ended, from
 // which recovery is judged: on a busy machine a step can take long.
@@ -87,10 +87,10 @@
 }
 
 // disruptEach applies a fault to all matching machines concurrently; when the fault ends, they start again.
-func (s *Site) disruptEach(selector string, do func(*Machine)) func() {
+func (s *Site) disruptEach(selector string, disrupt func(*Machine)) func() {
 	all, done := s.machinesMatching(selector), make(chan struct{})
 	for _, m := range all {
-		go func() { do(m); done <- struct{}{} }()
+		go func() { disrupt(m); done <- struct{}{} }()
 	}
 	for range all {
 		<-done
--- a/internal/standin/finalstate.go
+++ b/internal/standin/finalstate.go
@@ -165,19 +165,19 @@
 // observe queries one random front for the state and body of a message and records the observation.
 func (s *Site) observe(sent Submission) {
 	addr := s.at(s.entry.fronts[rand.IntN(len(s.entry.fronts))].host, portFront)
-	seen := check.StatusRead{Id: sent.Id, RequestedAt: s.Now(), State: "unknown"}
+	observation := check.StatusRead{Id: sent.Id, RequestedAt: s.Now(), State: "unknown"}
 	code, raw := s.query(addr, sent, "/v1/message/")
 	if code != 200 && code != 404 {
 		return // front unreachable at present
 	}
 	if code == 200 {
-		seen.State = productState[gjson.GetBytes(raw, "state").Str]
+		observation.State = productState[gjson.GetBytes(raw, "state").Str]
 	}
 	if code, raw := s.query(addr, sent, "/v1/message-body/"); code == 200 {
-		seen.BodySum = fleet.Checksum(raw)
+		observation.BodySum = fleet.Checksum(raw)
 	}
-	seen.AnsweredAt = s.Now()
-	s.History.WithLock(func() { s.History.Observations = append(s.History.Observations, seen) })
+	observation.AnsweredAt = s.Now()
+	s.History.WithLock(func() { s.History.Observations = append(s.History.Observations, observation) })
 }
 
 // queryFinalState queries up to maxQueryTries fronts for a message. It returns true once the message needs no further
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -183,7 +183,7 @@
 			if m.shouldRun && !p.IsUp() {
 				s.recordFailure("%s %s exited by itself: %s", m.ShortName, p.Kind, p.ExitStatus())
 				if err := p.Start(); err != nil {
-					s.recordFailure("%s: %v", m.ShortName, err)
+					s.recordFailure("cannot start a process of machine %s again: %v", m.ShortName, err)
 				}
 			}
 		}
--- a/internal/standin/machinestop.go
+++ b/internal/standin/machinestop.go
@@ -61,7 +61,7 @@
 		m.announceSignal()
 		m.stopGracefully(p)
 		if err := p.Start(); err != nil {
-			m.site.recordFailure("%s: %v", m.ShortName, err)
+			m.site.recordFailure("cannot start a process of machine %s again: %v", m.ShortName, err)
 		}
 		endDisruption(m.site.Now())
 	}
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -21,7 +21,7 @@
 	configTimeout            = 20 * time.Second // for a change; with random faults, of undisrupted core time
 	firstConfigTimeout       = 2 * time.Minute  // for the first configuration, sent until it is acknowledged
 	randomFaultConfigTimeout = 2 * time.Minute  // for a change with random faults, in total
-	lookInterval             = 250 * time.Millisecond
+	disruptionCheckInterval  = 250 * time.Millisecond
 	maxOtherRejections       = 3 // so many other 4xx responses end a call
 )
 
@@ -132,7 +132,7 @@
 	startedAt := o.site.Now()
 	go func() {
 		for ctx.Err() == nil {
-			sleep(ctx, lookInterval)
+			sleep(ctx, disruptionCheckInterval)
 			h, now, longest := o.site.History, o.site.Now(), time.Duration(0)
 			h.WithLock(func() { longest = h.longestUndisrupted(startedAt, now, o.site.isCoreDisruption) })
 			if longest >= configTimeout {
--- a/internal/standin/operatorcalls.go
+++ b/internal/standin/operatorcalls.go
@@ -46,7 +46,7 @@
 	return code, raw
 }
 
-// requestDigestOf returns the digest of the request that resulted in a configuration, or "nobody's".
+// requestDigestOf returns the digest of the request that resulted in a configuration, or "unknown request".
 func (h *History) requestDigestOf(doc []byte) string {
 	version := gjson.GetBytes(doc, "version").Int()
 	for _, e := range h.Edits {
@@ -57,18 +57,18 @@
 			return e.RequestDigest
 		}
 	}
-	return "nobody's"
+	return "unknown request"
 }
 
 // sendConfiguration sends a configuration, complete or as an update.
 func (o *operator) sendConfiguration(ctx context.Context, path string, base, version int64, body []byte, isInvalid bool) int {
-	given := fmt.Sprint(base)
+	baseText := fmt.Sprint(base)
 	kind := linearize.Replace
 	if strings.HasSuffix(path, "update") {
 		kind = linearize.Update
 	}
-	code, _ := o.recordedCall(ctx, http.MethodPost, path, given, body, linearize.Operation{Kind: kind, Version: version, Base: base,
-		Digest: requestDigest(path, given, body), IsInvalid: isInvalid})
+	code, _ := o.recordedCall(ctx, http.MethodPost, path, baseText, body, linearize.Operation{Kind: kind, Version: version, Base: base,
+		Digest: requestDigest(path, baseText, body), IsInvalid: isInvalid})
 	return code
 }
 
--- a/internal/standin/operatorcalls_test.go
+++ b/internal/standin/operatorcalls_test.go
@@ -36,7 +36,7 @@
 		{"an acknowledged change whose repetition is refused", RuleConfig, []op{first, second, again(linearize.Refused)}},
 		{"two confirmed changes with the same version", RuleConfig, []op{first, second, rival}},
 		{"a stale read", RuleConfig, []op{first, second, read(3, "a")}},
-		{"a read of a configuration that was never sent", RuleConfig, []op{first, second, read(5, "nobody's")}},
+		{"a read of a configuration that was never sent", RuleConfig, []op{first, second, read(5, "unknown request")}},
 		{"an evacuation", "", []op{first, zone(linearize.Confirmed)}},
 		{"an evacuation that is refused", RuleEvac, []op{first, zone(linearize.Refused)}},
 	}
@@ -59,9 +59,9 @@
 			h := cleanHistory()
 			h.Edits[1].RequestDigest = "b"
 			So(h.requestDigestOf([]byte(`{"x":1,"version":5}`)), ShouldEqual, "b")
-			So(h.requestDigestOf([]byte(`{"x":2,"version":5}`)), ShouldEqual, "nobody's")
+			So(h.requestDigestOf([]byte(`{"x":2,"version":5}`)), ShouldEqual, "unknown request")
 			h.Edits = append(h.Edits, Edit{Edit: check.Edit{Revision: 9}, IsInvalid: true, Document: []byte(`{"version":9}`)})
-			So(h.requestDigestOf([]byte(`{"version":9}`)), ShouldEqual, "nobody's")
+			So(h.requestDigestOf([]byte(`{"version":9}`)), ShouldEqual, "unknown request")
 		})
 	})
 }
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -150,9 +150,9 @@
 	}
 	s.operator.addMissingKeys(ctx)
 	sleep(ctx, quietPeriod)
-	settleCtx, cancel := context.WithTimeout(ctx, finishBound)
+	finalStateCtx, cancel := context.WithTimeout(ctx, finishBound)
 	defer cancel()
-	s.CollectFinalStates(settleCtx)
+	s.CollectFinalStates(finalStateCtx)
 	readCtx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	s.operator.readBack(readCtx)
--- a/internal/standin/response.go
+++ b/internal/standin/response.go
@@ -26,11 +26,11 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id))
 	drawn := hash.Sum32()
-	form := responseShape{size: usualBodyBytes, isChunked: drawn&1 == 1}
+	shape := responseShape{size: usualBodyBytes, isChunked: drawn&1 == 1}
 	if drawn >>= 1; drawn%oddBodySizeEvery == 0 {
-		form.size = oddBodySizes[int(drawn/oddBodySizeEvery)%len(oddBodySizes)]
+		shape.size = oddBodySizes[int(drawn/oddBodySizeEvery)%len(oddBodySizes)]
 	}
-	return form
+	return shape
 }
 
 // write writes a body of this shape.
--- a/internal/standin/series.go
+++ b/internal/standin/series.go
@@ -18,7 +18,7 @@
 	meanSeriesGap  = 700 * time.Millisecond // between two faults
 	maxSignalPause = 400 * time.Millisecond // longest pause between two signals to a process
 	signalCount    = 4
-	churnCount     = 10
+	changeCount    = 10
 )
 
 // signalWhileStopping stops machines gracefully and sends them further signals while they stop. They start again when
@@ -67,7 +67,7 @@
 
 // changeRepeatedly changes the configuration many times in a row.
 func changeRepeatedly(ctx context.Context, s *Site, kind string) func() {
-	for range churnCount {
+	for range changeCount {
 		changeConfig(ctx, s, kind)
 	}
 	return func() {}
@@ -127,15 +127,15 @@
 // FaultSeries draws a series of faults that follow each other closely and overlap. The same seed draws the same
 // series. On a site with spare fronts, up to a quarter of the spare ones lose power permanently.
 func FaultSeries(seed uint64, length time.Duration, fronts, zones int) fleet.Schedule {
-	r, rng, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
-	for _, d := range rng {
+	r, faults, shares := rand.New(rand.NewPCG(seed, seriesSeedStream)), seriesFaults(fronts), 0
+	for _, d := range faults {
 		shares += d.Weight
 	}
 	out := fleet.Schedule{Note: fmt.Sprintf("series of seed %d", seed), Duration: length.String()}
 	spare := (fronts - zones) / 4
 	for at := seriesBegin; at < length-seriesEnd; at += time.Duration(r.Int64N(int64(2*meanSeriesGap))) + time.Millisecond {
 		draw := r.IntN(shares)
-		d := rng[slices.IndexFunc(rng, func(d fleet.FaultDraw) bool { draw -= d.Weight; return draw < 0 })]
+		d := faults[slices.IndexFunc(faults, func(d fleet.FaultDraw) bool { draw -= d.Weight; return draw < 0 })]
 		step := fleet.Step{At: at.String(), Action: d.Action, Target: d.Target(r)}
 		if d.MaxDuration > 0 {
 			duration := min(time.Duration(r.Int64N(int64(d.MaxDuration))), length-at-time.Second).Round(time.Millisecond)
--- a/internal/standin/signal.go
+++ b/internal/standin/signal.go
@@ -7,17 +7,17 @@
 	"caperwheel/internal/fleet"
 )
 
-// signalEvent announces one signal: given is closed when the machine's processes get it.
-type signalEvent struct{ given chan struct{} }
+// signalEvent announces one signal: delivered is closed when the machine's processes get it.
+type signalEvent struct{ delivered chan struct{} }
 
 // newSignalEvent returns an event that has not happened yet.
 func newSignalEvent() *signalEvent { return &signalEvent{make(chan struct{})} }
 
 // nextSignal returns a channel that is closed when the machine's processes get their next signal.
-func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalEvent.Load().given }
+func (m *Machine) nextSignal() <-chan struct{} { return m.nextSignalEvent.Load().delivered }
 
 // announceSignal announces a signal to those who wait for one. They may see it shortly before or after the processes.
-func (m *Machine) announceSignal() { close(m.nextSignalEvent.Swap(newSignalEvent()).given) }
+func (m *Machine) announceSignal() { close(m.nextSignalEvent.Swap(newSignalEvent()).delivered) }
 
 // isListening reports whether a process accepts connections. A process whose runtime has not started yet is
 // terminated by a SIGHUP, whatever the program does.
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -17,7 +17,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// Addresses of a site: hosts in 127.n.net.*, each with the same ports.
+// Addresses of a site: host numbers in 127.n.net.*, and port numbers counted from the site's first port.
 const (
 	reservationPort = 11999 // listened to on host 1 to reserve the network for this site
 	listHost        = 2     // the list is served on this host and the next one, so that it can move
--- a/internal/standin/siteconfig.go
+++ b/internal/standin/siteconfig.go
@@ -194,9 +194,9 @@
 func (c siteConfig) judgedRoutes() map[string]Route {
 	out := map[string]Route{}
 	for _, r := range c.Routes {
-		isShared := slices.ContainsFunc(c.Services, func(v service) bool { return v.Name == r.Service && v.HasDeduplication })
+		hasDeduplication := slices.ContainsFunc(c.Services, func(v service) bool { return v.Name == r.Service && v.HasDeduplication })
 		out[r.Name] = Route{r.Service, r.IsOrdered, time.Duration(r.Timeout) * time.Millisecond, r.Attempts,
-			time.Duration(r.Retention * float64(time.Second)), r.IsPublic, isShared}
+			time.Duration(r.Retention * float64(time.Second)), r.IsPublic, hasDeduplication}
 	}
 	return out
 }
--- a/internal/standin/soak.go
+++ b/internal/standin/soak.go
@@ -67,7 +67,7 @@
 	}
 	for i := range plan.Services {
 		p := &plan.Services[i]
-		p.Slots, p.Queue, p.MaxConns, p.Work = 4*p.Slots, 4*p.Queue, 4*p.MaxConns, 4*p.Work // runs overlap each stop
+		p.Slots, p.Queue, p.MaxConns, p.Work = 4*p.Slots, 4*p.Queue, 4*p.MaxConns, 4*p.Work // runs are under way at any stop
 		p.Count *= plan.Fronts                                                              // at every front
 	}
 	plan.Loads[0].Rate, plan.Loads[1].Rate, plan.Loads[2].Rate = 50, 45, 1
@@ -148,9 +148,9 @@
 	restarts.Wait()
 	s.operator.addMissingKeys(ctx)
 	o.Progress("all machines are well again; collecting final states")
-	settleCtx, cancel := context.WithTimeout(ctx, finalStateTimeout)
+	finalStateCtx, cancel := context.WithTimeout(ctx, finalStateTimeout)
 	defer cancel()
-	s.CollectOpenFinalStates(settleCtx, finalStateIdleTimeout+plan.Loads[0].MaxDelay, o.Progress)
+	s.CollectOpenFinalStates(finalStateCtx, finalStateIdleTimeout+plan.Loads[0].MaxDelay, o.Progress)
 	readCtx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	s.operator.readBack(readCtx)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -176,7 +176,8 @@
 	run := Run{Run: check.Run{Token: id, Id: id, Pool: p.Name, Worker: w.Id, BodySum: fleet.Checksum(body), Start: start}, RequestLine: requestLine(r),
 		Tenant: r.Header.Get(tenantName), KeyField: apiKeyField(r)}
 	defer func() {
-		if run.End == 0 { // else set before the response: its reader may start the next message
+		// After a response, End is the time before it was written: a client that has read it may start the next message.
+		if run.End == 0 {
 			run.End = p.site.Now()
 		}
 		p.releaseClaim(id, run.Stamp)
@@ -221,15 +222,15 @@
 // respond writes a complete response and returns its status; 0 if that failed. The size and framing depend on the
 // message.
 func (w *Worker) respond(out http.ResponseWriter, code int, stamp string) int {
-	form := responseShapeOf(out.Header().Get(attemptId))
+	shape := responseShapeOf(out.Header().Get(attemptId))
 	if stamp != "" {
 		out.Header().Set(serverStamp, stamp)
 	}
-	if !form.isChunked {
-		out.Header().Set("Content-Length", strconv.Itoa(form.size))
+	if !shape.isChunked {
+		out.Header().Set("Content-Length", strconv.Itoa(shape.size))
 	}
 	out.WriteHeader(code)
-	if form.write(out) != nil || http.NewResponseController(out).Flush() != nil {
+	if shape.write(out) != nil || http.NewResponseController(out).Flush() != nil {
 		return 0
 	}
 	return code
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -34,10 +34,10 @@
 // setMode switches workers to the mode that the fault names until the fault ends. A fault that no run met is recorded
 // as a failure, unless faults are random.
 func setMode(_ context.Context, s *Site, selector string) func() {
-	do, selector, _ := strings.Cut(selector, " ")
+	fault, selector, _ := strings.Cut(selector, " ")
 	all := s.workers(selector)
 	for _, w := range all {
-		w.mode.Store(int32(faultModes[do]))
+		w.mode.Store(int32(faultModes[fault]))
 	}
 	return func() {
 		requests := int64(0)
