--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -66,6 +66,7 @@
 	hasTenants    bool
 }
 
+// breach adds a breach of a rule.
 func (j *judge) breach(rule, form string, args ...any) {
 	j.breaches = append(j.breaches, check.Breach{Rule: rule, Text: fmt.Sprintf(form, args...)})
 }
--- a/internal/standin/judgemessages.go
+++ b/internal/standin/judgemessages.go
@@ -30,7 +30,7 @@
 	return out
 }
 
-// judgeReportedState compares a reported end of a message with the workers' runs; by names the source of the report.
+// judgeReportedState compares a reported end of a message with the workers' runs; source names where it was reported.
 func (j *judge) judgeReportedState(s Submission, source, state, stamp string, at time.Duration) {
 	switch {
 	case state == "completed" && !slices.Contains(j.successStamps(s), stamp):
--- a/internal/standin/operatorcalls_test.go
+++ b/internal/standin/operatorcalls_test.go
@@ -19,8 +19,8 @@
 		o.CalledAt, o.ReturnedAt, o.Outcome = 40*s, 41*s, outcome
 		return o
 	}
-	read := func(version int64, order string) op {
-		return op{CalledAt: 50 * s, ReturnedAt: 51 * s, Kind: linearize.Read, Outcome: linearize.Confirmed, ReadVersion: version, ReadDigest: order}
+	read := func(version int64, digest string) op {
+		return op{CalledAt: 50 * s, ReturnedAt: 51 * s, Kind: linearize.Read, Outcome: linearize.Confirmed, ReadVersion: version, ReadDigest: digest}
 	}
 	zone := func(outcome linearize.Outcome) op {
 		return op{CalledAt: 5 * s, ReturnedAt: 6 * s, Kind: linearize.Evacuate, Outcome: outcome, Zone: "north"}
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -58,7 +58,8 @@
 	return count
 }
 
-// TestNothingRan guards against a soak that passes although no message of a route has run.
+// TestNothingRan guards against a soak that passes although no message of a route has run: a large soak once counted
+// as clean although none of the messages of two routes ran.
 func TestNothingRan(t *testing.T) {
 	Convey("A soak in which no message of a route ran records a failure", t, func() {
 		s := &Site{History: NewHistory()}
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -12,7 +12,8 @@
 )
 
 // TestStopsCleanly checks that a daemon of each kind, stopped gracefully under load, exits by itself and without an
-// error. Stores once crashed while stopping because peers kept sending them entries after they had closed their disk.
+// error. Stores once exited with an error while stopping, because peers kept sending them entries after they had
+// closed their disk.
 func TestStopsCleanly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
