--- a/internal/standin/soak_test.go
+++ b/internal/standin/soak_test.go
@@ -167,7 +167,7 @@
 	})
 }
 
-// TestWasRead checks that a request that the peer read is told from one that it did not read.
+// TestWasRead checks that a request that the peer read is distinguished from one that it did not read.
 func TestWasRead(t *testing.T) {
 	for _, isRead := range []bool{true, false} {
 		Convey(fmt.Sprintf("A connection that is closed, its bytes having been read: %t", isRead), t, func() {
