--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -20,22 +20,23 @@
 	"caperwheel/internal/fleet"
 )
 
-// Load is what clients send on a route.
+// Load describes the messages that clients submit on a route.
 type Load struct {
 	Route, Host, Prefix         string
-	Rate                        float64 // messages a second
+	Rate                        float64 // messages per second
 	Keys, Size                  int
-	DelayedShare, PoisonedShare float64       // shares
-	MaxDelay                    time.Duration // the longest delay; 2 s if not given
-	FailingShare                float64       // share that fails once
+	DelayedShare, PoisonedShare float64       // fractions of the messages
+	MaxDelay                    time.Duration // longest delay; 0 means 2 s
+	FailingShare                float64       // fraction whose first run fails
 	IsNotified                  bool
-	IsPublic                    bool   // no key is needed
-	Tenant                      string // whose messages they are; drawn if not given
+	IsPublic                    bool   // the route needs no API key
+	Tenant                      string // tenant that submits the messages; drawn per message if empty
 }
 
+// maxRetries is the maximum number of times that Send retries a submission.
 const maxRetries = 2
 
-// Client is one client, with a session that it keeps and new ones for tries.
+// Client submits messages over pooled connections, and retries over new ones that the entry may assign to other fronts.
 type Client struct {
 	site           *Site
 	zone           string
@@ -52,62 +53,63 @@
 	return c
 }
 
-// Message is one message, as tries have it in common.
+// Message is one message; all its submissions share these values.
 type Message struct {
 	Load
-	Key, PathSuffix, BodyPrefix string // Tail ends the path; Words stand in the body
+	Key, PathSuffix, BodyPrefix string // PathSuffix follows the route's prefix; BodyPrefix begins the body
 	Delay                       time.Duration
-	Operation                   string // key that all tries carry; none if empty
+	Operation                   string // operation key that all submissions carry; empty for none
 
-	hasOwner    bool          // its tenant and operation key are drawn
-	firstSentAt time.Duration // when it was first sent
-	body        []byte        // of all tries with one operation key
+	hasOwner    bool          // tenant and operation key have been drawn
+	firstSentAt time.Duration // time of the first submission
+	body        []byte        // shared by all submissions with one operation key
 }
 
+// lastSubmission numbers submissions and operation keys.
 var lastSubmission atomic.Int64
 
-// Send sends a message until it is accepted or given up, and gives the last try.
+// Send submits a message until it is accepted or given up, and returns the last submission.
 func (c *Client) Send(ctx context.Context, m Message) Submission {
-	draws := newRand()
-	c.site.assignOwner(&m, draws)
+	rng := newRand()
+	c.site.assignOwner(&m, rng)
 	ctx, cancel := context.WithTimeout(ctx, c.deadline)
 	defer cancel()
-	sent := c.submitWithRetries(ctx, m, draws)
-	c.site.repeats.note(m, c.zone, sent.Outcome, c.site.Now(), draws)
+	sent := c.submitWithRetries(ctx, m, rng)
+	c.site.repeats.note(m, c.zone, sent.Outcome, c.site.Now(), rng)
 	return sent
 }
 
-// submitWithRetries sends a message until it is accepted or given up.
-func (c *Client) submitWithRetries(ctx context.Context, m Message, draws *rand.Rand) Submission {
+// submitWithRetries submits a message until it is not refused for now, maxRetries is reached or the deadline passes.
+func (c *Client) submitWithRetries(ctx context.Context, m Message, rng *rand.Rand) Submission {
 	by, via := time.Now().Add(c.deadline), c.firstTransport
 	for try := 0; ; try++ {
-		sent, wait := c.submit(ctx, via, m, time.Until(by), draws)
-		isPromised := sent.Outcome == check.NotTaken && sent.Code != 404
-		if !isPromised || try == maxRetries || !sleep(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
+		sent, wait := c.submit(ctx, via, m, time.Until(by), rng)
+		isRefused := sent.Outcome == check.NotTaken && sent.Code != 404
+		if !isRefused || try == maxRetries || !sleep(ctx, max(wait, 30*time.Millisecond)) || time.Until(by) < time.Millisecond {
 			return sent
 		}
 		via = c.retryTransport
 	}
 }
 
-// request builds a try of a message, and the record of it.
-func (s *Site) request(ctx context.Context, m Message, left time.Duration, draws *rand.Rand) (*http.Request, Submission, error) {
-	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), draws.Uint64())
-	s.assignOwner(&m, draws)
+// request builds the HTTP request of one submission and the record of it.
+func (s *Site) request(ctx context.Context, m Message, timeLeft time.Duration, rng *rand.Rand) (*http.Request, Submission, error) {
+	id := fmt.Sprintf("t%d-%x", lastSubmission.Add(1), rng.Uint64())
+	s.assignOwner(&m, rng)
 	body := m.body
 	if m.Operation == "" {
-		body = m.drawBody(id, draws)
+		body = m.drawBody(id, rng)
 	}
 	reader := io.Reader(bytes.NewReader(body))
-	if draws.IntN(3) == 0 {
-		reader = struct{ io.Reader }{reader} // of no length that is known
+	if rng.IntN(3) == 0 {
+		reader = struct{ io.Reader }{reader} // hides the length, so that the body is sent chunked
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.Host+m.Prefix+m.PathSuffix, reader)
 	if err != nil {
 		return nil, Submission{}, err
 	}
 	req.Header.Set(attemptId, id)
-	req.Header.Set(remaining, millis(left))
+	req.Header.Set(remaining, millis(timeLeft))
 	if m.Key != "" {
 		req.Header.Set(orderKey, m.Key)
 	}
@@ -122,7 +124,7 @@
 		req.Header.Set(operationKey, m.Operation)
 	}
 	if m.Tenant != "" {
-		apiKey = s.keys.draw(m.Tenant, draws)
+		apiKey = s.keys.draw(m.Tenant, rng)
 	}
 	if apiKey != "" {
 		req.Header.Set(authorization, bearer+apiKey)
@@ -131,17 +133,17 @@
 		IsNotified: m.IsNotified, Tenant: m.Tenant, ApiKey: apiKey, Operation: m.Operation}, nil
 }
 
-// newRand gives a source of chance of its own to a goroutine.
+// newRand returns a random source for a single goroutine.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-// submit makes one try and records it.
-func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, left time.Duration, draws *rand.Rand) (Submission, time.Duration) {
+// submit sends one request, records the submission and returns it with the Retry-After time of the response.
+func (c *Client) submit(ctx context.Context, via http.RoundTripper, m Message, timeLeft time.Duration, rng *rand.Rand) (Submission, time.Duration) {
 	site := c.site
-	req, sent, err := site.request(ctx, m, left, draws)
+	req, sent, err := site.request(ctx, m, timeLeft, rng)
 	if err != nil {
 		return Submission{}, 0
 	}
-	isRead := false
+	isWritten := false
 	var mu sync.Mutex
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		mu.Lock()
@@ -149,33 +151,34 @@
 		if at := site.machineAt(info.Conn.RemoteAddr()); at != nil {
 			sent.Daemon, sent.Incarnation = at.ShortName, at.incarnation.Load()
 		}
-	}, WroteHeaders: func() { mu.Lock(); isRead = true; mu.Unlock() }}
+	}, WroteHeaders: func() { mu.Lock(); isWritten = true; mu.Unlock() }}
 	sent.SentAt = site.Now()
-	answer, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := via.RoundTrip(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	wait := time.Duration(0)
 	if err == nil {
-		_, err = io.Copy(io.Discard, answer.Body)
-		answer.Body.Close()
+		_, err = io.Copy(io.Discard, response.Body)
+		response.Body.Close()
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	sent.AnsweredAt = site.Now()
 	switch {
 	case err != nil:
-		sent.IsConnectionBroken = isRead && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
-		if !isRead {
+		sent.IsConnectionBroken = isWritten && ctx.Err() == nil && !errors.Is(err, context.DeadlineExceeded)
+		if !isWritten {
 			sent.Outcome = check.NotTaken
 		}
 	default:
-		sent.Code = answer.StatusCode
-		sent.applyResponse(answer.Header)
-		seconds, _ := strconv.ParseFloat(answer.Header.Get(retryAfter), 64)
+		sent.Code = response.StatusCode
+		sent.applyResponse(response.Header)
+		seconds, _ := strconv.ParseFloat(response.Header.Get(retryAfter), 64)
 		wait = time.Duration(seconds * float64(time.Second))
 	}
 	site.History.WithLock(func() { site.History.Sent = append(site.History.Sent, sent) })
 	return sent, wait
 }
 
+// applyResponse derives the outcome and the message name from the status and header of the response.
 func (s *Submission) applyResponse(h http.Header) {
 	s.RetryAfter = h.Get(retryAfter)
 	switch s.Code {
@@ -189,39 +192,39 @@
 	}
 }
 
-// message draws one of a load's.
-func (l Load) message(draws *rand.Rand) Message {
-	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", draws.IntN(1000), draws.IntN(9))}
+// message draws a message of the load.
+func (l Load) message(rng *rand.Rand) Message {
+	m := Message{Load: l, BodyPrefix: "work", PathSuffix: fmt.Sprintf("n/%d?part=%d", rng.IntN(1000), rng.IntN(9))}
 	if l.Keys > 0 {
-		m.Key = fmt.Sprintf("thing-%d", draws.IntN(l.Keys))
+		m.Key = fmt.Sprintf("thing-%d", rng.IntN(l.Keys))
 	}
-	if draws.Float64() < l.DelayedShare {
-		m.Delay = drawDelay(l.MaxDelay, draws)
+	if rng.Float64() < l.DelayedShare {
+		m.Delay = drawDelay(l.MaxDelay, rng)
 	}
 	switch {
-	case draws.Float64() < l.PoisonedShare:
+	case rng.Float64() < l.PoisonedShare:
 		m.BodyPrefix = poisonText
-	case draws.Float64() < l.FailingShare:
+	case rng.Float64() < l.FailingShare:
 		m.BodyPrefix = failOnceText
 	}
 	return m
 }
 
-// minDelay is the shortest delay of a message that has one.
+// minDelay is the shortest delay of a delayed message.
 const minDelay = 300 * time.Millisecond
 
-// drawDelay draws a delay: each span is as likely as the next one of twice its length.
-func drawDelay(most time.Duration, draws *rand.Rand) time.Duration {
-	return drawLogUniform(minDelay, cmp.Or(most, 2*time.Second), draws)
+// drawDelay draws a delay from minDelay to maxDelay (0 means 2 s) by a log-uniform distribution.
+func drawDelay(maxDelay time.Duration, rng *rand.Rand) time.Duration {
+	return drawLogUniform(minDelay, cmp.Or(maxDelay, 2*time.Second), rng)
 }
 
-// drawLogUniform draws a span: each one is as likely as the next of twice its length.
-func drawLogUniform(shortest, longest time.Duration, draws *rand.Rand) time.Duration {
+// drawLogUniform draws a duration by a log-uniform distribution: each octave between the bounds is equally likely.
+func drawLogUniform(shortest, longest time.Duration, rng *rand.Rand) time.Duration {
 	ratio := float64(longest) / float64(shortest)
-	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), draws.Float64()))
+	return time.Duration(float64(shortest) * math.Pow(max(1, ratio), rng.Float64()))
 }
 
-// RunTraffic has clients send loads until ctx ends.
+// RunTraffic submits the loads through a set of clients until ctx ends, and waits for the submissions under way.
 func (s *Site) RunTraffic(ctx context.Context, loads []Load, deadline time.Duration) {
 	clients := []*Client{}
 	for i := range 4 * len(s.Zones) {
@@ -236,9 +239,9 @@
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					draws := newRand()
-					m := s.nextMessage(load, s.Zones[draws.IntN(len(s.Zones))], draws)
-					s.chooseClient(m, clients, draws).Send(context.WithoutCancel(ctx), m)
+					rng := newRand()
+					m := s.nextMessage(load, s.Zones[rng.IntN(len(s.Zones))], rng)
+					s.chooseClient(m, clients, rng).Send(context.WithoutCancel(ctx), m)
 				}()
 			}
 		}()
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -10,19 +10,19 @@
 	"caperwheel/internal/fleet"
 )
 
-// faultActions cause a fault and give back what undoes it. Who names machines
-// (store-1, core-*, "zone north-bank", *), or workers by their service's place
-// in the plan (pool-1/1, pool-1/*, pool-3/*).
-var faultActions = map[string]func(ctx context.Context, s *Site, who string) (undo func()){
-	"kill": func(_ context.Context, s *Site, who string) func() {
-		return s.disruptEach(who, func(m *Machine) { m.stop(false) })
+// faultActions maps the name of a fault to the function that causes it, which returns the function that ends it. Their
+// last parameter selects machines (store-1, core-*, "zone north-bank", *), workers by the position of their service in
+// the plan (pool-1/1, pool-1/*, pool-3/*), tenants by their position (tenant-1), a zone, or the kind of change.
+var faultActions = map[string]func(ctx context.Context, s *Site, name string) (endFault func()){
+	"kill": func(_ context.Context, s *Site, name string) func() {
+		return s.disruptEach(name, func(m *Machine) { m.stop(false) })
 	},
-	"stop": func(_ context.Context, s *Site, who string) func() {
-		return s.disruptEach(who, func(m *Machine) { m.stop(true) })
+	"stop": func(_ context.Context, s *Site, name string) func() {
+		return s.disruptEach(name, func(m *Machine) { m.stop(true) })
 	},
-	"wipe": func(_ context.Context, s *Site, who string) func() { return s.disruptEach(who, (*Machine).wipe) },
-	"wipe and kill": func(_ context.Context, s *Site, who string) func() {
-		return s.wipeAndKill(who)
+	"wipe": func(_ context.Context, s *Site, name string) func() { return s.disruptEach(name, (*Machine).wipe) },
+	"wipe and kill": func(_ context.Context, s *Site, name string) func() {
+		return s.wipeAndKill(name)
 	},
 	"turn":   rollingRestart,
 	"hup":    reloadSettings,
@@ -44,52 +44,53 @@
 	"fail": setMode, "crawl": setMode, "lose": setMode, "cut": setMode, "silent": setMode, "full": setMode,
 }
 
-// IsFault reports whether there is a fault of that name.
-func IsFault(do string) bool { return faultActions[do] != nil }
+// IsFault reports whether a fault of that name exists.
+func IsFault(name string) bool { return faultActions[name] != nil }
 
-// InjectFaults carries out a schedule. Recovery is judged from when a step was really
-// begun or undone: a busy machine takes its time.
+// InjectFaults carries out a schedule of faults. It records the time at which each step really began and ended, from
+// which recovery is judged: on a busy machine a step can take long.
 func (s *Site) InjectFaults(ctx context.Context, schedule fleet.Schedule) {
 	isJudged := map[string]bool{}
 	for _, o := range schedule.Outages() {
 		isJudged[o.Description] = true
 	}
-	note := func(text string) {
+	recordOutage := func(text string) {
 		if isJudged[text] {
 			s.History.WithLock(func() { s.History.Outages = append(s.History.Outages, check.Outage{Description: text, At: s.Now()}) })
 		}
 	}
 	schedule.Run(ctx, func(ctx context.Context, step fleet.Step) func() {
-		note(step.Action + " " + step.Target)
-		who := step.Target
+		recordOutage(step.Action + " " + step.Target)
+		selector := step.Target
 		if faultModes[step.Action] != Healthy {
-			who = step.Action + " " + who
+			selector = step.Action + " " + selector
 		}
-		undo := faultActions[step.Action](ctx, s, who)
-		return func() { undo(); note("end of " + step.Action + " " + step.Target) }
+		endFault := faultActions[step.Action](ctx, s, selector)
+		return func() { endFault(); recordOutage("end of " + step.Action + " " + step.Target) }
 	}, s.recordFailure)
 }
 
-func (s *Site) machinesMatching(who string) []*Machine {
+// machinesMatching returns the machines that a selector names, and records a failure if there is none.
+func (s *Site) machinesMatching(selector string) []*Machine {
 	out := []*Machine{}
 	for _, m := range s.Machines {
-		zone, isZone := strings.CutPrefix(who, "zone ")
-		prefix, isPrefix := strings.CutSuffix(who, "*")
-		if m.ShortName == who || isPrefix && strings.HasPrefix(m.ShortName, prefix) || isZone && m.Zone == zone {
+		zone, isZone := strings.CutPrefix(selector, "zone ")
+		prefix, isPrefix := strings.CutSuffix(selector, "*")
+		if m.ShortName == selector || isPrefix && strings.HasPrefix(m.ShortName, prefix) || isZone && m.Zone == zone {
 			out = append(out, m)
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no machine is called %s", who)
+		s.recordFailure("no machine matches %s", selector)
 	}
 	return out
 }
 
-// disruptEach hurts machines at once; undone, they start again.
-func (s *Site) disruptEach(who string, do func(*Machine)) func() {
-	all, done := s.machinesMatching(who), make(chan struct{})
+// disruptEach applies a fault to all matching machines concurrently; when the fault ends, they start again.
+func (s *Site) disruptEach(selector string, disrupt func(*Machine)) func() {
+	all, done := s.machinesMatching(selector), make(chan struct{})
 	for _, m := range all {
-		go func() { do(m); done <- struct{}{} }()
+		go func() { disrupt(m); done <- struct{}{} }()
 	}
 	for range all {
 		<-done
@@ -101,11 +102,11 @@
 	}
 }
 
-// wipeAndKill has machines lose their disks while all others are killed at the same
-// moment, those too whose loss does not count. Undone, all start again.
-func (s *Site) wipeAndKill(who string) func() {
+// wipeAndKill deletes the disks of the matching machines while all machines are killed at the same moment, including
+// those that do not count as lost machines. All start again when the fault ends.
+func (s *Site) wipeAndKill(selector string) func() {
 	isWiped := map[*Machine]bool{}
-	for _, m := range s.machinesMatching(who) {
+	for _, m := range s.machinesMatching(selector) {
 		isWiped[m] = true
 	}
 	return s.disruptEach("*", func(m *Machine) {
@@ -117,9 +118,9 @@
 	})
 }
 
-// rollingRestart stops machines and starts them again one after another.
-func rollingRestart(ctx context.Context, s *Site, who string) func() {
-	for _, m := range s.machinesMatching(who) {
+// rollingRestart stops and restarts the matching machines one after another.
+func rollingRestart(ctx context.Context, s *Site, selector string) func() {
+	for _, m := range s.machinesMatching(selector) {
 		m.stop(true)
 		sleep(ctx, restartPause)
 		m.restart()
@@ -128,15 +129,17 @@
 	return func() {}
 }
 
-func reloadSettings(_ context.Context, s *Site, who string) func() {
-	for _, m := range s.machinesMatching(who) {
+// reloadSettings makes the matching machines reload changed settings.
+func reloadSettings(_ context.Context, s *Site, selector string) func() {
+	for _, m := range s.machinesMatching(selector) {
 		m.reloadSettings()
 	}
 	return func() {}
 }
 
-func freezeMachines(_ context.Context, s *Site, who string) func() {
-	all, ends := s.machinesMatching(who), []func(time.Duration){}
+// freezeMachines suspends the processes of the matching machines by SIGSTOP until the fault ends.
+func freezeMachines(_ context.Context, s *Site, selector string) func() {
+	all, ends := s.machinesMatching(selector), []func(time.Duration){}
 	signal := func(sig syscall.Signal) {
 		for _, m := range all {
 			for _, p := range m.Processes {
@@ -156,7 +159,7 @@
 	}
 }
 
-// evacuateZone evacuates a zone; undone, it is taken back.
+// evacuateZone starts the evacuation of a zone and finishes it when the fault ends.
 func evacuateZone(ctx context.Context, s *Site, zone string) func() {
 	if s.operator.evacuate(ctx, zone, "start") {
 		s.History.WithLock(func() {
@@ -176,7 +179,7 @@
 	}
 }
 
-// floodRoute sends what no worker can do, until undone.
+// floodRoute submits messages that no worker can process, at three times the load's rate, until the fault ends.
 func floodRoute(ctx context.Context, s *Site, route string) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	for _, load := range s.plan.Loads {
--- a/internal/standin/judgequotas.go
+++ b/internal/standin/judgequotas.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// limitOf returns how many messages a configuration lets a tenant send in one window; infinite without a limit.
+// limitOf returns how many messages a tenant may send within quotaWindow by a configuration; infinite without a
+// limit.
 func limitOf(tenants []tenant, name string) float64 {
 	for _, t := range tenants {
 		if t.Name == name && t.Rate > 0 {
@@ -18,10 +19,11 @@
 	return math.Inf(1)
 }
 
-// quotaRun is a request that ran, by when it was sent and when it came to its worker.
+// quotaRun is a request that ran: when it was sent and when its run started.
 type quotaRun struct{ sentAt, startedAt time.Duration }
 
-// judgeQuotas: in no window more requests of a tenant are sent and come to a worker that runs them than its limit allows.
+// judgeQuotas checks that in no window more requests of a tenant are sent and started by workers than its limit
+// allows.
 func (j *judge) judgeQuotas() {
 	byTenant := map[string][]quotaRun{}
 	for _, s := range j.h.Sent {
@@ -29,15 +31,15 @@
 			byTenant[name] = append(byTenant[name], quotaRun{s.SentAt, j.runs[s.Token][0].Start})
 		}
 	}
-	binds := j.bindingTimes()
+	bindsAt := j.bindingTimes()
 	for name, runs := range byTenant {
 		slices.SortFunc(runs, func(a, b quotaRun) int { return cmp.Compare(a.sentAt, b.sentAt) })
-		j.judgeTenantQuota(name, runs, binds)
+		j.judgeTenantQuota(name, runs, bindsAt)
 	}
 }
 
-// judgeTenantQuota holds each window that begins with a send of a tenant, and tells of the worst one.
-func (j *judge) judgeTenantQuota(name string, runs []quotaRun, binds []time.Duration) {
+// judgeTenantQuota checks each window that begins with a request of a tenant, and reports the worst one.
+func (j *judge) judgeTenantQuota(name string, runs []quotaRun, bindsAt []time.Duration) {
 	worst, text := 0.0, ""
 	for i, first := range runs {
 		got, until := 0, first.sentAt+quotaWindow
@@ -49,9 +51,9 @@
 				got++
 			}
 		}
-		allowed := j.maxLimitIn(name, first.sentAt, until, binds)*(1+quotaOvershoot) + quotaSlack
+		allowed := j.maxLimitIn(name, first.sentAt, until, bindsAt)*(1+quotaOvershoot) + quotaSlack
 		if over := float64(got) - allowed; over > worst {
-			worst, text = over, fmt.Sprintf("%d of %s were sent and ran from %v to %v, allowed are %.1f", got, name, first.sentAt, until, allowed)
+			worst, text = over, fmt.Sprintf("%d requests of tenant %s were sent and run from %v to %v, more than the limit of %.1f", got, name, first.sentAt, until, allowed)
 		}
 	}
 	if worst > 0 {
@@ -59,25 +61,25 @@
 	}
 }
 
-// maxLimitIn returns the highest limit of a tenant that may hold in a window.
-func (j *judge) maxLimitIn(name string, first, last time.Duration, binds []time.Duration) (most float64) {
+// maxLimitIn returns the highest limit of a tenant that may be in force within a window.
+func (j *judge) maxLimitIn(name string, first, last time.Duration, bindsAt []time.Duration) (limit float64) {
 	newest := int64(0)
 	for i, e := range j.h.Edits {
-		if binds[i] > 0 && binds[i] < first {
+		if bindsAt[i] > 0 && bindsAt[i] < first {
 			newest = max(newest, e.Revision)
 		}
 	}
 	for _, e := range j.h.Edits {
-		isOut := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
-		if !isOut {
-			most = max(most, limitOf(e.Tenants, name))
+		isExcluded := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+		if !isExcluded {
+			limit = max(limit, limitOf(e.Tenants, name))
 		}
 	}
-	return most
+	return limit
 }
 
-// bindingTimes gives for each configuration the moment from which windows are held against it alone: the first
-// after its bound at which all machines are in touch. 0: never.
+// bindingTimes returns for each configuration the moment from which windows are judged by it and newer ones alone:
+// the first one after its apply bound at which no machine is disrupted. 0 means never.
 func (j *judge) bindingTimes() []time.Duration {
 	out := make([]time.Duration, len(j.h.Edits))
 	for i, e := range j.h.Edits {
@@ -88,7 +90,8 @@
 	return out
 }
 
-// firstSettledAt returns the first moment from one on at which all machines are in touch; 0 if there is none.
+// firstSettledAt returns the first moment after from at which no machine has been disrupted for contactBound; 0 if
+// there is none.
 func (j *judge) firstSettledAt(from time.Duration) time.Duration {
 	moments := []time.Duration{from}
 	for _, t := range j.h.Disruptions {
--- a/internal/standin/judgetenancy.go
+++ b/internal/standin/judgetenancy.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// keysOf maps a configuration's API keys to the tenants that hold them.
+// keysOf maps the API keys of a configuration to the tenants that hold them.
 func keysOf(tenants []tenant) map[string]string {
 	out := map[string]string{}
 	for _, t := range tenants {
@@ -17,7 +17,7 @@
 	return out
 }
 
-// indexKeys reads which configuration held which key.
+// indexKeys records which configuration contains which API key.
 func (j *judge) indexKeys() {
 	j.keys, j.tenants = make([]map[string]string, len(j.h.Edits)), map[string]string{}
 	for i, e := range j.h.Edits {
@@ -32,7 +32,7 @@
 	}
 }
 
-// tenantOf returns the tenant that holds a client's key by any configuration, or the one whose client it is.
+// tenantOf returns the tenant that holds the submission's API key in any configuration, or else the client's tenant.
 func (j *judge) tenantOf(s Submission) string {
 	if name, isKnown := j.tenants[s.ApiKey]; isKnown {
 		return name
@@ -40,8 +40,8 @@
 	return s.Tenant
 }
 
-// judgeTenancy: a worker is told the tenant that holds the client's key, never the key itself, and runs nothing
-// whose key nobody ever held.
+// judgeTenancy checks that a worker receives the tenant that holds the client's API key but never the key itself, and
+// runs nothing whose key no tenant ever held.
 func (j *judge) judgeTenancy() {
 	for _, r := range j.h.Runs {
 		s, isKnown := j.submissions[r.Token]
@@ -52,41 +52,41 @@
 		isPublic := j.h.Routes[s.Lane].IsPublic
 		switch {
 		case r.KeyField != "":
-			j.breach(RuleUnasked, "%s was given an API key in %s of %s", r.Worker, r.KeyField, r.Token)
+			j.breach(RuleUnasked, "worker %s received an API key in field %s of %s", r.Worker, r.KeyField, r.Token)
 		case !isHeld && !isPublic:
-			j.breach(RuleRoute, "%s ran %s, whose key %q no configuration ever held", r.Worker, r.Token, s.ApiKey)
+			j.breach(RuleRoute, "worker %s ran %s, whose API key %q is in no configuration", r.Worker, r.Token, s.ApiKey)
 		case r.Tenant != holder && !(isPublic && r.Tenant == ""):
-			j.breach(RuleUnasked, "%s was told that %s is of %q, and %q holds its key", r.Worker, r.Token, r.Tenant, holder)
+			j.breach(RuleUnasked, "worker %s received %s as a message of tenant %q, but tenant %q holds its API key", r.Worker, r.Token, r.Tenant, holder)
 		}
 	}
 }
 
-// judgeCrossTenantQueries: nobody learns of a message of another tenant.
+// judgeCrossTenantQueries checks that no query returns a message of another tenant.
 func (j *judge) judgeCrossTenantQueries() {
 	for _, p := range j.h.CrossTenantQueries {
 		if p.Code/100 == 2 {
-			j.breach(RuleMixed, "who asked with the key %q was told of %s, a message of %q", p.ApiKey, p.Token, p.Tenant)
+			j.breach(RuleMixed, "a query with the API key %q returned %s, a message of tenant %q", p.ApiKey, p.Token, p.Tenant)
 		}
 	}
 }
 
-// maxRetryAfterSeconds is the longest time that a refused client may be sent away for.
+// maxRetryAfterSeconds is the longest Retry-After that a response may have.
 const maxRetryAfterSeconds = 60
 
-// judgeResponseFields: who is refused for now learns when to come back; who has no key is given no name of a message.
+// judgeResponseFields checks that a 429 has a valid Retry-After, and that a 401 has no message name.
 func (j *judge) judgeResponseFields() {
 	for _, s := range j.h.Sent {
 		seconds, err := strconv.Atoi(s.RetryAfter)
 		if s.Code == 429 && (err != nil || seconds < 0 || seconds > maxRetryAfterSeconds) {
-			j.breach(RuleShape, "%s got 429 from %s with a Retry-After of %q", s.Token, s.Daemon, s.RetryAfter)
+			j.breach(RuleShape, "%s got 429 from %s with the invalid Retry-After %q", s.Token, s.Daemon, s.RetryAfter)
 		}
 		if s.Code == 401 && s.Id != "" {
-			j.breach(RuleShape, "%s got 401 from %s, and the name %s", s.Token, s.Daemon, s.Id)
+			j.breach(RuleShape, "%s got 401 from %s together with the message name %s", s.Token, s.Daemon, s.Id)
 		}
 	}
 }
 
-// accessDecision is what a configuration says of a send.
+// accessDecision is whether a configuration lets a submission pass.
 type accessDecision int
 
 const (
@@ -95,6 +95,7 @@
 	granted
 )
 
+// accessUnder returns what the configuration at index edit decides for a submission.
 func (j *judge) accessUnder(edit int, s Submission) accessDecision {
 	e := j.h.Edits[edit]
 	_, isHeld := j.keys[edit][s.ApiKey]
@@ -107,8 +108,8 @@
 	return noKey
 }
 
-// inForce lists the places of the configurations that daemons in touch may go by from first to last. An empty
-// list means that there may be none at all.
+// inForce lists the indexes of the configurations that settled daemons may use between first and last. An empty list
+// means that possibly none is in force.
 func (j *judge) inForce(first, last time.Duration) []int {
 	newest, out := int64(0), []int{}
 	for _, e := range j.h.Edits {
@@ -120,15 +121,15 @@
 		return nil
 	}
 	for i, e := range j.h.Edits {
-		isOut := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
-		if !isOut {
+		isExcluded := e.IsInvalid || e.Code/100 == 4 || e.SentAt > last || e.AcknowledgedAt > 0 && e.Revision < newest
+		if !isExcluded {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// judgeKeyResponses holds what clients were told of their keys, and what ran, against the configurations in force.
+// judgeKeyResponses compares the responses to API keys, and the runs, with the configurations that may be in force.
 func (j *judge) judgeKeyResponses() {
 	for _, s := range j.h.Sent {
 		hasRun := len(j.runs[s.Token]) > 0
@@ -136,50 +137,50 @@
 			continue
 		}
 		list := j.inForce(s.SentAt, s.AnsweredAt)
-		isBy := func(what accessDecision) bool {
+		isDecidedAs := func(what accessDecision) bool {
 			return slices.ContainsFunc(list, func(i int) bool { return j.accessUnder(i, s) == what })
 		}
 		switch {
 		case len(list) == 0:
-		case s.Code == 401 && !isBy(noKey) && !isBy(noRoute):
-			j.breach(RuleConfig, "%s got 401 at %v from %s, though its key %s is there", s.Token, s.SentAt, s.Daemon, s.ApiKey)
-		case s.Code != 401 && isBy(noKey) && !isBy(granted):
-			j.breach(RuleConfig, "%s was sent to %s at %v with the key %q, which is not there: answer %d, run %t", s.Token, s.Daemon, s.SentAt, s.ApiKey, s.Code, hasRun)
+		case s.Code == 401 && !isDecidedAs(noKey) && !isDecidedAs(noRoute):
+			j.breach(RuleConfig, "%s, sent at %v, got 401 from %s although the configuration in force has its API key %s", s.Token, s.SentAt, s.Daemon, s.ApiKey)
+		case s.Code != 401 && isDecidedAs(noKey) && !isDecidedAs(granted):
+			j.breach(RuleConfig, "%s was sent to %s at %v with the API key %q, which the configuration in force does not have: status %d, run %t", s.Token, s.Daemon, s.SentAt, s.ApiKey, s.Code, hasRun)
 		}
 	}
 }
 
-// judgeKeyRegressions: a daemon that has accepted a key does not forget it within its life, unless a newer configuration
-// drops it.
+// judgeKeyRegressions checks that a daemon that has accepted an API key does not refuse it later in the same
+// incarnation, unless a newer configuration removes the key.
 func (j *judge) judgeKeyRegressions() {
-	type seen struct {
-		daemon string
-		life   int64
-		key    string
+	type daemonKey struct {
+		daemon      string
+		incarnation int64
+		key         string
 	}
-	accepted := map[seen]time.Duration{}
+	acceptedAt := map[daemonKey]time.Duration{}
 	for _, s := range j.h.Sent {
-		who := seen{s.Daemon, s.Incarnation, s.ApiKey}
-		if at, isKnown := accepted[who]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
-			accepted[who] = s.AnsweredAt
+		id := daemonKey{s.Daemon, s.Incarnation, s.ApiKey}
+		if at, isKnown := acceptedAt[id]; s.Code == 202 && s.ApiKey != "" && (!isKnown || s.AnsweredAt < at) {
+			acceptedAt[id] = s.AnsweredAt
 		}
 	}
 	for _, s := range j.h.Sent {
-		at, isKnown := accepted[seen{s.Daemon, s.Incarnation, s.ApiKey}]
+		at, isKnown := acceptedAt[daemonKey{s.Daemon, s.Incarnation, s.ApiKey}]
 		if s.Code == 401 && isKnown && s.SentAt > at+rollbackSlack && !j.isKeyRemoved(s.ApiKey, s.AnsweredAt) {
-			j.breach(RuleConfig, "%s accepted the key %s at %v and refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
+			j.breach(RuleConfig, "%s accepted the API key %s at %v but refused it at %v", s.Daemon, s.ApiKey, at, s.SentAt)
 		}
 	}
 }
 
-// isKeyRemoved reports whether a configuration sent by a moment takes away a key that an older one had.
+// isKeyRemoved reports whether a configuration sent by a moment removes an API key that an earlier one has.
 func (j *judge) isKeyRemoved(key string, by time.Duration) bool {
 	isSeen := false
 	for i, e := range j.h.Edits { // in order of sending
-		_, isThere := j.keys[i][key]
-		isThere = isThere && !e.IsInvalid
-		isSeen = isSeen || isThere
-		if isSeen && !isThere && !e.IsInvalid && e.Code/100 != 4 && e.SentAt <= by {
+		_, isFound := j.keys[i][key]
+		isFound = isFound && !e.IsInvalid
+		isSeen = isSeen || isFound
+		if isSeen && !isFound && !e.IsInvalid && e.Code/100 != 4 && e.SentAt <= by {
 			return true
 		}
 	}
--- a/internal/standin/keyring.go
+++ b/internal/standin/keyring.go
@@ -8,71 +8,72 @@
 	"sync"
 )
 
-// keyring is what clients know of their tenants' API keys.
+// keyring holds the API keys that clients know of their tenants.
 type keyring struct {
-	mu      sync.Mutex
-	held    map[string][]string // by tenant
-	revoked map[string][]string // keys that it once held
+	mu          sync.Mutex
+	validKeys   map[string][]string // valid keys by tenant
+	revokedKeys map[string][]string // keys removed from the tenant, by tenant
 }
 
+// newKeyring returns the keys of the first configuration's tenants.
 func newKeyring(tenants []tenant) *keyring {
-	k := &keyring{held: map[string][]string{}, revoked: map[string][]string{}}
+	k := &keyring{validKeys: map[string][]string{}, revokedKeys: map[string][]string{}}
 	k.update(tenants)
 	return k
 }
 
-// update takes the tenants of a configuration that was acknowledged.
+// update takes over the tenants of an acknowledged configuration.
 func (k *keyring) update(tenants []tenant) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, t := range tenants {
-		for _, key := range k.held[t.Name] {
+		for _, key := range k.validKeys[t.Name] {
 			if !slices.Contains(t.ApiKeys, key) {
-				k.revoked[t.Name] = append(k.revoked[t.Name], key)
+				k.revokedKeys[t.Name] = append(k.revokedKeys[t.Name], key)
 			}
 		}
-		k.held[t.Name] = slices.Clone(t.ApiKeys)
+		k.validKeys[t.Name] = slices.Clone(t.ApiKeys)
 	}
 }
 
-// Of a hundred requests so many carry something other than a key that their tenant holds.
+// Percentages of requests that do not carry a valid API key of their tenant.
 const (
-	revokedKeyPercent = 3 // one that was taken away
+	revokedKeyPercent = 3 // a removed key
 	unknownKeyPercent = 1
 	missingKeyPercent = 1
 )
 
-// drawBody returns what a client of a tenant sends as its API key; empty for none. Clients of a tenant that has
-// lost all its keys go on with an old one.
-func (k *keyring) draw(name string, draws *rand.Rand) string {
+// draw returns the API key that a client of a tenant sends; empty for none. Clients of a tenant that has lost all its
+// keys keep using a removed one.
+func (k *keyring) draw(name string, rng *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	held, taken := k.held[name], k.revoked[name]
-	chance := draws.IntN(100)
+	valid, revoked := k.validKeys[name], k.revokedKeys[name]
+	chance := rng.IntN(100)
 	switch {
 	case chance < unknownKeyPercent:
-		return newApiKey(draws)
+		return newApiKey(rng)
 	case chance < unknownKeyPercent+missingKeyPercent:
 		return ""
-	case len(taken) > 0 && (len(held) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
-		return taken[draws.IntN(len(taken))]
-	case len(held) == 0:
+	case len(revoked) > 0 && (len(valid) == 0 || chance < unknownKeyPercent+missingKeyPercent+revokedKeyPercent):
+		return revoked[rng.IntN(len(revoked))]
+	case len(valid) == 0:
 		return ""
 	}
-	return held[draws.IntN(len(held))]
+	return valid[rng.IntN(len(valid))]
 }
 
-// valid returns a key that a tenant holds, for those who ask what became of its messages; empty without one.
+// valid returns a valid API key of a tenant, for queries about its messages; empty if it has none.
 func (k *keyring) valid(name string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if held := k.held[name]; len(held) > 0 {
-		return held[0]
+	if keys := k.validKeys[name]; len(keys) > 0 {
+		return keys[0]
 	}
 	return ""
 }
 
-// apiKeyField returns the field of a request in which an API key stands; empty for none.
+// apiKeyField returns the header field of a request that contains an API key, or "URL"; empty for none.
 func apiKeyField(r *http.Request) string {
 	for name, values := range r.Header {
 		if strings.Contains(strings.Join(values, " "), apiKeyPrefix) {
@@ -85,10 +86,10 @@
 	return ""
 }
 
-// crossTenantQueryEvery: one sight in so many is followed by a question of somebody else.
+// crossTenantQueryEvery: one observation in so many is followed by a query with a foreign API key.
 const crossTenantQueryEvery = 20
 
-// queryAcrossTenants asks for a tenant's message as another tenant, or as nobody.
+// queryAcrossTenants queries a tenant's message with another tenant's API key, or with none.
 func (s *Site) queryAcrossTenants(sent Submission) {
 	if sent.Tenant == "" || len(s.plan.Customers) == 0 || rand.IntN(crossTenantQueryEvery) > 0 {
 		return
--- a/internal/standin/limitedlistener.go
+++ b/internal/standin/limitedlistener.go
@@ -6,12 +6,13 @@
 	"sync/atomic"
 )
 
-// limitedListener resets the sessions that are too many.
+// limitedListener resets connections beyond a maximum number; 0 means no maximum.
 type limitedListener struct {
 	net.Listener
 	maxOpen, open int64
 }
 
+// Accept returns the next connection within the maximum.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -29,9 +30,11 @@
 	}
 }
 
+// countedConn calls onClose when it is closed.
 type countedConn struct {
 	net.Conn
 	onClose func()
 }
 
+// Close calls onClose and closes the connection.
 func (c *countedConn) Close() error { c.onClose(); return c.Conn.Close() }
--- a/internal/standin/machinestop.go
+++ b/internal/standin/machinestop.go
@@ -8,12 +8,12 @@
 	"caperwheel/internal/fleet"
 )
 
-// cleanExits are how a process ends that was asked to stop; by the signal itself where that
-// came before the program had asked for it.
+// cleanExits are the exit states of a process that stopped on request: it is terminated by the signal itself if that
+// arrives before the program has installed its signal handler.
 var cleanExits = []string{"exit status 0", "signal: terminated"}
 
-// stop ends all processes, asking first or not; the trouble lasts until they
-// are started again.
+// stop stops all processes, by SIGTERM if isGraceful and else by SIGKILL. The disruption lasts until the machine is
+// started again.
 func (m *Machine) stop(isGraceful bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 	m.shouldRun = false
 	m.endDisruption = m.site.History.beginDisruption(m.ShortName, m.site.Now(), isGraceful)
-	m.noteSignal()
+	m.announceSignal()
 	var wg sync.WaitGroup
 	for _, p := range m.Processes {
 		wg.Add(1)
@@ -38,17 +38,18 @@
 	wg.Wait()
 }
 
-// stopGracefully has one process stop, and notes where it does not as it should.
+// stopGracefully stops a process by SIGTERM, and records a failure if it exceeds its grace period or exits with an
+// error.
 func (m *Machine) stopGracefully(p *fleet.Process) {
 	switch {
 	case !p.StopWithin(m.site.stopTimeout()):
-		m.site.recordFailure("%s %s did not go within its grace", m.ShortName, p.Kind)
+		m.site.recordFailure("%s %s did not stop within its grace period", m.ShortName, p.Kind)
 	case !slices.Contains(cleanExits, p.ExitStatus()):
-		m.site.recordFailure("%s %s was asked to stop and ended: %s", m.ShortName, p.Kind, p.ExitStatus())
+		m.site.recordFailure("%s %s was asked to stop and exited with: %s", m.ShortName, p.Kind, p.ExitStatus())
 	}
 }
 
-// restartProcess stops the process of one kind and starts it again, while the machine's others go on.
+// restartProcess stops the process of one kind and starts it again while the machine's other processes keep running.
 func (m *Machine) restartProcess(kind string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -56,20 +57,20 @@
 		if !m.shouldRun || p.Kind != kind {
 			continue
 		}
-		troubled := m.site.History.beginDisruption(m.ShortName, m.site.Now(), true)
-		m.noteSignal()
+		endDisruption := m.site.History.beginDisruption(m.ShortName, m.site.Now(), true)
+		m.announceSignal()
 		m.stopGracefully(p)
 		if err := p.Start(); err != nil {
-			m.site.recordFailure("%s: %v", m.ShortName, err)
+			m.site.recordFailure("cannot start a process of machine %s again: %v", m.ShortName, err)
 		}
-		troubled(m.site.Now())
+		endDisruption(m.site.Now())
 	}
 }
 
-// wipe loses the disk while the machine is down.
+// wipe kills the machine's processes and deletes its data directory.
 func (m *Machine) wipe() {
 	m.stop(false)
 	if err := os.RemoveAll(m.disk()); err != nil {
-		m.site.recordFailure("disk of %s: %v", m.ShortName, err)
+		m.site.recordFailure("cannot delete the data directory of %s: %v", m.ShortName, err)
 	}
 }
--- a/internal/standin/messagetrace.go
+++ b/internal/standin/messagetrace.go
@@ -8,8 +8,7 @@
 	"slices"
 )
 
-// writeLocations writes what each store and adapter knows of where a message stands now, and what it
-// waits for.
+// writeLocations writes what each store and adapter reports about where a message is now and what it waits for.
 func (s *Site) writeLocations(out io.Writer, token string) {
 	id := ""
 	s.History.WithLock(func() {
@@ -21,13 +20,13 @@
 		if m.Class == classCore || id == "" {
 			continue
 		}
-		if told := s.fetchTrace(m, id); told != "" {
-			fmt.Fprintf(out, "  %s knows: %s\n", m.ShortName, told)
+		if trace := s.fetchTrace(m, id); trace != "" {
+			fmt.Fprintf(out, "  %s reports: %s\n", m.ShortName, trace)
 		}
 	}
 }
 
-// fetchTrace returns a machine's part of a message's story; empty where it has none.
+// fetchTrace returns what a machine reports about a message; empty if it has no record of it.
 func (s *Site) fetchTrace(m *Machine, id string) string {
 	ctx, cancel := context.WithTimeout(s.ctx, queryTimeout)
 	defer cancel()
@@ -35,13 +34,13 @@
 	if err != nil {
 		return ""
 	}
-	answer, err := s.queryClient.Do(req)
+	response, err := s.queryClient.Do(req)
 	if err != nil {
-		return "cannot be asked: " + err.Error()
+		return "query failed: " + err.Error()
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(answer.Body)
-	if err != nil || answer.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	raw, err := io.ReadAll(response.Body)
+	if err != nil || response.StatusCode != http.StatusOK {
 		return ""
 	}
 	return string(raw)
--- a/internal/standin/report.go
+++ b/internal/standin/report.go
@@ -14,14 +14,14 @@
 	"caperwheel/internal/fleet"
 )
 
-// Figures of a run.
+// Figures are the counts and breaches of a run.
 type Figures struct {
 	Tries                int            `json:"tries"`
-	AcceptedAgain        int            `json:"accepted_again"` // sends of what was accepted already
+	AcceptedAgain        int            `json:"accepted_again"` // submissions of messages that had been accepted before
 	AdminRequests        int            `json:"asked_at_other_doors"`
 	Changes              int            `json:"changes"`
 	Processes            int            `json:"processes"`
-	Codes                map[int]int    `json:"codes"` // 0: no whole answer
+	Codes                map[int]int    `json:"codes"` // 0: no complete response
 	LongestAcceptGap     string         `json:"longest_without_an_accept"`
 	LongestAcceptGapFrom string         `json:"longest_without_an_accept_from"`
 	Runs                 int            `json:"runs"`
@@ -41,15 +41,15 @@
 	Breaches []check.Breach `json:"breaches"`
 }
 
-// Report judges what was seen and counts it.
+// Report judges the history and counts what it contains.
 func (s *Site) Report(isTimed bool) Figures {
 	out := Figures{Codes: map[int]int{}, FinalStates: map[string]int{}, Edits: map[int]int{}, Breaches: Judge(s.History, isTimed), Crashes: s.Crashes()}
 	s.List.mu.Lock()
 	out.Calls, out.CallsOverRate = s.List.Calls, s.List.CallsOverRate
 	s.List.mu.Unlock()
-	s.steps.Lock()
+	s.failuresMu.Lock()
 	out.Failures = append(out.Failures, s.Failures...)
-	s.steps.Unlock()
+	s.failuresMu.Unlock()
 	h := s.History
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,7 +60,7 @@
 	out.Tries, out.Runs, out.Callbacks = len(h.Sent), len(h.Runs), len(h.Callbacks)
 	j := newJudge(h)
 	out.Tenants = j.tenantFigures()
-	sent, told, done := map[string]Submission{}, map[*operation]bool{}, map[string]bool{}
+	sent, notified, succeeded := map[string]Submission{}, map[*operation]bool{}, map[string]bool{}
 	for _, x := range h.Sent {
 		sent[x.Token] = x
 		out.Codes[x.Code]++
@@ -68,23 +68,23 @@
 			out.AcceptedAgain++
 		}
 	}
-	pause, from := longestAcceptGap(h.Sent)
-	out.LongestAcceptGap, out.LongestAcceptGapFrom = pause.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
+	gap, from := longestAcceptGap(h.Sent)
+	out.LongestAcceptGap, out.LongestAcceptGapFrom = gap.Round(time.Millisecond).String(), from.Round(time.Millisecond).String()
 	for _, t := range h.Callbacks {
-		told[j.operations[t.Token]] = true
+		notified[j.operations[t.Token]] = true
 	}
 	for _, r := range h.Runs {
 		if x := sent[r.Token]; r.Start < x.SentAt+x.Delay-maxEarlyStart {
 			out.Early++
 		}
-		if done[r.Token] {
+		if succeeded[r.Token] {
 			out.Repeats++
 		}
-		done[r.Token] = done[r.Token] || r.Status == 200
+		succeeded[r.Token] = succeeded[r.Token] || r.Status == 200
 	}
 	for token, end := range h.FinalStates {
 		out.FinalStates[end.State]++
-		if x := sent[token]; x.IsNotified && !told[j.operations[token]] && end.State != "queued" {
+		if x := sent[token]; x.IsNotified && !notified[j.operations[token]] && end.State != "queued" {
 			out.MissingCallbacks++
 		}
 	}
@@ -94,35 +94,35 @@
 	return out
 }
 
-// longestAcceptGap returns the longest time in which nothing was accepted, and its
-// beginning on the clock of all records.
-func longestAcceptGap(sent []Submission) (pause, from time.Duration) {
-	told := []time.Duration{}
+// longestAcceptGap returns the longest time without an accepted submission, and its start on the site's clock.
+func longestAcceptGap(sent []Submission) (gap, from time.Duration) {
+	acceptedAt := []time.Duration{}
 	for _, x := range sent {
 		if x.Code == 202 {
-			told = append(told, x.AnsweredAt)
+			acceptedAt = append(acceptedAt, x.AnsweredAt)
 		}
 	}
-	slices.Sort(told)
-	for i := 1; i < len(told); i++ {
-		if told[i]-told[i-1] > pause {
-			pause, from = told[i]-told[i-1], told[i-1]
+	slices.Sort(acceptedAt)
+	for i := 1; i < len(acceptedAt); i++ {
+		if acceptedAt[i]-acceptedAt[i-1] > gap {
+			gap, from = acceptedAt[i]-acceptedAt[i-1], acceptedAt[i-1]
 		}
 	}
-	return pause, from
+	return gap, from
 }
 
-// IsClean reports whether nothing is wrong.
+// IsClean reports whether the run had no breach, failure or crash, and at least one run of a message.
 func (f Figures) IsClean() bool {
 	return len(f.Breaches)+len(f.Failures)+len(f.Crashes) == 0 && f.Runs > 0
 }
 
 const (
 	startTimeout = time.Minute
-	quietPeriod  = 3 * time.Second // between the last steps and the last questions
+	quietPeriod  = 3 * time.Second // between the last faults and the final queries
 )
 
-// RunSchedule runs a small site for a time under a schedule, and writes the figures.
+// RunSchedule runs the small deployment under load and a fault schedule for a time, and writes the figures as JSON.
+// It returns an error if a rule was broken or anything failed.
 func RunSchedule(ctx context.Context, bin, dir string, schedule fleet.Schedule, length time.Duration, out io.Writer) error {
 	plan := SmallPlan()
 	s, err := New(plan, bin, dir)
@@ -137,33 +137,33 @@
 	if err := s.Up(upCtx); err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "fleet: the platform's entry is open after %v.\n", s.Now().Round(time.Millisecond))
+	fmt.Fprintf(os.Stderr, "fleet: every front is ready after %v.\n", s.Now().Round(time.Millisecond))
 	loadCtx, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	caused := make(chan struct{})
-	go func() { s.InjectFaults(loadCtx, schedule); close(caused) }()
+	faultsEnded := make(chan struct{})
+	go func() { s.InjectFaults(loadCtx, schedule); close(faultsEnded) }()
 	go s.ObserveMessages(loadCtx)
 	s.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
-	<-caused
+	<-faultsEnded
 	for _, m := range s.Machines {
 		m.restart()
 	}
 	s.operator.addMissingKeys(ctx)
 	sleep(ctx, quietPeriod)
-	settleCtx, cancel := context.WithTimeout(ctx, finishBound)
+	finalStateCtx, cancel := context.WithTimeout(ctx, finishBound)
 	defer cancel()
-	s.CollectFinalStates(settleCtx)
+	s.CollectFinalStates(finalStateCtx)
 	readCtx, cancel := context.WithTimeout(ctx, configTimeout)
 	defer cancel()
 	s.operator.readBack(readCtx)
 	figures := s.Report(true)
 	raw, err := json.MarshalIndent(figures, "", "  ")
 	if err != nil {
-		return errs.Wrap(err, errs.Internal, "report")
+		return errs.Wrap(err, errs.Internal, "encode the report")
 	}
 	fmt.Fprintln(out, string(raw))
 	if !figures.IsClean() {
-		return errs.New(errs.Unhealthy, "%d rules broken, %d failures, %d crashes", len(figures.Breaches), len(figures.Failures), len(figures.Crashes))
+		return errs.New(errs.Unhealthy, "the run had %d breaches of rules, %d failures and %d crashes", len(figures.Breaches), len(figures.Failures), len(figures.Crashes))
 	}
 	return nil
 }
--- a/internal/standin/site_test.go
+++ b/internal/standin/site_test.go
@@ -12,7 +12,7 @@
 	"caperwheel/internal/fleet"
 )
 
-// slowMachinePlan is the small site for machines that may be busy with other tests.
+// slowMachinePlan is the small plan with long timeouts, for machines that may be busy with other tests.
 func slowMachinePlan() SitePlan {
 	plan := SmallPlan()
 	plan.Deadline = 10 * time.Second
@@ -22,14 +22,13 @@
 	return plan
 }
 
-// TestPlatform runs real daemons on the stand-in platform through the loss of a
-// store and a change of the configuration. Rules that no speed can break, and
-// counts, judge it.
+// TestPlatform runs real daemons through the loss of a store and a change of the configuration. Only rules without
+// time bounds, and counts, are checked.
 func TestPlatform(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Given a small site on the platform", t, func() {
+	Convey("Given a small deployment on the platform", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
 		plan := slowMachinePlan()
 		site, err := New(plan, filepath.Join(dir, "bin"), dir)
@@ -41,7 +40,7 @@
 		go site.ObserveMessages(loadCtx)
 		done := make(chan struct{})
 		go func() { site.RunTraffic(loadCtx, plan.Loads, plan.Deadline); close(done) }()
-		Convey("messages are kept and run while a store is lost and the configuration changes", func() {
+		Convey("messages are kept and run while a store is down and the configuration changes", func() {
 			So(site.waitForAccepts(ctx, 60), ShouldBeTrue)
 			store := site.machinesMatching("store-1")[0]
 			store.stop(false)
@@ -67,7 +66,7 @@
 	})
 }
 
-// waitForAccepts waits until so many more messages were accepted.
+// waitForAccepts waits until so many more messages have been accepted.
 func (s *Site) waitForAccepts(ctx context.Context, more int) bool {
 	count := func() (n int) {
 		s.History.WithLock(func() {
@@ -92,8 +91,8 @@
 	for _, m := range s.entry.fronts {
 		for {
 			c := newClient(s, m.Zone, "direct", s.plan.Deadline)
-			bounded, cancel := context.WithTimeout(ctx, s.plan.Deadline)
-			sent, _ := c.submit(bounded, s.entry.transportTo(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newRand()), s.plan.Deadline, newRand())
+			timeoutCtx, cancel := context.WithTimeout(ctx, s.plan.Deadline)
+			sent, _ := c.submit(timeoutCtx, s.entry.transportTo(m), Load{Route: r.Name, Host: r.Host, Prefix: r.Prefix}.message(newRand()), s.plan.Deadline, newRand())
 			cancel()
 			if sent.Outcome == check.Taken {
 				break
@@ -106,50 +105,50 @@
 	return true
 }
 
-// TestChoose is the table of how the entry spreads sessions.
+// TestChoose tests how the entry assigns connections to fronts.
 func TestChoose(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	a1, a2, a3, b1, c1 := &Machine{ShortName: "a1", Zone: "a"}, &Machine{ShortName: "a2", Zone: "a"}, &Machine{ShortName: "a3", Zone: "a"},
 		&Machine{ShortName: "b1", Zone: "b"}, &Machine{ShortName: "c1", Zone: "c"}
 	fronts := []*Machine{a1, a2, a3, b1, c1}
 	cases := []struct {
-		text string
-		in   []*Machine
-		zone string
-		want []*Machine
+		text  string
+		ready []*Machine
+		zone  string
+		want  []*Machine
 	}{
-		{"its own zone's, if they are in", fronts, "a", []*Machine{a1, a2, a3}},
-		{"those that are in, if they are half", []*Machine{a1, a3, b1}, "a", []*Machine{a1, a3}},
-		{"all of its zone, if fewer are in", []*Machine{a1, b1}, "a", []*Machine{a1, a2, a3}},
-		{"the next zone's, if none is in", []*Machine{b1, c1}, "a", []*Machine{b1}},
-		{"those of the zone after that", []*Machine{c1}, "a", []*Machine{c1}},
-		{"the first again, behind the last", []*Machine{a1, a2, a3, b1}, "c", []*Machine{a1, a2, a3}},
-		{"its own zone's, if none is in anywhere", nil, "b", []*Machine{b1}},
+		{"the fronts of its zone, if all are ready", fronts, "a", []*Machine{a1, a2, a3}},
+		{"the ready fronts of its zone, if they are at least half", []*Machine{a1, a3, b1}, "a", []*Machine{a1, a3}},
+		{"all fronts of its zone, if fewer than half are ready", []*Machine{a1, b1}, "a", []*Machine{a1, a2, a3}},
+		{"the fronts of the next zone, if none of its zone is ready", []*Machine{b1, c1}, "a", []*Machine{b1}},
+		{"the fronts of the zone after that", []*Machine{c1}, "a", []*Machine{c1}},
+		{"the fronts of the first zone, if none of the last zone is ready", []*Machine{a1, a2, a3, b1}, "c", []*Machine{a1, a2, a3}},
+		{"the fronts of its zone, if none is ready anywhere", nil, "b", []*Machine{b1}},
 	}
-	Convey("A session goes to", t, func() {
+	Convey("A connection is assigned to", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				got := map[*Machine]bool{}
 				for client := range 100 {
-					m := chooseFrontFor(zones, fronts, c.in, c.zone, string(rune('A'+client)), 0)
+					m := chooseFrontFor(zones, fronts, c.ready, c.zone, string(rune('A'+client)), 0)
 					So(c.want, ShouldContain, m)
 					got[m] = true
 				}
 				So(len(got), ShouldEqual, len(c.want))
 			})
 		}
-		Convey("another one at the next try, the same at the same try", func() {
-			first, again := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
-			So(first, ShouldEqual, again)
+		Convey("another front at the next try, and the same front at the same try", func() {
+			first, same := chooseFrontFor(zones, fronts, fronts, "a", "x", 0), chooseFrontFor(zones, fronts, fronts, "a", "x", 0)
+			So(first, ShouldEqual, same)
 			So(chooseFrontFor(zones, fronts, fronts, "a", "x", 1), ShouldNotEqual, first)
 		})
 	})
 }
 
-// TestDraws: a schedule is the same for the same seed; all name faults that
-// there are, also those of the repo.
+// TestDraws checks that a seed always draws the same schedule, and that all schedules, drawn ones and those in
+// examples/, name faults that exist.
 func TestDraws(t *testing.T) {
-	Convey("The schedules of the repo can be read", t, func() {
+	Convey("The schedules in examples/platform are valid", t, func() {
 		files, err := filepath.Glob("../../examples/platform/*.json")
 		So(err, ShouldBeNil)
 		So(files, ShouldNotBeEmpty)
@@ -158,7 +157,7 @@
 			So(err, ShouldBeNil)
 		}
 	})
-	Convey("Drawn schedules name faults that there are", t, func() {
+	Convey("Drawn schedules name faults that exist", t, func() {
 		for seed := uint64(1); seed < 50; seed++ {
 			schedule := fleet.DrawSchedule(RandomFaults(), seed, time.Minute)
 			So(len(schedule.Steps), ShouldBeGreaterThan, 3)
--- a/internal/standin/soakchecks.go
+++ b/internal/standin/soakchecks.go
@@ -10,10 +10,10 @@
 	"caperwheel/internal/check"
 )
 
-// minJudgedMessages is from how many accepted messages of a route on some must have run.
+// minJudgedMessages is the number of accepted messages of a route from which on some must have run.
 const minJudgedMessages = 10
 
-// requireRuns: a soak in which the messages of a route did not run has shown nothing of it.
+// requireRuns records a failure if no message of a route has run: the soak has then shown nothing about that route.
 func (s *Site) requireRuns() {
 	accepted, runs := map[string]int{}, map[string]int{}
 	s.History.WithLock(func() {
@@ -30,22 +30,22 @@
 	})
 	for _, lane := range slices.Sorted(maps.Keys(accepted)) {
 		if accepted[lane] >= minJudgedMessages && runs[lane] == 0 {
-			s.recordFailure("%d messages of %s were accepted and none ran: the soak shows nothing of it", accepted[lane], lane)
+			s.recordFailure("%d messages of %s were accepted and none ran: the soak shows nothing about this route", accepted[lane], lane)
 		}
 	}
 }
 
-// requireRecovery: while something is hurt, what is left lying cannot be told.
+// requireRecovery records a failure if a disruption never ended: stuck messages cannot be judged then.
 func (s *Site) requireRecovery() {
-	hurt := []string{}
+	ongoing := []string{}
 	s.History.WithLock(func() {
 		for _, t := range s.History.Disruptions {
 			if t.Until == 0 && t.From > 0 && !t.IsPermanent {
-				hurt = append(hurt, fmt.Sprintf("%s since %v", t.Daemon, t.From.Round(time.Millisecond)))
+				ongoing = append(ongoing, fmt.Sprintf("%s since %v", t.Daemon, t.From.Round(time.Millisecond)))
 			}
 		}
 	})
-	if len(hurt) > 0 {
-		s.recordFailure("never healed, so what is left lying cannot be told: %s", strings.Join(hurt, ", "))
+	if len(ongoing) > 0 {
+		s.recordFailure("disruptions never ended, so stuck messages cannot be judged: %s", strings.Join(ongoing, ", "))
 	}
 }
--- a/internal/standin/soakends_test.go
+++ b/internal/standin/soakends_test.go
@@ -17,37 +17,37 @@
 	"caperwheel/internal/fleet"
 )
 
-// TestSoakEndsWhenAsked: a large soak that was broken off once went on asking for minutes, and its
-// processes had to be killed.
+// TestSoakEndsWhenAsked guards against a soak that ignores the end of its context: a large soak once went on querying
+// messages for minutes after it was cancelled, and its processes had to be killed.
 func TestSoakEndsWhenAsked(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("A soak that is broken off ends, and all that it has started", t, func() {
+	Convey("A cancelled soak ends, and so do all processes that it has started", t, func() {
 		bin := filepath.Join(dir, "bin")
 		So(fleet.Build(ctx, "../..", bin, false), ShouldBeNil)
-		for _, when := range []string{"called", "well again"} { // while callers call, and while their messages are asked after
-			asked, breakOff := context.WithCancel(ctx)
+		for _, phase := range []string{"called", "well again"} { // during the load, and during the final queries
+			cancellable, cancelSoak := context.WithCancel(ctx)
 			span := MinSoakDuration
-			if when == "called" {
+			if phase == "called" {
 				span = time.Hour
-				time.AfterFunc(8*time.Second, breakOff)
+				time.AfterFunc(8*time.Second, cancelSoak)
 			}
-			_, err := Soak(asked, SoakOptions{Seed: 4, For: span, Processes: MinProcesses, Bin: bin, Dir: filepath.Join(dir, when),
+			_, err := Soak(cancellable, SoakOptions{Seed: 4, For: span, Processes: MinProcesses, Bin: bin, Dir: filepath.Join(dir, phase),
 				Progress: func(form string, _ ...any) {
-					if strings.Contains(form, when) {
-						breakOff()
+					if strings.Contains(form, phase) {
+						cancelSoak()
 					}
 				}}, io.Discard)
 			So(errs.Is(err, errs.DeadlineExceeded), ShouldBeTrue)
 			So(ctx.Err(), ShouldBeNil)
 			So(runningIn(bin), ShouldEqual, 0)
-			breakOff()
+			cancelSoak()
 		}
 	})
 }
 
-// runningIn counts the processes whose program lies in a folder.
+// runningIn counts the processes whose program is in a directory.
 func runningIn(bin string) (count int) {
 	links, _ := filepath.Glob("/proc/[0-9]*/exe")
 	for _, link := range links {
@@ -58,21 +58,22 @@
 	return count
 }
 
-// TestNothingRan: a large soak once counted as clean in which no message of two routes ran at all.
+// TestNothingRan guards against a soak that passes although no message of a route has run: a large soak once counted
+// as clean although none of the messages of two routes ran.
 func TestNothingRan(t *testing.T) {
-	Convey("A soak in which no message of a route ran says so", t, func() {
+	Convey("A soak in which no message of a route ran records a failure", t, func() {
 		s := &Site{History: NewHistory()}
 		for i := range minJudgedMessages {
 			for _, lane := range []string{"served", "idle"} {
-				s.History.Sent = append(s.History.Sent, sent(fmt.Sprint(lane, i), lane, "", 0, check.Taken, 0))
+				s.History.Sent = append(s.History.Sent, newSubmission(fmt.Sprint(lane, i), lane, "", 0, check.Taken, 0))
 			}
 		}
-		s.History.Runs = append(s.History.Runs, run("served3", "p", "w", 1*time.Second, 2*time.Second, 200))
+		s.History.Runs = append(s.History.Runs, newRun("served3", "p", "w", 1*time.Second, 2*time.Second, 200))
 		s.requireRuns()
 		So(s.Failures, ShouldHaveLength, 1)
 		So(s.Failures[0], ShouldContainSubstring, "of idle were accepted and none ran")
 	})
-	Convey("Where a trouble was never healed, what lies cannot be told, and it says so", t, func() {
+	Convey("A soak with a disruption that never ended records a failure", t, func() {
 		s := &Site{History: NewHistory()}
 		s.History.Disruptions = []Disruption{{Daemon: "front-1", From: 3 * time.Second}, {Daemon: "front-2", From: 3 * time.Second, IsPermanent: true}}
 		s.requireRecovery()
--- a/internal/standin/stop_test.go
+++ b/internal/standin/stop_test.go
@@ -11,14 +11,14 @@
 	"caperwheel/internal/fleet"
 )
 
-// TestStopsCleanly: a daemon of each kind that is asked to stop, under load, ends by
-// itself and without an error. Stores once ended in the middle of it, since others went
-// on sending them entries after they had closed their disk.
+// TestStopsCleanly checks that a daemon of each kind, stopped gracefully under load, exits by itself and without an
+// error. Stores once exited with an error while stopping, because peers kept sending them entries after they had
+// closed their disk.
 func TestStopsCleanly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Minute)
 	defer cancel()
 	dir := t.TempDir()
-	Convey("Each daemon ends cleanly when it is asked to", t, func() {
+	Convey("Each daemon exits cleanly when it is asked to stop", t, func() {
 		So(fleet.Build(ctx, "../..", filepath.Join(dir, "bin"), false), ShouldBeNil)
 		plan := slowMachinePlan()
 		plan.IsSlow = true
@@ -29,9 +29,9 @@
 		loadCtx, stop := context.WithCancel(ctx)
 		defer stop()
 		go site.RunTraffic(loadCtx, plan.Loads, plan.Deadline)
-		for _, who := range []string{"store-1", "store-2", "core-1", "front-1"} {
+		for _, selector := range []string{"store-1", "store-2", "core-1", "front-1"} {
 			So(site.waitForAccepts(ctx, 30), ShouldBeTrue)
-			m := site.machinesMatching(who)[0]
+			m := site.machinesMatching(selector)[0]
 			m.stop(true)
 			m.restart()
 		}
--- a/internal/standin/tenancy_test.go
+++ b/internal/standin/tenancy_test.go
@@ -10,18 +10,19 @@
 	"caperwheel/internal/check"
 )
 
-// The tenants of a history in tests, with their keys.
+// The tenants of test histories, with their API keys.
 const (
 	hall, hallKey     = "hall", "api-key-hall"
 	grower, growerKey = "grower", "api-key-grower"
 )
 
+// tenantsOf returns the tenants of a test history, with the API keys of tenant hall.
 func tenantsOf(hallKeys ...string) []tenant {
 	return []tenant{{Name: hall, ApiKeys: hallKeys, Rate: 2, Burst: 2}, {Name: grower, ApiKeys: []string{growerKey}, Rate: 100, Burst: 100}}
 }
 
-// tenantHistory is a clean history in which all messages are of tenants: one was sent again after its accept, and was
-// told the first one's name.
+// tenantHistory returns a history without a breach in which all messages belong to tenants. One message is submitted
+// again after it was accepted, and gets the same message name.
 func tenantHistory() *History {
 	h := cleanHistory()
 	for i := range h.Edits {
@@ -38,7 +39,7 @@
 	return h
 }
 
-// again has a message sent again, through another daemon, which is told the first one's name.
+// addRepeat adds a repeated submission through another daemon, which returns the first one's message name.
 func addRepeat(h *History, token string, of int, at time.Duration) *Submission {
 	x := h.Sent[of]
 	x.Token, x.SentAt, x.AnsweredAt, x.Daemon = token, at, at+10*ms, "front-2"
@@ -47,23 +48,24 @@
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// addLateSubmission is a send of the hall's after all that a clean history has.
+// addLateSubmission adds a submission of tenant hall after those of cleanHistory.
 func addLateSubmission(h *History, key string, code int, at time.Duration) *Submission {
-	told := check.NotTaken
+	outcome := check.NotTaken
 	if code == 202 {
-		told = check.Taken
+		outcome = check.Taken
 	}
-	x := sent(fmt.Sprint("late", len(h.Sent)), "r", "", at, told, code)
+	x := newSubmission(fmt.Sprint("late", len(h.Sent)), "r", "", at, outcome, code)
 	x.Tenant, x.ApiKey, x.Operation = hall, key, "op-"+x.Token
 	h.Sent = append(h.Sent, x)
 	return &h.Sent[len(h.Sent)-1]
 }
 
-// changeKeys gives a configuration in which the hall has other keys.
+// changeKeys adds a configuration in which tenant hall has other API keys.
 func changeKeys(h *History, ack time.Duration, keys ...string) {
 	changeTenants(h, ack, tenantsOf(keys...))
 }
 
+// changeTenants adds a configuration with other tenants, acknowledged at ack.
 func changeTenants(h *History, ack time.Duration, tenants []tenant) {
 	last := h.Edits[len(h.Edits)-1]
 	next := Edit{Edit: check.Edit{SentAt: ack - s, AcknowledgedAt: ack, Revision: last.Revision + 2, Pools: last.Pools}, Base: last.Revision, Code: 200, Tenants: tenants}
@@ -71,89 +73,89 @@
 	h.Edits, h.Read.Doc = append(h.Edits, next), next.Document
 }
 
-// addBurst has so many messages of the hall sent at one moment and run.
+// addBurst adds so many messages of tenant hall that are submitted at the same moment and run.
 func addBurst(h *History, count int, at time.Duration) {
 	for range count {
 		x := addLateSubmission(h, hallKey, 202, at)
-		r := run(x.Token, "p", "w", at+20*ms, at+30*ms, 200)
+		r := newRun(x.Token, "p", "w", at+20*ms, at+30*ms, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}
 }
 
-// maxInWindow is how many messages of the hall the judge lets run in one window: (2 x 5 + 2) x 1.1 + 20.
+// maxInWindow is how many messages of tenant hall may run within one window by the judge: (2 x 5 + 2) x 1.1 + 20.
 const maxInWindow = 33
 
 var flaggedTenancy = []struct {
 	rule, text string
-	hurt       func(h *History)
+	breakRule  func(h *History)
 }{
-	{RuleUnasked, "a worker that is told another tenant", func(h *History) { h.Runs[1].Tenant = grower }},
-	{RuleUnasked, "a worker that is told none", func(h *History) { h.Runs[1].Tenant = "" }},
-	{RuleUnasked, "a worker that is given the key", func(h *History) { h.Runs[1].KeyField = "Authorization" }},
-	{RuleRoute, "a run of what came without a key", func(h *History) { h.Sent[0].ApiKey = "" }},
-	{RuleRoute, "a run of what came with a key that nobody ever held", func(h *History) { h.Sent[0].ApiKey = "api-key-other" }},
-	{RuleRoute, "a run with a key that only an invalid configuration has", func(h *History) {
+	{RuleUnasked, "a worker that receives the wrong tenant", func(h *History) { h.Runs[1].Tenant = grower }},
+	{RuleUnasked, "a worker that receives no tenant", func(h *History) { h.Runs[1].Tenant = "" }},
+	{RuleUnasked, "a worker that receives the API key", func(h *History) { h.Runs[1].KeyField = "Authorization" }},
+	{RuleRoute, "a run of a message without an API key", func(h *History) { h.Sent[0].ApiKey = "" }},
+	{RuleRoute, "a run of a message with an unknown API key", func(h *History) { h.Sent[0].ApiKey = "api-key-other" }},
+	{RuleRoute, "a run of a message with an API key that only an invalid configuration has", func(h *History) {
 		changeKeys(h, 40*s, "api-key-other")
 		h.Edits[2].IsInvalid, h.Edits[2].Code, h.Edits[2].AcknowledgedAt, h.Read.Doc = true, 400, 0, h.Edits[1].Document
 		h.Sent[0].ApiKey = "api-key-other"
 	}},
-	{RuleTwice, "two sends of one key that ran", func(h *History) {
-		r := run("a2", "p", "w", 21*s, 22*s, 200)
+	{RuleTwice, "two submissions with the same operation key that both ran", func(h *History) {
+		r := newRun("a2", "p", "w", 21*s, 22*s, 200)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleTwice, "two sends of one key that ran, with two keys of their tenant, at the end of the window", func(h *History) {
+	{RuleTwice, "two submissions with the same operation key and different API keys that both ran, at the end of the window", func(h *History) {
 		changeKeys(h, 40*s, hallKey, "api-key-new")
 		x := addRepeat(h, "a3", 0, 10*s+keyWindow-ms)
 		x.ApiKey, x.Outcome, x.Code, x.Id = "api-key-new", check.Undecided, 504, ""
-		r := run("a3", "p", "w", x.SentAt, x.SentAt+s, 500)
+		r := newRun("a3", "p", "w", x.SentAt, x.SentAt+s, 500)
 		r.BodySum, r.RequestLine, r.Tenant = "sum of a", "POST /a", hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleTwice, "two names for one key", func(h *History) { h.Sent[6].Id = "id of another" }},
-	{RuleMixed, "one name for the same key of two tenants", func(h *History) { h.Sent[6].ApiKey = growerKey }},
+	{RuleTwice, "two message names for the same operation key", func(h *History) { h.Sent[6].Id = "id of another" }},
+	{RuleMixed, "one message name for the same operation key of two tenants", func(h *History) { h.Sent[6].ApiKey = growerKey }},
 	{RuleMixed, "a repeat that is refused as a conflict", func(h *History) {
 		h.Sent[6].Outcome, h.Sent[6].Code, h.Sent[6].Id = check.NotTaken, 409, ""
 	}},
-	{RuleLost, "an accepted message that only its repeat's asker misses", func(h *History) { h.FinalStates["a2"] = FinalState{"unknown", "", "", 12 * s} }},
-	{RuleOrder, "a start before another of its tenant's has ended", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
-	{RuleConfig, "401 with a key that is there", func(h *History) { addLateSubmission(h, hallKey, 401, 40*s) }},
-	{RuleConfig, "401 with a key that was given, after the bound", func(h *History) {
+	{RuleLost, "an accepted message that is unknown only when queried for its repeat", func(h *History) { h.FinalStates["a2"] = FinalState{"unknown", "", "", 12 * s} }},
+	{RuleOrder, "a start before another message of the tenant and key has ended", func(h *History) { h.Runs[3].Start = 14*s + 500*ms }},
+	{RuleConfig, "401 for a valid API key", func(h *History) { addLateSubmission(h, hallKey, 401, 40*s) }},
+	{RuleConfig, "401 for an added API key, after the apply bound", func(h *History) {
 		changeKeys(h, 40*s, hallKey, "api-key-new")
 		addLateSubmission(h, "api-key-new", 401, 40*s+configApplyBound+ms)
 	}},
-	{RuleConfig, "202 with a key that was taken away, after the bound", func(h *History) {
+	{RuleConfig, "202 for a removed API key, after the apply bound", func(h *History) {
 		changeKeys(h, 40*s, "api-key-new")
 		addLateSubmission(h, hallKey, 202, 40*s+configApplyBound+ms)
 	}},
-	{RuleConfig, "a run with a key that was taken away, though nobody accepted it", func(h *History) {
+	{RuleConfig, "a run with a removed API key, without a response that accepts it", func(h *History) {
 		changeKeys(h, 40*s, "api-key-new")
 		x := addLateSubmission(h, hallKey, 504, 40*s+configApplyBound+ms)
 		x.Outcome = check.Undecided
-		r := run(x.Token, "p", "w", 45*s, 46*s, 200)
+		r := newRun(x.Token, "p", "w", 45*s, 46*s, 200)
 		r.Tenant = hall
 		h.Runs = append(h.Runs, r)
 	}},
-	{RuleConfig, "a daemon that forgets a key that it has accepted", func(h *History) {
+	{RuleConfig, "a daemon that refuses an API key that it accepted before", func(h *History) {
 		h.Disruptions = []Disruption{{Daemon: "core-1", From: 11 * s, Until: 12 * s}}
 		addLateSubmission(h, hallKey, 401, 12*s)
 	}},
-	{RuleConfig, "two tenants that share a key, acknowledged", func(h *History) {
+	{RuleConfig, "an acknowledged configuration in which two tenants share an API key", func(h *History) {
 		changeKeys(h, 40*s, hallKey, growerKey)
 		h.Edits[2].IsInvalid = true
 	}},
-	{RuleQuota, "more in one window than the limit", func(h *History) { addBurst(h, maxInWindow+1, 40*s) }},
-	{RuleQuota, "more in a window that no clock's beat begins", func(h *History) {
+	{RuleQuota, "more requests in one window than the limit", func(h *History) { addBurst(h, maxInWindow+1, 40*s) }},
+	{RuleQuota, "more requests than the limit in a window that is not aligned to the clock", func(h *History) {
 		addBurst(h, maxInWindow/2+1, 42*s)
 		addBurst(h, maxInWindow/2+1, 42*s+quotaWindow-100*ms)
 	}},
-	{RuleQuota, "more than a lower limit, one window after it binds", func(h *History) {
+	{RuleQuota, "more requests than a lowered limit, after its apply bound", func(h *History) {
 		h.Edits[0].Tenants[0].Rate, h.Edits[1].Tenants[0].Rate = 100, 100
 		changeKeys(h, 40*s, hallKey)
 		addBurst(h, maxInWindow+1, 40*s+configApplyBound+ms)
 	}},
-	{RuleQuota, "a tenant that gets far less than its limit", func(h *History) {
+	{RuleQuota, "a tenant that is allowed far less than its limit", func(h *History) {
 		for i := range 2 * minJudgedSubmissions {
 			code := 429
 			if i%2 == 0 {
@@ -163,20 +165,20 @@
 			x.Tenant, x.RetryAfter = grower, "1"
 		}
 	}},
-	{RuleMixed, "a message that another tenant is told of", func(h *History) { h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 200}} }},
-	{RuleShape, "429 without a word when to come back", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s) }},
-	{RuleShape, "429 with a time that is none", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
-	{RuleShape, "429 that sends away for too long", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "61" }},
-	{RuleShape, "401 with a message's name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
+	{RuleMixed, "a message that is returned to another tenant", func(h *History) { h.CrossTenantQueries = []CrossTenantQuery{{"a", hall, growerKey, 200}} }},
+	{RuleShape, "429 without a Retry-After", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s) }},
+	{RuleShape, "429 with a Retry-After that is not a number", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "soon" }},
+	{RuleShape, "429 with a Retry-After that is too long", func(h *History) { addLateSubmission(h, hallKey, 429, 40*s).RetryAfter = "61" }},
+	{RuleShape, "401 with a message name", func(h *History) { addLateSubmission(h, "api-key-other", 401, 40*s).Id = "id of z" }},
 }
 
-// TestTenancyIsJudged breaks each rule of tenants, keys and quotas on purpose.
+// TestTenancyIsJudged breaks each rule about tenants, API keys and quotas on purpose.
 func TestTenancyIsJudged(t *testing.T) {
-	Convey("A history is flagged that has", t, func() {
+	Convey("The judge reports a breach for a history with", t, func() {
 		for _, c := range flaggedTenancy {
 			Convey(c.rule+": "+c.text, func() {
 				h := tenantHistory()
-				c.hurt(h)
+				c.breakRule(h)
 				rules := []string{}
 				for _, b := range Judge(h, true) {
 					rules = append(rules, b.Rule)
@@ -185,30 +187,30 @@
 			})
 		}
 	})
-	Convey("A history is not flagged that has", t, func() {
+	Convey("The judge reports no breach for a history with", t, func() {
 		for _, c := range unflaggedTenancy {
 			Convey(c.text, func() {
 				h := tenantHistory()
-				c.ease(h)
+				c.vary(h)
 				So(Judge(h, true), ShouldBeEmpty)
 			})
 		}
 	})
 }
 
-// TestShares: what a limit allowed and was refused all the same.
+// TestShares checks the share of a tenant's limit that was refused.
 func TestShares(t *testing.T) {
 	cases := []struct {
 		text             string
-		accepted         func(i int) bool // of 400 sends, a fiftieth of a second apart, of a tenant with a rate of 2 and a burst of 2
+		accepted         func(i int) bool // of 400 submissions, 20 ms apart, of a tenant with rate 2 and burst 2
 		allowed, refused int
 		share            float64
 	}{
-		{"all is refused", func(int) bool { return false }, 17, 400, 1},
+		{"all submissions are refused", func(int) bool { return false }, 17, 400, 1},
 		{"one in 25 is accepted", func(i int) bool { return i%25 == 0 }, 17, 384, 1 - 16.0/17},
 		{"one in 20 is accepted", func(i int) bool { return i%20 == 0 }, 17, 380, 0},
 	}
-	Convey("Of a hot tenant", t, func() {
+	Convey("Of an overloading tenant", t, func() {
 		for _, c := range cases {
 			Convey(c.text, func() {
 				h := tenantHistory()
--- a/internal/standin/workerfaults.go
+++ b/internal/standin/workerfaults.go
@@ -11,66 +11,68 @@
 	"caperwheel/internal/check"
 )
 
-// workers finds those that who names.
-func (s *Site) workers(who string) []*Worker {
-	place, which, _ := strings.Cut(who, "/")
+// workers returns the workers that a selector names, such as pool-1/2 or pool-1/*.
+func (s *Site) workers(selector string) []*Worker {
+	position, index, _ := strings.Cut(selector, "/")
 	out := []*Worker{}
-	for i, p := range s.plan.Services { // a configuration never changes them
-		if fmt.Sprintf("pool-%d", i+1) != place {
+	for i, p := range s.plan.Services { // configuration changes do not affect the plan
+		if fmt.Sprintf("pool-%d", i+1) != position {
 			continue
 		}
 		for n, w := range s.Pools[p.Name].all() {
-			if which == "*" || which == fmt.Sprint(n+1) {
+			if index == "*" || index == fmt.Sprint(n+1) {
 				out = append(out, w)
 			}
 		}
 	}
 	if len(out) == 0 {
-		s.recordFailure("no worker is called %s", who)
+		s.recordFailure("no worker matches %s", selector)
 	}
 	return out
 }
 
-func setMode(_ context.Context, s *Site, who string) func() {
-	do, who, _ := strings.Cut(who, " ")
-	all := s.workers(who)
+// setMode switches workers to the mode that the fault names until the fault ends. A fault that no run met is recorded
+// as a failure, unless faults are random.
+func setMode(_ context.Context, s *Site, selector string) func() {
+	fault, selector, _ := strings.Cut(selector, " ")
+	all := s.workers(selector)
 	for _, w := range all {
-		w.mode.Store(int32(faultModes[do]))
+		w.mode.Store(int32(faultModes[fault]))
 	}
 	return func() {
-		met := int64(0)
+		requests := int64(0)
 		for _, w := range all {
 			w.mode.Store(int32(Healthy))
-			met += w.faultyRequests.Load()
+			requests += w.faultyRequests.Load()
 		}
-		if met == 0 && !s.hasRandomFaults {
-			s.recordFailure("no run met %s while it behaved oddly", who)
+		if requests == 0 && !s.hasRandomFaults {
+			s.recordFailure("no request reached %s during its fault", selector)
 		}
 	}
 }
 
-// failReceivers has receivers of call-backs fail.
+// failReceivers makes the receivers of call-backs fail until the fault ends.
 func failReceivers(_ context.Context, s *Site, _ string) func() {
 	s.Receiver.mode.Store(int32(Fail))
 	return func() { s.Receiver.mode.Store(int32(Healthy)) }
 }
 
-// replaceWorker begins a new life at an address; at another one where faults are drawn and one
-// that overlaps has begun a life there.
+// replaceWorker starts a new instance at an address. If random faults overlap, another instance may have been started
+// there; then it uses a new address.
 func (s *Site) replaceWorker(p *Pool, zone, addr string, isCold bool) {
 	_, err := p.add(zone, addr, isCold)
 	if errors.Is(err, syscall.EADDRINUSE) && s.hasRandomFaults {
 		_, err = p.add(zone, s.nextAddr(), isCold)
 	}
 	if err != nil {
-		s.recordFailure("%s does not come back: %v", p.Name, err)
+		s.recordFailure("cannot start a replacement worker of service %s: %v", p.Name, err)
 	}
 }
 
-// crashWorkers breaks workers off; the list shows them for some seconds more. Undone,
-// new lives begin there, cold.
-func crashWorkers(ctx context.Context, s *Site, who string) func() {
-	all := s.workers(who)
+// crashWorkers closes workers abruptly; the list shows them for 2 more seconds. When the fault ends, cold instances
+// start at the same addresses.
+func crashWorkers(ctx context.Context, s *Site, selector string) func() {
+	all := s.workers(selector)
 	for _, w := range all {
 		w.shutDown()
 		go func() { sleep(s.ctx, 2*time.Second); w.Service.remove(w) }()
@@ -83,21 +85,22 @@
 	}
 }
 
-// drainWorker has the list show a worker as leaving, and ends it when its time and
-// a little more have passed.
+// drainWorker shows a worker as draining on the list, and stops it when the drain bound and some more time have
+// passed.
 func (s *Site) drainWorker(ctx context.Context, w *Worker) {
 	w.isDraining.Store(true)
-	shown := s.Now() + listDelay + listDelay/4
+	shownAt := s.Now() + listDelay + listDelay/4
 	s.History.WithLock(func() {
-		s.History.Marks = append(s.History.Marks, check.Drain{Pool: w.Service.Name, Worker: w.Id, From: shown, Grace: drainBound})
+		s.History.Marks = append(s.History.Marks, check.Drain{Pool: w.Service.Name, Worker: w.Id, From: shownAt, Grace: drainBound})
 	})
 	sleep(ctx, drainBound+listDelay+2*time.Second)
 	w.Service.remove(w)
 	w.shutDown()
 }
 
-func drainWorkers(ctx context.Context, s *Site, who string) func() {
-	all, done := s.workers(who), make(chan struct{})
+// drainWorkers drains and stops workers. When the fault ends, cold instances start at the same addresses.
+func drainWorkers(ctx context.Context, s *Site, selector string) func() {
+	all, done := s.workers(selector), make(chan struct{})
 	for _, w := range all {
 		go func() { s.drainWorker(ctx, w); done <- struct{}{} }()
 	}
@@ -109,9 +112,9 @@
 	}
 }
 
-// reuseAddress has a worker crash, and one of another service come at its address.
-func reuseAddress(ctx context.Context, s *Site, who string) func() {
-	for _, w := range s.workers(who) {
+// reuseAddress crashes a worker and starts a worker of another service at its address.
+func reuseAddress(ctx context.Context, s *Site, selector string) func() {
+	for _, w := range s.workers(selector) {
 		w.shutDown()
 		go func() { sleep(s.ctx, 4*time.Second); w.Service.remove(w) }()
 		sleep(ctx, 2*time.Second)
