--- a/internal/explore/event.go
+++ b/internal/explore/event.go
@@ -35,8 +35,8 @@
 )
 
 // kindNames are the names of the kinds in traces.
-var kindNames = [kindCount]string{"deliver", "duplicate", "sync", "timeout", "heartbeat", "clock jump", "restart", "replace disk",
-	"propose", "compact", "transfer", "add learner", "promote", "remove member"}
+var kindNames = [kindCount]string{"deliver", "repeat", "sync", "timeout", "pulse", "lapse", "restart", "wipe", "propose",
+	"compact", "hand over", "learn", "promote", "drop"}
 
 // String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
@@ -73,9 +73,9 @@
 }
 
 // messageNames are the names of the kinds of messages in traces.
-var messageNames = map[int32]string{group.MsgPreVote: "pre-vote", group.MsgPreVoteReply: "pre-vote reply", group.MsgVote: "vote",
+var messageNames = map[int32]string{group.MsgPreVote: "ask", group.MsgPreVoteReply: "ask reply", group.MsgVote: "vote",
 	group.MsgVoteReply: "vote reply", group.MsgAppend: "append", group.MsgAppendReply: "append reply",
-	group.MsgSnapshot: "snapshot", group.MsgCampaign: "campaign", group.MsgWrongIncarnation: "wrong incarnation"}
+	group.MsgSnapshot: "image", group.MsgCampaign: "stand", group.MsgWrongIncarnation: "not me"}
 
 // Steps by which the clock of a replica advances. Other steps are not used, which keeps the number of states small.
 var (
